--- a/cmd/fennelarch/arch_test.go
+++ b/cmd/fennelarch/arch_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		seen[p.ImportPath] = true
-		if p.ImportPath == "fennelarch/rules" || strings.HasPrefix(p.ImportPath, "fennelarch/rules/") {
+		if strings.HasPrefix(p.ImportPath, "fennelarch/policy/") {
 			for _, i := range p.Imports {
 				for _, bad := range []string{"net", "os", "sync", "context", "log", "io", "go.uber.org/zap", "math/rand", "math/rand/v2", "fennelarch/internal"} {
 					if i == bad || strings.HasPrefix(i, bad+"/") {
@@ -39,30 +39,30 @@
 				}
 			}
 		}
-		if p.ImportPath == "fennelarch/cmd/fennelarch" || p.ImportPath == "fennelarch/cmd/drill" {
+		if p.ImportPath == "fennelarch/cmd/fennelarch" || p.ImportPath == "fennelarch/cmd/sim-adapter" {
 			for _, i := range p.Deps {
-				if strings.HasPrefix(i, "fennelarch/internal/standin") || strings.HasPrefix(i, "fennelarch/internal/lab") {
+				if strings.HasPrefix(i, "fennelarch/internal/fake") || strings.HasPrefix(i, "fennelarch/internal/testbed") {
 					t.Errorf("%s needs %s", p.ImportPath, i)
 				}
 			}
 		}
-		if strings.HasPrefix(p.ImportPath, "fennelarch/internal/standin") {
+		if strings.HasPrefix(p.ImportPath, "fennelarch/internal/fake") {
 			for _, i := range p.Imports {
 				if strings.HasPrefix(i, "fennelarch/") && !slices.Contains([]string{"fennelarch/internal/resp"}, i) {
 					t.Errorf("%s knows %s", p.ImportPath, i)
 				}
 			}
 		}
-		fronts := []string{"front", "back", "bulletin", "store", "gateway", "media", "disk"}
-		if name, is := strings.CutPrefix(p.ImportPath, "fennelarch/internal/"); is && slices.Contains(fronts, name) {
+		frontends := []string{"frontend", "upstream", "discovery", "sharedstore", "gateway", "media", "disk"}
+		if name, is := strings.CutPrefix(p.ImportPath, "fennelarch/internal/"); is && slices.Contains(frontends, name) {
 			for _, i := range p.Imports {
-				if other, is := strings.CutPrefix(i, "fennelarch/internal/"); is && slices.Contains(fronts, other) {
+				if other, is := strings.CutPrefix(i, "fennelarch/internal/"); is && slices.Contains(frontends, other) {
 					t.Errorf("%s knows %s", p.ImportPath, i)
 				}
 			}
 		}
 	}
-	if !seen["fennelarch/rules/store"] || !seen["fennelarch/internal/standin/redis"] {
+	if !seen["fennelarch/policy/sharedstore"] || !seen["fennelarch/internal/fake/redis"] {
 		t.Error("not all packages were looked at")
 	}
 }
--- a/cmd/fennelarch/doors.go
+++ b/cmd/fennelarch/doors.go
@@ -10,14 +10,14 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/front"
-	"fennelarch/internal/operator"
-	"fennelarch/internal/settings"
-	"fennelarch/rules/admission"
+	"fennelarch/internal/config"
+	"fennelarch/internal/frontend"
+	"fennelarch/internal/operatorconfig"
+	"fennelarch/policy/admission"
 )
 
 // admits is what the operator's file says of connections, for the decisions.
-func admits(own *operator.File, c *settings.Config) (admission.Settings, error) {
+func admits(own *operatorconfig.File, c *config.Config) (admission.Settings, error) {
 	a := own.Admission
 	if a == nil {
 		return admission.Settings{Tell: c.Rules.RetryAfter, MaxWait: c.Rules.MaxWait}, nil
@@ -57,21 +57,21 @@
 	}, nil
 }
 
-func files(t *operator.FrontTLS) front.Files {
-	f := front.Files{Cert: t.CertFile, Key: t.KeyFile, ClientCA: t.ClientCAFile, Required: t.Client == "required"}
+func files(t *operatorconfig.FrontTLS) frontend.Files {
+	f := frontend.Files{Cert: t.CertFile, Key: t.KeyFile, ClientCA: t.ClientCAFile, Required: t.Client == "required"}
 	if t.MinVersion == "1.3" {
 		f.Min = tls.VersionTLS13
 	}
 	return f
 }
 
-func newDoors(own *operator.File, c *settings.Config) (d front.Doors, err error) {
+func newDoors(own *operatorconfig.File, c *config.Config) (d frontend.Doors, err error) {
 	d.FlowKB = c.Rules.FlowKB
 	if d.Admission, err = admits(own, c); err != nil {
 		return d, err
 	}
 	if own.TLS != nil {
-		d.Keys, err = front.LoadKeys(files(own.TLS))
+		d.Keys, err = frontend.LoadKeys(files(own.TLS))
 		if err != nil {
 			err = fmt.Errorf("operator's file: tls: %w", err)
 		}
@@ -80,8 +80,8 @@
 }
 
 // reloadOwn reads the operator's file again and returns the one in force.
-func reloadOwn(path string, own *operator.File, c *settings.Config, st stores, server *front.Server, d front.Doors) (*operator.File, error) {
-	to, err := operator.Load(path)
+func reloadOwn(path string, own *operatorconfig.File, c *config.Config, st stores, server *frontend.Server, d frontend.Doors) (*operatorconfig.File, error) {
+	to, err := operatorconfig.Load(path)
 	if err != nil {
 		return own, err
 	}
@@ -103,7 +103,7 @@
 }
 
 // doorsSummary tells of connections where the operator's file has anything about them, or where something was turned back.
-func doorsSummary(own *operator.File, s *front.Server, log *zap.Logger) {
+func doorsSummary(own *operatorconfig.File, s *frontend.Server, log *zap.Logger) {
 	n, mode := s.Doors()
 	if own.Admission == nil && n.Exhausted == 0 {
 		return
--- a/cmd/fennelarch/endings_test.go
+++ b/cmd/fennelarch/endings_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // stopped awaits the end of the program, which must be its own, in order, and no later than told.
@@ -280,10 +280,10 @@
 	time.Sleep(100 * time.Millisecond)
 	f.board.Mute(true)
 	other := newBoard(t)
-	other.List(true, depot.Line{UID: "s-1", Address: a.address, Zone: "west", Kind: "std", State: "draining", Weight: 4},
-		depot.Line{UID: "s-2", Address: b.address, Zone: "west", Kind: "std", State: "ready", Weight: 4},
-		depot.Line{UID: "s-parent", Address: f.parent.address, Zone: "west", Kind: "parent", State: "ready", Weight: 4},
-		depot.Line{UID: "s-origin", Address: f.origin.address, Zone: "west", Kind: "origin", State: "ready", Weight: 4})
+	other.List(true, site.Line{UID: "s-1", Address: a.address, Zone: "west", Kind: "std", State: "draining", Weight: 4},
+		site.Line{UID: "s-2", Address: b.address, Zone: "west", Kind: "std", State: "ready", Weight: 4},
+		site.Line{UID: "s-parent", Address: f.parent.address, Zone: "west", Kind: "parent", State: "ready", Weight: 4},
+		site.Line{UID: "s-origin", Address: f.origin.address, Zone: "west", Kind: "origin", State: "ready", Weight: 4})
 	f.configure(other, "")
 	_ = f.router.Process.Signal(syscall.SIGHUP)
 	still := func() bool {
--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -10,8 +10,8 @@
 
 	"github.com/alecthomas/kong"
 
-	"fennelarch/internal/operator"
-	"fennelarch/internal/settings"
+	"fennelarch/internal/config"
+	"fennelarch/internal/operatorconfig"
 	"fennelarch/internal/system"
 )
 
@@ -34,16 +34,16 @@
 func (s serveCmd) Run() error { return serve(s.Operator, s.Recorder) }
 
 func (schemaCmd) Run() error {
-	_, err := os.Stdout.Write(operator.Schema)
+	_, err := os.Stdout.Write(operatorconfig.Schema)
 	return err
 }
 
 func (k checkCmd) Run() error {
-	c, err := settings.Load(os.Getenv)
+	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	own, err := operator.Load(k.Operator)
+	own, err := operatorconfig.Load(k.Operator)
 	if err != nil {
 		return err
 	}
--- a/cmd/fennelarch/operator_test.go
+++ b/cmd/fennelarch/operator_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"fennelarch/internal/standin/redis"
+	"fennelarch/internal/fake/redis"
 )
 
 // A store by the operator's file: a miss is filled from the parent and stored, the next view is the store's. SIGHUP takes what
--- a/cmd/fennelarch/recorder.go
+++ b/cmd/fennelarch/recorder.go
@@ -13,26 +13,26 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/guard"
-	"fennelarch/internal/stall"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
+	"fennelarch/internal/stalldetect"
 )
 
 // recordedEvents is how many events the recorder holds: some seconds of a busy router, in a fifth of a megabyte.
 const recordedEvents = 4096
 
 // newMonitor returns the guard of the router's invariants, with a flight recorder that is written into a folder at a violation.
-func newMonitor(name, folder string, log *zap.Logger) *guard.Monitor {
-	recorder := flightrec.New(recordedEvents, guard.ReasonName)
-	return guard.NewMonitor(log, recorder, stall.New(), func(reason string) {
+func newMonitor(name, folder string, log *zap.Logger) *invariant.Monitor {
+	recorder := flightrecorder.New(recordedEvents, invariant.ReasonName)
+	return invariant.NewMonitor(log, recorder, stalldetect.New(), func(reason string) {
 		go writeRecorder(recorder, name, folder, reason, log)
 	})
 }
 
 // watchStalls notices that the process stood still, and says so.
-func watchStalls(ctx context.Context, monitor *guard.Monitor, log *zap.Logger) {
+func watchStalls(ctx context.Context, monitor *invariant.Monitor, log *zap.Logger) {
 	monitor.Watch().Run(ctx, func(lasted time.Duration) {
-		monitor.Record(flightrec.Entry{Event: flightrec.Stalled, Value: lasted.Milliseconds()})
+		monitor.Record(flightrecorder.Entry{Event: flightrecorder.Stalled, Value: lasted.Milliseconds()})
 		if lasted >= worthALine {
 			log.Warn("the process stood still", zap.Duration("for", lasted))
 		}
@@ -43,7 +43,7 @@
 const worthALine = 250 * time.Millisecond
 
 // dumpAtSignal writes the recorder out at each signal.
-func dumpAtSignal(asked <-chan os.Signal, monitor *guard.Monitor, name, folder string, log *zap.Logger) {
+func dumpAtSignal(asked <-chan os.Signal, monitor *invariant.Monitor, name, folder string, log *zap.Logger) {
 	for range asked {
 		writeRecorder(monitor.Recorder(), name, folder, "signal", log)
 	}
@@ -52,7 +52,7 @@
 var recorderWriting sync.Mutex
 
 // writeRecorder writes what the recorder holds to a file of its own in the folder, or to standard error where there is none.
-func writeRecorder(recorder *flightrec.Recorder, name, folder, reason string, log *zap.Logger) {
+func writeRecorder(recorder *flightrecorder.Recorder, name, folder, reason string, log *zap.Logger) {
 	recorderWriting.Lock()
 	defer recorderWriting.Unlock()
 	if folder == "" {
--- a/cmd/fennelarch/serve.go
+++ b/cmd/fennelarch/serve.go
@@ -17,15 +17,15 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/back"
-	"fennelarch/internal/bulletin"
+	"fennelarch/internal/config"
+	"fennelarch/internal/discovery"
 	"fennelarch/internal/engine"
-	"fennelarch/internal/front"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/frontend"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/operator"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/internal/operatorconfig"
+	"fennelarch/internal/upstream"
+	"fennelarch/policy/routing"
 )
 
 func serve(path, recorderFolder string) error {
@@ -35,13 +35,13 @@
 	signal.Notify(again, syscall.SIGHUP)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	begins := newStarter()
-	var c *settings.Config
-	var own *operator.File
-	err := begins.read(func() (err error) { c, err = settings.Load(os.Getenv); return err })
+	var c *config.Config
+	var own *operatorconfig.File
+	err := begins.read(func() (err error) { c, err = config.Load(os.Getenv); return err })
 	if err != nil {
 		return err
 	}
-	err = begins.read(func() (err error) { own, err = operator.Load(path); return err })
+	err = begins.read(func() (err error) { own, err = operatorconfig.Load(path); return err })
 	if err != nil {
 		return err
 	}
@@ -72,25 +72,25 @@
 	monitor := newMonitor(c.Name, recorderFolder, log)
 	go watchStalls(context.Background(), monitor, log)
 	stores := newStores(own, c, lim, start, post, log)
-	pool := back.New(lim, c.Names, c.Rules.Reports == rules.ViaProbe, stores.inner(post), log)
+	pool := upstream.New(lim, c.Names, c.Rules.Reports == routing.ViaProbe, stores.inner(post), log)
 	eng = engine.New(c.Rules, c.Seed, lim.Queue, start, stores.over(pool),
 		engine.Own{Bytes: lim.Copies, Flow: c.Flow, Link: c.Link, Forget: lim.Forget}, log)
 	eng.Guarded(monitor, stores.stepped)
 	eng.Start(0)
-	var doors front.Doors
+	var doors frontend.Doors
 	err = begins.read(func() (err error) { doors, err = newDoors(own, c); return err })
 	if err != nil {
 		return err
 	}
 	doors.Lag, doors.Guard = eng.Lag, monitor
-	server := front.New(lim, c.Names, c.Rules.Tariffs, doors, offer, log)
+	server := frontend.New(lim, c.Names, c.Rules.Tariffs, doors, offer, log)
 	pool.Short, server.Relieve, pool.Guard = server.Short, pool.Relieve, monitor
 
-	follower := bulletin.New(lim, c.Names, c.Bulletin, log)
+	follower := discovery.New(lim, c.Names, c.Bulletin, log)
 	follower.Watch = monitor.Watch()
 	stores.follow(follower)
 	if len(c.Known) > 0 {
-		known, cut := bulletin.Known(c.Known)
+		known, cut := discovery.Known(c.Known)
 		err := follower.Take(&known, engine.LongTold, func(what any) { eng.Handle(0, engine.Event{What: stores.told(what)}) })
 		if err := errors.Join(cut, err); err != nil { // the bulletin tells the rest
 			log.Warn("configuration: known: not all of it can be read", zap.Error(err))
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	var inForce atomic.Pointer[operator.File] // it changes while summaries are made
+	var inForce atomic.Pointer[operatorconfig.File] // it changes while summaries are made
 	inForce.Store(own)
 	done := make(chan struct{}) // never: the engine answers to the last
 	go eng.Run(done, lim.Summary, func(n engine.Counts) {
@@ -158,8 +158,8 @@
 
 // reloadConfig takes over from the configuration what may change while the router runs: the bulletin's address. Nothing else of it
 // acts before the next start, and the log says so where something else has changed.
-func reloadConfig(follower *bulletin.Follower, old *settings.Config, log *zap.Logger) error {
-	c, err := settings.Load(os.Getenv)
+func reloadConfig(follower *discovery.Follower, old *config.Config, log *zap.Logger) error {
+	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func summary(log *zap.Logger, n engine.Counts, clients, nodes int, monitor *guard.Monitor) {
+func summary(log *zap.Logger, n engine.Counts, clients, nodes int, monitor *invariant.Monitor) {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	violated, closed := monitor.Counts()
--- a/cmd/fennelarch/serve_test.go
+++ b/cmd/fennelarch/serve_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // TestMain is the program itself when the tests start it.
@@ -166,18 +166,18 @@
 func busy(q query) (string, bool)    { return q.says("503", "how=turned_away", ""), false }
 
 // board is the stand-in of the bulletin.
-type board struct{ *depot.Board }
+type board struct{ *site.Board }
 
 func newBoard(t *testing.T) *board {
-	b := &board{depot.NewBoard()}
+	b := &board{site.NewBoard()}
 	t.Cleanup(b.Close)
 	return b
 }
 
 func (b *board) list(all bool, state string, nodes ...*node) {
-	var lines []depot.Line
+	var lines []site.Line
 	for _, n := range nodes {
-		lines = append(lines, depot.Line{UID: n.uid, Address: n.address, Zone: "west", Kind: depot.Kind(n.kind), State: state, Weight: 4})
+		lines = append(lines, site.Line{UID: n.uid, Address: n.address, Zone: "west", Kind: site.Kind(n.kind), State: state, Weight: 4})
 	}
 	b.List(all, lines...)
 }
@@ -200,7 +200,7 @@
   "probes":true,"retry_after":true,"second_copies":true},
  "classes":[{"name":"clip","aim_stretch":1.6,"deadline_ms":5000,"target_ms":400,"importance":2,"late_worth":0.15,"effect":"retryable"},
   {"name":"signoff","deadline_ms":3000,"target_ms":700,"importance":3,"effect":"fragile"}],
- "rules":{"drain_grace_ms":300,"start_capacity":0.3,"cold_ms":10000,"fall_multiple":2.5,"overload_for_ms":3000},
+ "policy/routing":{"drain_grace_ms":300,"start_capacity":0.3,"cold_ms":10000,"fall_multiple":2.5,"overload_for_ms":3000},
  "specifics":{"class_write":[false,true],"flow_kb_per_s":3000,"gone_everywhere_ms":6000,"lifetime_by_class_ms":[0,0],"may_pass_by":true,
   "merges_fills":false,"neighbours":"any","parent_floor":0.1,"parent_ramp_ms":20000,"upper_fall_multiple":2,"purge_grace_ms":1000,
   "root_kind":2,"second_tier_kind":1,"says":"all","seats_by_zone":[1,0],"origin_limit_factor":2.5,"origin_bears_ms":3000}}`
--- a/cmd/fennelarch/stores.go
+++ b/cmd/fennelarch/stores.go
@@ -10,20 +10,20 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/bulletin"
+	"fennelarch/internal/config"
+	"fennelarch/internal/discovery"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/operator"
-	"fennelarch/internal/settings"
-	"fennelarch/internal/store"
-	decide "fennelarch/rules/store"
+	"fennelarch/internal/operatorconfig"
+	"fennelarch/internal/sharedstore"
+	decide "fennelarch/policy/sharedstore"
 )
 
 // stores is nothing where there are none.
-type stores struct{ *store.Carrier }
+type stores struct{ *sharedstore.Carrier }
 
 // fits says whether the installation can have what the operator's file wants.
-func fits(own *operator.File, c *settings.Config) error {
+func fits(own *operatorconfig.File, c *config.Config) error {
 	if len(own.Stores) > 0 && !c.Rules.Direct {
 		return errors.New("operator's file: stores: the settings do not let this router ask parents itself (may_pass_by), " +
 			"so it could not fill a store")
@@ -32,24 +32,24 @@
 }
 
 // shared is what the operator's file says of stores, for the decisions.
-func shared(own *operator.File, c *settings.Config, lim limits.Limits) decide.Settings {
+func shared(own *operatorconfig.File, c *config.Config, lim limits.Limits) decide.Settings {
 	s := own.Shared
-	set := decide.Settings{Routers: s.Routers, Capacity: s.Capacity, ColdShare: s.ColdShare, ColdFor: operator.Millis(s.ColdMS),
-		Multiple: s.Multiple, Most: s.Most, Bytes: lim.Object, Life: operator.Millis(s.KeepMS), Lease: s.Lease == nil || *s.Lease}
+	set := decide.Settings{Routers: s.Routers, Capacity: s.Capacity, ColdShare: s.ColdShare, ColdFor: operatorconfig.Millis(s.ColdMS),
+		Multiple: s.Multiple, Most: s.Most, Bytes: lim.Object, Life: operatorconfig.Millis(s.KeepMS), Lease: s.Lease == nil || *s.Lease}
 	return set.Whole(&c.Rules)
 }
 
-func newStores(own *operator.File, c *settings.Config, lim limits.Limits, start time.Time, post func(time.Time, any),
+func newStores(own *operatorconfig.File, c *config.Config, lim limits.Limits, start time.Time, post func(time.Time, any),
 	log *zap.Logger) stores {
 	if len(own.Stores) == 0 {
 		return stores{}
 	}
-	var list []store.Store
+	var list []sharedstore.Store
 	for _, s := range own.Stores {
-		list = append(list, store.Store{UID: s.UID, Addresses: s.Addresses, Listed: s.Listed, Weight: s.Weight, Prefix: s.Prefix,
-			Login: store.NewLogin(s.User, s.Password, s.Database), TLS: s.Secure})
+		list = append(list, sharedstore.Store{UID: s.UID, Addresses: s.Addresses, Listed: s.Listed, Weight: s.Weight, Prefix: s.Prefix,
+			Login: sharedstore.NewLogin(s.User, s.Password, s.Database), TLS: s.Secure})
 	}
-	return stores{store.New(lim, c.Rules, shared(own, c, lim), c.Seed, list, start, post, log)}
+	return stores{sharedstore.New(lim, c.Rules, shared(own, c, lim), c.Seed, list, start, post, log)}
 }
 
 // inner is where the carrier of all other nodes posts.
@@ -76,7 +76,7 @@
 	return s.Told(what)
 }
 
-func (s stores) follow(f *bulletin.Follower) {
+func (s stores) follow(f *discovery.Follower) {
 	if s.Carrier != nil {
 		f.Current, f.Gap = s.Current, s.Gap
 	}
@@ -106,7 +106,7 @@
 }
 
 // reload takes over what may change of the operator's file.
-func (s stores) reload(own *operator.File, c *settings.Config) {
+func (s stores) reload(own *operatorconfig.File, c *config.Config) {
 	if s.Carrier != nil {
 		s.Set(shared(own, c, s.Limits()))
 	}
--- a/cmd/fennelab/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command fennelab plays experiments on real routers among stand-ins, on this machine's loopback alone. This file owns its
-// command line; the experiments are those of internal/lab.
+// Command testbed plays experiments on real routers among stand-ins, on this machine's loopback alone. This file owns its
+// command line; the experiments are those of internal/testbed.
 package main
 
 import (
@@ -14,14 +14,14 @@
 
 	"github.com/alecthomas/kong"
 
-	"fennelarch/internal/lab"
-	"fennelarch/internal/lab/soak"
+	"fennelarch/internal/testbed"
+	"fennelarch/internal/testbed/soak"
 )
 
 type listCmd struct{}
 
 type runCmd struct {
-	Name    string  `arg:"" help:"The experiment; 'fennelab list' names them."`
+	Name    string  `arg:"" help:"The experiment; 'testbed list' names them."`
 	Seed    uint64  `default:"1" help:"What chance is drawn from; the same seed gives the same script."`
 	Scale   float64 `default:"1" help:"Of rates and durations; 1 is what docs/results.md tells."`
 	Routers int     `help:"How many routers, where the experiment leaves it open; 0: its own choice."`
@@ -35,7 +35,7 @@
 }
 
 func (listCmd) Run() error {
-	for _, e := range lab.Experiments() {
+	for _, e := range testbed.Experiments() {
 		fmt.Printf("%-20s %s\n", e.Name, e.Shows)
 	}
 	return nil
@@ -47,7 +47,7 @@
 var errClaim = errors.New("a claim did not hold")
 
 func (c runCmd) Run() error {
-	o := lab.Options{Seed: c.Seed, Scale: c.Scale, Routers: c.Routers, Out: c.Out}
+	o := testbed.Options{Seed: c.Seed, Scale: c.Scale, Routers: c.Routers, Out: c.Out}
 	if c.Scale <= 0 || c.Scale > 10 {
 		return usageError{fmt.Errorf("--scale: %g is not between 0 and 10", c.Scale)}
 	}
@@ -64,7 +64,7 @@
 	if !c.JSON {
 		o.Note = os.Stderr
 	}
-	r, err := lab.Run(c.Name, o)
+	r, err := testbed.Run(c.Name, o)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func print(r *lab.Result) {
+func print(r *testbed.Result) {
 	for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
 		fmt.Printf("  %-44s %10.3f\n", name, r.Figures[name])
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-func (c upCmd) Run() error { return lab.Up(c.Bulletin, os.Stdout) }
+func (c upCmd) Run() error { return testbed.Up(c.Bulletin, os.Stdout) }
 
 func main() {
 	var cli struct {
@@ -112,9 +112,9 @@
 		Run  runCmd  `cmd:"" help:"Run an experiment; exit code 0 only if every claim held."`
 		Up   upCmd   `cmd:"" help:"Start the stand-ins of deploy/example.json and of deploy/operator.example.json, until interrupted."`
 	}
-	ctx := kong.Parse(&cli, kong.Name("fennelab"), kong.Description("Experiments on real routers among stand-ins, on loopback."))
+	ctx := kong.Parse(&cli, kong.Name("testbed"), kong.Description("Experiments on real routers among stand-ins, on loopback."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "fennelab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		if errors.As(err, &usageError{}) || errors.As(err, &soak.PlanError{}) {
 			os.Exit(2)
 		}
--- a/internal/settings/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-package settings
+package config
 
 // This file owns the configuration that a router of the service finds at its start: its environment and the file
 // that it names. It checks that the whole can be used, and decides nothing.
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"fennelarch/internal/system"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Config is what a router of the service is told at its start.
@@ -26,7 +26,7 @@
 	Flow     float64         // bytes a second of one transfer from the router's own memory
 	Link     float64         // and of all together
 	Known    json.RawMessage // the bulletin's events so far
-	Rules    rules.Settings
+	Rules    routing.Settings
 	Names    Names
 	Fixed    string // all that holds until the next start, as text
 }
--- a/internal/settings/settings.go
+++ b/internal/config/settings.go
@@ -1,6 +1,6 @@
 // Package settings decodes what a router is told at its start. This file owns the settings object, which the bench
 // and the service give alike; it holds no default and decides nothing.
-package settings
+package config
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // conf names the keys of the settings that the rules read; others are passed over.
@@ -60,7 +60,7 @@
 		Multiple  float64 `json:"fall_multiple"`
 		FallFor   float64 `json:"overload_for_ms"`
 		ColdShare float64 `json:"start_capacity"`
-	} `json:"rules"`
+	} `json:"policy/routing"`
 	Own struct {
 		Write          []bool    `json:"class_write"`
 		Flow           float64   `json:"flow_kb_per_s"`
@@ -85,13 +85,13 @@
 }
 
 var (
-	effects = map[string]rules.Effect{"retryable": rules.Harmless, "dedup": rules.Stamped, "fragile": rules.OneShot}
-	scopes  = map[string]rules.Scope{"all": rules.ScopeAll, "zone": rules.ScopeZone, "cell": rules.ScopeCell}
-	reaches = map[string]rules.Reach{"location": rules.ReachLocation, "any": rules.ReachAny}
-	tells   = map[string]rules.Tells{"hit": rules.TellsHit, "all": rules.TellsAll}
-	vias    = map[string]rules.Via{"answers": rules.ViaAnswers, "probe": rules.ViaProbe}
-	signals = map[string]rules.Signal{"busy_reqs": rules.SignalHeld, "pending": rules.SignalQueued,
-		"cpu_share": rules.SignalBusy, "x0": rules.SignalHits, "x1": rules.SignalPipe}
+	effects = map[string]routing.Effect{"retryable": routing.Harmless, "dedup": routing.Stamped, "fragile": routing.OneShot}
+	scopes  = map[string]routing.Scope{"all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
+	reaches = map[string]routing.Reach{"location": routing.ReachLocation, "any": routing.ReachAny}
+	tells   = map[string]routing.Tells{"hit": routing.TellsHit, "all": routing.TellsAll}
+	vias    = map[string]routing.Via{"answers": routing.ViaAnswers, "probe": routing.ViaProbe}
+	signals = map[string]routing.Signal{"busy_reqs": routing.SignalHeld, "pending": routing.SignalQueued,
+		"cpu_share": routing.SignalBusy, "x0": routing.SignalHits, "x1": routing.SignalPipe}
 )
 
 func at[T any](list []T, i int) (v T) {
@@ -101,11 +101,11 @@
 	return v
 }
 
-func kind(k *int) rules.KindID {
+func kind(k *int) routing.KindID {
 	if k == nil {
 		return -1
 	}
-	return rules.KindID(*k)
+	return routing.KindID(*k)
 }
 
 // Names are what the settings call things, by place, and the figures that only connections need.
@@ -140,14 +140,14 @@
 }
 
 // Decode reads the JSON text of a router's settings.
-func Decode(text []byte) (rules.Settings, Names, error) {
+func Decode(text []byte) (routing.Settings, Names, error) {
 	var c conf
 	if err := json.Unmarshal(text, &c); err != nil {
-		return rules.Settings{}, Names{}, plain("settings", text, err)
+		return routing.Settings{}, Names{}, plain("settings", text, err)
 	}
 	names := Names{Zones: c.Zones, Kinds: c.Kinds, Columns: c.Report.Columns, Idle: Span(c.Caps.Idle), Streams: c.Caps.Streams}
-	s := rules.Settings{
-		Routers: c.Instances, Zone: rules.ZoneID(c.Zone), ZoneRouters: c.Own.Seats, ZoneInlet: c.Own.Inlet,
+	s := routing.Settings{
+		Routers: c.Instances, Zone: routing.ZoneID(c.Zone), ZoneRouters: c.Own.Seats, ZoneInlet: c.Own.Inlet,
 		ParentKind: kind(c.Own.Parent), OriginKind: kind(c.Own.Origin),
 		Probes: c.Caps.Probes, Cancel: c.Caps.Cancel, SecondCopies: c.Caps.Second, RetryAfter: c.Caps.RetryAfter,
 		Legs: c.Caps.Tries, MaxWait: Span(c.Caps.MaxWait), ConnectLimit: Span(c.Caps.Connect),
@@ -171,8 +171,8 @@
 			return s, names, fmt.Errorf("settings.classes.%d: the unknown effect %q", i, k.Effect)
 		}
 		scope, known := scopes[k.Group]
-		if effect == rules.Stamped && !known {
-			effect = rules.OneShot // who drops its repeats is not known: nobody may be taken to
+		if effect == routing.Stamped && !known {
+			effect = routing.OneShot // who drops its repeats is not known: nobody may be taken to
 		}
 		if slices.Contains(names.Tariffs, k.Name) {
 			return s, names, fmt.Errorf("settings.classes.%d: there is a class %q before it", i, k.Name)
@@ -181,14 +181,14 @@
 			return s, names, fmt.Errorf("settings.classes.%d: a deadline of %g ms", i, k.Deadline)
 		}
 		names.Tariffs = append(names.Tariffs, k.Name)
-		s.Tariffs = append(s.Tariffs, rules.Tariff{
+		s.Tariffs = append(s.Tariffs, routing.Tariff{
 			Due: Span(k.Target), DueStretch: k.Stretch, Hard: Span(k.Deadline), Payoff: k.Worth, LatePayoff: k.Late,
 			Effect: effect, Scope: scope, Window: Span(k.Window), Stream: k.Stream,
 			Write: at(c.Own.Write, i), Fresh: Span(at(c.Own.Fresh, i)), Grace: Span(at(c.Own.Older, i)),
 		})
 	}
 	for _, t := range c.Tenants {
-		s.Tenants = append(s.Tenants, rules.Tenant{Allowance: t.Allowance})
+		s.Tenants = append(s.Tenants, routing.Tenant{Allowance: t.Allowance})
 		names.Tenants = append(names.Tenants, t.Name)
 	}
 	return s, names, nil
--- a/internal/bulletin/bulletin.go
+++ b/internal/discovery/bulletin.go
@@ -1,6 +1,6 @@
 // Package bulletin follows the numbered events that tell of lists and purges. This file owns the polls and the
 // meaning of the events; it must never skip or repeat one, or decide what follows from it.
-package bulletin
+package discovery
 
 import (
 	"bytes"
@@ -20,12 +20,12 @@
 
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/internal/stall"
+	"fennelarch/internal/stalldetect"
 	"fennelarch/internal/system"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 var (
@@ -85,7 +85,7 @@
 // Follower follows the bulletin.
 type Follower struct {
 	limits  limits.Limits
-	names   settings.Names
+	names   config.Names
 	log     *zap.Logger
 	last    int64     // number of the last event that was passed on
 	gap     int64     // number before which one is missing, as seen in the last page
@@ -94,7 +94,7 @@
 
 	Current func(asOf time.Time) // if set, is called when all that was told before a moment has been passed on
 	Gap     func()               // if set, is called when something was told that will never be
-	Watch   *stall.Watch         // if set, notices that the process stood still while a poll waited
+	Watch   *stalldetect.Watch   // if set, notices that the process stood still while a poll waited
 	dial    func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu      sync.Mutex
@@ -103,7 +103,7 @@
 }
 
 // New returns a follower of the bulletin at an address, that has seen nothing.
-func New(l limits.Limits, n settings.Names, address string, log *zap.Logger) *Follower {
+func New(l limits.Limits, n config.Names, address string, log *zap.Logger) *Follower {
 	return &Follower{limits: l, names: n, address: address, log: log, dial: system.DialContext}
 }
 
@@ -128,7 +128,7 @@
 	return stay, f.address, f.drop
 }
 
-var states = map[string]rules.State{"gone": rules.Gone, "ready": rules.Ready, "draining": rules.Draining}
+var states = map[string]routing.State{"gone": routing.Gone, "ready": routing.Ready, "draining": routing.Draining}
 
 // Take passes on the events of a page that are new. Where one is missing, what follows waits for the next page; if it is
 // missing there too, it is gone. Numbers that stay behind for long are those of a new bulletin, whose first event is a whole list;
@@ -202,8 +202,8 @@
 					zap.String("zone", t.Zone))
 				continue
 			}
-			n := engine.Node{UID: t.UID, Address: t.Addr, Member: rules.Member{Node: engine.NodeID(t.UID), State: state,
-				Kind: rules.KindID(kind), Zone: rules.ZoneID(zone), Cell: rules.CellID(t.Cell), Weight: t.Weight}}
+			n := engine.Node{UID: t.UID, Address: t.Addr, Member: routing.Member{Node: engine.NodeID(t.UID), State: state,
+				Kind: routing.KindID(kind), Zone: routing.ZoneID(zone), Cell: routing.CellID(t.Cell), Weight: t.Weight}}
 			if t.Boot > 0 {
 				n.Boot = time.UnixMilli(int64(t.Boot)).UTC()
 			}
@@ -211,13 +211,13 @@
 		}
 		return l, nil
 	case it.Recall != nil:
-		p := engine.Purge{Group: rules.GroupID(it.Recall.Lot), Issued: time.UnixMilli(it.Recall.Issued).UTC()}
+		p := engine.Purge{Group: routing.GroupID(it.Recall.Lot), Issued: time.UnixMilli(it.Recall.Issued).UTC()}
 		if it.Recall.Item != "" {
 			o, err := strconv.ParseUint(it.Recall.Item, 16, 64)
 			if err != nil {
 				return nil, err
 			}
-			p.Object = rules.ObjectID(o)
+			p.Object = routing.ObjectID(o)
 		}
 		return p, nil
 	}
--- a/internal/bulletin/bulletin_test.go
+++ b/internal/discovery/bulletin_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package discovery
 
 import (
 	"cmp"
@@ -15,17 +15,17 @@
 
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/internal/stall"
+	"fennelarch/internal/stalldetect"
 )
 
 func testFollower() *Follower {
 	l := limits.From(limits.Told{MemoryMB: 64, Sockets: 256})
 	l.Poll, l.Silent, l.Again = 50*time.Millisecond, 200*time.Millisecond, time.Millisecond
 	l.Halt, l.Rewind = 100*time.Millisecond, 0
-	return New(l, settings.Names{Zones: []string{"west", "east"}, Kinds: []string{"std", "parent"}}, "", zap.NewNop())
+	return New(l, config.Names{Zones: []string{"west", "east"}, Kinds: []string{"std", "parent"}}, "", zap.NewNop())
 }
 
 func purge(no int) string {
@@ -302,7 +302,7 @@
 	if got := f.age(at(-time.Second), now); got != 0 {
 		t.Errorf("while it waited: %v", got)
 	}
-	f.Watch = stall.New()
+	f.Watch = stalldetect.New()
 	time.Sleep(70 * time.Millisecond) // it does not beat
 	if got := f.age(time.Now().Add(-time.Second), time.Now()); got < 5*time.Second {
 		t.Errorf("while the process stood still: %v", got)
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -4,20 +4,20 @@
 	"testing"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // A view through the engine and the decisions, served by a hit.
 func BenchmarkView(b *testing.B) {
 	r := newRig()
 	r.mute = true
-	id := rules.ViewID(0)
+	id := routing.ViewID(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
 		r.at += 100 * time.Microsecond
-		r.tell(&Ask{View: id, Client: r, Tag: Tag(id), Object: rules.ObjectID(id%500 + 1), KB: 30, Left: 2 * time.Second, At: r.start.Add(r.at)})
-		r.end(len(r.legs)-1, rules.Succeeded, rules.NoteHit)
+		r.tell(&Ask{View: id, Client: r, Tag: Tag(id), Object: routing.ObjectID(id%500 + 1), KB: 30, Left: 2 * time.Second, At: r.start.Add(r.at)})
+		r.end(len(r.legs)-1, routing.Succeeded, routing.NoteHit)
 		r.legs = r.legs[:0]
 		r.Tick(r.at)
 	}
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // stepped is a rig whose wall clock has been set by so much.
@@ -23,7 +23,7 @@
 
 // startOf is when the engine takes a server to have started, before now.
 func (w *watcher) startOf(boot time.Time) (ago time.Duration) {
-	w.tell(List{Nodes: []Node{{Member: rules.Member{Node: 9, State: rules.Ready, Weight: 1}, Boot: boot.Round(0)}}})
+	w.tell(List{Nodes: []Node{{Member: routing.Member{Node: 9, State: routing.Ready, Weight: 1}, Boot: boot.Round(0)}}})
 	return w.now - w.members[0].Started
 }
 
@@ -64,7 +64,7 @@
 		for _, theirs := range []time.Duration{0, step} {
 			w := stepped(0, own)
 			w.view(1, 0, 2*time.Second)
-			w.tell(LegEnd{Leg: w.legs[0], Outcome: rules.Succeeded, Note: rules.NoteHit, Body: []byte("bytes"), Sum: "tag",
+			w.tell(LegEnd{Leg: w.legs[0], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), Sum: "tag",
 				Born: w.start.Add(w.at + theirs).Round(0)})
 			w.setClock(step)
 			w.pass(time.Second)
@@ -82,7 +82,7 @@
 			}
 			// What was on its way when the purge was told is older than it, whatever its stamp says.
 			w.view(2, 0, 2*time.Second)
-			w.tell(LegEnd{Leg: w.legs[len(w.legs)-1], Outcome: rules.Succeeded, Note: rules.NoteHit, Body: []byte("bytes"), Sum: "tag",
+			w.tell(LegEnd{Leg: w.legs[len(w.legs)-1], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), Sum: "tag",
 				Born: w.start.Add(w.at - time.Second + theirs).Round(0)})
 			if w.ownCopy(ask, 0) != nil {
 				t.Errorf("step %v, stamp stepped by %v: a copy from before a purge is kept after it", step, theirs)
--- a/internal/engine/copies.go
+++ b/internal/engine/copies.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Own is what the router may use for copies of its own.
@@ -32,13 +32,13 @@
 const overhead = 256
 
 type copyKey struct {
-	object rules.ObjectID
+	object routing.ObjectID
 	part   int
 }
 
 type ownCopy struct {
 	key   copyKey
-	group rules.GroupID
+	group routing.GroupID
 	body  []byte
 	sum   string
 	born  time.Time     // as stamped
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // orders is every order of n things.
@@ -62,11 +62,11 @@
 func TestOneTurnInEveryOrder(t *testing.T) {
 	ends := []struct {
 		name    string
-		outcome rules.Outcome
-		note    rules.Note
-	}{{"succeeded", rules.Succeeded, rules.NoteHit}, {"broken", rules.Broken, 0}, {"refused", rules.Unconnected, 0},
-		{"missed", rules.Missed, rules.NoteLacks}, {"error", rules.Errored, 0}, {"full", rules.Full, 0}}
-	for tariff := range rules.TariffID(2) {
+		outcome routing.Outcome
+		note    routing.Note
+	}{{"succeeded", routing.Succeeded, routing.NoteHit}, {"broken", routing.Broken, 0}, {"refused", routing.Unconnected, 0},
+		{"missed", routing.Missed, routing.NoteLacks}, {"error", routing.Errored, 0}, {"full", routing.Full, 0}}
+	for tariff := range routing.TariffID(2) {
 		for _, end := range ends {
 			for _, ran := range []bool{true, false} { // what giving up finds
 				for _, time := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
@@ -79,7 +79,7 @@
 	}
 }
 
-func oneTurn(t *testing.T, tariff rules.TariffID, name string, outcome rules.Outcome, note rules.Note, ran bool, left time.Duration, order []int) {
+func oneTurn(t *testing.T, tariff routing.TariffID, name string, outcome routing.Outcome, note routing.Note, ran bool, left time.Duration, order []int) {
 	w := newWatcher(t, fmt.Sprintf("tariff %d, %s, may have run %v, %v left, order %v", tariff, name, ran, left, order))
 	w.tried = ran
 	w.tell(&Ask{View: 1, Client: w, Tag: 1, Tariff: tariff, Write: tariff == 1, Object: 7, KB: 100, Left: left, At: w.start.Add(w.at)})
@@ -93,7 +93,7 @@
 	for _, what := range order {
 		switch what {
 		case 0:
-			mayRun = mayRun || !w.legs[0].done && (outcome == rules.Broken || outcome == rules.Errored)
+			mayRun = mayRun || !w.legs[0].done && (outcome == routing.Broken || outcome == routing.Errored)
 			w.end(0, outcome, note)
 		case 1:
 			if !gone {
@@ -104,14 +104,14 @@
 		case 2:
 			w.Tick(w.at)
 		case 3:
-			w.end(0, rules.Succeeded, rules.NoteHit) // a second answer
+			w.end(0, routing.Succeeded, routing.NoteHit) // a second answer
 		case 4:
 			w.tell(Stop{After: time.Second})
 		}
 	}
 	w.pass(4 * time.Second)
 	for i := range w.legs { // what is out yet ends now
-		w.end(i, rules.Broken, 0)
+		w.end(i, routing.Broken, 0)
 	}
 	w.pass(time.Second)
 	switch n := len(w.answers); {
@@ -141,15 +141,15 @@
 		func(w *watcher) { w.tell(Gone{2}) },
 	} {
 		w := newWatcher(t, "own copies", Own{Bytes: 1300, Flow: 1000, Link: 1000, Forget: time.Second})
-		ask := func(id rules.ViewID) {
+		ask := func(id routing.ViewID) {
 			w.over = false
 			w.tell(&Ask{View: id, Client: w, Tag: Tag(id), Object: 7, KB: 100, Left: 3 * time.Second, At: w.start.Add(w.at)})
 		}
 		ask(1)
-		w.end(0, rules.Succeeded, rules.NoteHit)
+		w.end(0, routing.Succeeded, routing.NoteHit)
 		ask(2)
 		for i := 1; i < len(w.legs) && len(w.answers) < 2; i++ { // all nodes are full: its own copy is what is left
-			w.end(i, rules.Full, 0)
+			w.end(i, routing.Full, 0)
 		}
 		if len(w.answers) != 2 || w.answers[1] != Succeeded {
 			t.Fatalf("answers %v", w.answers)
--- a/internal/engine/departure_test.go
+++ b/internal/engine/departure_test.go
@@ -6,16 +6,16 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/guard"
-	"fennelarch/rules"
+	"fennelarch/internal/invariant"
+	"fennelarch/policy/routing"
 )
 
 // guarded is a request with a guard of its own.
-func (w *watcher) guarded(id rules.ViewID, left time.Duration) *Ask {
+func (w *watcher) guarded(id routing.ViewID, left time.Duration) *Ask {
 	at := w.start.Add(w.at)
-	var nobody *guard.Monitor
+	var nobody *invariant.Monitor
 	return &Ask{View: id, Client: w, Tag: Tag(id), Object: 7, KB: 100, Left: left, At: at,
-		Guard: nobody.NewRequest(uint64(id), at.Add(left), guard.Repeat{})}
+		Guard: nobody.NewRequest(uint64(id), at.Add(left), invariant.Repeat{})}
 }
 
 // A client leaves while its request waits for the engine, and the event that says so is before it, behind it, or not there yet:
@@ -28,7 +28,7 @@
 	} {
 		w := newWatcher(t, name)
 		a := w.guarded(1, 2*time.Second)
-		a.Guard.End(guard.EndClientLeft, w.start)
+		a.Guard.End(invariant.EndClientLeft, w.start)
 		w.over = true
 		order(w, a)
 		w.pass(3 * time.Second)
@@ -46,9 +46,9 @@
 	if len(w.legs) != 1 {
 		t.Fatalf("%d attempts", len(w.legs))
 	}
-	a.Guard.End(guard.EndCancelled, w.start)
+	a.Guard.End(invariant.EndCancelled, w.start)
 	w.over = true
-	w.end(0, rules.Missed, rules.NoteLacks)
+	w.end(0, routing.Missed, routing.NoteLacks)
 	w.tell(Gone{1})
 	w.pass(3 * time.Second)
 	if len(w.legs) != 1 || len(w.views) != 0 || w.Open() != 0 {
@@ -58,10 +58,10 @@
 
 // Where the engine has too much before it, a request is not taken, and nobody waits; that a client has gone is always taken.
 func TestFullQueue(t *testing.T) {
-	e := New(rules.Settings{}, 1, 2, time.Now(), nil, Own{}, zap.NewNop())
+	e := New(routing.Settings{}, 1, 2, time.Now(), nil, Own{}, zap.NewNop())
 	now := time.Now()
 	for i := range 2 {
-		if !e.Post(now, &Ask{View: rules.ViewID(i + 1)}) {
+		if !e.Post(now, &Ask{View: routing.ViewID(i + 1)}) {
 			t.Fatal("a request is not taken though there is room")
 		}
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -13,9 +13,9 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/guard"
-	"fennelarch/rules"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
+	"fennelarch/policy/routing"
 )
 
 // Tag is a client's name for a view on its connection, Ident its id everywhere.
@@ -26,15 +26,15 @@
 
 // Ask is a view as a client brings it.
 type Ask struct {
-	View   rules.ViewID
+	View   routing.ViewID
 	Client Client
 	Tag    Tag
 
 	Ident  Ident // goes on unchanged, as do object, part, operation and body
-	Tariff rules.TariffID
-	Tenant rules.TenantID
-	Object rules.ObjectID
-	Group  rules.GroupID
+	Tariff routing.TariffID
+	Tenant routing.TenantID
+	Object routing.ObjectID
+	Group  routing.GroupID
 	Part   int
 	KB     float64
 	Repeat bool
@@ -45,7 +45,7 @@
 	Left   time.Duration // from At until the client gives up
 	At     time.Time     // the earliest moment at which its last byte may have come
 
-	Guard *guard.Request // knows when it ends, whoever ends it; none: nobody guards it
+	Guard *invariant.Request // knows when it ends, whoever ends it; none: nobody guards it
 }
 
 // Client takes the one final answer of a view. It must not block.
@@ -73,16 +73,16 @@
 // Leg is one leg of a view on its way.
 type Leg struct {
 	Ask    *Ask
-	No     rules.LegNo
-	Node   rules.NodeID
-	Source rules.NodeID // none: no fill
+	No     routing.LegNo
+	Node   routing.NodeID
+	Source routing.NodeID // none: no fill
 
 	Deadline time.Time // when it is given up: the server is told what is left until then
 	NotAfter time.Time // on its way by then, or never; zero: no bound of its own
 
 	Age  time.Duration
 	Keep uint8
-	How  rules.How
+	How  routing.How
 
 	Carrier any // the carrier's own
 
@@ -94,10 +94,10 @@
 // LegEnd is how a leg ended at its node.
 type LegEnd struct {
 	Leg     *Leg
-	Outcome rules.Outcome
-	Note    rules.Note
+	Outcome routing.Outcome
+	Note    routing.Note
 	Waited  time.Duration
-	Report  rules.Report
+	Report  routing.Report
 	Same    bool // the client's copy is the one
 	Body    []byte
 	Sum     string    // the tag of the bytes
@@ -109,30 +109,30 @@
 	Learn(nodes []Node, all bool)
 	Send(l *Leg)
 	Abort(l *Leg) (written bool) // no end follows
-	Probe(n rules.NodeID)
+	Probe(n routing.NodeID)
 }
 
 // Node is one line of the list.
 type Node struct {
-	rules.Member
+	routing.Member
 	UID     string
 	Address string
 	Boot    time.Time // zero: long ago
 }
 
 // NodeID is the id of a node: a hash of its uid, so that all routers agree on it.
-func NodeID(uid string) rules.NodeID {
+func NodeID(uid string) routing.NodeID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(uid))
-	return rules.NodeID(max(1, h.Sum64()))
+	return routing.NodeID(max(1, h.Sum64()))
 }
 
 // Probed is the answer to a probe.
 type Probed struct {
-	Node    rules.NodeID
-	Outcome rules.Outcome
+	Node    routing.NodeID
+	Outcome routing.Outcome
 	Took    time.Duration
-	Report  rules.Report
+	Report  routing.Report
 }
 
 // List is a list of nodes, or changes of it.
@@ -147,13 +147,13 @@
 
 // Purge tells that an object, or a group where it is 0, was purged.
 type Purge struct {
-	Object rules.ObjectID
-	Group  rules.GroupID
+	Object routing.ObjectID
+	Group  routing.GroupID
 	Issued time.Time
 }
 
 // Gone says that a client no longer waits for a view.
-type Gone struct{ View rules.ViewID }
+type Gone struct{ View routing.ViewID }
 
 // Stop says that this router will end: whatever view is open after so long gets its final answer then.
 type Stop struct{ After time.Duration }
@@ -182,23 +182,23 @@
 // Engine is driven by Run, or by hand through Handle and Tick.
 type Engine struct {
 	in      chan Event
-	router  *rules.Router
-	set     rules.Settings
+	router  *routing.Router
+	set     routing.Settings
 	caches  Caches
 	copies  *copies
 	log     *zap.Logger
 	start   time.Time
 	now     time.Duration
-	views   map[rules.ViewID]*view
+	views   map[routing.ViewID]*view
 	timers  timers
-	acts    []rules.Action
-	queue   []rules.Event
-	members []rules.Member
+	acts    []routing.Action
+	queue   []routing.Event
+	members []routing.Member
 	counts  Counts
 	stop    time.Duration // no view lasts longer
-	monitor *guard.Monitor
+	monitor *invariant.Monitor
 	stamps  stamps
-	started map[rules.NodeID]stampedStart
+	started map[routing.NodeID]stampedStart
 
 	departures departures
 	open       atomic.Int64
@@ -206,27 +206,27 @@
 }
 
 // New returns an engine whose clock starts at start.
-func New(set rules.Settings, seed uint64, queue int, start time.Time, caches Caches, own Own, log *zap.Logger) *Engine {
+func New(set routing.Settings, seed uint64, queue int, start time.Time, caches Caches, own Own, log *zap.Logger) *Engine {
 	set.OwnRoom = own.Room()
-	return &Engine{in: make(chan Event, queue), router: rules.New(set, seed), set: set, caches: caches, copies: newCopies(own), log: log,
+	return &Engine{in: make(chan Event, queue), router: routing.New(set, seed), set: set, caches: caches, copies: newCopies(own), log: log,
 		start: start,
-		stop:  math.MaxInt64, views: map[rules.ViewID]*view{}, departures: departures{told: make(chan struct{}, 1)},
-		stamps: newStamps(start, stampsMatter(&set)), started: map[rules.NodeID]stampedStart{}}
+		stop:  math.MaxInt64, views: map[routing.ViewID]*view{}, departures: departures{told: make(chan struct{}, 1)},
+		stamps: newStamps(start, stampsMatter(&set)), started: map[routing.NodeID]stampedStart{}}
 }
 
 // Guarded has the engine let readers go first just after a stall of the process, and tell a monitor of what must not be.
 // Where the wall clock steps, others are told of it too.
-func (e *Engine) Guarded(m *guard.Monitor, stepped func(by time.Duration)) {
+func (e *Engine) Guarded(m *invariant.Monitor, stepped func(by time.Duration)) {
 	e.monitor = m
 	e.stamps.onStep = func(by time.Duration) {
 		stepped(by)
-		m.Record(flightrec.Entry{Event: flightrec.ClockStepped, Value: by.Milliseconds()})
+		m.Record(flightrecorder.Entry{Event: flightrecorder.ClockStepped, Value: by.Milliseconds()})
 		e.log.Warn("the wall clock stepped", zap.Duration("by", by))
 	}
 }
 
 // stampsMatter is how long anything that is stamped matters: while a server is cold, a purge unfinished, a copy fresh.
-func stampsMatter(set *rules.Settings) time.Duration {
+func stampsMatter(set *routing.Settings) time.Duration {
 	longest := max(set.ColdFor, set.ParentColdFor, set.PurgeDone)
 	for i := range set.Tariffs {
 		longest = max(longest, set.Tariffs[i].Fresh+set.Tariffs[i].Grace)
@@ -363,7 +363,7 @@
 	case LegEnd:
 		e.legEnd(what, ev.At.Sub(e.start))
 	case Probed:
-		e.tell(&rules.Event{Kind: rules.EventProbed, Node: what.Node, Outcome: what.Outcome, Took: what.Took, Report: what.Report})
+		e.tell(&routing.Event{Kind: routing.EventProbed, Node: what.Node, Outcome: what.Outcome, Took: what.Took, Report: what.Report})
 	case List:
 		e.list(what)
 	case Purge:
@@ -392,11 +392,11 @@
 		t := heap.Pop(&e.timers).(timer)
 		switch {
 		case t.view == 0:
-			e.tell(&rules.Event{Kind: rules.EventTimer, Timer: t.name})
-		case t.leg != nil && t.leg.Node == rules.Own:
-			e.legEnd(LegEnd{Leg: t.leg, Outcome: rules.Succeeded}, e.now)
+			e.tell(&routing.Event{Kind: routing.EventTimer, Timer: t.name})
+		case t.leg != nil && t.leg.Node == routing.Own:
+			e.legEnd(LegEnd{Leg: t.leg, Outcome: routing.Succeeded}, e.now)
 		case t.leg != nil:
-			e.giveUp(t.leg, rules.TimedOut)
+			e.giveUp(t.leg, routing.TimedOut)
 			e.settle()
 		default:
 			e.expire(t.view)
@@ -415,7 +415,7 @@
 	e.open.Add(1)
 	e.counts.Views++
 	heap.Push(&e.timers, timer{at: v.end, view: a.View})
-	e.tell(&rules.Event{Kind: rules.EventView, View: a.View, Tariff: a.Tariff, Tenant: a.Tenant, Object: a.Object, Group: a.Group, Part: a.Part,
+	e.tell(&routing.Event{Kind: routing.EventView, View: a.View, Tariff: a.Tariff, Tenant: a.Tenant, Object: a.Object, Group: a.Group, Part: a.Part,
 		KB: a.KB, Left: v.end - e.now, Repeat: a.Repeat, Write: a.Write})
 }
 
@@ -427,19 +427,19 @@
 		m.Started = e.startOf(&n)
 		e.members = append(e.members, m)
 	}
-	e.monitor.Record(flightrec.Entry{Event: flightrec.ListReceived, Value: int64(len(l.Nodes))})
-	ev := rules.Event{Kind: rules.EventList, List: rules.ListChanges, Members: e.members, Ago: l.Ago}
+	e.monitor.Record(flightrecorder.Entry{Event: flightrecorder.ListReceived, Value: int64(len(l.Nodes))})
+	ev := routing.Event{Kind: routing.EventList, List: routing.ListChanges, Members: e.members, Ago: l.Ago}
 	if l.All {
-		ev.List = rules.ListFull
+		ev.List = routing.ListFull
 	}
 	e.tell(&ev)
 }
 
 // startOf is when a server started, never later than now. The same stamp told again means the same moment.
 func (e *Engine) startOf(n *Node) time.Duration {
-	if n.Boot.IsZero() || n.State == rules.Gone {
+	if n.Boot.IsZero() || n.State == routing.Gone {
 		delete(e.started, n.Node)
-		return rules.LongAgo
+		return routing.LongAgo
 	}
 	if known, told := e.started[n.Node]; told && known.stamp.Equal(n.Boot) {
 		return known.at
@@ -451,13 +451,13 @@
 
 // purge takes a purge that was told. One without a stamp was issued a moment ago.
 func (e *Engine) purge(p Purge) {
-	e.monitor.Record(flightrec.Entry{Event: flightrec.PurgeReceived, ID: uint64(p.Object), Value: int64(p.Group)})
+	e.monitor.Record(flightrecorder.Entry{Event: flightrecorder.PurgeReceived, ID: uint64(p.Object), Value: int64(p.Group)})
 	ago := time.Duration(0)
 	if p.Issued.Unix() > 0 {
 		ago, _, _ = e.stamps.age(p.Issued, e.now)
 	}
 	e.copies.purge(p, e.now, e.now-ago)
-	e.tell(&rules.Event{Kind: rules.EventPurge, Object: p.Object, Group: p.Group, Ago: ago})
+	e.tell(&routing.Event{Kind: routing.EventPurge, Object: p.Object, Group: p.Group, Ago: ago})
 }
 
 // legEnd takes the end of a leg from its node.
@@ -467,16 +467,16 @@
 		return
 	}
 	v := e.views[l.Ask.View]
-	if end.Outcome == rules.Succeeded && v.open {
+	if end.Outcome == routing.Succeeded && v.open {
 		e.answer(v, Answer{Verdict: Succeeded, Unchanged: end.Same, Body: end.Body})
 	}
-	if end.Outcome == rules.Succeeded && l.How&rules.HowCopy != 0 {
+	if end.Outcome == routing.Succeeded && l.How&routing.HowCopy != 0 {
 		if _, most, believable := e.stamps.age(end.Born, e.now); believable {
 			e.copies.keep(l.Ask, &end, e.now, e.now-most)
 		}
 	}
 	e.finish(v, l)
-	e.tell(&rules.Event{Kind: rules.EventLegEnd, View: l.Ask.View, Leg: l.No, Node: l.Node, Outcome: end.Outcome, Note: end.Note,
+	e.tell(&routing.Event{Kind: routing.EventLegEnd, View: l.Ask.View, Leg: l.No, Node: l.Node, Outcome: end.Outcome, Note: end.Note,
 		Final: !v.open, Took: max(0, min(at, e.now)-l.sent), Waited: end.Waited, Report: end.Report})
 	e.forget(v)
 }
@@ -491,7 +491,7 @@
 	c := e.copies.find(a, oldest, e.now)
 	if c == nil {
 		e.finish(v, l)
-		e.queue = append(e.queue, rules.Event{Kind: rules.EventLegEnd, View: a.View, Leg: l.No, Node: l.Node, Outcome: rules.Missed})
+		e.queue = append(e.queue, routing.Event{Kind: routing.EventLegEnd, View: a.View, Leg: l.No, Node: l.Node, Outcome: routing.Missed})
 		return
 	}
 	answer := Answer{Verdict: Succeeded, Unchanged: a.Have != "" && a.Have == c.sum, Body: c.body}
@@ -501,10 +501,10 @@
 	}
 	e.counts.Own++
 	if e.copies.hitByPurge(c) {
-		e.monitor.Violate(guard.StaleCopyServed, uint64(a.Ident))
+		e.monitor.Violate(invariant.StaleCopyServed, uint64(a.Ident))
 	}
 	e.answer(v, answer)
-	e.queue = append(e.queue, rules.Event{Kind: rules.EventStream, View: a.View, Leg: l.No, Node: l.Node})
+	e.queue = append(e.queue, routing.Event{Kind: routing.EventStream, View: a.View, Leg: l.No, Node: l.Node})
 	heap.Push(&e.timers, timer{at: e.copies.send(e.now, size), view: a.View, leg: l})
 }
 
@@ -512,16 +512,16 @@
 const unchanged = 20
 
 // giveUp ends a leg from this side; the router hears of it next.
-func (e *Engine) giveUp(l *Leg, how rules.Outcome) {
+func (e *Engine) giveUp(l *Leg, how routing.Outcome) {
 	if l.done {
 		return
 	}
 	if !e.caches.Abort(l) {
-		how = rules.Moot
+		how = routing.Moot
 	}
 	v := e.views[l.Ask.View]
 	e.finish(v, l)
-	e.queue = append(e.queue, rules.Event{Kind: rules.EventLegEnd, View: l.Ask.View, Leg: l.No, Node: l.Node, Outcome: how,
+	e.queue = append(e.queue, routing.Event{Kind: routing.EventLegEnd, View: l.Ask.View, Leg: l.No, Node: l.Node, Outcome: how,
 		Final: !v.open, Took: e.now - l.sent})
 	e.forget(v)
 }
@@ -539,13 +539,13 @@
 
 // expire ends a view whose client's time is up: its legs have timed out, and what the router leaves open after that
 // is terminated.
-func (e *Engine) expire(id rules.ViewID) {
+func (e *Engine) expire(id routing.ViewID) {
 	v := e.views[id]
 	if v == nil || !v.open {
 		return
 	}
 	for _, l := range v.legs {
-		e.giveUp(l, rules.TimedOut)
+		e.giveUp(l, routing.TimedOut)
 	}
 	e.settle()
 	if v.open {
@@ -560,7 +560,7 @@
 		v.open = false
 		e.open.Add(-1)
 	}
-	e.tell(&rules.Event{Kind: rules.EventGone, View: v.ask.View})
+	e.tell(&routing.Event{Kind: routing.EventGone, View: v.ask.View})
 	e.forget(v)
 }
 
@@ -582,7 +582,7 @@
 }
 
 // tell hands the router an event and does what it wants done, and so on for what follows from that.
-func (e *Engine) tell(ev *rules.Event) {
+func (e *Engine) tell(ev *routing.Event) {
 	e.acts = e.router.Handle(e.now, ev, e.acts[:0])
 	e.obey()
 	e.settle()
@@ -603,51 +603,51 @@
 		a := &e.acts[i]
 		v := e.views[a.View]
 		switch a.Kind {
-		case rules.ActionAsk, rules.ActionGet:
+		case routing.ActionAsk, routing.ActionGet:
 			if v != nil && v.open {
 				e.send(v, a)
 			}
-		case rules.ActionTurnBack:
+		case routing.ActionTurnBack:
 			if v != nil {
 				e.answer(v, Answer{Verdict: TurnedBack, Wait: a.Wait})
 				e.forget(v)
 			}
-		case rules.ActionTerminate:
+		case routing.ActionTerminate:
 			if v != nil {
 				e.answer(v, Answer{Verdict: Terminated})
 				e.forget(v)
 			}
-		case rules.ActionCancel:
+		case routing.ActionCancel:
 			if v != nil && int(a.Leg) < len(v.legs) {
-				e.giveUp(v.legs[a.Leg], rules.Cancelled)
+				e.giveUp(v.legs[a.Leg], routing.Cancelled)
 			}
-		case rules.ActionProbe:
+		case routing.ActionProbe:
 			e.caches.Probe(a.Node)
-		case rules.ActionTimer:
+		case routing.ActionTimer:
 			heap.Push(&e.timers, timer{at: e.now + a.Wait, name: a.Timer})
-		case rules.ActionLog:
+		case routing.ActionLog:
 			e.log.Info(a.Text)
 		}
 	}
 }
 
-func (e *Engine) send(v *view, a *rules.Action) {
-	l := &Leg{Ask: v.ask, No: rules.LegNo(len(v.legs)), Node: a.Node, Deadline: e.start.Add(v.end), Age: a.Age, Keep: a.Keep,
+func (e *Engine) send(v *view, a *routing.Action) {
+	l := &Leg{Ask: v.ask, No: routing.LegNo(len(v.legs)), Node: a.Node, Deadline: e.start.Add(v.end), Age: a.Age, Keep: a.Keep,
 		How: a.How, At: e.start.Add(e.now), sent: e.now}
 	if a.Begin > 0 {
 		l.NotAfter = e.start.Add(e.now + a.Begin)
 	}
-	if a.Kind == rules.ActionGet && a.Source != a.Node {
+	if a.Kind == routing.ActionGet && a.Source != a.Node {
 		l.Source = a.Source
 	}
 	v.legs = append(v.legs, l)
 	v.outs++
 	if !v.ask.Guard.Open() { // its client left a moment ago, and the event that says so is on its way
 		e.finish(v, l)
-		e.queue = append(e.queue, rules.Event{Kind: rules.EventLegEnd, View: v.ask.View, Leg: l.No, Node: l.Node, Outcome: rules.Moot})
+		e.queue = append(e.queue, routing.Event{Kind: routing.EventLegEnd, View: v.ask.View, Leg: l.No, Node: l.Node, Outcome: routing.Moot})
 		return
 	}
-	if l.Node == rules.Own {
+	if l.Node == routing.Own {
 		e.serve(v, l)
 		return
 	}
@@ -662,7 +662,7 @@
 // timer is one of the router's, or the end of a leg or of a view.
 type timer struct {
 	at   time.Duration
-	view rules.ViewID // 0: the router's
+	view routing.ViewID // 0: the router's
 	leg  *Leg
 	name uint64
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // A rig drives an engine by hand, with a clock of its own, and prints what reaches clients and nodes. Its fleet is one
@@ -21,22 +21,22 @@
 	mute  bool
 }
 
-const cache, parent, origin rules.NodeID = 1, 2, 3
+const cache, parent, origin routing.NodeID = 1, 2, 3
 
 func newRig(own ...Own) *rig {
-	set := rules.Settings{Routers: 1, ZoneRouters: []int{1}, ParentKind: 1, OriginKind: 2, Cancel: true, SecondCopies: true,
+	set := routing.Settings{Routers: 1, ZoneRouters: []int{1}, ParentKind: 1, OriginKind: 2, Cancel: true, SecondCopies: true,
 		RetryAfter: true, Legs: 6, MaxWait: time.Second, DrainGrace: time.Second, ColdShare: 1, ParentColdShare: 1,
-		PurgeGrace: time.Second, PurgeDone: 6 * time.Second, Direct: true, Tells: rules.TellsAll, FlowKB: 1000,
-		Tariffs: []rules.Tariff{
+		PurgeGrace: time.Second, PurgeDone: 6 * time.Second, Direct: true, Tells: routing.TellsAll, FlowKB: 1000,
+		Tariffs: []routing.Tariff{
 			{Due: 500 * time.Millisecond, DueStretch: 2, Hard: 5 * time.Second, Payoff: 2},
-			{Due: 700 * time.Millisecond, Hard: 3 * time.Second, Payoff: 3, Effect: rules.OneShot, Write: true}}}
+			{Due: 700 * time.Millisecond, Hard: 3 * time.Second, Payoff: 3, Effect: routing.OneShot, Write: true}}}
 	r := &rig{start: time.Now(), tried: true}
 	r.Engine = New(set, 1, 16, r.start, r, append(own, Own{})[0], zap.NewNop())
 	r.stamps.read = func() (time.Duration, time.Time) { return r.at, r.start.Add(r.at).Round(0) }
 	r.Start(0)
 	var nodes []Node
-	for kind, id := range []rules.NodeID{cache, parent, origin} {
-		nodes = append(nodes, Node{Member: rules.Member{Node: id, State: rules.Ready, Kind: rules.KindID(kind), Weight: 1}})
+	for kind, id := range []routing.NodeID{cache, parent, origin} {
+		nodes = append(nodes, Node{Member: routing.Member{Node: id, State: routing.Ready, Kind: routing.KindID(kind), Weight: 1}})
 	}
 	r.tell(List{Nodes: nodes, All: true})
 	return r
@@ -51,12 +51,12 @@
 	}
 }
 
-func (r *rig) view(id rules.ViewID, tariff rules.TariffID, left time.Duration) {
+func (r *rig) view(id routing.ViewID, tariff routing.TariffID, left time.Duration) {
 	r.tell(&Ask{View: id, Client: r, Tag: Tag(id), Tariff: tariff, Write: tariff == 1, Object: 7, KB: 100, Left: left,
 		At: r.start.Add(r.at)})
 }
 
-func (r *rig) end(leg int, o rules.Outcome, note rules.Note) {
+func (r *rig) end(leg int, o routing.Outcome, note routing.Note) {
 	r.tell(LegEnd{Leg: r.legs[leg], Outcome: o, Note: note, Body: []byte("bytes"), Sum: "tag", Born: r.start.Add(r.at)})
 }
 
@@ -75,8 +75,8 @@
 	r.say("view %d: %s, %d bytes", tag, [...]string{"succeeded", "turned back", "terminated"}[a.Verdict], len(a.Body))
 }
 
-func (r *rig) Learn([]Node, bool) {}
-func (r *rig) Probe(rules.NodeID) {}
+func (r *rig) Learn([]Node, bool)   {}
+func (r *rig) Probe(routing.NodeID) {}
 
 func (r *rig) Send(l *Leg) {
 	r.legs = append(r.legs, l)
@@ -93,10 +93,10 @@
 	r := newRig()
 	r.view(1, 0, 2*time.Second)
 	r.pass(50 * time.Millisecond)
-	r.end(0, rules.Missed, rules.NoteLacks)
+	r.end(0, routing.Missed, routing.NoteLacks)
 	r.pass(50 * time.Millisecond)
-	r.end(1, rules.Succeeded, rules.NoteFilled)
-	r.end(1, rules.Succeeded, rules.NoteFilled) // a second end is nobody's
+	r.end(1, routing.Succeeded, routing.NoteFilled)
+	r.end(1, routing.Succeeded, routing.NoteFilled) // a second end is nobody's
 	fmt.Println(len(r.views), r.Open())
 	// Output:
 	//      0s view 1: leg to A, fill from P, for 2s
@@ -111,7 +111,7 @@
 	r.view(1, 0, 300*time.Millisecond)
 	r.view(2, 1, 300*time.Millisecond)
 	r.pass(time.Second)
-	r.end(0, rules.Succeeded, rules.NoteHit)
+	r.end(0, routing.Succeeded, routing.NoteHit)
 	fmt.Println(len(r.views), r.Open())
 	// Output:
 	//      0s view 1: leg to A, fill from P, for 300ms
@@ -130,7 +130,7 @@
 	r.pass(10 * time.Millisecond)
 	r.tell(Gone{View: 1})
 	r.tell(Gone{View: 1})
-	r.end(0, rules.Succeeded, rules.NoteHit)
+	r.end(0, routing.Succeeded, routing.NoteHit)
 	r.pass(3 * time.Second)
 	fmt.Println(len(r.views), r.Open())
 	// Output:
@@ -143,9 +143,9 @@
 func Example_oneShot() {
 	r := newRig()
 	r.view(1, 1, 2*time.Second)
-	r.end(0, rules.Unconnected, 0)
+	r.end(0, routing.Unconnected, 0)
 	r.pass(200 * time.Millisecond)
-	r.end(1, rules.Broken, 0)
+	r.end(1, routing.Broken, 0)
 	r.view(2, 1, 100*time.Millisecond)
 	r.tried = false // of the next leg nothing is written when the time is up
 	r.pass(time.Second)
@@ -170,7 +170,7 @@
 	r.view(2, 0, 5*time.Second)
 	r.view(3, 0, 5*time.Second)
 	r.pass(100 * time.Millisecond)
-	r.end(2, rules.Succeeded, rules.NoteHit)
+	r.end(2, routing.Succeeded, routing.NoteHit)
 	r.pass(time.Second)
 	fmt.Println(len(r.views), r.Open())
 	// Output:
@@ -192,7 +192,7 @@
 func Example_ownCopies() {
 	r := newRig(Own{Bytes: 1 << 20, Flow: 50, Link: 50, Forget: 10 * time.Second})
 	r.view(1, 0, 2*time.Second)
-	r.end(0, rules.Succeeded, rules.NoteHit)
+	r.end(0, routing.Succeeded, routing.NoteHit)
 	r.tell(List{All: true}) // nobody is left
 	r.view(2, 0, 2*time.Second)
 	fmt.Println(len(r.views), r.Open())
@@ -225,12 +225,12 @@
 func TestCopies(t *testing.T) {
 	c := newCopies(Own{Bytes: 3 * (1000 + overhead), Flow: 1000, Link: 2500, Forget: 10 * time.Second})
 	now, start := time.Hour, time.Now()
-	ask := func(o rules.ObjectID) *Ask { return &Ask{Object: o, Group: rules.GroupID(o % 2)} }
+	ask := func(o routing.ObjectID) *Ask { return &Ask{Object: o, Group: routing.GroupID(o % 2)} }
 	at := func(d time.Duration) time.Time { return start.Add(d) }
-	keep := func(o rules.ObjectID, born time.Duration) {
+	keep := func(o routing.ObjectID, born time.Duration) {
 		c.keep(ask(o), &LegEnd{Body: make([]byte, 1000), Born: at(born)}, now, born)
 	}
-	for o := range rules.ObjectID(3) {
+	for o := range routing.ObjectID(3) {
 		keep(o+1, now)
 	}
 	c.find(ask(1), 0, now)
@@ -277,15 +277,15 @@
 func TestNothingIsLeft(t *testing.T) {
 	r := newRig()
 	r.mute = true
-	outcomes := []rules.Outcome{rules.Succeeded, rules.Errored, rules.Full, rules.Unconnected, rules.Broken, rules.Moot, rules.Missed}
+	outcomes := []routing.Outcome{routing.Succeeded, routing.Errored, routing.Full, routing.Unconnected, routing.Broken, routing.Moot, routing.Missed}
 	for i := range 5000 {
-		r.view(rules.ViewID(i+1), rules.TariffID(i%5/4), time.Duration(i%400)*time.Millisecond)
+		r.view(routing.ViewID(i+1), routing.TariffID(i%5/4), time.Duration(i%400)*time.Millisecond)
 		r.pass(time.Duration(i%3) * time.Millisecond)
 		for k := max(0, len(r.legs)-4); k < len(r.legs); k++ {
-			r.end(k, outcomes[(i+k)%len(outcomes)], rules.Note(i%11))
+			r.end(k, outcomes[(i+k)%len(outcomes)], routing.Note(i%11))
 		}
 		if i%7 == 0 {
-			r.tell(Gone{View: rules.ViewID(i + 1)})
+			r.tell(Gone{View: routing.ViewID(i + 1)})
 		}
 	}
 	r.pass(10 * time.Second)
--- a/internal/standin/depot/board.go
+++ b/internal/fake/site/board.go
@@ -1,4 +1,4 @@
-package depot
+package site
 
 // This file owns the bulletin: numbered events, told to whoever asks for what comes after a number.
 
--- a/internal/standin/depot/depot.go
+++ b/internal/fake/site/depot.go
@@ -1,7 +1,7 @@
 // Package depot is a stand-in of a site: caches, parents, the origin and the bulletin, written from the published
 // protocol. This file owns the nodes: what they hold, how long they take, what is wrong with them, and what they were
 // asked. It must never know anything of a router's insides.
-package depot
+package site
 
 import (
 	"errors"
--- a/internal/flightrec/flightrec.go
+++ b/internal/flightrecorder/flightrec.go
@@ -1,7 +1,7 @@
 // Package flightrec is the router's flight recorder: the last few thousand events of the process in a ring of fixed
 // size. Recording an event allocates nothing and takes a lock for some nanoseconds. The ring is written out when an
 // invariant is violated, at SIGUSR1, and by the soak test when a seed fails.
-package flightrec
+package flightrecorder
 
 import (
 	"bufio"
--- a/internal/flightrec/flightrec_test.go
+++ b/internal/flightrecorder/flightrec_test.go
@@ -1,4 +1,4 @@
-package flightrec
+package flightrecorder
 
 import (
 	"strings"
--- a/internal/front/arrivals.go
+++ b/internal/frontend/arrivals.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 // This file owns the account of when the bytes in a connection's ring came: a request's time counts from its last byte, however long it
 // has waited there.
--- a/internal/front/cancel_test.go
+++ b/internal/frontend/cancel_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 // What a client took back, or left behind, while nothing was taken of its input is never handed on: an attempt for it
 // would begin long after the cancel.
--- a/internal/front/conn.go
+++ b/internal/frontend/conn.go
@@ -1,11 +1,11 @@
-package front
+package frontend
 
 import (
 	"errors"
 	"fennelarch/internal/engine"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/system"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
 	"io"
 	"net"
 	"os"
@@ -82,7 +82,7 @@
 // Read is called by redcon's goroutine of the connection. It does all the reading and returns when the connection is
 // over, so that redcon ends it.
 func (c *conn) Read([]byte) (int, error) {
-	reason, over := guard.CloseHandshake, !c.shake()
+	reason, over := invariant.CloseHandshake, !c.shake()
 	if !over {
 		go c.write()
 	}
@@ -103,9 +103,9 @@
 }
 
 // left says whether the client, or the network, ended a connection, so that nothing more can be told on it.
-func left(reason guard.CloseReason) bool {
+func left(reason invariant.CloseReason) bool {
 	switch reason {
-	case guard.CloseClientLeft, guard.CloseReadFailed, guard.CloseWriteFailed, guard.CloseHandshake:
+	case invariant.CloseClientLeft, invariant.CloseReadFailed, invariant.CloseWriteFailed, invariant.CloseHandshake:
 		return true
 	}
 	return false
@@ -121,7 +121,7 @@
 
 // read takes what comes next. It says whether the connection is over, and for what reason. While nothing may be taken, what comes
 // is kept in the ring, so that whoever leaves or takes something back is heard all the same.
-func (c *conn) read() (reason guard.CloseReason, over bool) {
+func (c *conn) read() (reason invariant.CloseReason, over bool) {
 	now := time.Now()
 	bad, more := c.parse(now)
 	next := c.plan(now)
@@ -129,18 +129,18 @@
 	switch {
 	case bad != nil: // what is open has its answer yet
 		c.await(func() bool { return c.session.idle() })
-		return guard.CloseUnreadable, true
+		return invariant.CloseUnreadable, true
 	case c.gone:
-		return guard.CloseClientLeft, true
+		return invariant.CloseClientLeft, true
 	case next.closed:
-		return guard.CloseWriteFailed, true
+		return invariant.CloseWriteFailed, true
 	case more && !next.held:
 		return reason, false // there is more to take at once
 	case next.leaves:
 		return next.reason, true
 	case len(next.space) == 0:
 		time.Sleep(c.server.shared.limits.Pause)
-		return guard.CloseClientLeft, hungUp(c.raw)
+		return invariant.CloseClientLeft, hungUp(c.raw)
 	}
 	err := c.take(next.space)
 	switch {
@@ -150,9 +150,9 @@
 		}
 		return c.rests(now)
 	case errors.Is(err, io.EOF):
-		return guard.CloseClientLeft, true
+		return invariant.CloseClientLeft, true
 	case err != nil:
-		return guard.CloseReadFailed, true
+		return invariant.CloseReadFailed, true
 	}
 	return reason, false
 }
@@ -234,7 +234,7 @@
 	held   bool      // nothing may be taken at the moment
 	closed bool      // the writer has found the connection broken
 	leaves bool      // the connection is to end now
-	reason guard.CloseReason
+	reason invariant.CloseReason
 }
 
 // plan says what the reader is to do next, and by when it is to look again.
@@ -245,8 +245,8 @@
 	next.held = c.stalled || now.Before(c.opens)
 	ending := c.server.ending.Load()
 	next.leaves = (ending || c.ended.Load()) && !next.held && c.session.still(now, ending)
-	if next.reason = guard.CloseForRoom; ending {
-		next.reason = guard.CloseStopping
+	if next.reason = invariant.CloseForRoom; ending {
+		next.reason = invariant.CloseStopping
 	}
 	next.closed, next.events = c.session.closed, c.session.take()
 	next.space, next.until = c.session.space(), c.session.until(now)
@@ -279,10 +279,10 @@
 }
 
 // rests is called when nothing came for long, and says whether the connection is to end for it.
-func (c *conn) rests(now time.Time) (reason guard.CloseReason, over bool) {
+func (c *conn) rests(now time.Time) (reason invariant.CloseReason, over bool) {
 	c.mu.Lock()
-	if reason = guard.CloseRested; c.session.in.Len() > 0 {
-		reason = guard.CloseIncomplete
+	if reason = invariant.CloseRested; c.session.in.Len() > 0 {
+		reason = invariant.CloseIncomplete
 	}
 	over = c.session.rest()
 	events := c.session.take()
--- a/internal/front/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 // Crossings on client connections: what ends, and what comes or is owed in the same moment. Clients are sockets driven by hand.
 
@@ -15,10 +15,10 @@
 
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // house is a server whose views come by a channel.
@@ -27,7 +27,7 @@
 	t    *testing.T
 	ln   net.Listener
 	asks chan *engine.Ask
-	gone chan rules.ViewID
+	gone chan routing.ViewID
 }
 
 func newHouse(t *testing.T, change func(*limits.Limits)) *house {
@@ -36,8 +36,8 @@
 	if change != nil {
 		change(&l)
 	}
-	h := &house{t: t, asks: make(chan *engine.Ask, 1000), gone: make(chan rules.ViewID, 1000)}
-	h.Server = New(l, settings.Names{Tariffs: []string{"clip"}}, []rules.Tariff{{}}, Doors{}, func(_ time.Time, what any) bool {
+	h := &house{t: t, asks: make(chan *engine.Ask, 1000), gone: make(chan routing.ViewID, 1000)}
+	h.Server = New(l, config.Names{Tariffs: []string{"clip"}}, []routing.Tariff{{}}, Doors{}, func(_ time.Time, what any) bool {
 		switch what := what.(type) {
 		case *engine.Ask:
 			h.asks <- what
--- a/internal/front/door.go
+++ b/internal/frontend/door.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 // This file owns the way in: it accepts, asks the decisions, turns back with a word that reaches even a peer that is still
 // sending, and goes on in order where descriptors run out. It must never decide who comes in.
@@ -14,12 +14,12 @@
 	"time"
 
 	"fennelarch/internal/engine"
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
 	"fennelarch/internal/system"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
 )
 
 // spare is a descriptor held back, so that one more connection can be accepted and turned back where there is none.
@@ -139,12 +139,12 @@
 	s.mu.Unlock()
 	a, _ := s.tell(admission.Event{Kind: admission.EventArrive, Conn: c.id, Peer: admission.Address(ip.Addr().As16()), TLS: s.keys != nil})
 	if a.Kind == admission.Take {
-		s.guard.Record(flightrec.Entry{Event: flightrec.ConnectionAccepted, ID: uint64(c.id)})
+		s.guard.Record(flightrecorder.Entry{Event: flightrecorder.ConnectionAccepted, ID: uint64(c.id)})
 		c.counts.Store(true)
 		s.live.Add(1)
 		return c
 	}
-	s.guard.CloseClient(uint64(c.id), guard.CloseTurnedAway, 0)
+	s.guard.CloseClient(uint64(c.id), invariant.CloseTurnedAway, 0)
 	s.mu.Lock()
 	delete(s.conns, c.id)
 	s.mu.Unlock()
--- a/internal/front/door_test.go
+++ b/internal/frontend/door_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"crypto/ecdsa"
@@ -19,15 +19,15 @@
 
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
+	"fennelarch/policy/routing"
 )
 
 func serve(t *testing.T, d Doors) (address string, s *Server) {
 	l := limits.From(limits.Told{MemoryMB: 64, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second})
-	s = New(l, settings.Names{Tariffs: []string{"clip"}}, []rules.Tariff{{}}, d, func(time.Time, any) bool { return true }, zap.NewNop())
+	s = New(l, config.Names{Tariffs: []string{"clip"}}, []routing.Tariff{{}}, d, func(time.Time, any) bool { return true }, zap.NewNop())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/keys.go
+++ b/internal/frontend/keys.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 // This file owns the keys of a front that speaks TLS: read from files, read again without dropping a connection, and never
 // told to a log.
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"fennelarch/internal/system"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
 )
 
 // Files name what a front needs for TLS.
--- a/internal/back/main_test.go
+++ b/internal/frontend/main_test.go
@@ -1,4 +1,4 @@
-package back
+package frontend
 
 import (
 	"testing"
--- a/internal/front/server.go
+++ b/internal/frontend/server.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 // This file owns the listener and the goroutines of each client connection. redcon accepts, keeps and ends the
 // connections; their bytes are read here, under the session's bounds, because redcon's own reader grows with whatever
@@ -15,12 +15,12 @@
 	"github.com/tidwall/redcon"
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
+	"fennelarch/policy/routing"
 )
 
 // Server takes clients.
@@ -32,7 +32,7 @@
 	log      *zap.Logger
 	keys     *Keys // none: connections are plain
 	spare    *spare
-	guard    *guard.Monitor
+	guard    *invariant.Monitor
 	refusing time.Time // since when there were no descriptors for those that wait to be accepted; the accepting goroutine's own
 	lag      func() time.Duration
 
@@ -59,22 +59,22 @@
 	Keys      *Keys                // for TLS, or none
 	Lag       func() time.Duration // how long events wait for the engine
 	FlowKB    float64              // KB a second of one transfer, by which due times grow
-	Guard     *guard.Monitor       // keeps the invariants of requests and connections, or nobody does
+	Guard     *invariant.Monitor   // keeps the invariants of requests and connections, or nobody does
 }
 
 // New returns a server; what clients want goes to post.
-func New(l limits.Limits, n settings.Names, tariffs []rules.Tariff, d Doors, post func(at time.Time, what any) (taken bool), log *zap.Logger) *Server {
+func New(l limits.Limits, n config.Names, tariffs []routing.Tariff, d Doors, post func(at time.Time, what any) (taken bool), log *zap.Logger) *Server {
 	s := &Server{post: post, conns: map[admission.ConnID]*conn{}, start: time.Now(), log: log, keys: d.Keys, spare: newSpare(), lag: d.Lag}
 	if s.lag == nil {
 		s.lag = func() time.Duration { return 0 }
 	}
 	s.doors = admission.New(bounded(d.Admission, &l))
-	s.shared.limits, s.shared.tariffs, s.shared.open = l, map[string]rules.TariffID{}, map[engine.Ident]claim{}
+	s.shared.limits, s.shared.tariffs, s.shared.open = l, map[string]routing.TariffID{}, map[engine.Ident]claim{}
 	s.shared.tenants, s.shared.guard, s.guard = n.Tenants, d.Guard, d.Guard
 	for i, name := range n.Tariffs {
-		s.shared.tariffs[name] = rules.TariffID(i)
+		s.shared.tariffs[name] = routing.TariffID(i)
 		s.shared.writes = append(s.shared.writes, tariffs[i].Write)
-		s.shared.repeats = append(s.shared.repeats, guard.Repeat{Effect: tariffs[i].Effect, Scope: tariffs[i].Scope, Window: tariffs[i].Window})
+		s.shared.repeats = append(s.shared.repeats, invariant.Repeat{Effect: tariffs[i].Effect, Scope: tariffs[i].Scope, Window: tariffs[i].Window})
 		growth := 0.0
 		if d.FlowKB > 0 {
 			growth = tariffs[i].DueStretch / d.FlowKB
--- a/internal/front/server_test.go
+++ b/internal/frontend/server_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"net"
@@ -7,9 +7,9 @@
 
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Clients that only sit there make room for those that come; where all are busy, the new one is closed. What is in
@@ -17,7 +17,7 @@
 func TestTooManyClients(t *testing.T) {
 	l := limits.From(limits.Told{MemoryMB: 64, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second})
 	l.Clients, l.Rest = 3, 200*time.Millisecond
-	s := New(l, settings.Names{Tariffs: []string{"clip"}}, []rules.Tariff{{}}, Doors{}, func(time.Time, any) bool { return true }, zap.NewNop())
+	s := New(l, config.Names{Tariffs: []string{"clip"}}, []routing.Tariff{{}}, Doors{}, func(time.Time, any) bool { return true }, zap.NewNop())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/session.go
+++ b/internal/frontend/session.go
@@ -1,7 +1,7 @@
 // Package front speaks with clients. This file owns the state machine of one client connection: it is fed bytes,
 // turns them into views, and puts answers into the stream. It must never touch a socket, wait, or decide anything
 // about a view.
-package front
+package frontend
 
 import (
 	"bytes"
@@ -15,11 +15,11 @@
 	"time"
 
 	"fennelarch/internal/engine"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
-	"fennelarch/rules"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
+	"fennelarch/policy/routing"
 )
 
 // errTags says that a tag was used again while it was open: no answer under it could be told from another.
@@ -28,13 +28,13 @@
 // shared is what all sessions of a server have in common.
 type shared struct {
 	limits  limits.Limits
-	tariffs map[string]rules.TariffID
+	tariffs map[string]routing.TariffID
 	tenants []string
 	writes  []bool
-	due     []time.Duration // by tariff
-	growth  []float64       // seconds for each KB
-	repeats []guard.Repeat  // by tariff
-	guard   *guard.Monitor
+	due     []time.Duration    // by tariff
+	growth  []float64          // seconds for each KB
+	repeats []invariant.Repeat // by tariff
+	guard   *invariant.Monitor
 	views   atomic.Uint64
 	held    atomic.Int64 // bytes of answers that wait
 
@@ -44,7 +44,7 @@
 
 // claim says what a view's id stands for while it is open, and how often.
 type claim struct {
-	object rules.ObjectID
+	object routing.ObjectID
 	part   int
 	times  int
 }
@@ -164,7 +164,7 @@
 		case string(args[0]) == "UNDO":
 			number, err := strconv.ParseUint(string(args[1]), 10, 64)
 			if _, open := s.open[engine.Tag(number)]; open && err == nil {
-				s.leave(engine.Tag(number), guard.EndCancelled)
+				s.leave(engine.Tag(number), invariant.EndCancelled)
 			}
 		case string(args[0]) == "DO":
 			a := s.ask(args[2:])
@@ -209,7 +209,7 @@
 // refuse fails all that is open: the client sent what can't be read, so no answer of its would be known for what it is.
 func (s *session) refuse() {
 	for _, tag := range slices.Sorted(maps.Keys(s.open)) {
-		s.leave(tag, guard.EndFailed)
+		s.leave(tag, invariant.EndFailed)
 		s.fail(strconv.FormatUint(uint64(tag), 10))
 	}
 }
@@ -251,7 +251,7 @@
 			s.fail(string(args[1]))
 			return nil
 		}
-		a.View, a.Client, a.Tag, a.At = rules.ViewID(s.shared.views.Add(1)), s.client, tag, came
+		a.View, a.Client, a.Tag, a.At = routing.ViewID(s.shared.views.Add(1)), s.client, tag, came
 		a.Guard = s.shared.guard.NewRequest(uint64(a.Ident), came.Add(a.Left), s.shared.repeats[a.Tariff])
 		s.open[tag] = a
 		s.events = append(s.events, a)
@@ -264,7 +264,7 @@
 // undo gives a view up; an answer of which nothing is in the stream yet is taken back.
 func (s *session) undo(tag engine.Tag) {
 	if _, open := s.open[tag]; open {
-		s.leave(tag, guard.EndCancelled)
+		s.leave(tag, invariant.EndCancelled)
 		return
 	}
 	text := strconv.FormatUint(uint64(tag), 10)
@@ -277,7 +277,7 @@
 }
 
 // leave gives an open view up: no answer of the engine's is waited for. One that was not handed on yet never is.
-func (s *session) leave(tag engine.Tag, why guard.EndReason) {
+func (s *session) leave(tag engine.Tag, why invariant.EndReason) {
 	a := s.open[tag]
 	a.Guard.End(why, time.Now())
 	if i := slices.IndexFunc(s.events, func(e any) bool { return e == any(a) }); i >= 0 {
@@ -350,7 +350,7 @@
 		case "subject":
 			var o uint64
 			o, object = id(value)
-			a.Object, ok = rules.ObjectID(o), object
+			a.Object, ok = routing.ObjectID(o), object
 		case "piece":
 			var n uint64
 			n, ok = number(value, math.MaxInt32)
@@ -358,13 +358,13 @@
 		case "lot":
 			var n uint64
 			n, ok = number(value, 255)
-			a.Group = rules.GroupID(n)
+			a.Group = routing.GroupID(n)
 		case "need":
 			var err error
 			a.KB, err = strconv.ParseFloat(string(value), 64)
 			ok = err == nil && a.KB >= 0 && a.KB <= s.shared.limits.KB
 		case "owner":
-			a.Tenant = rules.TenantID(max(0, slices.Index(s.shared.tenants, string(value))))
+			a.Tenant = routing.TenantID(max(0, slices.Index(s.shared.tenants, string(value))))
 			ok = len(s.shared.tenants) == 0 || slices.Contains(s.shared.tenants, string(value))
 		case "opkey":
 			a.Once = string(value)
@@ -434,14 +434,14 @@
 }
 
 // endOf is how a view ends by an answer.
-func endOf(a engine.Answer, fits bool) guard.EndReason {
+func endOf(a engine.Answer, fits bool) invariant.EndReason {
 	switch {
 	case a.Verdict == engine.Succeeded && (fits || a.Unchanged):
-		return guard.EndServed
+		return invariant.EndServed
 	case a.Verdict == engine.TurnedBack:
-		return guard.EndRefused
+		return invariant.EndRefused
 	}
-	return guard.EndFailed
+	return invariant.EndFailed
 }
 
 // busy turns a view back, and says when to return where that is known.
@@ -479,7 +479,7 @@
 func (s *session) over() {
 	s.closed = true
 	for _, tag := range slices.Sorted(maps.Keys(s.open)) {
-		s.leave(tag, guard.EndClientLeft)
+		s.leave(tag, invariant.EndClientLeft)
 	}
 	for _, w := range s.waiting {
 		s.putting += int64(len(w.body))
--- a/internal/front/session_test.go
+++ b/internal/frontend/session_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"fmt"
@@ -8,11 +8,11 @@
 	"time"
 
 	"fennelarch/internal/engine"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
-	"fennelarch/rules"
-	"fennelarch/rules/admission"
+	"fennelarch/policy/admission"
+	"fennelarch/policy/routing"
 )
 
 // open is doors that let any view in.
@@ -20,7 +20,7 @@
 
 func testSession() *session {
 	s := &shared{limits: limits.From(limits.Told{MemoryMB: 6, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second}),
-		tariffs: map[string]rules.TariffID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]guard.Repeat, 2), open: map[engine.Ident]claim{}}
+		tariffs: map[string]routing.TariffID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]invariant.Repeat, 2), open: map[engine.Ident]claim{}}
 	s.due, s.growth = make([]time.Duration, len(s.writes)), make([]float64, len(s.writes))
 	return newSession(s, nil, open, time.Time{})
 }
@@ -157,7 +157,7 @@
 	for _, c := range []struct {
 		tenants []string
 		fields  string
-		tenant  rules.TenantID
+		tenant  routing.TenantID
 		once    string
 		bad     bool
 	}{
--- a/internal/guard/guard.go
+++ b/internal/invariant/guard.go
@@ -8,7 +8,7 @@
 // none.
 //
 // The guard decides nothing: which server is asked, and whether an attempt is repeated, is decided in package rules.
-package guard
+package invariant
 
 import (
 	"sync"
@@ -17,8 +17,8 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/stall"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/stalldetect"
 )
 
 const (
@@ -38,8 +38,8 @@
 // Monitor counts violations and holds what the guard needs of the process. All methods also do on nil.
 type Monitor struct {
 	log      *zap.Logger
-	recorder *flightrec.Recorder
-	watch    *stall.Watch
+	recorder *flightrecorder.Recorder
+	watch    *stalldetect.Watch
 	dump     func(reason string)
 
 	counts [violationKinds]atomic.Uint64
@@ -51,12 +51,12 @@
 
 // NewMonitor returns a monitor that has seen no violation. Where dump is set, it is called at a violation to write the
 // recorder out.
-func NewMonitor(log *zap.Logger, recorder *flightrec.Recorder, watch *stall.Watch, dump func(reason string)) *Monitor {
+func NewMonitor(log *zap.Logger, recorder *flightrecorder.Recorder, watch *stalldetect.Watch, dump func(reason string)) *Monitor {
 	return &Monitor{log: log, recorder: recorder, watch: watch, dump: dump}
 }
 
 // Recorder is the flight recorder, nil where there is none.
-func (m *Monitor) Recorder() *flightrec.Recorder {
+func (m *Monitor) Recorder() *flightrecorder.Recorder {
 	if m == nil {
 		return nil
 	}
@@ -64,7 +64,7 @@
 }
 
 // Watch notices stalls of the process, nil where nobody does.
-func (m *Monitor) Watch() *stall.Watch {
+func (m *Monitor) Watch() *stalldetect.Watch {
 	if m == nil {
 		return nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // Record adds an event to the flight recorder.
-func (m *Monitor) Record(e flightrec.Entry) {
+func (m *Monitor) Record(e flightrecorder.Entry) {
 	if m != nil {
 		m.recorder.Add(e)
 	}
@@ -84,7 +84,7 @@
 		return
 	}
 	m.counts[kind].Add(1)
-	m.recorder.Add(flightrec.Entry{Event: flightrec.Violation, ID: id, Reason: uint8(kind)})
+	m.recorder.Add(flightrecorder.Entry{Event: flightrecorder.Violation, ID: id, Reason: uint8(kind)})
 	m.log.Error("invariant violated", append([]zap.Field{zap.Stringer("kind", kind), hexadecimal("id", id)}, detail...)...)
 	if m.dump == nil || !m.mayDump(time.Now()) {
 		return
@@ -138,7 +138,7 @@
 		return
 	}
 	m.closed[reason].Add(1)
-	m.recorder.Add(flightrec.Entry{Event: flightrec.ConnectionClosed, ID: connection, Reason: uint8(reason), Value: int64(open)})
+	m.recorder.Add(flightrecorder.Entry{Event: flightrecorder.ConnectionClosed, ID: connection, Reason: uint8(reason), Value: int64(open)})
 	if open > 0 && !reason.peers() {
 		m.Violate(RequestUnanswered, connection, zap.Stringer("closed", reason), zap.Int("open", open))
 	}
@@ -150,7 +150,7 @@
 		return
 	}
 	m.closed[reason].Add(1)
-	m.recorder.Add(flightrec.Entry{Event: flightrec.ServerClosed, Node: node, Reason: uint8(reason), Value: int64(open)})
+	m.recorder.Add(flightrecorder.Entry{Event: flightrecorder.ServerClosed, Node: node, Reason: uint8(reason), Value: int64(open)})
 	if open > 0 && reason.idle() {
 		m.Violate(AttemptCutOff, node, zap.Stringer("closed", reason), zap.Int("open", open))
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/invariant/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"strings"
@@ -7,8 +7,8 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/flightrec"
-	"fennelarch/rules"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/policy/routing"
 )
 
 var (
@@ -19,25 +19,25 @@
 )
 
 func newMonitor() *Monitor {
-	return NewMonitor(zap.NewNop(), flightrec.New(64, ReasonName), nil, nil)
+	return NewMonitor(zap.NewNop(), flightrecorder.New(64, ReasonName), nil, nil)
 }
 
 // Each kind of violation counts when it is planted, and nothing else does.
 func TestPlantedViolations(t *testing.T) {
 	now := time.Now()
 	after := func(d time.Duration) time.Time { return now.Add(d) }
-	attempt := func(number rules.LegNo, at Place) Attempt {
+	attempt := func(number routing.LegNo, at Place) Attempt {
 		return Attempt{Number: number, Place: at, NotAfter: after(time.Second), Deadline: 2 * time.Second}
 	}
-	request := func(m *Monitor, e rules.Effect) *Request {
-		return m.NewRequest(7, after(2*time.Second), Repeat{Effect: e, Scope: rules.ScopeCell, Window: time.Second})
+	request := func(m *Monitor, e routing.Effect) *Request {
+		return m.NewRequest(7, after(2*time.Second), Repeat{Effect: e, Scope: routing.ScopeCell, Window: time.Second})
 	}
 	for _, c := range []struct {
 		kind  Violation
 		plant func(m *Monitor)
 	}{
 		{AttemptAfterEnd, func(m *Monitor) {
-			r := request(m, rules.Harmless)
+			r := request(m, routing.Harmless)
 			r.Begin(attempt(0, here), now)
 			r.End(EndCancelled, now)
 			r.Whole(0, here.Node, after(EndSlack+time.Millisecond))
@@ -48,34 +48,34 @@
 			r.Whole(0, here.Node, after(10*time.Millisecond+EndSlack+time.Millisecond))
 		}},
 		{AttemptAfterBound, func(m *Monitor) {
-			r := request(m, rules.Harmless)
+			r := request(m, routing.Harmless)
 			a := attempt(0, here)
 			a.NotAfter, a.Deadline = now, time.Second
 			r.Begin(a, now)
 			r.Whole(0, here.Node, after(GraceSlack+time.Millisecond))
 		}},
 		{DeadlineTooLong, func(m *Monitor) {
-			r := request(m, rules.Harmless)
+			r := request(m, routing.Harmless)
 			a := attempt(0, here)
 			a.Deadline = 2*time.Second + DeadlineSlack + time.Millisecond
 			r.Begin(a, now)
 			r.Whole(0, here.Node, now)
 		}},
 		{RepeatUnsafe, func(m *Monitor) {
-			r := request(m, rules.OneShot)
+			r := request(m, routing.OneShot)
 			r.Begin(attempt(0, here), now)
 			r.Begin(attempt(1, here), now)
 		}},
 		{AnsweredTwice, func(m *Monitor) {
-			r := request(m, rules.Harmless)
+			r := request(m, routing.Harmless)
 			r.End(EndServed, now)
 			r.End(EndFailed, now)
 		}},
 		{AnsweredLate, func(m *Monitor) {
-			request(m, rules.Harmless).End(EndServed, after(2*time.Second+AnswerSlack+time.Millisecond))
+			request(m, routing.Harmless).End(EndServed, after(2*time.Second+AnswerSlack+time.Millisecond))
 		}},
 		{RefusedThoughRan, func(m *Monitor) {
-			r := request(m, rules.OneShot)
+			r := request(m, routing.OneShot)
 			r.Begin(attempt(0, here), now)
 			r.End(EndRefused, now)
 		}},
@@ -138,15 +138,15 @@
 		notRun bool
 		want   SendRefusal
 	}{
-		{"harmless", Repeat{Effect: rules.Harmless}, farAway, time.Second, false, SendAllowed},
-		{"one shot", Repeat{Effect: rules.OneShot}, here, 0, false, SendRepeatUnsafe},
-		{"one shot that did not run", Repeat{Effect: rules.OneShot}, farAway, 0, true, SendAllowed},
-		{"keyed, in its cell", Repeat{rules.Stamped, rules.ScopeCell, time.Second}, sameCell, 0, false, SendAllowed},
-		{"keyed, out of its cell", Repeat{rules.Stamped, rules.ScopeCell, time.Second}, sameZone, 0, false, SendRepeatUnsafe},
-		{"keyed, in its zone", Repeat{rules.Stamped, rules.ScopeZone, time.Second}, sameZone, 0, false, SendAllowed},
-		{"keyed, out of its zone", Repeat{rules.Stamped, rules.ScopeZone, time.Second}, farAway, 0, false, SendRepeatUnsafe},
-		{"keyed, anywhere", Repeat{rules.Stamped, rules.ScopeAll, time.Second}, farAway, 0, false, SendAllowed},
-		{"keyed, after its window", Repeat{rules.Stamped, rules.ScopeAll, time.Second}, here, time.Second, false, SendRepeatUnsafe},
+		{"harmless", Repeat{Effect: routing.Harmless}, farAway, time.Second, false, SendAllowed},
+		{"one shot", Repeat{Effect: routing.OneShot}, here, 0, false, SendRepeatUnsafe},
+		{"one shot that did not run", Repeat{Effect: routing.OneShot}, farAway, 0, true, SendAllowed},
+		{"keyed, in its cell", Repeat{routing.Stamped, routing.ScopeCell, time.Second}, sameCell, 0, false, SendAllowed},
+		{"keyed, out of its cell", Repeat{routing.Stamped, routing.ScopeCell, time.Second}, sameZone, 0, false, SendRepeatUnsafe},
+		{"keyed, in its zone", Repeat{routing.Stamped, routing.ScopeZone, time.Second}, sameZone, 0, false, SendAllowed},
+		{"keyed, out of its zone", Repeat{routing.Stamped, routing.ScopeZone, time.Second}, farAway, 0, false, SendRepeatUnsafe},
+		{"keyed, anywhere", Repeat{routing.Stamped, routing.ScopeAll, time.Second}, farAway, 0, false, SendAllowed},
+		{"keyed, after its window", Repeat{routing.Stamped, routing.ScopeAll, time.Second}, here, time.Second, false, SendRepeatUnsafe},
 	} {
 		r := newMonitor().NewRequest(7, now.Add(time.Minute), c.repeat)
 		r.Begin(Attempt{Place: here}, now)
@@ -162,7 +162,7 @@
 // A violation writes the recorder out, but not one after the other.
 func TestDump(t *testing.T) {
 	var dumped []string
-	m := NewMonitor(zap.NewNop(), flightrec.New(8, ReasonName), nil, func(reason string) { dumped = append(dumped, reason) })
+	m := NewMonitor(zap.NewNop(), flightrecorder.New(8, ReasonName), nil, func(reason string) { dumped = append(dumped, reason) })
 	m.Violate(AnsweredTwice, 7)
 	m.Violate(AnsweredLate, 7)
 	if strings.Join(dumped, " ") != "answered_twice" {
@@ -184,7 +184,7 @@
 	}
 	r.Whole(0, 0, now)
 	r.NotRun(0, 0)
-	r.Record(flightrec.AttemptEnded, 0, 0, 0, 0)
+	r.Record(flightrecorder.AttemptEnded, 0, 0, 0, 0)
 	m.Violate(AnsweredLate, 1)
 	m.CloseClient(1, CloseRested, 1)
 	m.CloseServer(1, CloseIdle, 1)
@@ -207,7 +207,7 @@
 			seen[name] = true
 		}
 	}
-	if ReasonName(flightrec.AttemptRefused, 200) != "" || ReasonName(flightrec.Stalled, 0) != "" {
+	if ReasonName(flightrecorder.AttemptRefused, 200) != "" || ReasonName(flightrecorder.Stalled, 0) != "" {
 		t.Error("a reason that there is not has a name")
 	}
 }
--- a/internal/guard/reasons.go
+++ b/internal/invariant/reasons.go
@@ -1,13 +1,13 @@
-package guard
+package invariant
 
 import (
 	"fmt"
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/flightrec"
+	"fennelarch/internal/flightrecorder"
 	"fennelarch/internal/system"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Violation is a kind of broken invariant.
@@ -123,31 +123,31 @@
 }
 
 // outcomes name how attempts end.
-var outcomes = map[rules.Outcome]string{rules.Succeeded: "succeeded", rules.Errored: "errored", rules.Full: "full",
-	rules.TimedOut: "timed_out", rules.Unconnected: "unconnected", rules.Broken: "broken", rules.Cancelled: "cancelled",
-	rules.Moot: "never_sent", rules.Missed: "missed"}
+var outcomes = map[routing.Outcome]string{routing.Succeeded: "succeeded", routing.Errored: "errored", routing.Full: "full",
+	routing.TimedOut: "timed_out", routing.Unconnected: "unconnected", routing.Broken: "broken", routing.Cancelled: "cancelled",
+	routing.Moot: "never_sent", routing.Missed: "missed"}
 
-var memberStates = map[rules.State]string{rules.Gone: "gone", rules.Ready: "ready", rules.Draining: "draining"}
+var memberStates = map[routing.State]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
 
 var localFaults = map[system.Fault]string{system.FaultNone: "up", system.FaultLocal: "local", system.FaultRefused: "refused",
 	system.FaultSilent: "silent", system.FaultBroken: "broken"}
 
 // ReasonName names the reason of a recorded event, or nothing where the event has none.
-func ReasonName(event flightrec.Event, reason uint8) string {
+func ReasonName(event flightrecorder.Event, reason uint8) string {
 	switch event {
-	case flightrec.ConnectionClosed, flightrec.ServerClosed:
+	case flightrecorder.ConnectionClosed, flightrecorder.ServerClosed:
 		return named(closeReasonNames[:], reason)
-	case flightrec.RequestEnded, flightrec.RequestRefused:
+	case flightrecorder.RequestEnded, flightrecorder.RequestRefused:
 		return named(endReasonNames[:], reason)
-	case flightrec.AttemptRefused:
+	case flightrecorder.AttemptRefused:
 		return named(sendRefusalNames[:], reason)
-	case flightrec.AttemptEnded:
-		return outcomes[rules.Outcome(reason)]
-	case flightrec.ServerState:
-		return memberStates[rules.State(reason)]
-	case flightrec.ServerDialled:
+	case flightrecorder.AttemptEnded:
+		return outcomes[routing.Outcome(reason)]
+	case flightrecorder.ServerState:
+		return memberStates[routing.State(reason)]
+	case flightrecorder.ServerDialled:
 		return localFaults[system.Fault(reason)]
-	case flightrec.Violation:
+	case flightrecorder.Violation:
 		return named(violationNames[:], reason)
 	}
 	return ""
--- a/internal/guard/request.go
+++ b/internal/invariant/request.go
@@ -1,4 +1,4 @@
-package guard
+package invariant
 
 import (
 	"sync"
@@ -6,27 +6,27 @@
 
 	"go.uber.org/zap"
 
-	"fennelarch/internal/flightrec"
-	"fennelarch/rules"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/policy/routing"
 )
 
 // Repeat says what repeats of a request may do, as its class has it.
 type Repeat struct {
-	Effect rules.Effect
-	Scope  rules.Scope   // the group of servers that drops repeats of a keyed request
+	Effect routing.Effect
+	Scope  routing.Scope // the group of servers that drops repeats of a keyed request
 	Window time.Duration // for how long it does
 }
 
 // Place is a server as the guard needs it: who it is, and in which group it drops repeats.
 type Place struct {
-	Node rules.NodeID
-	Zone rules.ZoneID
-	Cell rules.CellID
+	Node routing.NodeID
+	Zone routing.ZoneID
+	Cell routing.CellID
 }
 
 // Attempt is one try of a request at a server.
 type Attempt struct {
-	Number   rules.LegNo
+	Number   routing.LegNo
 	Place    Place
 	NotAfter time.Time     // it begins by then or never; zero: no bound of its own
 	Deadline time.Duration // that the server is told
@@ -55,7 +55,7 @@
 
 // NewRequest begins the record of a request whose client waits until the deadline.
 func (m *Monitor) NewRequest(id uint64, deadline time.Time, repeat Repeat) *Request {
-	m.Record(flightrec.Entry{Event: flightrec.RequestArrived, ID: id, Value: time.Until(deadline).Milliseconds()})
+	m.Record(flightrecorder.Entry{Event: flightrecorder.RequestArrived, ID: id, Value: time.Until(deadline).Milliseconds()})
 	return &Request{monitor: m, id: id, deadline: deadline, repeat: repeat}
 }
 
@@ -83,9 +83,9 @@
 		return false
 	}
 	r.end, r.ended = reason, now
-	r.monitor.Record(flightrec.Entry{Event: flightrec.RequestEnded, ID: r.id, Reason: uint8(reason),
+	r.monitor.Record(flightrecorder.Entry{Event: flightrecorder.RequestEnded, ID: r.id, Reason: uint8(reason),
 		Value: r.deadline.Sub(now).Milliseconds()})
-	if reason == EndRefused && r.repeat.Effect == rules.OneShot && r.mayHaveRun() {
+	if reason == EndRefused && r.repeat.Effect == routing.OneShot && r.mayHaveRun() {
 		r.monitor.Violate(RefusedThoughRan, r.id)
 	}
 	if late := now.Sub(r.deadline); reason.answered() && late > AnswerSlack && !r.monitor.Watch().Since(r.deadline, now) {
@@ -113,10 +113,10 @@
 	defer r.mu.Unlock()
 	refusal := r.refusal(a, now)
 	if refusal != SendAllowed {
-		r.record(flightrec.AttemptRefused, a, uint8(refusal), 0)
+		r.record(flightrecorder.AttemptRefused, a, uint8(refusal), 0)
 		return refusal
 	}
-	r.record(flightrec.AttemptSent, a, 0, a.Deadline.Milliseconds())
+	r.record(flightrecorder.AttemptSent, a, 0, a.Deadline.Milliseconds())
 	r.attempts = append(r.attempts, attempt{Attempt: a, begun: now})
 	return SendAllowed
 }
@@ -145,7 +145,7 @@
 
 // mayRepeat checks, apart from the decisions, that an earlier attempt which may have run does not forbid this one.
 func (r *Request) mayRepeat(to Place, now time.Time) bool {
-	if r.repeat.Effect == rules.Harmless {
+	if r.repeat.Effect == routing.Harmless {
 		return true
 	}
 	for i := range r.attempts {
@@ -153,7 +153,7 @@
 		if earlier.notRun {
 			continue
 		}
-		if r.repeat.Effect == rules.OneShot || !r.repeat.together(earlier.Place, to) ||
+		if r.repeat.Effect == routing.OneShot || !r.repeat.together(earlier.Place, to) ||
 			now.Sub(earlier.begun) >= r.repeat.Window {
 			return false
 		}
@@ -164,16 +164,16 @@
 // together says whether two servers drop each other's repeats.
 func (p Repeat) together(a, b Place) bool {
 	switch p.Scope {
-	case rules.ScopeAll:
+	case routing.ScopeAll:
 		return true
-	case rules.ScopeZone:
+	case routing.ScopeZone:
 		return a.Zone == b.Zone
 	}
 	return a.Zone == b.Zone && a.Cell == b.Cell
 }
 
 // Whole says that the system has taken the last byte of an attempt, and checks that it was in time.
-func (r *Request) Whole(number rules.LegNo, node rules.NodeID, now time.Time) {
+func (r *Request) Whole(number routing.LegNo, node routing.NodeID, now time.Time) {
 	if r == nil {
 		return
 	}
@@ -184,7 +184,7 @@
 		if a.Number != number || a.Place.Node != node {
 			continue
 		}
-		r.record(flightrec.AttemptWhole, a.Attempt, 0, now.Sub(a.begun).Milliseconds())
+		r.record(flightrecorder.AttemptWhole, a.Attempt, 0, now.Sub(a.begun).Milliseconds())
 		r.check(a, now)
 		return
 	}
@@ -210,7 +210,7 @@
 }
 
 // NotRun says that an attempt has been proved not to have run.
-func (r *Request) NotRun(number rules.LegNo, node rules.NodeID) {
+func (r *Request) NotRun(number routing.LegNo, node routing.NodeID) {
 	if r == nil {
 		return
 	}
@@ -224,14 +224,14 @@
 }
 
 // Record adds an event about an attempt to the flight recorder.
-func (r *Request) Record(event flightrec.Event, number rules.LegNo, node rules.NodeID, reason uint8, value int64) {
+func (r *Request) Record(event flightrecorder.Event, number routing.LegNo, node routing.NodeID, reason uint8, value int64) {
 	if r == nil {
 		return
 	}
 	r.record(event, Attempt{Number: number, Place: Place{Node: node}}, reason, value)
 }
 
-func (r *Request) record(event flightrec.Event, a Attempt, reason uint8, value int64) {
-	r.monitor.Record(flightrec.Entry{Event: event, ID: r.id, Node: uint64(a.Place.Node), Attempt: uint8(a.Number),
+func (r *Request) record(event flightrecorder.Event, a Attempt, reason uint8, value int64) {
+	r.monitor.Record(flightrecorder.Entry{Event: event, ID: r.id, Node: uint64(a.Place.Node), Attempt: uint8(a.Number),
 		Reason: reason, Value: value})
 }
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -1,6 +1,6 @@
 // Package operator reads the operator's own file: what an installation has beyond the platform. This file owns the form
 // of that file and the places of its mistakes. It must never hold a default that decides anything about views.
-package operator
+package operatorconfig
 
 import (
 	"bytes"
--- a/internal/store/carrier.go
+++ b/internal/sharedstore/carrier.go
@@ -1,7 +1,7 @@
 // Package store carries legs to shared stores that speak RESP2. This file owns the carrier, which stands between the
 // engine and the carrier of all other nodes: a leg to a store becomes gets, leases, fills and sets as the decisions in
-// rules/store want, and ends as a leg to a cache does. It must never decide, and never keep the engine waiting.
-package store
+// policy/sharedstore want, and ends as a leg to a cache does. It must never decide, and never keep the engine waiting.
+package sharedstore
 
 import (
 	"container/heap"
@@ -16,8 +16,8 @@
 
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
-	"fennelarch/rules"
-	decide "fennelarch/rules/store"
+	"fennelarch/policy/routing"
+	decide "fennelarch/policy/sharedstore"
 )
 
 // Store is what the operator says of one.
@@ -42,7 +42,7 @@
 // Carrier is an engine.Caches that knows stores. Its lock is taken before those of servers and of the inner carrier.
 type Carrier struct {
 	limits  limits.Limits
-	set     rules.Settings
+	set     routing.Settings
 	log     *zap.Logger
 	start   time.Time
 	inner   engine.Caches
@@ -51,10 +51,10 @@
 
 	mu      sync.Mutex
 	keep    *decide.Keeper
-	stores  map[rules.NodeID]*server
-	members map[rules.NodeID]engine.Node // as last told, stores only
-	kinds   map[rules.NodeID]rules.KindID
-	origin  rules.NodeID
+	stores  map[routing.NodeID]*server
+	members map[routing.NodeID]engine.Node // as last told, stores only
+	kinds   map[routing.NodeID]routing.KindID
+	origin  routing.NodeID
 	last    decide.OpID
 	ops     map[decide.OpID]*op
 	legs    map[*engine.Leg]decide.OpID // legs and fills
@@ -76,12 +76,12 @@
 }
 
 // New returns a carrier for the stores given. What is for the engine goes to deliver, from goroutines of its own only.
-func New(l limits.Limits, set rules.Settings, decisions decide.Settings, seed uint64, stores []Store, start time.Time,
+func New(l limits.Limits, set routing.Settings, decisions decide.Settings, seed uint64, stores []Store, start time.Time,
 	deliver func(at time.Time, what any), log *zap.Logger) *Carrier {
 	c := &Carrier{limits: l, set: set, log: log, start: start, deliver: deliver, wake: make(chan struct{}, 1),
-		stores: map[rules.NodeID]*server{}, members: map[rules.NodeID]engine.Node{}, kinds: map[rules.NodeID]rules.KindID{},
+		stores: map[routing.NodeID]*server{}, members: map[routing.NodeID]engine.Node{}, kinds: map[routing.NodeID]routing.KindID{},
 		ops: map[decide.OpID]*op{}, legs: map[*engine.Leg]decide.OpID{}}
-	var ids []rules.NodeID
+	var ids []routing.NodeID
 	for _, s := range stores {
 		id := engine.NodeID(s.UID)
 		ids = append(ids, id)
@@ -184,7 +184,7 @@
 	if n, known := c.members[s.id]; known {
 		return n
 	}
-	n := engine.Node{UID: s.conf.UID, Member: rules.Member{Node: s.id, State: rules.Ready, Zone: c.set.Zone, Weight: s.conf.Weight}}
+	n := engine.Node{UID: s.conf.UID, Member: routing.Member{Node: s.id, State: routing.Ready, Zone: c.set.Zone, Weight: s.conf.Weight}}
 	for n.Kind == c.set.ParentKind || n.Kind == c.set.OriginKind {
 		n.Kind++
 	}
@@ -223,11 +223,11 @@
 	c.mu.Lock()
 	defer c.unlock()
 	rest := make([]engine.Node, 0, len(nodes))
-	listed := map[rules.NodeID]bool{}
+	listed := map[routing.NodeID]bool{}
 	for _, n := range nodes {
 		listed[n.Node] = true
 		c.kinds[n.Node] = n.Kind
-		if n.Kind == c.set.OriginKind && n.State == rules.Ready {
+		if n.Kind == c.set.OriginKind && n.State == routing.Ready {
 			c.origin = n.Node
 		}
 		c.tell(&decide.Event{Kind: decide.EventState, Node: n.Node, State: n.State})
@@ -236,7 +236,7 @@
 			s.at(n.Address)
 			continue
 		}
-		if n.State == rules.Gone {
+		if n.State == routing.Gone {
 			delete(c.kinds, n.Node)
 		}
 		rest = append(rest, n)
@@ -245,7 +245,7 @@
 		for id := range c.kinds {
 			if !listed[id] {
 				delete(c.kinds, id)
-				c.tell(&decide.Event{Kind: decide.EventState, Node: id, State: rules.Gone})
+				c.tell(&decide.Event{Kind: decide.EventState, Node: id, State: routing.Gone})
 			}
 		}
 	}
@@ -267,7 +267,7 @@
 	defer c.unlock()
 	a := l.Ask
 	if a.Write {
-		c.out(engine.LegEnd{Leg: l, Outcome: rules.Missed, Note: rules.NoteNoPlace})
+		c.out(engine.LegEnd{Leg: l, Outcome: routing.Missed, Note: routing.NoteNoPlace})
 		return
 	}
 	c.last++
@@ -275,7 +275,7 @@
 	c.legs[l] = c.last
 	t := &c.set.Tariffs[a.Tariff]
 	e := decide.Event{Kind: decide.EventAsk, Op: c.last, Node: id, Object: a.Object, Part: a.Part, Group: a.Group,
-		Held: l.How&rules.HowHoldsOnly != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.Age}
+		Held: l.How&routing.HowHoldsOnly != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.Age}
 	if !relay {
 		e.Source = l.Source
 	}
@@ -289,7 +289,7 @@
 }
 
 // due is the time left until a view's due time, as its tariff has it.
-func (c *Carrier) due(a *engine.Ask, t *rules.Tariff) time.Duration {
+func (c *Carrier) due(a *engine.Ask, t *routing.Tariff) time.Duration {
 	sending := time.Duration(0)
 	if c.set.FlowKB > 0 {
 		sending = time.Duration(a.KB / c.set.FlowKB * t.DueStretch * float64(time.Second))
@@ -311,7 +311,7 @@
 }
 
 // Probe asks a node for its state.
-func (c *Carrier) Probe(id rules.NodeID) {
+func (c *Carrier) Probe(id routing.NodeID) {
 	s := c.stores[id]
 	if s == nil {
 		c.inner.Probe(id)
@@ -320,7 +320,7 @@
 	if !s.send(command{verb: verbProbe, args: [][]byte{[]byte("PING")}}) {
 		c.mu.Lock()
 		defer c.unlock()
-		c.out(engine.Probed{Node: id, Outcome: rules.Unconnected})
+		c.out(engine.Probed{Node: id, Outcome: routing.Unconnected})
 	}
 }
 
@@ -349,7 +349,7 @@
 	a := o.leg.Ask
 	e := decide.Event{Kind: decide.EventFilled, Op: id, Outcome: end.Outcome, Note: end.Note, Waited: end.Waited,
 		Took: at.Sub(o.begun), Size: len(end.Body)}
-	if end.Outcome == rules.Succeeded {
+	if end.Outcome == routing.Succeeded {
 		o.born = end.Born
 		o.copy = Copy{Object: a.Object, Part: a.Part, Group: a.Group, Sum: end.Sum, Body: end.Body}
 		if !end.Born.IsZero() {
@@ -379,9 +379,9 @@
 		case replied:
 			c.replied(s, &e)
 		case probed:
-			p := engine.Probed{Node: s.id, Outcome: rules.Unconnected, Took: e.took}
+			p := engine.Probed{Node: s.id, Outcome: routing.Unconnected, Took: e.took}
 			if e.good {
-				p.Outcome = rules.Succeeded
+				p.Outcome = routing.Succeeded
 			}
 			c.out(p)
 		case interval:
@@ -499,7 +499,7 @@
 		}
 		return
 	case decide.ActionCold:
-		if n, known := c.members[a.Node]; known && n.State == rules.Ready {
+		if n, known := c.members[a.Node]; known && n.State == routing.Ready {
 			n.Boot = time.Now().Add(-a.Wait)
 			c.members[a.Node] = n
 			c.out(engine.List{Nodes: []engine.Node{n}})
@@ -557,8 +557,8 @@
 	ask := *o.leg.Ask
 	ask.Have = "" // the store needs the bytes
 	l := &engine.Leg{Ask: &ask, No: o.leg.No, Node: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, Age: a.Age,
-		How: o.leg.How &^ (rules.HowRenew | rules.HowCopy | rules.HowHoldsOnly)}
-	if c.kinds[l.Node] == c.set.ParentKind && o.leg.How&rules.HowHoldsOnly == 0 {
+		How: o.leg.How &^ (routing.HowRenew | routing.HowCopy | routing.HowHoldsOnly)}
+	if c.kinds[l.Node] == c.set.ParentKind && o.leg.How&routing.HowHoldsOnly == 0 {
 		l.Source = c.origin
 	}
 	o.fill, o.begun = l, time.Now()
@@ -574,16 +574,16 @@
 	delete(c.legs, o.leg)
 	end := engine.LegEnd{Leg: o.leg, Outcome: a.Outcome, Note: a.Note, Waited: a.Waited}
 	switch from := c.ops[a.From]; {
-	case a.Outcome == rules.Succeeded && from != nil:
+	case a.Outcome == routing.Succeeded && from != nil:
 		end.Sum, end.Born, end.Body = from.copy.Sum, from.born, from.copy.Body
 		if end.Same = o.leg.Ask.Have != "" && o.leg.Ask.Have == end.Sum; end.Same {
 			end.Body = nil
 		}
 		if o.relay {
-			end.Note = rules.NoteFilled
+			end.Note = routing.NoteFilled
 		}
 	case o.relay:
-		end.Outcome, end.Note = rules.Missed, rules.NoteLacks
+		end.Outcome, end.Note = routing.Missed, routing.NoteLacks
 	}
 	c.out(end)
 }
@@ -591,7 +591,7 @@
 type timer struct {
 	at   time.Duration
 	op   decide.OpID
-	node rules.NodeID
+	node routing.NodeID
 	name uint64
 }
 
--- a/internal/store/link.go
+++ b/internal/sharedstore/link.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 // This file owns the state machine of one connection to a store: it greets, puts commands into the stream, matches the
 // replies to them in their order, and says what each was. It is fed bytes and times, and must never touch a socket, wait,
@@ -13,8 +13,8 @@
 
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
-	"fennelarch/rules"
-	decide "fennelarch/rules/store"
+	"fennelarch/policy/routing"
+	decide "fennelarch/policy/sharedstore"
 )
 
 // verb is what a command is for; it says how the reply is read.
@@ -37,7 +37,7 @@
 type command struct {
 	verb verb
 	op   decide.OpID
-	node rules.NodeID
+	node routing.NodeID
 	key  copyKey
 	args [][]byte // the last may be long; all are lent until they are in the stream
 	sent time.Time
@@ -46,7 +46,7 @@
 }
 
 type copyKey struct {
-	object rules.ObjectID
+	object routing.ObjectID
 	part   int
 }
 
--- a/internal/store/server.go
+++ b/internal/sharedstore/server.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 // This file owns the connection to one store: the goroutines that dial, read and write it, one address after the other,
 // and its ledger's beat. It must never decide anything: what came goes to the carrier.
@@ -13,14 +13,14 @@
 	"time"
 
 	"fennelarch/internal/system"
-	"fennelarch/rules"
-	decide "fennelarch/rules/store"
+	"fennelarch/policy/routing"
+	decide "fennelarch/policy/sharedstore"
 )
 
 // server is one store as this router speaks to it.
 type server struct {
 	carrier *Carrier
-	id      rules.NodeID
+	id      routing.NodeID
 	conf    Store
 	keys    keys
 
--- a/internal/store/store_test.go
+++ b/internal/sharedstore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 	"go.uber.org/zap"
 
 	"fennelarch/internal/engine"
+	"fennelarch/internal/fake/redis"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/standin/redis"
-	"fennelarch/rules"
-	decide "fennelarch/rules/store"
+	"fennelarch/policy/routing"
+	decide "fennelarch/policy/sharedstore"
 )
 
 // A value tells what is wrong with it.
@@ -117,11 +117,11 @@
 }
 
 func (s *shelfSource) Learn([]engine.Node, bool) {}
-func (s *shelfSource) Probe(rules.NodeID)        {}
+func (s *shelfSource) Probe(routing.NodeID)      {}
 func (s *shelfSource) Abort(*engine.Leg) bool    { return true }
 func (s *shelfSource) Send(l *engine.Leg) {
 	s.fills++
-	go s.post(time.Now(), engine.LegEnd{Leg: l, Outcome: rules.Succeeded, Note: rules.NoteHit, Body: s.body, Sum: "5", Born: time.Now()})
+	go s.post(time.Now(), engine.LegEnd{Leg: l, Outcome: routing.Succeeded, Note: routing.NoteHit, Body: s.body, Sum: "5", Born: time.Now()})
 }
 
 const storeNode, parentNode = "s-redis", "s-parent"
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := rules.Settings{ParentKind: 1, OriginKind: 2, FlowKB: 1000, Tariffs: []rules.Tariff{{Due: time.Second}}}
+	set := routing.Settings{ParentKind: 1, OriginKind: 2, FlowKB: 1000, Tariffs: []routing.Tariff{{Due: time.Second}}}
 	r := &rig{redis: s, ends: make(chan engine.LegEnd, 64)}
 	r.Carrier = New(bounds(), set, decide.Settings{Capacity: 0, Most: 64, Bytes: 240_000, Life: time.Minute, Lease: true}, 1,
 		[]Store{{UID: storeNode, Addresses: []string{s.Address()}, Weight: 1, Prefix: "t:", Login: NewLogin("u", "w", 1)}},
@@ -153,8 +153,8 @@
 	ctx, end := context.WithCancel(context.Background())
 	t.Cleanup(func() { end(); s.Close() })
 	go r.Run(ctx)
-	list := r.Told(engine.List{All: true, Nodes: []engine.Node{{UID: parentNode, Member: rules.Member{Node: engine.NodeID(parentNode),
-		State: rules.Ready, Kind: 1}}}}).(engine.List)
+	list := r.Told(engine.List{All: true, Nodes: []engine.Node{{UID: parentNode, Member: routing.Member{Node: engine.NodeID(parentNode),
+		State: routing.Ready, Kind: 1}}}}).(engine.List)
 	r.Learn(list.Nodes, true)
 	for until := time.Now().Add(5 * time.Second); s.Counts().Commands < 3 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
@@ -163,7 +163,7 @@
 	return r
 }
 
-func (r *rig) ask(object rules.ObjectID) *engine.Leg {
+func (r *rig) ask(object routing.ObjectID) *engine.Leg {
 	now := time.Now()
 	l := &engine.Leg{Ask: &engine.Ask{Object: object, Group: 1, KB: 10, Left: time.Second, At: now}, Node: engine.NodeID(storeNode),
 		Source: engine.NodeID(parentNode), Deadline: now.Add(time.Second), At: now}
@@ -186,18 +186,18 @@
 	r := newRig(t, zap.NewNop())
 	time.Sleep(600 * time.Millisecond) // until a copy's birth is surely after the router's
 	r.ask(7)
-	if e := r.end(t); e.Outcome != rules.Succeeded || e.Note != rules.NoteFilled || !bytes.Equal(e.Body, r.source.body) {
+	if e := r.end(t); e.Outcome != routing.Succeeded || e.Note != routing.NoteFilled || !bytes.Equal(e.Body, r.source.body) {
 		t.Fatalf("%v %v, %d bytes", e.Outcome, e.Note, len(e.Body))
 	}
 	time.Sleep(30 * time.Millisecond)
 	r.ask(7)
-	if e := r.end(t); e.Note != rules.NoteHit || !bytes.Equal(e.Body, r.source.body) || e.Sum != "5" {
+	if e := r.end(t); e.Note != routing.NoteHit || !bytes.Equal(e.Body, r.source.body) || e.Sum != "5" {
 		t.Fatalf("%v, %d bytes", e.Note, len(e.Body))
 	}
 	r.Told(engine.Purge{Object: 7, Issued: time.Now()})
 	time.Sleep(5 * time.Millisecond)
 	r.ask(7)
-	if e := r.end(t); e.Note != rules.NoteFilled {
+	if e := r.end(t); e.Note != routing.NoteFilled {
 		t.Fatalf("%v after a purge", e.Note)
 	}
 	time.Sleep(30 * time.Millisecond) // it is stored again
@@ -229,7 +229,7 @@
 	b.SetBytes(20_000)
 	for b.Loop() {
 		r.ask(7)
-		if e := r.end(b); e.Note != rules.NoteHit {
+		if e := r.end(b); e.Note != routing.NoteHit {
 			b.Fatal(e.Note)
 		}
 	}
--- a/internal/store/value.go
+++ b/internal/sharedstore/value.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 // This file owns the form in which a copy stands in a store, and the names of keys. A value says whose it is, of which
 // form, when the origin gave it out, and what it must add up to; one that fails in any of it is no copy. It must never
@@ -11,16 +11,16 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	decide "fennelarch/rules/store"
+	decide "fennelarch/policy/sharedstore"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Copy is what a value holds.
 type Copy struct {
-	Object rules.ObjectID
+	Object routing.ObjectID
 	Part   int
-	Group  rules.GroupID
+	Group  routing.GroupID
 	Born   decide.Stamp // when the origin gave it out
 	Valid  decide.Stamp // no purge before this can have been missed on its way here
 	Sum    string       // the tag of the bytes
@@ -72,7 +72,7 @@
 		return c, ErrCorrupt
 	}
 	at := binary.BigEndian.Uint64(b[12:])
-	c = Copy{Object: rules.ObjectID(binary.BigEndian.Uint64(b[4:])), Part: int(at >> 32), Group: rules.GroupID(at),
+	c = Copy{Object: routing.ObjectID(binary.BigEndian.Uint64(b[4:])), Part: int(at >> 32), Group: routing.GroupID(at),
 		Born: decide.Stamp(binary.BigEndian.Uint64(b[20:])), Valid: decide.Stamp(binary.BigEndian.Uint64(b[28:]))}
 	tag := headSize + int(b[3])
 	c.Sum, c.Body = string(b[headSize:tag]), b[tag:end]
@@ -82,16 +82,16 @@
 // names are the keys of one store.
 type keys struct{ prefix string }
 
-func (k keys) of(kind string, o rules.ObjectID, part int) []byte {
+func (k keys) of(kind string, o routing.ObjectID, part int) []byte {
 	b := append([]byte(k.prefix), kind...)
 	b = strconv.AppendUint(b, uint64(o), 16)
 	b = append(b, ':')
 	return strconv.AppendInt(b, int64(part), 10)
 }
 
-func (k keys) value(o rules.ObjectID, part int) []byte { return k.of("v:", o, part) }
-func (k keys) lease(o rules.ObjectID, part int) []byte { return k.of("l:", o, part) }
-func (k keys) ledger() []byte                          { return []byte(k.prefix + "purges") }
+func (k keys) value(o routing.ObjectID, part int) []byte { return k.of("v:", o, part) }
+func (k keys) lease(o routing.ObjectID, part int) []byte { return k.of("l:", o, part) }
+func (k keys) ledger() []byte                            { return []byte(k.prefix + "purges") }
 
 // The ledger is a sorted set: a member for each purge, scored by its time, and the ends of the interval.
 const (
@@ -116,11 +116,11 @@
 	switch name[0] {
 	case 'o':
 		n, err := strconv.ParseUint(string(name[2:]), 16, 64)
-		m.Object = rules.ObjectID(n)
+		m.Object = routing.ObjectID(n)
 		return m, err == nil && n != 0
 	case 'g':
 		n, err := strconv.ParseUint(string(name[2:]), 10, 32)
-		m.Group = rules.GroupID(n)
+		m.Group = routing.GroupID(n)
 		return m, err == nil
 	}
 	return m, false
--- a/internal/wire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,6 +1,6 @@
 // Package wire turns the frames of the bench's wire into the events of package
 // rules and its actions into reply frames. The wire's names end here.
-package wire
+package simwire
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"math"
 	"time"
 
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/internal/config"
+	"fennelarch/policy/routing"
 )
 
 const (
@@ -53,10 +53,10 @@
 
 // Host hosts the routers of one process.
 type Host struct {
-	routers map[uint32]*rules.Router
-	lists   [16][]rules.Member
-	event   rules.Event
-	actions []rules.Action
+	routers map[uint32]*routing.Router
+	lists   [16][]routing.Member
+	event   routing.Event
+	actions []routing.Action
 	frame   []byte
 	records []byte
 	tail    []byte
@@ -65,7 +65,7 @@
 
 // NewHost returns a host without routers.
 func NewHost() *Host {
-	return &Host{routers: map[uint32]*rules.Router{}}
+	return &Host{routers: map[uint32]*routing.Router{}}
 }
 
 // Serve answers batches until the input ends.
@@ -141,18 +141,18 @@
 }
 
 // node packs an address and a port; the id is never 0 for a real server.
-func node(b []byte) rules.NodeID {
-	return rules.NodeID(uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 |
+func node(b []byte) routing.NodeID {
+	return routing.NodeID(uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 |
 		uint64(le.Uint16(b[4:])))
 }
 
-func putNode(b []byte, n rules.NodeID) {
+func putNode(b []byte, n routing.NodeID) {
 	b[0], b[1], b[2], b[3] = byte(n>>40), byte(n>>32), byte(n>>24), byte(n>>16)
 	le.PutUint16(b[4:], uint16(n))
 }
 
-func report(b []byte) rules.Report {
-	r := rules.Report{N: min(int(b[0]), 4)}
+func report(b []byte) routing.Report {
+	r := routing.Report{N: min(int(b[0]), 4)}
 	for i := range r.N {
 		r.V[i] = f32(b[1+4*i:])
 	}
@@ -172,7 +172,7 @@
 	if count > (len(frame)-headerSize)/eventSize {
 		return fmt.Errorf("frame of %d bytes cannot hold %d records", len(frame), count)
 	}
-	now := settings.Span(f64(frame[12:]))
+	now := config.Span(f64(frame[12:]))
 	tail := frame[headerSize+count*eventSize:]
 	for i := range count {
 		rec := frame[headerSize+i*eventSize:][:eventSize]
@@ -194,7 +194,7 @@
 func (h *Host) record(now time.Duration, rec, tail []byte) error {
 	id := le.Uint32(rec[1:])
 	e := &h.event
-	*e = rules.Event{}
+	*e = routing.Event{}
 	switch rec[0] {
 	case evLedger:
 		return h.ledger(rec, tail)
@@ -203,11 +203,11 @@
 		if err != nil {
 			return err
 		}
-		set, _, err := settings.Decode(conf)
+		set, _, err := config.Decode(conf)
 		if err != nil {
 			return fmt.Errorf("%w", err)
 		}
-		r := rules.New(set, le.Uint64(rec[5:]))
+		r := routing.New(set, le.Uint64(rec[5:]))
 		h.routers[id] = r
 		h.actions = r.Start(now, h.actions[:0])
 		return h.act(id)
@@ -215,51 +215,51 @@
 		delete(h.routers, id)
 		return nil
 	case evRing:
-		e.Kind, e.Timer = rules.EventTimer, le.Uint64(rec[5:])
+		e.Kind, e.Timer = routing.EventTimer, le.Uint64(rec[5:])
 	case evPeers:
-		e.Kind, e.List = rules.EventList, rules.ListKind(rec[6])
-		if e.List > rules.ListFailed {
+		e.Kind, e.List = routing.EventList, routing.ListKind(rec[6])
+		if e.List > routing.ListFailed {
 			return fmt.Errorf("list of unknown scope %d", rec[6])
 		}
-		if e.List != rules.ListFailed {
+		if e.List != routing.ListFailed {
 			if rec[5] >= byte(len(h.lists)) {
 				return fmt.Errorf("list number %d is out of bounds", rec[5])
 			}
 			e.Members = h.lists[rec[5]]
 		}
 	case evWithdrawn:
-		e.Kind, e.Object, e.Ago = rules.EventPurge, rules.ObjectID(le.Uint64(rec[5:])), settings.Span(f64(rec[13:]))
-		e.Group = rules.GroupID(le.Uint16(rec[21:]))
+		e.Kind, e.Object, e.Ago = routing.EventPurge, routing.ObjectID(le.Uint64(rec[5:])), config.Span(f64(rec[13:]))
+		e.Group = routing.GroupID(le.Uint16(rec[21:]))
 	case evKnock:
-		e.Kind, e.View = rules.EventView, rules.ViewID(le.Uint64(rec[5:]))
-		e.Tariff, e.Tenant = rules.TariffID(rec[13]), rules.TenantID(le.Uint32(rec[14:]))
-		e.Object, e.Left, e.KB = rules.ObjectID(le.Uint64(rec[18:])), settings.Span(f64(rec[26:])), f32(rec[34:])
-		e.Group, e.Part = rules.GroupID(max(0, f32(rec[38:]))), int(f32(rec[42:]))
+		e.Kind, e.View = routing.EventView, routing.ViewID(le.Uint64(rec[5:]))
+		e.Tariff, e.Tenant = routing.TariffID(rec[13]), routing.TenantID(le.Uint32(rec[14:]))
+		e.Object, e.Left, e.KB = routing.ObjectID(le.Uint64(rec[18:])), config.Span(f64(rec[26:])), f32(rec[34:])
+		e.Group, e.Part = routing.GroupID(max(0, f32(rec[38:]))), int(f32(rec[42:]))
 		e.Repeat, e.Write = rec[46]&2 != 0, rec[46]&4 != 0
 	case evWhisper:
 		if _, err := tailPart(tail, rec[7:], 1); err != nil {
 			return err
 		}
-		e.Kind = rules.EventMessage
+		e.Kind = routing.EventMessage
 	case evEnd:
-		e.Kind, e.View = rules.EventLegEnd, rules.ViewID(le.Uint64(rec[5:]))
-		e.Leg, e.Node = rules.LegNo(le.Uint16(rec[13:])), node(rec[15:])
-		if e.Outcome = rules.Outcome(le.Uint16(rec[21:])); e.Outcome > rules.Missed {
+		e.Kind, e.View = routing.EventLegEnd, routing.ViewID(le.Uint64(rec[5:]))
+		e.Leg, e.Node = routing.LegNo(le.Uint16(rec[13:])), node(rec[15:])
+		if e.Outcome = routing.Outcome(le.Uint16(rec[21:])); e.Outcome > routing.Missed {
 			return fmt.Errorf("unknown outcome %d", le.Uint16(rec[21:]))
 		}
-		e.Took, e.Final, e.Note = settings.Span(f64(rec[23:])), rec[31] != 0, rules.Note(rec[32])
-		e.Waited, e.Report = settings.Span(f64(rec[33:])), report(rec[41:])
+		e.Took, e.Final, e.Note = config.Span(f64(rec[23:])), rec[31] != 0, routing.Note(rec[32])
+		e.Waited, e.Report = config.Span(f64(rec[33:])), report(rec[41:])
 	case evAbandoned:
-		e.Kind, e.View = rules.EventGone, rules.ViewID(le.Uint64(rec[5:]))
+		e.Kind, e.View = routing.EventGone, routing.ViewID(le.Uint64(rec[5:]))
 	case evHeaders:
-		e.Kind, e.View, e.Node = rules.EventStream, rules.ViewID(le.Uint64(rec[5:])), node(rec[13:])
-		e.Leg, e.Took = rules.LegNo(le.Uint16(rec[19:])), settings.Span(f64(rec[21:]))
+		e.Kind, e.View, e.Node = routing.EventStream, routing.ViewID(le.Uint64(rec[5:])), node(rec[13:])
+		e.Leg, e.Took = routing.LegNo(le.Uint16(rec[19:])), config.Span(f64(rec[21:]))
 	case evPong:
-		e.Kind, e.Node = rules.EventProbed, node(rec[5:])
-		if e.Outcome = rules.Outcome(le.Uint16(rec[11:])); e.Outcome > rules.Missed {
+		e.Kind, e.Node = routing.EventProbed, node(rec[5:])
+		if e.Outcome = routing.Outcome(le.Uint16(rec[11:])); e.Outcome > routing.Missed {
 			return fmt.Errorf("unknown outcome %d", le.Uint16(rec[11:]))
 		}
-		e.Took, e.Report = settings.Span(f64(rec[13:])), report(rec[21:])
+		e.Took, e.Report = config.Span(f64(rec[13:])), report(rec[21:])
 	default:
 		return fmt.Errorf("unknown code %d", rec[0])
 	}
@@ -279,18 +279,18 @@
 	if err != nil {
 		return err
 	}
-	list := make([]rules.Member, 0, len(part)/entrySize)
+	list := make([]routing.Member, 0, len(part)/entrySize)
 	for ; len(part) > 0; part = part[entrySize:] {
-		m := rules.Member{
-			Node: node(part[15:]), State: rules.State(part[8]), Kind: rules.KindID(le.Uint16(part[9:])),
-			Zone: rules.ZoneID(le.Uint16(part[11:])), Cell: rules.CellID(le.Uint16(part[13:])),
-			Weight: f32(part[21:]), Started: settings.Span(f64(part)),
+		m := routing.Member{
+			Node: node(part[15:]), State: routing.State(part[8]), Kind: routing.KindID(le.Uint16(part[9:])),
+			Zone: routing.ZoneID(le.Uint16(part[11:])), Cell: routing.CellID(le.Uint16(part[13:])),
+			Weight: f32(part[21:]), Started: config.Span(f64(part)),
 		}
-		if m.State > rules.Draining {
+		if m.State > routing.Draining {
 			return fmt.Errorf("unknown state %d", part[8])
 		}
 		if m.Started == 0 {
-			m.Started = rules.LongAgo
+			m.Started = routing.LongAgo
 		}
 		list = append(list, m)
 	}
@@ -308,12 +308,12 @@
 		le.PutUint32(rec[1:], id)
 		putF64 := func(at int, d time.Duration) { le.PutUint64(rec[at:], math.Float64bits(millis(d))) }
 		switch a.Kind {
-		case rules.ActionAsk:
+		case routing.ActionAsk:
 			rec[0] = acSubmit
 			le.PutUint64(rec[5:], uint64(a.View))
 			putNode(rec[13:], a.Node)
 			putF64(19, a.Limit)
-		case rules.ActionGet:
+		case routing.ActionGet:
 			rec[0] = acServe
 			le.PutUint64(rec[5:], uint64(a.View))
 			putF64(13, a.Age)
@@ -322,29 +322,29 @@
 			putF64(28, a.Limit)
 			putNode(rec[36:], a.Source)
 			rec[42] = byte(a.How)
-		case rules.ActionTurnBack:
+		case routing.ActionTurnBack:
 			rec[0] = acDecline
 			le.PutUint64(rec[5:], uint64(a.View))
 			putF64(13, a.Wait)
-		case rules.ActionTerminate:
+		case routing.ActionTerminate:
 			rec[0] = acSurrender
 			le.PutUint64(rec[5:], uint64(a.View))
-		case rules.ActionCancel:
+		case routing.ActionCancel:
 			rec[0] = acCancel
 			le.PutUint64(rec[5:], uint64(a.View))
 			le.PutUint16(rec[13:], uint16(a.Leg))
-		case rules.ActionProbe:
+		case routing.ActionProbe:
 			rec[0] = acProbe
 			putNode(rec[5:], a.Node)
-		case rules.ActionTimer:
+		case routing.ActionTimer:
 			rec[0] = acNotify
 			putF64(5, a.Wait)
 			le.PutUint64(rec[13:], a.Timer)
-		case rules.ActionFollow:
+		case routing.ActionFollow:
 			rec[0], rec[5] = acSubscribe, 1
-		case rules.ActionList:
+		case routing.ActionList:
 			rec[0] = acLookup
-		case rules.ActionLog:
+		case routing.ActionLog:
 			rec[0] = acPrint
 			le.PutUint32(rec[5:], uint32(len(h.tail)))
 			le.PutUint32(rec[9:], uint32(len(a.Text)))
--- a/internal/wire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/internal/config"
+	"fennelarch/policy/routing"
 )
 
 const confText = `{"az": 1, "classes": [{"deadline_ms": 3000, "effect": "retryable", "importance": 1, "target_ms": 250}],
@@ -95,10 +95,10 @@
 }
 
 func Example_settings() {
-	s, _, err := settings.Decode([]byte(confText))
-	fmt.Println(err, s.Zone, s.Routers, s.Legs, s.ParentKind, s.OriginKind, s.FlowKB, s.Tells == rules.TellsAll)
-	fmt.Println(s.Tariffs[0].Due, s.Tariffs[0].Hard, s.Tariffs[0].Effect == rules.Harmless)
-	_, _, err = settings.Decode([]byte(`{"classes": [{"effect": "odd"}]}`))
+	s, _, err := config.Decode([]byte(confText))
+	fmt.Println(err, s.Zone, s.Routers, s.Legs, s.ParentKind, s.OriginKind, s.FlowKB, s.Tells == routing.TellsAll)
+	fmt.Println(s.Tariffs[0].Due, s.Tariffs[0].Hard, s.Tariffs[0].Effect == routing.Harmless)
+	_, _, err = config.Decode([]byte(`{"classes": [{"effect": "odd"}]}`))
 	fmt.Println(err)
 	// Output:
 	// <nil> 1 1 6 1 2 1000 true
--- a/internal/stall/stall.go
+++ b/internal/stalldetect/stall.go
@@ -4,7 +4,7 @@
 // just read may be.
 //
 // All spans are of the monotonic clock: a step of the wall clock is no stall.
-package stall
+package stalldetect
 
 import (
 	"context"
--- a/internal/stall/stall_test.go
+++ b/internal/stalldetect/stall_test.go
@@ -1,4 +1,4 @@
-package stall
+package stalldetect
 
 import (
 	"context"
--- a/internal/lab/admission.go
+++ b/internal/testbed/admission.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 // This file owns the experiments on admission: floods of connections from loopback addresses of their own, while crews go on
 // working.
@@ -275,7 +275,7 @@
 // besieged plays one arm: a crew works, a flood comes, and what became of both is told.
 func besieged(r *Result, name string, o Options, operator map[string]any, keys *tls.Config, fl func(address string) *flood, n int, rate float64,
 	during func(s *Scene)) (calm, hard crewSeen, f *flood, err error) {
-	set := site(1, false)
+	set := storeSetup(1, false)
 	set.SizeKB, set.Objects = 30, 30
 	set.Extra = operator
 	if keys != nil {
@@ -444,7 +444,7 @@
 		return nil, err
 	}
 	k := &keyring{pool: x509.NewCertPool(), pairs: map[string]tls.Certificate{}}
-	if k.folder, err = os.MkdirTemp("", "fennelab-keys"); err != nil {
+	if k.folder, err = os.MkdirTemp("", "testbed-keys"); err != nil {
 		return nil, err
 	}
 	args := []string{"keys", k.folder}
@@ -489,7 +489,7 @@
 		return err
 	}
 	defer k.close()
-	set := site(1, false)
+	set := storeSetup(1, false)
 	set.SizeKB, set.Objects, set.Extra = 30, 30, gate(k.part())
 	bounds := set.Extra["admission"].(map[string]any) // of an address that many share
 	bounds["per_address"], bounds["new_per_s"], bounds["burst"], bounds["handshake_cores"] = 64, 500, 250, 0.6
@@ -548,7 +548,7 @@
 
 var _ = Register(Experiment{"admission-restart", "known clients that return all at once after a restart, among a flood", func(o Options, r *Result) error {
 	back := func(name string, n int) (in, answered, served int, err error) {
-		set := site(1, false)
+		set := storeSetup(1, false)
 		set.SizeKB, set.Objects, set.Extra = 30, 30, gate(nil)
 		s, err := NewScene(o.Seed, set)
 		if err != nil {
--- a/internal/lab/client.go
+++ b/internal/testbed/client.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 // This file owns the clients: views sent when they are due to be sent, whatever became of those before, over connections
 // that are kept; and the record of what came back. A time counts from when the view was meant to go.
@@ -15,7 +15,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 func frame(words ...string) []byte {
@@ -31,7 +31,7 @@
 	Router  int
 	Req     string
 	Tariff  string
-	Object  depot.Object
+	Object  site.Object
 	KB      float64
 	Meant   time.Time
 	Sent    time.Time // zero: it never went
@@ -88,7 +88,7 @@
 }
 
 // Ask sends a view that was meant to go at a time.
-func (k *Clients) Ask(meant time.Time, tariff string, o depot.Object, group int, kb float64, timeout, due time.Duration, body string) *View {
+func (k *Clients) Ask(meant time.Time, tariff string, o site.Object, group int, kb float64, timeout, due time.Duration, body string) *View {
 	v := &View{Router: k.router, Tariff: tariff, Object: o, KB: kb, Meant: meant, Timeout: timeout, Due: due}
 	k.mu.Lock()
 	v.Req = fmt.Sprintf("%016x", k.rng.Uint64()|1)
--- a/internal/lab/judge_test.go
+++ b/internal/testbed/judge_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"fmt"
@@ -7,20 +7,20 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // The judge sees each kind of breach: a claim that cannot fail shows nothing.
 func TestJudge(t *testing.T) {
 	s := &Scene{Setup: Setup{Settings: Usual(1), Groups: 4}, kills: map[int][]time.Time{}, sizes: []float64{1, 1, 1}}
-	s.Site = depot.NewSite(func(depot.Object) int { return 100 }, s.group)
+	s.Site = site.NewSite(func(site.Object) int { return 100 }, s.group)
 	defer s.Site.Close()
 	at := time.Now()
-	o := depot.Object{ID: 1}
+	o := site.Object{ID: 1}
 	s.purges = []purge{{object: 1, at: at.Add(-3 * time.Second)}}
 	view := func(change func(*View)) *View {
 		v := &View{Tariff: "clip", Object: o, Meant: at, Sent: at, Timeout: time.Second, Due: 400 * time.Millisecond, Answers: 1,
-			Answered: at.Add(50 * time.Millisecond), Word: "OK", Body: depot.Body(o, at.Add(-time.Second), 100)}
+			Answered: at.Add(50 * time.Millisecond), Word: "OK", Body: site.Body(o, at.Add(-time.Second), 100)}
 		change(v)
 		return v
 	}
@@ -36,9 +36,9 @@
 		{"crossed an end", view(func(v *View) { v.Answers, v.Failed, v.Ended = 0, true, at.Add(time.Millisecond) }), func(n *Seen) bool { return n.Lost == 0 && n.Crossed == 1 }},
 		{"two answers", view(func(v *View) { v.Answers = 2 }), func(n *Seen) bool { return n.Twice == 1 }},
 		{"after its time", view(func(v *View) { v.Answered = at.Add(2 * time.Second) }), func(n *Seen) bool { return n.Late == 1 }},
-		{"from before a purge", view(func(v *View) { v.Body = depot.Body(o, at.Add(-4*time.Second), 100) }), func(n *Seen) bool { return n.Stale == 1 }},
+		{"from before a purge", view(func(v *View) { v.Body = site.Body(o, at.Add(-4*time.Second), 100) }), func(n *Seen) bool { return n.Stale == 1 }},
 		{"one byte wrong", view(func(v *View) { v.Body = v.Body[:99] + "?" }), func(n *Seen) bool { return n.Wrong == 1 }},
-		{"another object", view(func(v *View) { v.Body = depot.Body(depot.Object{ID: 2}, at, 100) }), func(n *Seen) bool { return n.Wrong == 1 }},
+		{"another object", view(func(v *View) { v.Body = site.Body(site.Object{ID: 2}, at, 100) }), func(n *Seen) bool { return n.Wrong == 1 }},
 	} {
 		n := &Seen{Times: hdrhistogram.New(1, 60_000_000, 3)}
 		s.judge(n, c.v)
--- a/internal/lab/lab.go
+++ b/internal/testbed/lab.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 // This file owns the list of experiments and what each brings: claims that held or did not, and figures.
 
--- a/internal/lab/scene.go
+++ b/internal/testbed/scene.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 // This file owns a scene: a site, a store, routers and clients, put together for one arm of an experiment, the load that
 // is played on it, and what was seen of it in the end.
@@ -19,8 +19,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"fennelarch/internal/standin/depot"
-	"fennelarch/internal/standin/redis"
+	"fennelarch/internal/fake/redis"
+	"fennelarch/internal/fake/site"
 )
 
 // Setup says what a scene is made of.
@@ -37,19 +37,19 @@
 	Skew     float64 // of popularity, over 1
 	SizeKB   float64 // the middle of sizes
 	Fixed    int     // bytes of each object, 0: by its size
-	Origin   depot.Times
-	Parents  depot.Times
+	Origin   site.Times
+	Parents  site.Times
 }
 
 // Scene is one arm of an experiment.
 type Scene struct {
 	Setup
 	Seed    uint64
-	Site    *depot.Site
+	Site    *site.Site
 	Store   *redis.Store
-	Origin  *depot.Node
-	Parents []*depot.Node
-	Boxes   []*depot.Node
+	Origin  *site.Node
+	Parents []*site.Node
+	Boxes   []*site.Node
 	Routers []*Router
 	Clients []*Clients
 	Begun   time.Time
@@ -77,17 +77,17 @@
 	for range set.Objects + 1 {
 		s.sizes = append(s.sizes, min(1500, sized.Rand()))
 	}
-	s.Site = depot.NewSite(func(o depot.Object) int { return s.bytes(o.ID) }, s.group)
+	s.Site = site.NewSite(func(o site.Object) int { return s.bytes(o.ID) }, s.group)
 	var err error
-	if s.folder, err = os.MkdirTemp("", "fennelab"); err != nil {
+	if s.folder, err = os.MkdirTemp("", "testbed"); err != nil {
 		return nil, err
 	}
-	if s.Origin, err = s.Site.Add("s-origin", depot.Origin, 8, set.Origin, seed+1); err != nil {
+	if s.Origin, err = s.Site.Add("s-origin", site.Origin, 8, set.Origin, seed+1); err != nil {
 		return nil, err
 	}
-	lines := []depot.Line{s.Origin.Line("ready")}
+	lines := []site.Line{s.Origin.Line("ready")}
 	for i := range 2 {
-		p, err := s.Site.Add(fmt.Sprintf("s-parent-%d", i), depot.Parent, 8, set.Parents, seed+2+uint64(i))
+		p, err := s.Site.Add(fmt.Sprintf("s-parent-%d", i), site.Parent, 8, set.Parents, seed+2+uint64(i))
 		if err != nil {
 			return nil, err
 		}
@@ -95,7 +95,7 @@
 		lines = append(lines, p.Line("ready"))
 	}
 	for i := range set.Boxes {
-		b, err := s.Site.Add(fmt.Sprintf("s-box-%d", i), depot.Cache, 8, depot.Times{Answer: time.Millisecond}, seed+5+uint64(i))
+		b, err := s.Site.Add(fmt.Sprintf("s-box-%d", i), site.Cache, 8, site.Times{Answer: time.Millisecond}, seed+5+uint64(i))
 		if err != nil {
 			return nil, err
 		}
@@ -116,8 +116,8 @@
 	return s, nil
 }
 
-func (s *Scene) storeLine(state string) depot.Line {
-	return depot.Line{UID: storeUID, Address: s.Store.Address(), Zone: "west", Kind: depot.Cache, State: state, Weight: 8}
+func (s *Scene) storeLine(state string) site.Line {
+	return site.Line{UID: storeUID, Address: s.Store.Address(), Zone: "west", Kind: site.Cache, State: state, Weight: 8}
 }
 
 // bytes is an object's size on the socket: a fifteenth of what it stands for, as on the bench's platform.
@@ -240,11 +240,11 @@
 func (s *Scene) Ask(router int, meant time.Time, id uint64, write bool) *View {
 	c := s.Clients[router]
 	if write {
-		return c.Ask(meant, "signoff", depot.Object{ID: id}, s.group(id), 4, 3*time.Second, 700*time.Millisecond, "signed")
+		return c.Ask(meant, "signoff", site.Object{ID: id}, s.group(id), 4, 3*time.Second, 700*time.Millisecond, "signed")
 	}
 	kb := s.kb(id)
 	due := time.Duration((s.Settings.DueMS + 1.6*1000*kb/s.Settings.FlowKB) * float64(time.Millisecond))
-	return c.Ask(meant, "clip", depot.Object{ID: id}, s.group(id), kb, time.Duration(s.Settings.HardMS)*time.Millisecond, due, "")
+	return c.Ask(meant, "clip", site.Object{ID: id}, s.group(id), kb, time.Duration(s.Settings.HardMS)*time.Millisecond, due, "")
 }
 
 // Purge purges an object, or a group where it is 0.
@@ -253,7 +253,7 @@
 }
 
 // Drain tells that the store is to be left alone.
-func (s *Scene) Drain(uid string, line depot.Line) {
+func (s *Scene) Drain(uid string, line site.Line) {
 	s.Site.Board.List(false, line)
 	s.drains[uid] = time.Now()
 }
@@ -388,7 +388,7 @@
 	if v.Word != "OK" {
 		return
 	}
-	o, born, whole := depot.Read(v.Body)
+	o, born, whole := site.Read(v.Body)
 	if !whole || o != v.Object {
 		n.Wrong++
 		return
@@ -405,7 +405,7 @@
 func (s *Scene) judgeDrains(n *Seen) {
 	for uid, told := range s.drains {
 		over := told.Add(s.Settings.Grace + slack)
-		for _, nodes := range [][]*depot.Node{s.Parents, s.Boxes} {
+		for _, nodes := range [][]*site.Node{s.Parents, s.Boxes} {
 			for _, d := range nodes {
 				for _, a := range d.Asked() {
 					if a.At.After(over) && (d.UID == uid && a.By == "" || a.Source == uid) {
--- a/internal/lab/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -5,7 +5,7 @@
 
 import (
 	"errors"
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -347,7 +347,7 @@
 	}
 	if len(args) > 3 {
 		r.Body = string(args[3])
-		if _, born, whole := depot.Read(r.Body); whole {
+		if _, born, whole := site.Read(r.Body); whole {
 			c.clients.sums.Store(r.Object, sum(born))
 		}
 	}
--- a/internal/lab/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // ill is what is wrong with discovery at the moment.
@@ -189,6 +189,6 @@
 
 // line is what the list says of one server.
 type line struct {
-	depot.Line
+	site.Line
 	cell int // its group
 }
--- a/internal/lab/soak/judge_test.go
+++ b/internal/testbed/soak/judge_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // day is a record with one request, one attempt and nothing wrong, to plant one thing in.
@@ -20,7 +20,7 @@
 	r.began = start
 	born := start.Add(-time.Second).Truncate(time.Millisecond)
 	q := &Request{ID: "00000000000000a7", Class: classOf("clip"), Object: 7, Begun: start, Sent: start, Timeout: 2 * time.Second, Answers: 1,
-		Answered: start.Add(100 * time.Millisecond), Word: "OK", Body: depot.Body(depot.Object{ID: 7}, born, 900)}
+		Answered: start.Add(100 * time.Millisecond), Word: "OK", Body: site.Body(site.Object{ID: 7}, born, 900)}
 	r.requests[q.ID] = q
 	r.attempts = []Attempt{{ID: q.ID, Server: "s-1", Source: "s-2", First: start.Add(time.Millisecond), Whole: start.Add(time.Millisecond),
 		Deadline: 1999 * time.Millisecond}}
@@ -54,7 +54,7 @@
 			d.purges = []purge{{object: 7, event: 1, at: d.after(-9 * time.Second), issued: d.after(0)}}
 		},
 		"too_old": func(d *day) {
-			d.q.Class, d.q.Body = classOf("page"), depot.Body(depot.Object{ID: 7}, d.after(-3*time.Second), 900)
+			d.q.Class, d.q.Body = classOf("page"), site.Body(site.Object{ID: 7}, d.after(-3*time.Second), 900)
 		},
 		"lost": func(d *day) { d.q.Answers = 0 },
 		"cold_overload": func(d *day) {
--- a/internal/lab/soak/server.go
+++ b/internal/testbed/soak/server.go
@@ -14,7 +14,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // Class is one kind of request.
@@ -60,9 +60,9 @@
 
 // server is one stand-in.
 type server struct {
-	site   *site
+	site   *serverSet
 	uid    string
-	kind   depot.Kind
+	kind   site.Kind
 	cell   int
 	weight float64
 	front  *proxy // what routers reach
@@ -197,7 +197,7 @@
 
 // run has an effect, unless it is a repeat that this server's cell drops.
 func (s *server) run(id string, class *Class, m mode, until time.Time) []byte {
-	if class.Write && s.kind != depot.Origin {
+	if class.Write && s.kind != site.Origin {
 		return words(id, "404", "how=not_there", "")
 	}
 	if !s.site.repeated(s, id, class) {
@@ -244,7 +244,7 @@
 
 // find is what the server holds, or what it fills from the source that is named.
 func (s *server) find(id string, object uint64, next string, oldest time.Duration, held bool) (copied, string) {
-	if s.kind == depot.Origin {
+	if s.kind == site.Origin {
 		return s.site.fresh(object), "local"
 	}
 	s.mu.Lock()
@@ -265,7 +265,7 @@
 		return copied{}, "turned_away"
 	}
 	above := ""
-	if source.kind == depot.Parent && !held {
+	if source.kind == site.Parent && !held {
 		above = s.site.origin.uid
 	}
 	c, how := source.find(id, object, above, oldest, held)
@@ -275,14 +275,14 @@
 	s.mu.Lock()
 	s.held[object] = c
 	s.mu.Unlock()
-	if how == "pulled" || source.kind == depot.Origin {
+	if how == "pulled" || source.kind == site.Origin {
 		return c, "pulled_far"
 	}
 	return c, "pulled"
 }
 
-// site is all servers of the deployment.
-type site struct {
+// serverSet is all servers of the deployment.
+type serverSet struct {
 	record *Record
 	origin *server
 
@@ -291,14 +291,14 @@
 	effects map[string]map[int]time.Time // of a keyed request, by cell: when it ran there
 }
 
-func (s *site) byUID(uid string) *server {
+func (s *serverSet) byUID(uid string) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.servers[uid]
 }
 
 // repeated says whether a cell knows a keyed request already, and notes it.
-func (s *site) repeated(at *server, id string, class *Class) bool {
+func (s *serverSet) repeated(at *server, id string, class *Class) bool {
 	if class.Effect != Keyed {
 		return false
 	}
@@ -325,7 +325,7 @@
 )
 
 // dropped says whether a copy from before a purge has been dropped by now.
-func (s *site) dropped(object uint64, born time.Time) bool {
+func (s *serverSet) dropped(object uint64, born time.Time) bool {
 	dropped := false
 	s.record.with(func() {
 		for _, p := range s.record.purges {
@@ -336,13 +336,13 @@
 }
 
 // fresh is a copy as the origin gives it out now.
-func (s *site) fresh(object uint64) copied {
+func (s *serverSet) fresh(object uint64) copied {
 	born := time.Now().Truncate(time.Millisecond)
-	return copied{depot.Body(depot.Object{ID: object}, born, int(sizeKB(object)*bytesPerKB)), born}
+	return copied{site.Body(site.Object{ID: object}, born, int(sizeKB(object)*bytesPerKB)), born}
 }
 
 // called counts a request at a server that started a while ago, cold.
-func (s *site) called(at *server, id string) {
+func (s *serverSet) called(at *server, id string) {
 	now := time.Now()
 	s.record.with(func() {
 		for i := range s.record.colds {
--- a/internal/lab/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"fennelarch/internal/lab"
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
+	"fennelarch/internal/testbed"
 )
 
 // Sizes of a run at scale 1.
@@ -33,14 +33,14 @@
 	weight       = 4.0
 )
 
-var _ = lab.Register(lab.Experiment{Name: "soak", Run: run,
+var _ = testbed.Register(testbed.Experiment{Name: "soak", Run: run,
 	Shows: "dozens of routers under overlapping troubles and failing system calls break no rule"})
 
 // PlanError is a plan that can't be used.
 type PlanError struct{ error }
 
 // run plays one seed.
-func run(o lab.Options, r *lab.Result) error {
+func run(o testbed.Options, r *testbed.Result) error {
 	program, err := FaultyProgram()
 	if err != nil {
 		return err
@@ -84,10 +84,10 @@
 
 // world is all that a run is made of.
 type world struct {
-	options   lab.Options
+	options   testbed.Options
 	folder    string // of configurations and recorders
 	record    *Record
-	site      *site
+	site      *serverSet
 	weather   *weather
 	discovery *discovery
 	habits    habits
@@ -103,31 +103,31 @@
 
 // router is one router with its clients.
 type router struct {
-	*lab.Router
+	*testbed.Router
 	clients  *clients
 	busy     sync.Mutex // one thing is done to its process at a time
-	settings lab.Settings
+	settings testbed.Settings
 	crashes  []string
 }
 
-func newWorld(o lab.Options, program string, routers int) (*world, error) {
+func newWorld(o testbed.Options, program string, routers int) (*world, error) {
 	w := &world{options: o, record: newRecord(routers), done: make(chan struct{}), rng: rand.New(rand.NewPCG(o.Seed, 31)),
 		weather: &weather{rng: rand.New(rand.NewPCG(o.Seed, 32))}}
 	var err error
 	if w.folder, err = os.MkdirTemp("", "soak"); err != nil {
 		return nil, err
 	}
-	w.site = &site{record: w.record, servers: map[string]*server{}, effects: map[string]map[int]time.Time{}}
+	w.site = &serverSet{record: w.record, servers: map[string]*server{}, effects: map[string]map[int]time.Time{}}
 	w.discovery = newDiscovery(w.record)
 	go w.record.watch(w.done)
 	var lines []line
 	for i := range cacheServers + parents + 1 {
-		kind, uid := depot.Cache, fmt.Sprintf("s-cache-%d", i)
+		kind, uid := site.Cache, fmt.Sprintf("s-cache-%d", i)
 		switch {
 		case i == cacheServers+parents:
-			kind, uid = depot.Origin, "s-origin"
+			kind, uid = site.Origin, "s-origin"
 		case i >= cacheServers:
-			kind, uid = depot.Parent, fmt.Sprintf("s-parent-%d", i)
+			kind, uid = site.Parent, fmt.Sprintf("s-parent-%d", i)
 		}
 		s, err := w.newServer(uid, kind, i%2, "127.0.0.1:0")
 		if err != nil {
@@ -152,7 +152,7 @@
 	return w, err
 }
 
-func (w *world) newServer(uid string, kind depot.Kind, cell int, address string) (*server, error) {
+func (w *world) newServer(uid string, kind site.Kind, cell int, address string) (*server, error) {
 	s := &server{site: w.site, uid: uid, kind: kind, cell: cell, weight: weight, held: map[uint64]copied{}, conns: map[net.Conn]bool{},
 		rng: rand.New(rand.NewPCG(w.options.Seed, uint64(len(uid))+uint64(w.made)))}
 	var err error
@@ -177,7 +177,7 @@
 	if state == "ready" && s.drains > 0 {
 		state = "draining"
 	}
-	return line{depot.Line{UID: s.uid, Address: s.front.address(), Kind: s.kind, State: state, Weight: s.weight}, s.cell}
+	return line{site.Line{UID: s.uid, Address: s.front.address(), Kind: s.kind, State: state, Weight: s.weight}, s.cell}
 }
 
 // faultPlan is what fails in one router's process.
@@ -211,13 +211,13 @@
 	if err != nil {
 		return nil, err
 	}
-	settings := lab.Usual(routers)
+	settings := testbed.Usual(routers)
 	settings.Grace, settings.FlowKB, settings.ColdMS, settings.ColdShare = drainGrace, flow, float64(coldFor.Milliseconds()), coldShare
 	settings.Sockets, settings.MemoryMB = 512, 96
 	settings.Change = change
 	seed := w.options.Seed*1000 + uint64(i)
 	r := &router{settings: settings}
-	if r.Router, err = lab.NewRouter(program, w.folder, fmt.Sprintf("n%d", i), seed, settings, address, w.discovery.known(), ""); err != nil {
+	if r.Router, err = testbed.NewRouter(program, w.folder, fmt.Sprintf("n%d", i), seed, settings, address, w.discovery.known(), ""); err != nil {
 		return nil, err
 	}
 	r.Env = []string{"FENNELARCH_FAULTS=" + w.faultPlan(i), "RELAY_RECORDER=" + w.folder}
@@ -319,7 +319,7 @@
 }
 
 // conclude judges the run, and claims what must hold.
-func (w *world) conclude(r *lab.Result, plan []Trouble) {
+func (w *world) conclude(r *testbed.Result, plan []Trouble) {
 	breaches, excused := w.record.judge()
 	report := Report{Seed: w.options.Seed, Faults: map[string]string{}, Requests: len(w.record.requests), Answered: map[string]int{},
 		Excused: excused, Breaches: breaches, Counted: map[string]int{}}
--- a/internal/lab/soak/troubles.go
+++ b/internal/testbed/soak/troubles.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"fennelarch/internal/standin/depot"
+	"fennelarch/internal/fake/site"
 )
 
 // trouble plays one trouble from its beginning to its end.
@@ -263,7 +263,7 @@
 	old.front.reset()
 	old.reset()
 	// A router that has not heard of it yet takes it for the old one: a repeat of what ran there must not run elsewhere.
-	fresh, err := w.newServer(uid, depot.Cache, old.cell, address)
+	fresh, err := w.newServer(uid, site.Cache, old.cell, address)
 	if err != nil {
 		w.fail(err)
 		return
--- a/internal/lab/store.go
+++ b/internal/testbed/store.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 // This file owns the experiments on a shared store.
 
@@ -8,14 +8,14 @@
 	"strings"
 	"time"
 
-	"fennelarch/internal/standin/depot"
-	"fennelarch/internal/standin/redis"
+	"fennelarch/internal/fake/redis"
+	"fennelarch/internal/fake/site"
 )
 
-// site is what the experiments on stores start from: the store is the only cache of its location.
-func site(routers int, with bool) Setup {
+// storeSetup is what the experiments on stores start from: the store is the only cache of its location.
+func storeSetup(routers int, with bool) Setup {
 	s := Setup{Settings: Usual(routers), Objects: 400, Groups: 40, Skew: 1.2, SizeKB: 150,
-		Origin: depot.Times{Answer: 30 * time.Millisecond, Spread: 20 * time.Millisecond}, Parents: depot.Times{Answer: 4 * time.Millisecond, Spread: 2 * time.Millisecond}}
+		Origin: site.Times{Answer: 30 * time.Millisecond, Spread: 20 * time.Millisecond}, Parents: site.Times{Answer: 4 * time.Millisecond, Spread: 2 * time.Millisecond}}
 	if with {
 		s.Store = &redis.Config{Capacity: 4000, ColdShare: 0.1, ColdFor: 6 * time.Second}
 		s.Shared = map[string]any{"capacity_per_s": 4000, "cold_share": 0.1, "cold_ms": 6000, "multiple": 1}
@@ -54,7 +54,7 @@
 }
 
 var _ = Register(Experiment{"store-none", "the baseline: the usual load without a store", func(o Options, r *Result) error {
-	_, err := arm(r, "none", o.Seed, site(4, false), 4, Load{Rate: 60, For: o.long(8 * time.Second), Writes: 0.05}, nil)
+	_, err := arm(r, "none", o.Seed, storeSetup(4, false), 4, Load{Rate: 60, For: o.long(8 * time.Second), Writes: 0.05}, nil)
 	return err
 }})
 
@@ -88,13 +88,13 @@
 	}
 	for _, n := range counts {
 		name := fmt.Sprintf("%d routers", n)
-		most, err := play(name, n, site(n, true))
+		most, err := play(name, n, storeSetup(n, true))
 		if err != nil {
 			return err
 		}
 		r.Claim(most <= 1, name+": never asked for more than it bears", "at most %.2f of what it bore, in any second since a start", most)
 	}
-	told := site(4, true)
+	told := storeSetup(4, true)
 	told.Listed = true
 	most, err := play("4 routers, told by the list", 4, told)
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	r.Claim(most <= 1, "told by the list: never asked for more than it bears", "at most %.2f", most)
 	n := counts[len(counts)-1]
-	set := site(n, true)
+	set := storeSetup(n, true)
 	set.Shared["cold_ms"] = 0 // nothing is known of how it starts: the decisions have nothing to go by
 	most, err = play(fmt.Sprintf("%d routers, no budget", n), n, set)
 	r.Claim(most > 1, "without a budget the same script pushes it over", "%.2f of what it bore", most)
@@ -115,7 +115,7 @@
 		n = o.Routers
 	}
 	l := Load{Rate: 100, For: o.long(12 * time.Second), Writes: 0.02}
-	base, err := arm(r, "none", o.Seed, site(n, false), n, l, nil)
+	base, err := arm(r, "none", o.Seed, storeSetup(n, false), n, l, nil)
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 		{"300 ms", redis.Fault{Delay: 300 * time.Millisecond, Spread: 20 * time.Millisecond}},
 		{"for ever", redis.Fault{Silent: true}},
 	} {
-		seen, err := arm(r, f.name, o.Seed, warm(site(n, true)), n, l, func(s *Scene) {
+		seen, err := arm(r, f.name, o.Seed, warm(storeSetup(n, true)), n, l, func(s *Scene) {
 			time.Sleep(l.For / 3)
 			s.Store.Set(f.fault)
 			time.Sleep(l.For / 3)
@@ -150,9 +150,9 @@
 	}
 	rounds := o.many(10)
 	once := func(name string, lease bool, kill bool) (*Seen, error) {
-		set := warm(site(n, true))
+		set := warm(storeSetup(n, true))
 		set.Shared["lease"] = lease
-		set.Origin = depot.Times{Answer: 80 * time.Millisecond, Spread: 10 * time.Millisecond}
+		set.Origin = site.Times{Answer: 80 * time.Millisecond, Spread: 10 * time.Millisecond}
 		s, err := NewScene(o.Seed, set)
 		if err != nil {
 			return nil, err
@@ -240,7 +240,7 @@
 	if o.Routers > 0 {
 		n = o.Routers
 	}
-	set := warm(site(n, true))
+	set := warm(storeSetup(n, true))
 	set.Objects, set.SizeKB = 120, 30
 	set.Settings.ColdMS, set.Shared["cold_ms"] = 500, 500 // it restarts often
 	l := Load{Rate: 150, For: o.long(24 * time.Second)}
@@ -343,7 +343,7 @@
 		{"crowded", redis.Fault{Crowd: true}, "store not connected"},
 		{"240,000 bytes", redis.Fault{}, "store connected"}, // nothing is wrong but the size
 	} {
-		set := warm(site(n, true))
+		set := warm(storeSetup(n, true))
 		set.Objects = 60
 		if f.name == "240,000 bytes" {
 			set.Fixed = 240_000
@@ -375,7 +375,7 @@
 
 var _ = Register(Experiment{"store-drain", "a store that is drained and gone while sets are out gets nothing past the grace", func(o Options, r *Result) error {
 	n := 3
-	set := warm(site(n, true))
+	set := warm(storeSetup(n, true))
 	set.Listed, set.Boxes = true, 1
 	asked, later := 0, 0
 	l := Load{Rate: 120, For: o.long(8 * time.Second), Writes: 0.02}
@@ -405,13 +405,13 @@
 
 var _ = Register(Experiment{"store-cost", "what a view costs by way of a store, beside one by way of a cache", func(o Options, r *Result) error {
 	l := Load{Rate: 300, For: o.long(6 * time.Second)}
-	box := site(2, false)
+	box := storeSetup(2, false)
 	box.Boxes = 1
 	base, err := arm(r, "cache", o.Seed, box, 2, l, nil)
 	if err != nil {
 		return err
 	}
-	seen, err := arm(r, "store", o.Seed, warm(site(2, true)), 2, l, nil)
+	seen, err := arm(r, "store", o.Seed, warm(storeSetup(2, true)), 2, l, nil)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/up.go
+++ b/internal/testbed/up.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 // This file owns the stand-ins of the example configuration: a newcomer's first served view comes from them.
 
@@ -11,24 +11,24 @@
 	"syscall"
 	"time"
 
-	"fennelarch/internal/standin/depot"
-	"fennelarch/internal/standin/redis"
+	"fennelarch/internal/fake/redis"
+	"fennelarch/internal/fake/site"
 )
 
 // Up starts the stand-ins of deploy/example.json at the addresses that it names, and runs until it is interrupted.
 func Up(bulletin string, out io.Writer) error {
-	s := depot.NewSite(func(depot.Object) int { return 2000 }, func(id uint64) int { return 1 })
+	s := site.NewSite(func(site.Object) int { return 2000 }, func(id uint64) int { return 1 })
 	defer s.Close()
 	for _, n := range []struct {
 		uid, address string
-		kind         depot.Kind
+		kind         site.Kind
 		takes        time.Duration
 	}{
-		{"s-1", "127.0.0.1:9101", depot.Cache, time.Millisecond},
-		{"s-2", "127.0.0.1:9102", depot.Parent, 4 * time.Millisecond},
-		{"s-3", "127.0.0.1:9103", depot.Origin, 30 * time.Millisecond},
+		{"s-1", "127.0.0.1:9101", site.Cache, time.Millisecond},
+		{"s-2", "127.0.0.1:9102", site.Parent, 4 * time.Millisecond},
+		{"s-3", "127.0.0.1:9103", site.Origin, 30 * time.Millisecond},
 	} {
-		if _, err := s.AddAt(n.address, n.uid, n.kind, 4, depot.Times{Answer: n.takes}, 1); err != nil {
+		if _, err := s.AddAt(n.address, n.uid, n.kind, 4, site.Times{Answer: n.takes}, 1); err != nil {
 			return err
 		}
 	}
--- a/internal/back/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // Crossings on the way to nodes: what is being written while its connection ends, its client leaves, or its time runs out.
 // The peer is a scripted connection, so that the order is forced.
@@ -11,10 +11,10 @@
 	"time"
 
 	"fennelarch/internal/engine"
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 
 	"go.uber.org/zap"
 )
@@ -70,7 +70,7 @@
 		wires = wires[1:]
 		return w, nil
 	}
-	r.list(1, rules.Ready, "10.0.0.1:1")
+	r.list(1, routing.Ready, "10.0.0.1:1")
 	return r
 }
 
@@ -95,13 +95,13 @@
 func TestEndWhileWriting(t *testing.T) {
 	for _, c := range []struct {
 		most int
-		want rules.Outcome
-	}{{1 << 20, rules.Broken}, {1, rules.Unconnected}, {30, rules.Unconnected}} {
+		want routing.Outcome
+	}{{1 << 20, routing.Broken}, {1, routing.Unconnected}, {30, routing.Unconnected}} {
 		w := newWire(c.most)
 		r := newWired(t, nil, w)
 		l := r.send(1, 1)
 		next(t, w.took)
-		r.conn().end(guard.CloseServerEnded) // as the reader does at a reset
+		r.conn().end(invariant.CloseServerEnded) // as the reader does at a reset
 		r.end(c.want, l)
 		if r.Count() != 0 {
 			t.Errorf("%d connections", r.Count())
@@ -155,8 +155,8 @@
 		t.Error("a leg of which nothing was given to the system may have run")
 	}
 	w.goesOn <- nil
-	r.conn().end(guard.CloseServerEnded)
-	r.end(rules.Broken, first)
+	r.conn().end(invariant.CloseServerEnded)
+	r.end(routing.Broken, first)
 	r.noEnd()
 	if len(w.took) > 0 {
 		t.Errorf("%q went after all", <-w.took)
@@ -166,23 +166,23 @@
 // A repeat that must be on its way within a window is not when its connection comes up late; nor is one to a node that is told
 // to leave.
 func TestConnectionLateForWindow(t *testing.T) {
-	for _, state := range []rules.State{rules.Ready, rules.Draining} {
+	for _, state := range []routing.State{routing.Ready, routing.Draining} {
 		w, up := newWire(1<<20), make(chan struct{})
 		r := newWired(t, nil, w)
 		dial := r.dial
 		r.dial = func(n, a string, d time.Duration) (net.Conn, error) { <-up; return dial(n, a, d) }
-		if state != rules.Ready {
+		if state != routing.Ready {
 			r.list(1, state, "10.0.0.1:1")
 		}
 		l := leg(1)
 		l.Node, l.NotAfter = 1, time.Now().Add(20*time.Millisecond)
-		if state == rules.Draining {
+		if state == routing.Draining {
 			l.NotAfter = time.Now().Add(time.Minute)
 		}
 		r.Send(l)
 		time.Sleep(bounds.BeginLate + 30*time.Millisecond)
 		close(up)
-		r.end(rules.Unconnected, l)
+		r.end(routing.Unconnected, l)
 		if len(w.took) > 0 {
 			t.Errorf("%q went all the same", <-w.took)
 		}
@@ -244,10 +244,10 @@
 		s := newStand(t)
 		r := newRig(t, func(l *limits.Limits) { l.Slow = 5 * time.Millisecond })
 		ends := r.late()
-		r.list(1, rules.Ready, s.Addr().String())
+		r.list(1, routing.Ready, s.Addr().String())
 		l := r.send(1, 1)
 		s.answer <- true
-		r.end(rules.Succeeded, l) // by a second dial
+		r.end(routing.Succeeded, l) // by a second dial
 		l = r.send(2, 1)
 		next(t, s.asked)
 		next(t, s.asked)
@@ -267,7 +267,7 @@
 		}
 		l = r.send(3, 1)
 		s.answer <- true
-		r.end(rules.Succeeded, l)
+		r.end(routing.Succeeded, l)
 	}
 }
 
@@ -275,33 +275,33 @@
 func TestLateConnectionWaitsForOther(t *testing.T) {
 	s := newStand(t)
 	r := newRig(t, func(l *limits.Limits) { l.Slow, l.NodeConns = 5*time.Millisecond, 2 })
-	r.list(1, rules.Ready, s.Addr().String())
+	r.list(1, routing.Ready, s.Addr().String())
 	busy := r.send(1, 1)
 	next(t, s.asked)
 	ends := r.late()
 	l := r.send(2, 1)
 	time.Sleep(30 * time.Millisecond) // late by now, and no room for a dial
 	s.answer <- true
-	r.end(rules.Succeeded, busy)
+	r.end(routing.Succeeded, busy)
 	s.answer <- true
-	r.end(rules.Succeeded, l)
+	r.end(routing.Succeeded, l)
 	busy = r.send(3, 1)
 	next(t, s.asked) // of 2
 	next(t, s.asked)
 	l = r.send(4, 1) // for the late one again
 	ends <- errCut
-	r.end(rules.Unconnected, l)
+	r.end(routing.Unconnected, l)
 	s.answer <- true
-	r.end(rules.Succeeded, busy)
+	r.end(routing.Succeeded, busy)
 }
 
 // A client has its answer, has gone, or its time is up, while its attempt waits: nothing of the attempt is written, and its server is not
 // blamed. One that begins is known to the guard, and its last byte too.
 func TestNothingBegunOnceOver(t *testing.T) {
-	for name, over := range map[string]func(r *guard.Request){
-		"answered":  func(r *guard.Request) { r.End(guard.EndServed, time.Now()) },
-		"cancelled": func(r *guard.Request) { r.End(guard.EndCancelled, time.Now()) },
-		"time up":   func(*guard.Request) { time.Sleep(120 * time.Millisecond) },
+	for name, over := range map[string]func(r *invariant.Request){
+		"answered":  func(r *invariant.Request) { r.End(invariant.EndServed, time.Now()) },
+		"cancelled": func(r *invariant.Request) { r.End(invariant.EndCancelled, time.Now()) },
+		"time up":   func(*invariant.Request) { time.Sleep(120 * time.Millisecond) },
 	} {
 		w, up := newWire(1<<20), make(chan struct{})
 		r := newWired(t, nil, w)
@@ -309,12 +309,12 @@
 		r.dial = func(n, a string, d time.Duration) (net.Conn, error) { <-up; return dial(n, a, d) }
 		l := leg(1)
 		l.Node, l.Deadline = 1, time.Now().Add(100*time.Millisecond)
-		monitor := guard.NewMonitor(zap.NewNop(), flightrec.New(64, guard.ReasonName), nil, nil)
-		l.Ask.Guard = monitor.NewRequest(1, l.Deadline, guard.Repeat{})
+		monitor := invariant.NewMonitor(zap.NewNop(), flightrecorder.New(64, invariant.ReasonName), nil, nil)
+		l.Ask.Guard = monitor.NewRequest(1, l.Deadline, invariant.Repeat{})
 		r.Send(l)
 		over(l.Ask.Guard)
 		close(up)
-		r.end(rules.Moot, l)
+		r.end(routing.Moot, l)
 		if len(w.took) > 0 {
 			t.Errorf("%s: %q went all the same", name, <-w.took)
 		}
@@ -339,12 +339,12 @@
 		}
 	}()
 	r := newRig(t, func(l *limits.Limits) { l.NodeConns, l.NodeOut = 1, 8<<20 })
-	r.list(1, rules.Ready, ln.Addr().String())
+	r.list(1, routing.Ready, ln.Addr().String())
 	l := leg(1)
 	l.Node, l.Deadline, l.Ask.Body = 1, time.Now().Add(10*time.Second), make([]byte, 8<<20) // more than the system takes
 	begun := time.Now()
 	r.Send(l)
-	r.end(rules.Unconnected, l)
+	r.end(routing.Unconnected, l)
 	if took := time.Since(begun); took < bounds.Frame || took > bounds.Stuck/2 {
 		t.Errorf("given up after %v", took)
 	}
--- a/internal/back/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // The deadline that a server is told: what the client has left when the request is written, however long it waited.
 
@@ -10,7 +10,7 @@
 	"time"
 
 	"fennelarch/internal/limits"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // deadlineSlack is how far a deadline that is passed on may exceed what the client has left.
@@ -64,19 +64,19 @@
 
 	s := newStand(t)
 	rescued := newRig(t, func(l *limits.Limits) { l.Slow, l.NodeConns = 5*time.Millisecond, 2 })
-	rescued.list(1, rules.Ready, s.Addr().String())
+	rescued.list(1, routing.Ready, s.Addr().String())
 	busy := rescued.send(1, 1)
 	next(t, s.asked)
 	ends := rescued.late()
 	moved := rescued.send(2, 1)
 	time.Sleep(wait)
 	s.answer <- true
-	rescued.end(rules.Succeeded, busy)
+	rescued.end(routing.Succeeded, busy)
 	next(t, s.asked)
 	if told := time.Duration(s.wait.Load()) * time.Millisecond; told > left+deadlineSlack {
 		t.Errorf("moved to another connection: the server is told %v, the client has %v left", told, left)
 	}
 	s.answer <- true
-	rescued.end(rules.Succeeded, moved)
+	rescued.end(routing.Succeeded, moved)
 	ends <- errCut
 }
--- a/internal/back/link.go
+++ b/internal/upstream/link.go
@@ -1,7 +1,7 @@
 // Package back speaks with cache servers, parents and the origin. This file owns the state machine of one
 // connection: it is fed bytes, keeps account of what was written and what is open, and says how each leg ended. It
 // must never touch a socket, wait, or choose anything about a view.
-package back
+package upstream
 
 import (
 	"bytes"
@@ -12,13 +12,13 @@
 	"strconv"
 	"time"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // names are what the other side calls things, as the settings tell.
@@ -29,9 +29,9 @@
 // order is a leg on this connection: first waiting, then put into the stream up to an end.
 type order struct {
 	leg   *engine.Leg
-	place guard.Place // of the server
-	next  string      // the source's name, if there is one
-	until time.Time   // not begun by then, it never goes
+	place invariant.Place // of the server
+	next  string          // the source's name, if there is one
+	until time.Time       // not begun by then, it never goes
 	end   int64
 	heard int // whole answers before it was sent
 }
@@ -44,7 +44,7 @@
 
 // asked is a probe on its way.
 type asked struct {
-	node rules.NodeID
+	node routing.NodeID
 	sent time.Time
 }
 
@@ -112,12 +112,12 @@
 	for i := range k.waiting {
 		if k.waiting[i].leg == l {
 			k.waiting = slices.Delete(k.waiting, i, i+1)
-			l.Ask.Guard.Record(flightrec.AttemptAborted, l.No, l.Node, 0, 0)
+			l.Ask.Guard.Record(flightrecorder.AttemptAborted, l.No, l.Node, 0, 0)
 			return false
 		}
 	}
 	id := l.Ask.Ident
-	l.Ask.Guard.Record(flightrec.AttemptAborted, l.No, l.Node, 0, 1)
+	l.Ask.Guard.Record(flightrecorder.AttemptAborted, l.No, l.Node, 0, 1)
 	if o, open := k.open[id]; open && o.leg == l {
 		delete(k.open, id)
 		k.cut = k.cut || o.end > k.out.Written
@@ -130,7 +130,7 @@
 }
 
 // probe adds a probe.
-func (k *link) probe(n rules.NodeID, verb string, now time.Time) {
+func (k *link) probe(n routing.NodeID, verb string, now time.Time) {
 	k.tag++
 	k.probes[k.tag] = asked{n, now}
 	k.words = resp.AppendWords(k.words, verb, strconv.FormatUint(k.tag, 10))
@@ -169,18 +169,18 @@
 func (k *link) begin(o order, now time.Time) bool {
 	a := o.leg.Ask
 	left := o.leg.Deadline.Sub(now)
-	attempt := guard.Attempt{Number: o.leg.No, Place: o.place, NotAfter: o.until, Deadline: left}
+	attempt := invariant.Attempt{Number: o.leg.No, Place: o.place, NotAfter: o.until, Deadline: left}
 	refusal := a.Guard.Begin(attempt, now)
-	if refusal == guard.SendAllowed && left <= 0 {
-		refusal = guard.SendDeadlinePassed
+	if refusal == invariant.SendAllowed && left <= 0 {
+		refusal = invariant.SendDeadlinePassed
 	}
 	switch refusal {
-	case guard.SendAllowed:
-	case guard.SendBoundPassed:
-		k.end(engine.LegEnd{Leg: o.leg, Outcome: rules.Unconnected}, o.place.Node)
+	case invariant.SendAllowed:
+	case invariant.SendBoundPassed:
+		k.end(engine.LegEnd{Leg: o.leg, Outcome: routing.Unconnected}, o.place.Node)
 		return false
 	default: // it tells nothing of the server
-		k.end(engine.LegEnd{Leg: o.leg, Outcome: rules.Moot}, o.place.Node)
+		k.end(engine.LegEnd{Leg: o.leg, Outcome: routing.Moot}, o.place.Node)
 		return false
 	}
 	o.end = k.out.Put(a.Body, []byte("fetch"), []byte(hex(uint64(a.Ident))), k.fields(o, left))
@@ -208,19 +208,19 @@
 }
 
 // end tells how a leg ended, and the guard what that proves.
-func (k *link) end(e engine.LegEnd, node rules.NodeID) {
+func (k *link) end(e engine.LegEnd, node routing.NodeID) {
 	switch e.Outcome {
-	case rules.Unconnected, rules.Moot, rules.Missed, rules.Full:
+	case routing.Unconnected, routing.Moot, routing.Missed, routing.Full:
 		e.Leg.Ask.Guard.NotRun(e.Leg.No, node)
 	}
-	e.Leg.Ask.Guard.Record(flightrec.AttemptEnded, e.Leg.No, node, uint8(e.Outcome), 0)
+	e.Leg.Ask.Guard.Record(flightrecorder.AttemptEnded, e.Leg.No, node, uint8(e.Outcome), 0)
 	k.ends = append(k.ends, e)
 }
 
 var ways = []struct {
-	how  rules.How
+	how  routing.How
 	word string
-}{{rules.HowJoin, "join"}, {rules.HowHoldsOnly, "held"}, {rules.HowNoCopy, "nocopy"}, {rules.HowRenew, "renew"}}
+}{{routing.HowJoin, "join"}, {routing.HowHoldsOnly, "held"}, {routing.HowNoCopy, "nocopy"}, {routing.HowRenew, "renew"}}
 
 func (k *link) fields(o order, left time.Duration) []byte {
 	l, a := o.leg, o.leg.Ask
@@ -287,16 +287,16 @@
 }
 
 // outcomes gives each word of an answer its meaning.
-var outcomes = map[string]rules.Outcome{"200": rules.Succeeded, "304": rules.Succeeded, "404": rules.Missed, "503": rules.Full,
-	"500": rules.Errored, "504": rules.Moot}
+var outcomes = map[string]routing.Outcome{"200": routing.Succeeded, "304": routing.Succeeded, "404": routing.Missed, "503": routing.Full,
+	"500": routing.Errored, "504": routing.Moot}
 
 // lives does so for the answer to a probe.
-var lives = map[string]rules.Outcome{"alive": rules.Succeeded, "dead": rules.Errored}
+var lives = map[string]routing.Outcome{"alive": routing.Succeeded, "dead": routing.Errored}
 
 // notes are in the order of the rules' own.
-var notes = map[string]rules.Note{"local": rules.NoteHit, "pulled": rules.NoteFilled, "pulled_far": rules.NoteViaOrigin,
-	"rode": rules.NoteJoined, "expired": rules.NoteStale, "turned_away": rules.NoteRefused, "cut_off": rules.NoteUnreached,
-	"not_there": rules.NoteLacks, "no_place": rules.NoteNoPlace, "far_fault": rules.NoteOriginFail}
+var notes = map[string]routing.Note{"local": routing.NoteHit, "pulled": routing.NoteFilled, "pulled_far": routing.NoteViaOrigin,
+	"rode": routing.NoteJoined, "expired": routing.NoteStale, "turned_away": routing.NoteRefused, "cut_off": routing.NoteUnreached,
+	"not_there": routing.NoteLacks, "no_place": routing.NoteNoPlace, "far_fault": routing.NoteOriginFail}
 
 // answer takes one answer. A leg's id has 16 digits, a probe's tag fewer. One that lacks what belongs to it, or holds a word
 // that nobody knows, is spoilt: nothing more can be believed of the connection.
@@ -362,7 +362,7 @@
 				end.Born = time.UnixMilli(ms)
 			}
 		case "slow":
-			end.Waited = settings.Span(figure(value))
+			end.Waited = config.Span(figure(value))
 		case "stats":
 			end.Report = k.report(value)
 		}
@@ -370,7 +370,7 @@
 }
 
 // report takes the columns of a load report, up to one that is missing.
-func (k *link) report(list []byte) (r rules.Report) {
+func (k *link) report(list []byte) (r routing.Report) {
 	for _, column := range k.names.columns[:min(len(k.names.columns), len(r.V))] {
 		_, rest, found := bytes.Cut(append([]byte{';'}, list...), []byte(";"+column+":"))
 		if !found {
@@ -396,17 +396,17 @@
 func (k *link) over() {
 	open := slices.SortedFunc(maps.Values(k.open), func(a, b order) int { return cmp.Compare(a.end, b.end) })
 	for _, o := range append(open, k.waiting...) {
-		how := rules.Broken
+		how := routing.Broken
 		if o.end == 0 || o.end > k.out.Written {
-			how = rules.Unconnected
+			how = routing.Unconnected
 		}
 		if k.short {
-			how = rules.Moot
+			how = routing.Moot
 		}
 		k.end(engine.LegEnd{Leg: o.leg, Outcome: how}, o.place.Node)
 	}
 	for _, tag := range slices.Sorted(maps.Keys(k.probes)) {
-		k.ends = append(k.ends, engine.Probed{Node: k.probes[tag].node, Outcome: rules.Unconnected})
+		k.ends = append(k.ends, engine.Probed{Node: k.probes[tag].node, Outcome: routing.Unconnected})
 	}
 	k.waiting, k.open, k.probes = nil, map[engine.Ident]order{}, map[uint64]asked{}
 }
--- a/internal/back/link_test.go
+++ b/internal/upstream/link_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 var bounds = limits.From(limits.Told{MemoryMB: 64, Sockets: 256, Streams: 100, Drain: time.Second, LongestHard: time.Second})
@@ -55,7 +55,7 @@
 	now := time.Now()
 	l, second := leg(0xa7), leg(0xa8)
 	l.Deadline, second.Deadline = now.Add(1500*time.Millisecond), now.Add(1400*time.Millisecond)
-	l.Age, l.Keep, l.How = 2*time.Second, 2, rules.HowJoin|rules.HowHoldsOnly|rules.HowNoCopy|rules.HowRenew
+	l.Age, l.Keep, l.How = 2*time.Second, 2, routing.HowJoin|routing.HowHoldsOnly|routing.HowNoCopy|routing.HowRenew
 	l.Ask.Have, l.Ask.Once, l.Ask.Body = "4be0", "op-7", []byte("a\r\nb")
 	k.send(order{leg: l, next: "s-1", until: time.Now().Add(time.Second)})
 	fmt.Printf("%q\n", k.outgoing(now))
@@ -76,24 +76,24 @@
 func TestAnswers(t *testing.T) {
 	for _, c := range []struct {
 		word, fields string
-		outcome      rules.Outcome
-		note         rules.Note
+		outcome      routing.Outcome
+		note         routing.Note
 	}{
-		{"200", "sum=1,t0=5,how=local", rules.Succeeded, rules.NoteHit},
-		{"200", "how=pulled,slow=12.5", rules.Succeeded, rules.NoteFilled},
-		{"200", "how=pulled_far", rules.Succeeded, rules.NoteViaOrigin},
-		{"200", "how=rode", rules.Succeeded, rules.NoteJoined},
-		{"200", "how=expired", rules.Succeeded, rules.NoteStale},
-		{"200", "-", rules.Succeeded, rules.NoteNone},
-		{"304", "sum=copy,how=local", rules.Succeeded, rules.NoteHit},
-		{"404", "how=rode", rules.Missed, rules.NoteJoined},
-		{"404", "", rules.Missed, rules.NoteNone},
-		{"503", "how=turned_away", rules.Full, rules.NoteRefused},
-		{"503", "how=no_place", rules.Full, rules.NoteNoPlace},
-		{"500", "how=cut_off", rules.Errored, rules.NoteUnreached},
-		{"500", "how=not_there", rules.Errored, rules.NoteLacks},
-		{"500", "how=far_fault", rules.Errored, rules.NoteOriginFail},
-		{"504", "-", rules.Moot, rules.NoteNone},
+		{"200", "sum=1,t0=5,how=local", routing.Succeeded, routing.NoteHit},
+		{"200", "how=pulled,slow=12.5", routing.Succeeded, routing.NoteFilled},
+		{"200", "how=pulled_far", routing.Succeeded, routing.NoteViaOrigin},
+		{"200", "how=rode", routing.Succeeded, routing.NoteJoined},
+		{"200", "how=expired", routing.Succeeded, routing.NoteStale},
+		{"200", "-", routing.Succeeded, routing.NoteNone},
+		{"304", "sum=copy,how=local", routing.Succeeded, routing.NoteHit},
+		{"404", "how=rode", routing.Missed, routing.NoteJoined},
+		{"404", "", routing.Missed, routing.NoteNone},
+		{"503", "how=turned_away", routing.Full, routing.NoteRefused},
+		{"503", "how=no_place", routing.Full, routing.NoteNoPlace},
+		{"500", "how=cut_off", routing.Errored, routing.NoteUnreached},
+		{"500", "how=not_there", routing.Errored, routing.NoteLacks},
+		{"500", "how=far_fault", routing.Errored, routing.NoteOriginFail},
+		{"504", "-", routing.Moot, routing.NoteNone},
 	} {
 		for _, each := range []int{1, 7, 1 << 16} {
 			k := testLink()
@@ -112,7 +112,7 @@
 				(string(end.Body) == "body") != (c.word == "200") {
 				t.Errorf("%s %s: %+v", c.word, c.fields, end)
 			}
-			if end.Report != (rules.Report{N: 2, V: [4]float64{0.25, 2.5}}) {
+			if end.Report != (routing.Report{N: 2, V: [4]float64{0.25, 2.5}}) {
 				t.Errorf("report %v", end.Report)
 			}
 			if c.fields == "how=pulled,slow=12.5" && end.Waited != 12500*time.Microsecond {
@@ -132,9 +132,9 @@
 		k := testLink()
 		k.sendAll(leg(0xa7), written)
 		k.over()
-		want := rules.Unconnected
+		want := routing.Unconnected
 		if written == whole {
-			want = rules.Broken
+			want = routing.Broken
 		}
 		if ends := k.take(); len(ends) != 1 || ends[0].(engine.LegEnd).Outcome != want {
 			t.Errorf("%d of %d bytes written: %+v", written, whole, ends)
@@ -191,7 +191,7 @@
 			t.Errorf("%q is believed", text)
 		}
 		k.over()
-		if end := k.take()[0].(engine.LegEnd); end.Outcome != rules.Broken {
+		if end := k.take()[0].(engine.LegEnd); end.Outcome != routing.Broken {
 			t.Errorf("%q: %+v", text, end)
 		}
 	}
@@ -230,7 +230,7 @@
 	if out := k.outgoing(now.Add(time.Millisecond)); len(out) > 0 {
 		t.Errorf("written: %q", out)
 	}
-	if ends := k.take(); len(ends) != 1 || ends[0].(engine.LegEnd).Outcome != rules.Unconnected {
+	if ends := k.take(); len(ends) != 1 || ends[0].(engine.LegEnd).Outcome != routing.Unconnected {
 		t.Errorf("%+v", ends)
 	}
 }
@@ -252,8 +252,8 @@
 			got = append(got, fmt.Sprint(p.Node, p.Outcome, p.Report.V[:p.Report.N]))
 		}
 	}
-	want := []string{fmt.Sprint(7, rules.Succeeded, []float64{0.5}), fmt.Sprint(8, rules.Errored, []float64{}),
-		fmt.Sprint(9, rules.Unconnected, []float64{})}
+	want := []string{fmt.Sprint(7, routing.Succeeded, []float64{0.5}), fmt.Sprint(8, routing.Errored, []float64{}),
+		fmt.Sprint(9, routing.Unconnected, []float64{})}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%v, not %v", got, want)
 	}
--- a/internal/bulletin/main_test.go
+++ b/internal/upstream/main_test.go
@@ -1,4 +1,4 @@
-package bulletin
+package upstream
 
 import (
 	"testing"
--- a/internal/back/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 // This file owns the connections to the nodes: which node has which address, the goroutines that dial, read and write,
 // and the end of connections that rest, are in doubt or lead to a node that is no more. It must never look into a frame
@@ -14,13 +14,13 @@
 
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
-	"fennelarch/internal/flightrec"
-	"fennelarch/internal/guard"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
 	"fennelarch/internal/system"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Pool carries legs to nodes. Where both are held, its lock is taken before that of a connection.
@@ -32,18 +32,18 @@
 	log    *zap.Logger
 
 	Short func() // if set, is called when there is no descriptor for a connection
-	Guard *guard.Monitor
+	Guard *invariant.Monitor
 	dial  func(network, address string, within time.Duration) (net.Conn, error)
 
 	mu    sync.Mutex
-	nodes map[rules.NodeID]*node
+	nodes map[routing.NodeID]*node
 	conns int
 }
 
 type node struct {
 	uid, address string
-	place        guard.Place
-	state        rules.State
+	place        invariant.Place
+	state        routing.State
 	told         time.Time // when its state last changed
 	conns        []*conn
 }
@@ -51,7 +51,7 @@
 // conn is a connection, being dialled or up.
 type conn struct {
 	pool *Pool
-	node rules.NodeID
+	node routing.NodeID
 
 	mu      sync.Mutex
 	link    *link
@@ -68,9 +68,9 @@
 }
 
 // New returns a pool that knows no node. Ends of legs and probes go to post.
-func New(l limits.Limits, n settings.Names, reports bool, post func(at time.Time, what any), log *zap.Logger) *Pool {
+func New(l limits.Limits, n config.Names, reports bool, post func(at time.Time, what any), log *zap.Logger) *Pool {
 	p := &Pool{limits: l, names: names{tariffs: n.Tariffs, columns: n.Columns}, verb: "alive", post: post, log: log, dial: system.DialTimeout,
-		nodes: map[rules.NodeID]*node{}}
+		nodes: map[routing.NodeID]*node{}}
 	if reports {
 		p.verb = "stats"
 	}
@@ -84,14 +84,14 @@
 	return p.conns
 }
 
-var states = [...]string{rules.Gone: "gone", rules.Ready: "ready", rules.Draining: "draining"}
+var states = [...]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
 
 // Learn keeps the address of each node of the list. One that is gone is known for a while: legs may still name it.
 func (p *Pool) Learn(list []engine.Node, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	listed := map[rules.NodeID]bool{}
+	listed := map[routing.NodeID]bool{}
 	for _, m := range list {
 		listed[m.Node] = true
 		n := p.nodes[m.Node]
@@ -99,7 +99,7 @@
 			n = &node{uid: m.UID, address: m.Address}
 			p.nodes[m.Node] = n
 		}
-		n.place = guard.Place{Node: m.Node, Zone: m.Zone, Cell: m.Cell}
+		n.place = invariant.Place{Node: m.Node, Zone: m.Zone, Cell: m.Cell}
 		if n.address != m.Address && m.Address != "" {
 			n.address = m.Address
 			p.retire(n)
@@ -108,13 +108,13 @@
 	}
 	for id, n := range p.nodes {
 		if all && !listed[id] {
-			p.turn(id, n, rules.Gone, now)
+			p.turn(id, n, routing.Gone, now)
 		}
-		if n.state != rules.Gone {
+		if n.state != routing.Gone {
 			continue
 		}
 		for _, m := range list {
-			if m.Address == n.address && m.State == rules.Ready {
+			if m.Address == n.address && m.State == routing.Ready {
 				p.drop(n) // another stands there now
 			}
 		}
@@ -124,12 +124,12 @@
 	}
 }
 
-func (p *Pool) turn(id rules.NodeID, n *node, s rules.State, now time.Time) {
+func (p *Pool) turn(id routing.NodeID, n *node, s routing.State, now time.Time) {
 	if n.state == s {
 		return
 	}
 	n.state, n.told = s, now
-	p.Guard.Record(flightrec.Entry{Event: flightrec.ServerState, Node: uint64(id), Reason: uint8(s)})
+	p.Guard.Record(flightrecorder.Entry{Event: flightrecorder.ServerState, Node: uint64(id), Reason: uint8(s)})
 	p.log.Info("node", zap.String("uid", n.uid), zap.String("id", fmt.Sprintf("%x", uint64(id))), zap.String("state", states[s]))
 }
 
@@ -137,7 +137,7 @@
 // them leads anywhere.
 func (p *Pool) drop(n *node) {
 	for _, c := range n.conns {
-		go c.end(guard.CloseMoved)
+		go c.end(invariant.CloseMoved)
 	}
 }
 
@@ -150,7 +150,7 @@
 		rests := c.link.busy() == 0 || c.up == nil
 		c.mu.Unlock()
 		if rests {
-			go c.end(guard.CloseMoved)
+			go c.end(invariant.CloseMoved)
 		} else {
 			c.stir()
 		}
@@ -160,12 +160,12 @@
 // Send puts a leg on a connection to its node. One that ends at this moment is no reason to fail: there may be another. A leg
 // for which this router has no connection left was never sent, and tells nothing of its node.
 func (p *Pool) Send(l *engine.Leg) {
-	now, how := time.Now(), rules.Unconnected
+	now, how := time.Now(), routing.Unconnected
 	for range 2 {
 		p.mu.Lock()
 		c, o := p.place(l, now)
 		if known := p.nodes[l.Node]; c == nil && known != nil {
-			how = rules.Moot
+			how = routing.Moot
 		}
 		p.mu.Unlock()
 		if c == nil {
@@ -192,18 +192,18 @@
 
 // place finds the connection for a leg. To a node, or from a source, that is told to leave, it must be on its way soon.
 func (p *Pool) place(l *engine.Leg, now time.Time) (*conn, order) {
-	o := order{leg: l, place: guard.Place{Node: l.Node}, until: now.Add(p.limits.Begin)}
+	o := order{leg: l, place: invariant.Place{Node: l.Node}, until: now.Add(p.limits.Begin)}
 	if !l.NotAfter.IsZero() {
 		o.until = earlier(o.until, l.NotAfter)
 	}
-	for _, id := range [...]rules.NodeID{l.Node, l.Source} {
+	for _, id := range [...]routing.NodeID{l.Node, l.Source} {
 		n := p.nodes[id]
 		switch {
 		case id == 0:
 			continue
 		case n == nil:
 			return nil, o
-		case n.state != rules.Ready:
+		case n.state != routing.Ready:
 			o.until = earlier(o.until, now.Add(p.limits.BeginLate))
 		}
 		if id == l.Source {
@@ -225,7 +225,7 @@
 // find is the connection to a node for a leg: of those on which nothing is open the one used last, or a new one, so that
 // what ends a connection takes no other leg with it; where there is no room for more, the least busy one, and at last one
 // that may be stuck.
-func (p *Pool) find(id rules.NodeID, l *engine.Leg) *conn {
+func (p *Pool) find(id routing.NodeID, l *engine.Leg) *conn {
 	n := p.nodes[id]
 	if n == nil {
 		return nil
@@ -239,7 +239,7 @@
 		c.mu.Unlock()
 		switch {
 		case stuck && busy == 0:
-			go c.end(guard.CloseUnsure)
+			go c.end(invariant.CloseUnsure)
 		case !fits:
 		case stuck:
 			unsure = c
@@ -256,7 +256,7 @@
 }
 
 // open begins a new connection to a node, where there is room for one.
-func (p *Pool) open(id rules.NodeID, n *node) *conn {
+func (p *Pool) open(id routing.NodeID, n *node) *conn {
 	if len(n.conns) >= p.limits.NodeConns || p.conns >= p.limits.Nodes && !p.spare() {
 		return nil
 	}
@@ -326,7 +326,7 @@
 	fits := !to.over && to.link.takes(o.leg)
 	to.mu.Unlock()
 	if (!fits || !to.send(o)) && !from.send(o) {
-		go p.post(time.Now(), engine.LegEnd{Leg: o.leg, Outcome: rules.Unconnected}) // the dial has failed meanwhile
+		go p.post(time.Now(), engine.LegEnd{Leg: o.leg, Outcome: routing.Unconnected}) // the dial has failed meanwhile
 	}
 }
 
@@ -346,7 +346,7 @@
 	for _, n := range p.nodes {
 		for _, c := range n.conns {
 			if c.rests(0) {
-				go c.end(guard.CloseServerForRoom)
+				go c.end(invariant.CloseServerForRoom)
 				return true
 			}
 		}
@@ -361,7 +361,7 @@
 	for _, n := range p.nodes {
 		for _, c := range n.conns {
 			if c.rests(0) {
-				go c.end(guard.CloseServerForRoom)
+				go c.end(invariant.CloseServerForRoom)
 			}
 		}
 	}
@@ -381,18 +381,18 @@
 	ran := c.link.abort(l, time.Now())
 	if c.link.cut {
 		c.over = true
-		go c.end(guard.CloseHalfWritten)
+		go c.end(invariant.CloseHalfWritten)
 	}
 	return ran
 }
 
 // Probe asks a node for its state.
-func (p *Pool) Probe(id rules.NodeID) {
+func (p *Pool) Probe(id routing.NodeID) {
 	p.mu.Lock()
 	c := p.find(id, nil)
 	p.mu.Unlock()
 	if c == nil {
-		go p.post(time.Now(), engine.Probed{Node: id, Outcome: rules.Unconnected})
+		go p.post(time.Now(), engine.Probed{Node: id, Outcome: routing.Unconnected})
 		return
 	}
 	c.mu.Lock()
@@ -410,11 +410,11 @@
 
 // run dials, starts the reader, and writes until the connection is over.
 func (c *conn) run(address string) {
-	reason := guard.CloseServerEnded
+	reason := invariant.CloseServerEnded
 	defer func() { c.end(reason) }()
 	up := c.connect(address)
 	if up == nil {
-		reason = guard.CloseDialFailed
+		reason = invariant.CloseDialFailed
 		return
 	}
 	go c.read(up)
@@ -462,7 +462,7 @@
 	if fault == system.FaultSilent && c.pool.Guard.Watch().Since(begun, now) {
 		fault = system.FaultLocal // this process stood still meanwhile: nobody knows what came
 	}
-	c.pool.Guard.Record(flightrec.Entry{Event: flightrec.ServerDialled, Node: uint64(c.node), Reason: uint8(fault),
+	c.pool.Guard.Record(flightrecorder.Entry{Event: flightrecorder.ServerDialled, Node: uint64(c.node), Reason: uint8(fault),
 		Value: now.Sub(begun).Milliseconds()})
 	if err != nil {
 		c.mu.Lock()
@@ -484,7 +484,7 @@
 }
 
 // write writes until the connection is over, and says why it is.
-func (c *conn) write(up net.Conn) guard.CloseReason {
+func (c *conn) write(up net.Conn) invariant.CloseReason {
 	idle := time.NewTicker(c.pool.limits.Idle / 4)
 	defer idle.Stop()
 	for {
@@ -504,7 +504,7 @@
 			c.pool.post(now, end)
 		}
 		if over {
-			return guard.CloseMoved // or for the reason for which it was ended before
+			return invariant.CloseMoved // or for the reason for which it was ended before
 		}
 		if len(out) > 0 {
 			_ = up.SetWriteDeadline(now.Add(patience))
@@ -514,7 +514,7 @@
 			c.writing, c.used = false, now
 			c.mu.Unlock()
 			if err != nil {
-				return guard.CloseServerWrite
+				return invariant.CloseServerWrite
 			}
 			continue
 		}
@@ -522,7 +522,7 @@
 		case <-c.wake:
 		case <-idle.C:
 			if c.rests(c.pool.limits.Idle) {
-				return guard.CloseIdle
+				return invariant.CloseIdle
 			}
 		}
 	}
@@ -540,7 +540,7 @@
 }
 
 func (c *conn) read(up net.Conn) {
-	reason := guard.CloseServerEnded
+	reason := invariant.CloseServerEnded
 	defer func() { c.end(reason) }()
 	for {
 		c.mu.Lock()
@@ -567,12 +567,12 @@
 		}
 		switch {
 		case bad != nil:
-			reason = guard.CloseSpoilt
+			reason = invariant.CloseSpoilt
 			return
 		case err != nil:
 			return
 		case retired:
-			reason = guard.CloseMoved
+			reason = invariant.CloseMoved
 			return
 		}
 	}
@@ -581,7 +581,7 @@
 // end takes the connection out of the pool and reports what was open on it: there is no other way to close one. It may be called
 // more than once; the first reason counts. While something is being written, only the writer knows how much of it went: it is closed
 // then, and the writer's own end reports.
-func (c *conn) end(reason guard.CloseReason) {
+func (c *conn) end(reason invariant.CloseReason) {
 	now := time.Now()
 	p := c.pool
 	p.mu.Lock()
--- a/internal/back/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package back
+package upstream
 
 import (
 	"net"
@@ -13,10 +13,10 @@
 	"github.com/tidwall/redcon"
 	"go.uber.org/zap"
 
+	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
-	"fennelarch/internal/settings"
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // stand is a node that answers only while it is told to, and counts its connections.
@@ -82,7 +82,7 @@
 		change(&l)
 	}
 	r := &rig{t: t, ends: make(chan engine.LegEnd, 100)}
-	r.Pool = New(l, settings.Names{Tariffs: []string{"clip"}}, false, func(_ time.Time, what any) {
+	r.Pool = New(l, config.Names{Tariffs: []string{"clip"}}, false, func(_ time.Time, what any) {
 		if end, leg := what.(engine.LegEnd); leg {
 			r.ends <- end
 		}
@@ -102,18 +102,18 @@
 	return r
 }
 
-func (r *rig) list(id rules.NodeID, s rules.State, address string) {
-	r.Learn([]engine.Node{{Member: rules.Member{Node: id, State: s}, UID: "s", Address: address}}, false)
+func (r *rig) list(id routing.NodeID, s routing.State, address string) {
+	r.Learn([]engine.Node{{Member: routing.Member{Node: id, State: s}, UID: "s", Address: address}}, false)
 }
 
-func (r *rig) send(ident engine.Ident, node rules.NodeID) *engine.Leg {
+func (r *rig) send(ident engine.Ident, node routing.NodeID) *engine.Leg {
 	l := leg(ident)
 	l.Node = node
 	r.Send(l)
 	return l
 }
 
-func (r *rig) end(want rules.Outcome, l *engine.Leg) {
+func (r *rig) end(want routing.Outcome, l *engine.Leg) {
 	r.t.Helper()
 	select {
 	case end := <-r.ends:
@@ -163,19 +163,19 @@
 	}
 	other := newStand(t)
 	r := newRig(t, nil)
-	r.list(1, rules.Ready, f.Addr().String())
-	r.list(2, rules.Ready, other.Addr().String())
+	r.list(1, routing.Ready, f.Addr().String())
+	r.list(2, routing.Ready, other.Addr().String())
 	deaf, fine := r.send(1, 1), r.send(2, 2)
 	other.answer <- true
-	r.end(rules.Succeeded, fine)
-	r.end(rules.Unconnected, deaf)
+	r.end(routing.Succeeded, fine)
+	r.end(routing.Unconnected, deaf)
 }
 
 // A connection on which a leg was given up in silence is not trusted with the next; the same one is, once it is heard of.
 func TestSilentConnection(t *testing.T) {
 	s := newStand(t)
 	r := newRig(t, nil)
-	r.list(1, rules.Ready, s.Addr().String())
+	r.list(1, routing.Ready, s.Addr().String())
 	first := r.send(1, 1)
 	next(t, s.asked)
 	if !r.Abort(first) {
@@ -187,10 +187,10 @@
 	}
 	s.answer <- false // to the first
 	s.answer <- true
-	r.end(rules.Succeeded, second)
+	r.end(routing.Succeeded, second)
 	third := r.send(3, 1)
 	s.answer <- true
-	r.end(rules.Succeeded, third)
+	r.end(routing.Succeeded, third)
 	if r.Count() > 2 || len(s.conns) > 0 {
 		t.Errorf("%d connections, %d more", r.Count(), len(s.conns))
 	}
@@ -200,21 +200,21 @@
 func TestConnectionsOfTheirOwn(t *testing.T) {
 	s := newStand(t)
 	r := newRig(t, func(l *limits.Limits) { l.Nodes, l.NodeConns, l.Streams = 2, 2, 2 })
-	r.list(1, rules.Ready, s.Addr().String())
+	r.list(1, routing.Ready, s.Addr().String())
 	first := r.send(1, 1)
 	conn := next(t, s.conns)
 	next(t, s.asked)
 	second := r.send(2, 1)
 	next(t, s.asked)
 	_ = conn.Close()
-	r.end(rules.Broken, first)
+	r.end(routing.Broken, first)
 	s.answer <- false // to the first
 	s.answer <- true
-	r.end(rules.Succeeded, second)
+	r.end(routing.Succeeded, second)
 	for ident := range engine.Ident(4) {
 		r.send(10+ident, 1)
 	}
-	r.end(rules.Moot, r.send(20, 1))
+	r.end(routing.Moot, r.send(20, 1))
 	if r.Count() != 2 {
 		t.Errorf("%d connections", r.Count())
 	}
@@ -224,16 +224,16 @@
 func TestAddressUsedAgain(t *testing.T) {
 	s := newStand(t)
 	r := newRig(t, nil)
-	r.list(1, rules.Ready, s.Addr().String())
+	r.list(1, routing.Ready, s.Addr().String())
 	l := r.send(1, 1)
 	next(t, s.asked)
-	r.list(1, rules.Gone, s.Addr().String())
-	r.list(2, rules.Ready, s.Addr().String())
-	r.end(rules.Broken, l)
+	r.list(1, routing.Gone, s.Addr().String())
+	r.list(2, routing.Ready, s.Addr().String())
+	r.end(routing.Broken, l)
 	s.answer <- false
 	l = r.send(2, 2)
 	s.answer <- true
-	r.end(rules.Succeeded, l)
+	r.end(routing.Succeeded, l)
 	if next(t, s.conns) == next(t, s.conns) {
 		t.Error("the old connection was used")
 	}
@@ -247,8 +247,8 @@
 		s := newStand(t)
 		s.answer <- true
 		stands = append(stands, s)
-		r.list(rules.NodeID(id+1), rules.Ready, s.Addr().String())
-		r.end(rules.Succeeded, r.send(engine.Ident(id+1), rules.NodeID(id+1)))
+		r.list(routing.NodeID(id+1), routing.Ready, s.Addr().String())
+		r.end(routing.Succeeded, r.send(engine.Ident(id+1), routing.NodeID(id+1)))
 	}
 	for end := time.Now().Add(10 * time.Second); r.Count() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -256,29 +256,29 @@
 		}
 	}
 	for id, s := range stands {
-		r.list(rules.NodeID(id+1), rules.Gone, s.Addr().String())
+		r.list(routing.NodeID(id+1), routing.Gone, s.Addr().String())
 	}
-	r.list(9, rules.Gone, "")
+	r.list(9, routing.Gone, "")
 	if len(r.nodes) > 1 {
 		t.Errorf("%d nodes are kept", len(r.nodes))
 	}
-	r.end(rules.Unconnected, r.send(9, 1))
+	r.end(routing.Unconnected, r.send(9, 1))
 }
 
 // A server moves: what is open on its old connection ends there, what waits for one goes elsewhere, and nothing new goes by the old.
 func TestServerMoves(t *testing.T) {
 	old, to := newStand(t), newStand(t)
 	r := newRig(t, nil)
-	r.list(1, rules.Ready, old.Addr().String())
+	r.list(1, routing.Ready, old.Addr().String())
 	open := r.send(1, 1)
 	next(t, old.asked)
-	r.list(1, rules.Ready, to.Addr().String())
+	r.list(1, routing.Ready, to.Addr().String())
 	moved := r.send(2, 1)
 	next(t, to.asked)
 	to.answer <- true
-	r.end(rules.Succeeded, moved)
+	r.end(routing.Succeeded, moved)
 	old.answer <- true
-	r.end(rules.Succeeded, open)
+	r.end(routing.Succeeded, open)
 	for end := time.Now().Add(10 * time.Second); r.Count() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d connections are left", r.Count())
@@ -296,10 +296,10 @@
 		}
 		return dial(n, a, d)
 	}
-	r.list(1, rules.Ready, old.Addr().String())
+	r.list(1, routing.Ready, old.Addr().String())
 	waits := r.send(3, 1)
-	r.list(1, rules.Ready, to.Addr().String())
-	r.end(rules.Unconnected, waits)
+	r.list(1, routing.Ready, to.Addr().String())
+	r.end(routing.Unconnected, waits)
 	close(held)
 }
 
@@ -309,15 +309,15 @@
 	for _, c := range []struct {
 		err   error
 		times int // it fails
-		want  rules.Outcome
+		want  routing.Outcome
 		dials int
 	}{
-		{syscall.EADDRNOTAVAIL, 2, rules.Succeeded, 3},
-		{syscall.ENETUNREACH, 100, rules.Moot, 9},
-		{syscall.EHOSTUNREACH, 1, rules.Succeeded, 2},
-		{syscall.EHOSTUNREACH, 100, rules.Unconnected, 9},
-		{syscall.EINTR, 1, rules.Succeeded, 2},
-		{syscall.ECONNREFUSED, 1, rules.Unconnected, 1},
+		{syscall.EADDRNOTAVAIL, 2, routing.Succeeded, 3},
+		{syscall.ENETUNREACH, 100, routing.Moot, 9},
+		{syscall.EHOSTUNREACH, 1, routing.Succeeded, 2},
+		{syscall.EHOSTUNREACH, 100, routing.Unconnected, 9},
+		{syscall.EINTR, 1, routing.Succeeded, 2},
+		{syscall.ECONNREFUSED, 1, routing.Unconnected, 1},
 	} {
 		s := newStand(t)
 		r := newRig(t, func(l *limits.Limits) { l.Slow = 100 * time.Millisecond })
@@ -328,7 +328,7 @@
 			}
 			return net.DialTimeout(n, a, d)
 		}
-		r.list(1, rules.Ready, s.Addr().String())
+		r.list(1, routing.Ready, s.Addr().String())
 		l := r.send(1, 1)
 		s.answer <- true
 		if r.end(c.want, l); int(dials.Load()) != c.dials {
--- a/rules/fleet_test.go
+++ b/policy/routing/fleet_test.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // Many routers that share nothing, driven side by side in one clock, with one cold node among them: what all of them send
 // to it together, against what it bears.
--- a/rules/helper_test.go
+++ b/policy/routing/helper_test.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 import (
 	"fmt"
--- a/rules/iface.go
+++ b/policy/routing/iface.go
@@ -2,7 +2,7 @@
 // a miss is filled from and how a copy is kept. rules.go holds every decision;
 // this file holds only the types through which a front end drives it. No
 // protocol is named here, so that several front ends can share the decisions.
-package rules
+package routing
 
 import (
 	"math"
--- a/rules/router.go
+++ b/policy/routing/router.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // This file is the door to the decisions: a front end calls New, Start, then Handle for each event.
 
