--- a/rules/rules.go
+++ b/policy/routing/rules.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // This file holds every decision of the router. router.go is its door: a front end calls New with the
 // settings and a seed, Start once, then Handle for each event in order; each call returns the actions to
--- a/rules/state.go
+++ b/policy/routing/state.go
@@ -1,4 +1,4 @@
-package rules
+package routing
 
 // This file holds the state of a router and the plain machinery around it: ids in slabs, rings, moving means,
 // the generator of chance. Nothing here decides anything.
--- a/rules/store/health.go
+++ b/policy/sharedstore/health.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 // What is known of each store and source: how long their answers take, how many commands may be out, what one just
 // started may be asked, and when it is out or on trial.
@@ -7,12 +7,12 @@
 	"math"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // node is one store.
 type node struct {
-	id      rules.NodeID
+	id      routing.NodeID
 	mode    mode
 	run     uint64
 	known   bool          // it was up before
@@ -353,7 +353,7 @@
 }
 
 // source is the limit on fills from one source.
-func (k *Keeper) source(id rules.NodeID) *bound {
+func (k *Keeper) source(id routing.NodeID) *bound {
 	b := k.fills[id]
 	if b == nil {
 		b = &bound{limit: firstFills, most: fillsMost}
@@ -371,12 +371,12 @@
 	b := k.source(o.source)
 	b.out = max(0, b.out-1)
 	switch e.Outcome {
-	case rules.Succeeded:
+	case routing.Succeeded:
 		k.fillIn.add(e.Took)
 		b.good()
-	case rules.Missed:
+	case routing.Missed:
 		b.good()
-	case rules.Cancelled, rules.Moot:
+	case routing.Cancelled, routing.Moot:
 	default:
 		b.bad(failCut, k.now, k.fillIn.usual())
 	}
--- a/rules/store/iface.go
+++ b/policy/sharedstore/iface.go
@@ -3,12 +3,12 @@
 // every purge. It is free of I/O, clocks and goroutines: it is told events and times and hands back what to do.
 // table.go holds what follows what, store.go the loop that reads it, health.go limits and budgets, ledger.go purges.
 // This file holds only the types through which a carrier drives it.
-package store
+package sharedstore
 
 import (
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // OpID is one leg to a store: the carrier numbers them from 1.
@@ -74,26 +74,26 @@
 type Event struct {
 	Kind    EventKind
 	Op      OpID
-	Node    rules.NodeID
-	Source  rules.NodeID
+	Node    routing.NodeID
+	Source  routing.NodeID
 	Held    bool // the source gives only what it holds
-	Object  rules.ObjectID
+	Object  routing.ObjectID
 	Part    int
-	Group   rules.GroupID
+	Group   routing.GroupID
 	Due     time.Duration // until the view's due time
 	Left    time.Duration // until the leg is given up
 	Age     time.Duration // the oldest copy that will do, 0: any
 	Keep    time.Duration // how long a copy of this tariff is good, 0: until purged
 	Reply   Reply
-	Outcome rules.Outcome
-	Note    rules.Note
+	Outcome routing.Outcome
+	Note    routing.Note
 	Waited  time.Duration
 	Took    time.Duration
 	Born    Stamp
 	Valid   Stamp
 	Size    int // of the body
 	Run     uint64
-	State   rules.State
+	State   routing.State
 	Timer   uint64
 }
 
@@ -119,12 +119,12 @@
 	Kind    ActionKind
 	Op      OpID
 	From    OpID
-	Node    rules.NodeID
+	Node    routing.NodeID
 	Wait    time.Duration
 	Age     time.Duration
 	Valid   Stamp
-	Outcome rules.Outcome
-	Note    rules.Note
+	Outcome routing.Outcome
+	Note    routing.Note
 	Waited  time.Duration
 	Timer   uint64
 	Text    string
--- a/rules/store/ledger.go
+++ b/policy/sharedstore/ledger.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 // The ledger of purges. Each router knows every purge that was told since some moment: its knowledge is an interval of
 // time with all purges in it. The store keeps such an interval too, in one value: the purges, a floor and an end, "seen";
@@ -16,13 +16,13 @@
 	"slices"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // Mark is one purge: of an object, or of a group where the object is 0.
 type Mark struct {
-	Object rules.ObjectID
-	Group  rules.GroupID
+	Object routing.ObjectID
+	Group  routing.GroupID
 	Issued Stamp
 }
 
@@ -55,27 +55,29 @@
 	since  Stamp // every purge told from here
 	asOf   Stamp // to here is known
 	life   time.Duration
-	byObj  map[rules.ObjectID]Stamp
-	byGrp  map[rules.GroupID]Stamp
+	byObj  map[routing.ObjectID]Stamp
+	byGrp  map[routing.GroupID]Stamp
 	marks  []Mark // in the order in which they were told
 	passed int    // marks that have fallen out, so that places in the order stay true
 }
 
 func newLedger(start Stamp, life time.Duration) ledger {
-	return ledger{since: start, asOf: start, life: life, byObj: map[rules.ObjectID]Stamp{}, byGrp: map[rules.GroupID]Stamp{}}
+	return ledger{since: start, asOf: start, life: life, byObj: map[routing.ObjectID]Stamp{}, byGrp: map[routing.GroupID]Stamp{}}
 }
 
 // last is the latest purge of an object or its group.
-func (l *ledger) last(o rules.ObjectID, g rules.GroupID) Stamp { return max(l.byObj[o], l.byGrp[g]) }
+func (l *ledger) last(o routing.ObjectID, g routing.GroupID) Stamp {
+	return max(l.byObj[o], l.byGrp[g])
+}
 
 // newer says whether a copy is newer than every purge that is known.
-func (l *ledger) newer(o rules.ObjectID, g rules.GroupID, born Stamp) bool {
+func (l *ledger) newer(o routing.ObjectID, g routing.GroupID, born Stamp) bool {
 	return born > l.last(o, g)
 }
 
 // proves says whether a copy is newer than every purge that there was: this router must know all purges since the moment
 // before which none can have been missed.
-func (l *ledger) proves(o rules.ObjectID, g rules.GroupID, born, valid Stamp) bool {
+func (l *ledger) proves(o routing.ObjectID, g routing.GroupID, born, valid Stamp) bool {
 	return max(born, valid) >= l.since+skew && l.newer(o, g, born)
 }
 
@@ -174,7 +176,7 @@
 }
 
 // Read takes a store's interval, as read on this connection, and says what to write. Lent until the next call.
-func (k *Keeper) Read(now time.Duration, id rules.NodeID, i Interval) Plan {
+func (k *Keeper) Read(now time.Duration, id routing.NodeID, i Interval) Plan {
 	k.now = max(now, k.now)
 	at, known := k.index[id]
 	if !known {
@@ -229,7 +231,7 @@
 const marksAtOnce = 1000
 
 // Wrote says that what a plan held is in the store, and whether there is more to write at once.
-func (k *Keeper) Wrote(id rules.NodeID, p Plan) (more bool) {
+func (k *Keeper) Wrote(id routing.NodeID, p Plan) (more bool) {
 	at, known := k.index[id]
 	if !known {
 		return false
@@ -242,7 +244,7 @@
 
 // Took takes all marks of a store's ledger, read after its interval on the same connection: from now on this router
 // knows what the store knew.
-func (k *Keeper) Took(now time.Duration, id rules.NodeID, marks []Mark, whole bool) {
+func (k *Keeper) Took(now time.Duration, id routing.NodeID, marks []Mark, whole bool) {
 	k.now = max(now, k.now)
 	at, known := k.index[id]
 	if !known || !k.nodes[at].synced.taking {
--- a/rules/store/ledger_test.go
+++ b/policy/sharedstore/ledger_test.go
@@ -1,11 +1,11 @@
-package store
+package sharedstore
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // A model of the ledger: two routers, one store, one object and its purges, explored in every order of events to a stated
@@ -25,7 +25,7 @@
 	path   []string
 }
 
-const modelObject rules.ObjectID = 7
+const modelObject routing.ObjectID = 7
 
 func modelSet(now time.Duration) Settings {
 	s := plainSet()
--- a/rules/store/store.go
+++ b/policy/sharedstore/store.go
@@ -1,9 +1,9 @@
-package store
+package sharedstore
 
 import (
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 const ms = time.Millisecond
@@ -18,9 +18,9 @@
 	looked   bool // it waited for another's fill
 	filling  bool // a fill is out
 	held     bool
-	source   rules.NodeID
+	source   routing.NodeID
 	key      key
-	group    rules.GroupID
+	group    routing.GroupID
 	asked    time.Duration
 	due, end time.Duration // of the view and of the leg
 	least    Stamp         // born before this will not do
@@ -36,7 +36,7 @@
 }
 
 type key struct {
-	object rules.ObjectID
+	object routing.ObjectID
 	part   int
 }
 
@@ -52,10 +52,10 @@
 	byID   map[OpID]int32
 	byKey  map[key]int32 // the leg that others may join
 	nodes  []node
-	index  map[rules.NodeID]int32
-	states map[rules.NodeID]listed // what the list says of all nodes
-	fills  map[rules.NodeID]*bound // by source
-	fillIn average                 // the usual time of a fill
+	index  map[routing.NodeID]int32
+	states map[routing.NodeID]listed // what the list says of all nodes
+	fills  map[routing.NodeID]*bound // by source
+	fillIn average                   // the usual time of a fill
 	ledger ledger
 	giver  OpID // of the copy that is being shared
 	rng    rng
@@ -64,13 +64,13 @@
 }
 
 type listed struct {
-	state rules.State
+	state routing.State
 	since time.Duration
 }
 
 // Whole returns the settings with what was not told filled in: a store of which nothing is told is taken for one that
 // starts like a cache does, and no copy is kept for longer than purges can be remembered in a fixed place.
-func (s Settings) Whole(r *rules.Settings) Settings {
+func (s Settings) Whole(r *routing.Settings) Settings {
 	if s.Routers <= 0 {
 		if s.Routers = r.Routers; int(r.Zone) < len(r.ZoneRouters) {
 			s.Routers = r.ZoneRouters[r.Zone]
@@ -103,14 +103,14 @@
 }
 
 // New returns decisions on the stores named, of which nothing is known.
-func New(set Settings, seed uint64, stores ...rules.NodeID) *Keeper {
-	k := &Keeper{set: set, byID: map[OpID]int32{}, byKey: map[key]int32{}, index: map[rules.NodeID]int32{},
-		states: map[rules.NodeID]listed{}, fills: map[rules.NodeID]*bound{}, rng: newRNG(seed)}
+func New(set Settings, seed uint64, stores ...routing.NodeID) *Keeper {
+	k := &Keeper{set: set, byID: map[OpID]int32{}, byKey: map[key]int32{}, index: map[routing.NodeID]int32{},
+		states: map[routing.NodeID]listed{}, fills: map[routing.NodeID]*bound{}, rng: newRNG(seed)}
 	k.set.Routers = max(1, set.Routers)
 	k.ledger = newLedger(set.Epoch, set.Life)
 	for _, id := range stores {
 		k.index[id] = int32(len(k.nodes))
-		k.nodes = append(k.nodes, node{id: id, started: rules.LongAgo, room: bound{limit: firstRoom, most: float64(max(1, set.Most))}})
+		k.nodes = append(k.nodes, node{id: id, started: routing.LongAgo, room: bound{limit: firstRoom, most: float64(max(1, set.Most))}})
 	}
 	return k
 }
@@ -129,11 +129,11 @@
 		if l, known := k.states[e.Node]; !known || l.state != e.State {
 			k.states[e.Node] = listed{e.State, k.now}
 		}
-		if e.State == rules.Gone {
+		if e.State == routing.Gone {
 			delete(k.fills, e.Node)
 		}
 		for id, l := range k.states { // nodes come and go for months
-			if l.state == rules.Gone && k.now-l.since > goneFor {
+			if l.state == routing.Gone && k.now-l.since > goneFor {
 				delete(k.states, id)
 			}
 		}
@@ -161,7 +161,7 @@
 func (k *Keeper) arrive(e *Event) {
 	n, known := k.index[e.Node]
 	if !known {
-		k.do(Action{Kind: ActionEnd, Op: e.Op, Outcome: rules.Unconnected})
+		k.do(Action{Kind: ActionEnd, Op: e.Op, Outcome: routing.Unconnected})
 		k.do(Action{Kind: ActionForget, Op: e.Op})
 		return
 	}
@@ -246,12 +246,12 @@
 	case EventFilled:
 		o.filling = false
 		k.filled(o, e)
-		if e.Outcome == rules.Succeeded {
+		if e.Outcome == routing.Succeeded {
 			o.born, o.size = e.Born, e.Size
 			if e.Born > 0 && !k.ledger.newer(o.key.object, o.group, e.Born) {
 				// The source had the copy from before a purge: it may not be handed on, and another way is found.
 				k.Counts.Old++
-				k.end(i, OpID(0), rules.Missed, rules.NoteLacks, e.Waited)
+				k.end(i, OpID(0), routing.Missed, routing.NoteLacks, e.Waited)
 				return
 			}
 			k.input(i, inFilled, e)
@@ -314,8 +314,8 @@
 			k.get(n, i)
 		}
 	case serve:
-		note, waited := k.waited(o, rules.NoteHit, 0)
-		k.end(i, o.id, rules.Succeeded, note, waited)
+		note, waited := k.waited(o, routing.NoteHit, 0)
+		k.end(i, o.id, routing.Succeeded, note, waited)
 	case lease:
 		k.lease(i)
 	case wait:
@@ -333,7 +333,7 @@
 	case lack:
 		k.lack(i, e[0])
 	case share:
-		k.end(i, k.giver, rules.Succeeded, rules.NoteJoined, k.now-o.asked)
+		k.end(i, k.giver, routing.Succeeded, routing.NoteJoined, k.now-o.asked)
 	case again:
 		if lead, open := k.byKey[o.key]; open && lead != i {
 			k.join(i, lead)
@@ -372,12 +372,12 @@
 	o := &k.ops[i]
 	switch {
 	case k.nodes[o.node].mode == modeOut:
-		k.end(i, 0, rules.Unconnected, rules.NoteNone, 0)
+		k.end(i, 0, routing.Unconnected, routing.NoteNone, 0)
 	case o.source == 0:
 		// Not that there is no place: the views' decisions would name no source for 100 ms, and so it would go on.
-		k.end(i, 0, rules.Missed, rules.NoteLacks, 0)
+		k.end(i, 0, routing.Missed, routing.NoteLacks, 0)
 	default:
-		k.end(i, 0, rules.Full, rules.NoteNoPlace, 0)
+		k.end(i, 0, routing.Full, routing.NoteNoPlace, 0)
 	}
 }
 
@@ -400,7 +400,7 @@
 	case o.unfit != nil:
 		k.lack(i, o.unfit)
 	case o.source == 0:
-		k.end(i, 0, rules.Missed, rules.NoteLacks, 0)
+		k.end(i, 0, routing.Missed, routing.NoteLacks, 0)
 	case !k.set.Lease || o.held || k.patience(o) < k.fillIn.high() || n.full || !k.may(n, 2):
 		o.stage = stageFill
 		k.fill(i)
@@ -446,7 +446,7 @@
 		k.lack(i, o.unfit)
 	case k.begin(i):
 	case o.source == 0:
-		k.end(i, 0, rules.Missed, rules.NoteLacks, 0)
+		k.end(i, 0, routing.Missed, routing.NoteLacks, 0)
 	default:
 		k.refuse(i)
 	}
@@ -478,7 +478,7 @@
 // was named in its grace, which lasts for what begins at once.
 func (k *Keeper) mayFill(o *op) bool {
 	l, known := k.states[o.source]
-	if !known || l.state == rules.Ready {
+	if !known || l.state == routing.Ready {
 		return true
 	}
 	return l.since <= o.asked && k.now-o.asked <= k.set.DrainGrace/10
@@ -488,15 +488,15 @@
 func (k *Keeper) hand(i int32, e *Event) {
 	o := &k.ops[i]
 	n := &k.nodes[o.node]
-	note := rules.NoteFilled
-	if e.Note == rules.NoteFilled || e.Note == rules.NoteViaOrigin {
-		note = rules.NoteViaOrigin
+	note := routing.NoteFilled
+	if e.Note == routing.NoteFilled || e.Note == routing.NoteViaOrigin {
+		note = routing.NoteViaOrigin
 	}
 	keep := k.stay(o)
 	stores := o.born > 0 && o.size > 0 && o.size <= k.set.Bytes && keep > 0 && !n.full && n.mode >= modeCold &&
 		n.room.half() && k.may(n, 1)
 	note, waited := k.waited(o, note, e.Waited)
-	k.end(i, o.id, rules.Succeeded, note, waited)
+	k.end(i, o.id, routing.Succeeded, note, waited)
 	o = &k.ops[i]
 	if !stores {
 		k.close(i)
@@ -513,9 +513,9 @@
 
 // waited is how a success reads. One that waited for another's fill first tells nothing of store or source: what is learned
 // of both must not come to hold the wait.
-func (k *Keeper) waited(o *op, n rules.Note, w time.Duration) (rules.Note, time.Duration) {
+func (k *Keeper) waited(o *op, n routing.Note, w time.Duration) (routing.Note, time.Duration) {
 	if o.looked {
-		return rules.NoteJoined, k.now - o.asked
+		return routing.NoteJoined, k.now - o.asked
 	}
 	return n, w
 }
@@ -541,7 +541,7 @@
 
 func (k *Keeper) ready(n int32) bool {
 	l, known := k.states[k.nodes[n].id]
-	return !known || l.state == rules.Ready
+	return !known || l.state == routing.Ready
 }
 
 // release gives the lease back, while it is surely still ours.
@@ -554,20 +554,20 @@
 }
 
 // lacks says how a source's answer reads as the answer of a cache that filled from it.
-var lacks = map[rules.Outcome]rules.Note{rules.Missed: rules.NoteLacks, rules.Full: rules.NoteRefused,
-	rules.Errored: rules.NoteUnreached, rules.TimedOut: rules.NoteUnreached, rules.Broken: rules.NoteUnreached,
-	rules.Unconnected: rules.NoteUnreached, rules.Moot: rules.NoteUnreached, rules.Cancelled: rules.NoteUnreached}
+var lacks = map[routing.Outcome]routing.Note{routing.Missed: routing.NoteLacks, routing.Full: routing.NoteRefused,
+	routing.Errored: routing.NoteUnreached, routing.TimedOut: routing.NoteUnreached, routing.Broken: routing.NoteUnreached,
+	routing.Unconnected: routing.NoteUnreached, routing.Moot: routing.NoteUnreached, routing.Cancelled: routing.NoteUnreached}
 
 func (k *Keeper) lack(i int32, e *Event) {
 	o := &k.ops[i]
 	note := lacks[e.Outcome]
 	switch e.Note {
-	case rules.NoteRefused, rules.NoteUnreached, rules.NoteOriginFail:
+	case routing.NoteRefused, routing.NoteUnreached, routing.NoteOriginFail:
 		// The source is a parent and speaks of the origin behind it.
-		note = rules.NoteOriginFail
+		note = routing.NoteOriginFail
 	}
 	k.release(o)
-	k.end(i, 0, rules.Missed, note, e.Waited)
+	k.end(i, 0, routing.Missed, note, e.Waited)
 }
 
 // cancel ends a leg that is not wanted any more.
@@ -577,19 +577,19 @@
 		return
 	}
 	o.over = true
-	k.pass(i, rules.Cancelled, rules.NoteNone, false)
+	k.pass(i, routing.Cancelled, routing.NoteNone, false)
 	k.close(i)
 }
 
 // end gives the leg's answer; those that joined it get theirs from the same copy, or go on alone.
-func (k *Keeper) end(i int32, from OpID, outcome rules.Outcome, note rules.Note, waited time.Duration) {
+func (k *Keeper) end(i int32, from OpID, outcome routing.Outcome, note routing.Note, waited time.Duration) {
 	o := &k.ops[i]
 	if o.over {
 		return
 	}
 	o.over = true
 	k.do(Action{Kind: ActionEnd, Op: o.id, From: from, Outcome: outcome, Note: note, Waited: waited})
-	k.pass(i, outcome, note, outcome == rules.Missed || outcome == rules.Errored)
+	k.pass(i, outcome, note, outcome == routing.Missed || outcome == routing.Errored)
 	if k.ops[i].stage != stageKeep {
 		k.close(i)
 	}
@@ -608,7 +608,7 @@
 }
 
 // pass tells those that joined a leg of its end. Where its source failed, it failed for those that name the same one.
-func (k *Keeper) pass(i int32, outcome rules.Outcome, note rules.Note, heard bool) {
+func (k *Keeper) pass(i int32, outcome routing.Outcome, note routing.Note, heard bool) {
 	id, born, source, held, at := k.ops[i].id, k.ops[i].born, k.ops[i].source, k.ops[i].held, k.ops[i].key
 	if k.byKey[at] == i {
 		delete(k.byKey, at)
@@ -617,11 +617,11 @@
 		k.leave(j)
 		w := &k.ops[j]
 		switch {
-		case outcome == rules.Succeeded && (born >= w.least || born == 0 && w.least == 0):
+		case outcome == routing.Succeeded && (born >= w.least || born == 0 && w.least == 0):
 			k.giver = id
 			w.born = born
 			k.input(j, inShared)
-		case heard && outcome != rules.Succeeded && w.source == source && w.held == held:
+		case heard && outcome != routing.Succeeded && w.source == source && w.held == held:
 			k.end(j, 0, outcome, note, 0)
 		default:
 			k.input(j, inAlone)
--- a/rules/store/store_test.go
+++ b/policy/sharedstore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 func play(draw func(int) int, steps int) *world {
@@ -212,7 +212,7 @@
 	now += ms / 2
 	tell("the lease is ours", Event{Kind: EventLeased, Op: 1, Node: storeS, Reply: ReplyDone, Took: ms / 2})
 	now += 40 * ms
-	tell("the source gives it", Event{Kind: EventFilled, Op: 1, Outcome: rules.Succeeded, Note: rules.NoteHit, Born: epoch + 500, Size: 10, Took: 40 * ms})
+	tell("the source gives it", Event{Kind: EventFilled, Op: 1, Outcome: routing.Succeeded, Note: routing.NoteHit, Born: epoch + 500, Size: 10, Took: 40 * ms})
 	now += ms
 	tell("it is stored", Event{Kind: EventSet, Op: 1, Node: storeS, Reply: ReplyDone, Took: ms})
 	ask.Op, ask.Object = 3, 8
@@ -258,7 +258,7 @@
 	k.Handle(0, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
 	now := time.Second
 	for op := OpID(1); op <= 8; op++ {
-		acts := k.Handle(now, &Event{Kind: EventAsk, Op: op, Node: storeS, Source: srcP, Object: rules.ObjectID(op), Due: 400 * ms, Left: time.Second}, nil)
+		acts := k.Handle(now, &Event{Kind: EventAsk, Op: op, Node: storeS, Source: srcP, Object: routing.ObjectID(op), Due: 400 * ms, Left: time.Second}, nil)
 		fmt.Println("a view")
 		say(acts)
 		now += 30 * ms
@@ -313,7 +313,7 @@
 	for b.Loop() {
 		op++
 		now += 10 * time.Microsecond
-		acts = k.Handle(now, &Event{Kind: EventAsk, Op: op, Node: storeS, Source: srcP, Object: rules.ObjectID(op%1000 + 1), Due: 400 * ms, Left: time.Second}, acts[:0])
+		acts = k.Handle(now, &Event{Kind: EventAsk, Op: op, Node: storeS, Source: srcP, Object: routing.ObjectID(op%1000 + 1), Due: 400 * ms, Left: time.Second}, acts[:0])
 		acts = k.Handle(now, &Event{Kind: EventGot, Op: op, Node: storeS, Reply: ReplyHit, Born: epoch + 50_000, Valid: epoch + 50_000, Took: 300 * time.Microsecond}, acts[:0])
 	}
 }
--- a/rules/store/table.go
+++ b/policy/sharedstore/table.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 // stage is what a leg to the store waits for.
 type stage uint8
--- a/rules/store/trace_test.go
+++ b/policy/sharedstore/trace_test.go
@@ -1,4 +1,4 @@
-package store
+package sharedstore
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // ways are short lives of one leg, as words: each is an event, and the trace says what is done at once.
@@ -72,9 +72,9 @@
 		case "late":
 			e = Event{Kind: EventTimer, Op: op, Timer: turns[op]}
 		case "filled":
-			e = Event{Kind: EventFilled, Op: op, Outcome: rules.Succeeded, Born: epoch + 3000, Size: 9, Took: 40 * ms}
+			e = Event{Kind: EventFilled, Op: op, Outcome: routing.Succeeded, Born: epoch + 3000, Size: 9, Took: 40 * ms}
 		case "unfit":
-			e = Event{Kind: EventFilled, Op: op, Outcome: rules.Missed, Note: rules.NoteLacks, Took: 4 * ms}
+			e = Event{Kind: EventFilled, Op: op, Outcome: routing.Missed, Note: routing.NoteLacks, Took: 4 * ms}
 		case "cancel":
 			e = Event{Kind: EventCancel, Op: op}
 		}
--- a/rules/store/world_test.go
+++ b/policy/sharedstore/world_test.go
@@ -1,11 +1,11 @@
-package store
+package sharedstore
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"fennelarch/rules"
+	"fennelarch/policy/routing"
 )
 
 // A world stands round a Keeper: stores that answer anything at any time, sources, purges and a list, moved by draws. It
@@ -19,13 +19,13 @@
 	pending []*answer
 	timers  []Action
 	values  map[key]*value
-	states  map[rules.NodeID]rules.State
-	told    map[rules.NodeID]time.Duration
-	purges  map[rules.ObjectID]Stamp
+	states  map[routing.NodeID]routing.State
+	told    map[routing.NodeID]time.Duration
+	purges  map[routing.ObjectID]Stamp
 	leases  map[key]time.Duration
-	room    map[rules.NodeID]int
+	room    map[routing.NodeID]int
 	last    OpID
-	upRun   map[rules.NodeID]uint64
+	upRun   map[routing.NodeID]uint64
 	cmds    []time.Duration // to a store in its cold time
 	calm    bool            // nothing fails, for the end
 	kinds   map[string]int
@@ -33,8 +33,8 @@
 
 type wish struct {
 	op              OpID
-	node, source    rules.NodeID
-	object          rules.ObjectID
+	node, source    routing.NodeID
+	object          routing.ObjectID
 	at, due         time.Duration
 	least           Stamp
 	ends, forgotten int
@@ -47,32 +47,32 @@
 type answer struct {
 	a  Action
 	w  *wish
-	to rules.NodeID
+	to routing.NodeID
 	at time.Duration
 }
 
 type value struct{ born, valid Stamp }
 
 const (
-	storeS rules.NodeID = 11
-	storeT rules.NodeID = 12
-	srcP   rules.NodeID = 21
-	srcO   rules.NodeID = 22
+	storeS routing.NodeID = 11
+	storeT routing.NodeID = 12
+	srcP   routing.NodeID = 21
+	srcO   routing.NodeID = 22
 )
 
 const epoch Stamp = 1_700_000_000_000
 
 func newWorld(set Settings, draw func(int) int) *world {
-	w := &world{draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[rules.NodeID]rules.State{},
-		told: map[rules.NodeID]time.Duration{}, purges: map[rules.ObjectID]Stamp{}, leases: map[key]time.Duration{}, room: map[rules.NodeID]int{},
-		upRun: map[rules.NodeID]uint64{}, kinds: map[string]int{}}
+	w := &world{draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[routing.NodeID]routing.State{},
+		told: map[routing.NodeID]time.Duration{}, purges: map[routing.ObjectID]Stamp{}, leases: map[key]time.Duration{}, room: map[routing.NodeID]int{},
+		upRun: map[routing.NodeID]uint64{}, kinds: map[string]int{}}
 	set.Epoch = epoch
 	w.k = New(set, 7, storeS, storeT)
-	for _, n := range []rules.NodeID{storeS, storeT, srcP, srcO} {
-		w.states[n] = rules.Ready
-		w.tell(&Event{Kind: EventState, Node: n, State: rules.Ready})
+	for _, n := range []routing.NodeID{storeS, storeT, srcP, srcO} {
+		w.states[n] = routing.Ready
+		w.tell(&Event{Kind: EventState, Node: n, State: routing.Ready})
 	}
-	for _, n := range []rules.NodeID{storeS, storeT} {
+	for _, n := range []routing.NodeID{storeS, storeT} {
 		w.upRun[n] = 1
 		w.tell(&Event{Kind: EventUp, Node: n, Run: 1, Age: time.Hour})
 	}
@@ -96,7 +96,7 @@
 
 // command checks a command to a store.
 func (w *world) command(x *wish, a Action) {
-	if w.states[x.node] != rules.Ready && w.now > w.told[x.node] {
+	if w.states[x.node] != routing.Ready && w.now > w.told[x.node] {
 		w.fail("a command to a store that was told to leave")
 	}
 	if x.forgotten > 0 {
@@ -134,7 +134,7 @@
 		if x.filling {
 			w.fail("two fills of one leg")
 		}
-		if s := w.states[x.source]; s != rules.Ready && !(w.told[x.source] <= x.at && w.now-x.at <= w.k.set.DrainGrace/10) {
+		if s := w.states[x.source]; s != routing.Ready && !(w.told[x.source] <= x.at && w.now-x.at <= w.k.set.DrainGrace/10) {
 			w.fail("a fill from a source that was told to leave %v ago", w.now-w.told[x.source])
 		}
 		if x.source == 0 {
@@ -153,7 +153,7 @@
 			w.fail("leg %d ends again", a.Op)
 		}
 		w.kinds[fmt.Sprint("end ", a.Outcome)]++
-		if a.Outcome == rules.Succeeded {
+		if a.Outcome == routing.Succeeded {
 			from := w.asked[a.From]
 			if from == nil || from.object != x.object || from.forgotten > 0 {
 				w.fail("an answer from a copy that is not there")
@@ -162,7 +162,7 @@
 			if from.copy <= w.purges[x.object] {
 				w.fail("a copy from before a purge: %d, purged %d", from.copy, w.purges[x.object])
 			}
-			if a.Note == rules.NoteHit && from.copy < x.least {
+			if a.Note == routing.NoteHit && from.copy < x.least {
 				w.fail("a copy older than asked for")
 			}
 			if a.From != a.Op {
@@ -184,9 +184,9 @@
 	}
 }
 
-func (w *world) ask(source rules.NodeID, due, age time.Duration) *wish {
+func (w *world) ask(source routing.NodeID, due, age time.Duration) *wish {
 	w.last++
-	x := &wish{op: w.last, node: storeS, source: source, object: rules.ObjectID(1 + w.draw(3)), at: w.now, due: w.now + due}
+	x := &wish{op: w.last, node: storeS, source: source, object: routing.ObjectID(1 + w.draw(3)), at: w.now, due: w.now + due}
 	if age > 0 {
 		x.least = w.wall() - Stamp(age/ms)
 	}
@@ -204,13 +204,13 @@
 	at := key{x.object, 0}
 	if p.a.Kind == ActionFill {
 		x.filling = false
-		e := Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: rules.Succeeded, Note: rules.NoteHit, Size: 100, Born: w.wall()}
+		e := Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: routing.Succeeded, Note: routing.NoteHit, Size: 100, Born: w.wall()}
 		if n := w.draw(12); !w.calm && n < 4 {
-			e = Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: []rules.Outcome{rules.Missed, rules.Full, rules.Broken, rules.TimedOut}[n]}
+			e = Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: []routing.Outcome{routing.Missed, routing.Full, routing.Broken, routing.TimedOut}[n]}
 		} else if n < 6 {
 			e.Born -= Stamp(w.draw(4000)) // the source had it
 		}
-		if e.Outcome == rules.Succeeded && x.ends == 0 {
+		if e.Outcome == routing.Succeeded && x.ends == 0 {
 			x.copy = e.Born
 		}
 		w.tell(&e)
@@ -274,7 +274,7 @@
 func (w *world) step() {
 	switch n := w.draw(40); {
 	case n < 12:
-		w.ask([]rules.NodeID{srcP, srcP, srcO, 0}[w.draw(4)], time.Duration(20+w.draw(600))*ms, time.Duration(w.draw(3))*time.Second)
+		w.ask([]routing.NodeID{srcP, srcP, srcO, 0}[w.draw(4)], time.Duration(20+w.draw(600))*ms, time.Duration(w.draw(3))*time.Second)
 	case n < 28 && len(w.pending) > 0:
 		w.reply(w.draw(len(w.pending)))
 	case n < 34:
@@ -282,12 +282,12 @@
 	case n == 34:
 		w.pass(time.Duration(w.draw(2000)) * ms)
 	case n == 35:
-		o := rules.ObjectID(1 + w.draw(3))
+		o := routing.ObjectID(1 + w.draw(3))
 		w.purges[o] = w.wall()
 		w.k.Purged(w.now, Mark{Object: o, Issued: w.wall()})
 	case n == 36:
-		id := []rules.NodeID{storeS, srcP, srcO}[w.draw(3)]
-		to := rules.State(w.draw(3))
+		id := []routing.NodeID{storeS, srcP, srcO}[w.draw(3)]
+		to := routing.State(w.draw(3))
 		if w.states[id] != to {
 			w.states[id], w.told[id] = to, w.now
 			w.tell(&Event{Kind: EventState, Node: id, State: to})
@@ -318,9 +318,9 @@
 // finish answers all that is out, and looks whether anything is left.
 func (w *world) finish() {
 	w.calm = true
-	for _, id := range []rules.NodeID{storeS, srcP, srcO} {
-		w.states[id] = rules.Ready
-		w.tell(&Event{Kind: EventState, Node: id, State: rules.Ready})
+	for _, id := range []routing.NodeID{storeS, srcP, srcO} {
+		w.states[id] = routing.Ready
+		w.tell(&Event{Kind: EventState, Node: id, State: routing.Ready})
 	}
 	w.tell(&Event{Kind: EventUp, Node: storeS, Run: w.upRun[storeS], Age: time.Hour})
 	for i := 0; i < 4000 && w.k.Open() > 0; i++ {
