--- a/cmd/fennelarch/doors.go
+++ b/cmd/fennelarch/doors.go
@@ -20,16 +20,16 @@
 func admits(own *operatorconfig.File, c *config.Config) (admission.Settings, error) {
 	a := own.Admission
 	if a == nil {
-		return admission.Settings{Tell: c.Rules.RetryAfter, MaxWait: c.Rules.MaxWait}, nil
+		return admission.Settings{SendRetryAfter: c.Routing.RetryAfter, MaxRetryAfter: c.Routing.MaxRetryAfter}, nil
 	}
 	known, err := peers(a.Known)
 	if err != nil {
 		return admission.Settings{}, err
 	}
-	set := admission.Settings{Reserve: a.Reserve, PerPeer: a.PerAddress, PerSecond: a.PerSecond, Burst: a.Burst, Views: a.Views,
-		AllViews: a.AllViews, Handshakes: a.Handshakes, HandshakeCPU: a.HandshakeCPU, Remember: a.Remember, Tell: c.Rules.RetryAfter,
-		MaxWait: c.Rules.MaxWait, Listed: known}
-	return set.Whole(), nil
+	set := admission.Settings{Reserve: a.Reserve, ConnectionsPerPeer: a.PerAddress, NewPerPeerPerSecond: a.NewPerSecond, Burst: a.Burst, RequestsPerPeer: a.RequestsPerAddress,
+		MaxRequests: a.Requests, MaxHandshakes: a.Handshakes, HandshakeCPU: a.HandshakeCPU, MaxRememberedPeers: a.Remember, SendRetryAfter: c.Routing.RetryAfter,
+		MaxRetryAfter: c.Routing.MaxRetryAfter, IsKnown: known}
+	return set.WithDefaults(), nil
 }
 
 // peers reads the operator's list of addresses and networks.
@@ -57,21 +57,21 @@
 	}, nil
 }
 
-func files(t *operatorconfig.FrontTLS) frontend.Files {
-	f := frontend.Files{Cert: t.CertFile, Key: t.KeyFile, ClientCA: t.ClientCAFile, Required: t.Client == "required"}
+func files(t *operatorconfig.FrontendTLS) frontend.TLSFiles {
+	f := frontend.TLSFiles{Cert: t.CertFile, Key: t.KeyFile, ClientCA: t.ClientCAFile, ClientCertRequired: t.Client == "required"}
 	if t.MinVersion == "1.3" {
-		f.Min = tls.VersionTLS13
+		f.MinVersion = tls.VersionTLS13
 	}
 	return f
 }
 
-func newDoors(own *operatorconfig.File, c *config.Config) (d frontend.Doors, err error) {
-	d.FlowKB = c.Rules.FlowKB
+func newDoors(own *operatorconfig.File, c *config.Config) (d frontend.Options, err error) {
+	d.FlowKBPerSecond = c.Routing.FlowKBPerSecond
 	if d.Admission, err = admits(own, c); err != nil {
 		return d, err
 	}
 	if own.TLS != nil {
-		d.Keys, err = frontend.LoadKeys(files(own.TLS))
+		d.Keys, err = frontend.LoadTLSKeys(files(own.TLS))
 		if err != nil {
 			err = fmt.Errorf("operator's file: tls: %w", err)
 		}
@@ -80,12 +80,12 @@
 }
 
 // reloadOwn reads the operator's file again and returns the one in force.
-func reloadOwn(path string, own *operatorconfig.File, c *config.Config, st stores, server *frontend.Server, d frontend.Doors) (*operatorconfig.File, error) {
+func reloadOwn(path string, own *operatorconfig.File, c *config.Config, st stores, server *frontend.Server, d frontend.Options) (*operatorconfig.File, error) {
 	to, err := operatorconfig.Load(path)
 	if err != nil {
 		return own, err
 	}
-	if part := own.Frozen(to); part != "" {
+	if part := own.ImmutableChange(to); part != "" {
 		return own, fmt.Errorf("cannot_change while the router runs: %s", part)
 	}
 	set, err := admits(to, c)
@@ -97,18 +97,18 @@
 			return own, err
 		}
 	}
-	server.Admit(set)
+	server.UpdateAdmission(set)
 	st.reload(to, c)
 	return to, nil
 }
 
 // doorsSummary tells of connections where the operator's file has anything about them, or where something was turned back.
 func doorsSummary(own *operatorconfig.File, s *frontend.Server, log *zap.Logger) {
-	n, mode := s.Doors()
+	n, mode := s.AdmissionStatus()
 	if own.Admission == nil && n.Exhausted == 0 {
 		return
 	}
-	log.Info("admission", zap.String("mode", mode), zap.Uint64("taken", n.Taken), zap.Uint64("refused", n.Refused),
-		zap.Uint64("dropped", n.Dropped), zap.Uint64("ended", n.Ended), zap.Uint64("views_refused", n.ViewsRefused),
+	log.Info("admission", zap.String("mode", mode), zap.Uint64("taken", n.Accepted), zap.Uint64("refused", n.Rejected),
+		zap.Uint64("dropped", n.Dropped), zap.Uint64("ended", n.ClosedIdle), zap.Uint64("views_refused", n.RequestsRejected),
 		zap.Uint64("exhausted", n.Exhausted), zap.Uint64("handshakes", n.Handshakes))
 }
--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -50,7 +50,7 @@
 	if err := fits(own, c); err != nil {
 		return err
 	}
-	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n", c.Name, c.Listen, len(c.Rules.Tariffs), c.Cores, c.MemoryMB,
+	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n", c.Name, c.Listen, len(c.Routing.Classes), c.Cores, c.MemoryMB,
 		c.Sockets)
 	for _, s := range own.Stores {
 		fmt.Printf("store %s at %s\n", s.UID, strings.Join(s.Addresses, ", "))
--- a/cmd/fennelarch/serve.go
+++ b/cmd/fennelarch/serve.go
@@ -52,46 +52,46 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur >= 32 && files.Cur < uint64(c.Sockets) {
 		c.Sockets = int(files.Cur)
 	}
-	told := limits.Told{Cores: c.Cores, MemoryMB: c.MemoryMB, Sockets: c.Sockets, Streams: c.Names.Streams,
-		Connect: c.Rules.ConnectLimit, Idle: c.Names.Idle, Drain: c.Rules.DrainGrace, Purge: c.Rules.PurgeGrace}
-	for _, t := range c.Rules.Tariffs {
-		told.LongestHard = max(told.LongestHard, t.Hard)
+	told := limits.Inputs{Cores: c.Cores, MemoryMB: c.MemoryMB, Sockets: c.Sockets, StreamsPerConnection: c.Names.StreamsPerConnection,
+		ConnectTimeout: c.Routing.ConnectTimeout, IdleTimeout: c.Names.IdleTimeout, DrainGrace: c.Routing.DrainGrace, PurgeGrace: c.Routing.PurgeGrace}
+	for _, t := range c.Routing.Classes {
+		told.LongestDeadline = max(told.LongestDeadline, t.Deadline)
 	}
 	lim := limits.From(told)
 	runtime.GOMAXPROCS(int(math.Ceil(lim.Cores)))
 	debug.SetMemoryLimit(lim.Memory * 3 / 4)
 
-	log, flush := newLog(lim.Lines, lim.Flush)
+	log, flush := newLog(lim.LogQueue, lim.FlushTimeout)
 	defer flush()
 	log = log.With(zap.String("router", c.Name))
 
 	var eng *engine.Engine
-	offer := func(at time.Time, what any) (taken bool) { return eng.Post(at, what) }
-	post := func(at time.Time, what any) { eng.Post(at, what) }
+	offer := func(at time.Time, message engine.Message) (taken bool) { return eng.Post(at, message) }
+	post := func(at time.Time, message engine.Message) { eng.Post(at, message) }
 	start := time.Now()
 	monitor := newMonitor(c.Name, recorderFolder, log)
 	go watchStalls(context.Background(), monitor, log)
 	stores := newStores(own, c, lim, start, post, log)
-	pool := upstream.New(lim, c.Names, c.Rules.Reports == routing.ViaProbe, stores.inner(post), log)
-	eng = engine.New(c.Rules, c.Seed, lim.Queue, start, stores.over(pool),
-		engine.Own{Bytes: lim.Copies, Flow: c.Flow, Link: c.Link, Forget: lim.Forget}, log)
-	eng.Guarded(monitor, stores.stepped)
+	pool := upstream.New(lim, c.Names, c.Routing.ReportChannel == routing.ReportsWithHealthChecks, stores.inner(post), log)
+	eng = engine.New(c.Routing, c.Seed, lim.EventQueue, start, stores.over(pool),
+		engine.LocalCacheSettings{Bytes: lim.LocalCacheBytes, FlowBytesPerSecond: c.FlowBytesPerSecond, LinkBytesPerSecond: c.LinkBytesPerSecond, MaxInFlight: lim.ForgetAfter}, log)
+	eng.SetMonitor(monitor, stores.stepped)
 	eng.Start(0)
-	var doors frontend.Doors
+	var doors frontend.Options
 	err = begins.read(func() (err error) { doors, err = newDoors(own, c); return err })
 	if err != nil {
 		return err
 	}
-	doors.Lag, doors.Guard = eng.Lag, monitor
-	server := frontend.New(lim, c.Names, c.Rules.Tariffs, doors, offer, log)
-	pool.Short, server.Relieve, pool.Guard = server.Short, pool.Relieve, monitor
+	doors.EventQueueDelay, doors.Monitor = eng.EventQueueDelay, monitor
+	server := frontend.New(lim, c.Names, c.Routing.Classes, doors, offer, log)
+	pool.OnDescriptorShortage, server.OnDescriptorShortage, pool.Monitor = server.ReportDescriptorShortage, pool.CloseIdle, monitor
 
-	follower := discovery.New(lim, c.Names, c.Bulletin, log)
-	follower.Watch = monitor.Watch()
+	follower := discovery.New(lim, c.Names, c.DiscoveryAddress, log)
+	follower.Stalls = monitor.Watch()
 	stores.follow(follower)
-	if len(c.Known) > 0 {
-		known, cut := discovery.Known(c.Known)
-		err := follower.Take(&known, engine.LongTold, func(what any) { eng.Handle(0, engine.Event{What: stores.told(what)}) })
+	if len(c.KnownEvents) > 0 {
+		known, cut := discovery.ParseKnown(c.KnownEvents)
+		err := follower.Apply(&known, engine.AgeBeforeStart, func(message engine.Message) { eng.Handle(0, engine.Event{Message: stores.told(message)}) })
 		if err := errors.Join(cut, err); err != nil { // the bulletin tells the rest
 			log.Warn("configuration: known: not all of it can be read", zap.Error(err))
 		}
@@ -104,14 +104,14 @@
 	var inForce atomic.Pointer[operatorconfig.File] // it changes while summaries are made
 	inForce.Store(own)
 	done := make(chan struct{}) // never: the engine answers to the last
-	go eng.Run(done, lim.Summary, func(n engine.Counts) {
-		summary(log, n, server.Count(), pool.Count(), monitor)
+	go eng.Run(done, lim.SummaryInterval, func(n engine.Counts) {
+		summary(log, n, server.ConnectionCount(), pool.ConnectionCount(), monitor)
 		stores.summary(log)
 		doorsSummary(inForce.Load(), server, log)
 	})
 	go dumpAtSignal(dump, monitor, c.Name, recorderFolder, log)
 	go stores.run(context.Background())
-	go follower.Run(context.Background(), func(at time.Time, what any) { post(at, stores.told(what)) })
+	go follower.Run(context.Background(), func(at time.Time, message engine.Message) { post(at, stores.told(message)) })
 	deaf := make(chan error, 1) // the listener is never closed while the router runs
 	go func() { deaf <- server.Serve(ln) }()
 	log.Info("started", zap.String("listen", c.Listen), zap.Float64("cores", lim.Cores), zap.Int64("memory", lim.Memory),
@@ -142,15 +142,15 @@
 			running = false
 		}
 	}
-	log.Info("stopping", zap.Int("open", eng.Open()))
+	log.Info("stopping", zap.Int("open", eng.InFlight()))
 	begun := time.Now()
-	eng.Post(begun, engine.Stop{After: lim.Stop})
-	time.Sleep(lim.Linger)
-	server.End()
-	for (eng.Open() > 0 || server.Left() > 0) && time.Since(begun) < lim.Stop+lim.Flush {
-		time.Sleep(lim.Pause)
+	eng.Post(begun, engine.Shutdown{Grace: lim.ShutdownGrace})
+	time.Sleep(lim.ShutdownLinger)
+	server.Drain()
+	for (eng.InFlight() > 0 || server.UnclosedCount() > 0) && time.Since(begun) < lim.ShutdownGrace+lim.FlushTimeout {
+		time.Sleep(lim.RecheckInterval)
 	}
-	log.Info("stopped", zap.Int("open", eng.Open()))
+	log.Info("stopped", zap.Int("open", eng.InFlight()))
 	return failed
 }
 
@@ -158,15 +158,15 @@
 
 // reloadConfig takes over from the configuration what may change while the router runs: the bulletin's address. Nothing else of it
 // acts before the next start, and the log says so where something else has changed.
-func reloadConfig(follower *discovery.Follower, old *config.Config, log *zap.Logger) error {
+func reloadConfig(follower *discovery.Watcher, old *config.Config, log *zap.Logger) error {
 	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	if c.Fixed != old.Fixed {
+	if c.Immutable != old.Immutable {
 		log.Warn("configuration: only the bulletin's address is taken before the next start")
 	}
-	follower.Move(c.Bulletin)
+	follower.SetAddress(c.DiscoveryAddress)
 	return nil
 }
 
@@ -174,8 +174,8 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	violated, closed := monitor.Counts()
-	log.Info("summary", zap.Uint64("views", n.Views), zap.Uint64("succeeded", n.Succeeded),
-		zap.Uint64("turned_back", n.TurnedBack), zap.Uint64("terminated", n.Terminated), zap.Uint64("gone", n.Gone),
-		zap.Uint64("legs", n.Legs), zap.Uint64("own", n.Own), zap.Int64("open", n.Open), zap.Duration("lag", n.Lag), zap.Int("clients", clients),
+	log.Info("summary", zap.Uint64("views", n.Requests), zap.Uint64("succeeded", n.Succeeded),
+		zap.Uint64("turned_back", n.Rejected), zap.Uint64("terminated", n.Failed), zap.Uint64("gone", n.ClientCancelled),
+		zap.Uint64("legs", n.Attempts), zap.Uint64("own", n.LocalCacheHits), zap.Int64("open", n.InFlight), zap.Duration("lag", n.EventQueueDelay), zap.Int("clients", clients),
 		zap.Int("nodes", nodes), zap.Uint64("memory_mb", m.Sys>>20), zap.Uint64("violations", monitor.Violations()), zap.Any("violated", violated), zap.Any("closed", closed))
 }
--- a/cmd/fennelarch/serve_test.go
+++ b/cmd/fennelarch/serve_test.go
@@ -200,7 +200,7 @@
   "probes":true,"retry_after":true,"second_copies":true},
  "classes":[{"name":"clip","aim_stretch":1.6,"deadline_ms":5000,"target_ms":400,"importance":2,"late_worth":0.15,"effect":"retryable"},
   {"name":"signoff","deadline_ms":3000,"target_ms":700,"importance":3,"effect":"fragile"}],
- "policy/routing":{"drain_grace_ms":300,"start_capacity":0.3,"cold_ms":10000,"fall_multiple":2.5,"overload_for_ms":3000},
+ "rules":{"drain_grace_ms":300,"start_capacity":0.3,"cold_ms":10000,"fall_multiple":2.5,"overload_for_ms":3000},
  "specifics":{"class_write":[false,true],"flow_kb_per_s":3000,"gone_everywhere_ms":6000,"lifetime_by_class_ms":[0,0],"may_pass_by":true,
   "merges_fills":false,"neighbours":"any","parent_floor":0.1,"parent_ramp_ms":20000,"upper_fall_multiple":2,"purge_grace_ms":1000,
   "root_kind":2,"second_tier_kind":1,"says":"all","seats_by_zone":[1,0],"origin_limit_factor":2.5,"origin_bears_ms":3000}}`
--- a/cmd/fennelarch/stores.go
+++ b/cmd/fennelarch/stores.go
@@ -20,11 +20,11 @@
 )
 
 // stores is nothing where there are none.
-type stores struct{ *sharedstore.Carrier }
+type stores struct{ *sharedstore.Transport }
 
 // fits says whether the installation can have what the operator's file wants.
 func fits(own *operatorconfig.File, c *config.Config) error {
-	if len(own.Stores) > 0 && !c.Rules.Direct {
+	if len(own.Stores) > 0 && !c.Routing.AllowDirect {
 		return errors.New("operator's file: stores: the settings do not let this router ask parents itself (may_pass_by), " +
 			"so it could not fill a store")
 	}
@@ -34,12 +34,12 @@
 // shared is what the operator's file says of stores, for the decisions.
 func shared(own *operatorconfig.File, c *config.Config, lim limits.Limits) decide.Settings {
 	s := own.Shared
-	set := decide.Settings{Routers: s.Routers, Capacity: s.Capacity, ColdShare: s.ColdShare, ColdFor: operatorconfig.Millis(s.ColdMS),
-		Multiple: s.Multiple, Most: s.Most, Bytes: lim.Object, Life: operatorconfig.Millis(s.KeepMS), Lease: s.Lease == nil || *s.Lease}
-	return set.Whole(&c.Rules)
+	set := decide.Settings{Routers: s.Routers, Capacity: s.Capacity, SlowStartShare: s.SlowStartShare, SlowStartFor: operatorconfig.Milliseconds(s.SlowStartMS),
+		OverloadFactor: s.OverloadFactor, MaxInFlight: s.MaxInFlight, MaxValueBytes: lim.ResponseBodyBytes, MaxTTL: operatorconfig.Milliseconds(s.KeepMS), Lease: s.Lease == nil || *s.Lease}
+	return set.WithDefaults(&c.Routing)
 }
 
-func newStores(own *operatorconfig.File, c *config.Config, lim limits.Limits, start time.Time, post func(time.Time, any),
+func newStores(own *operatorconfig.File, c *config.Config, lim limits.Limits, start time.Time, post func(time.Time, engine.Message),
 	log *zap.Logger) stores {
 	if len(own.Stores) == 0 {
 		return stores{}
@@ -49,53 +49,53 @@
 		list = append(list, sharedstore.Store{UID: s.UID, Addresses: s.Addresses, Listed: s.Listed, Weight: s.Weight, Prefix: s.Prefix,
 			Login: sharedstore.NewLogin(s.User, s.Password, s.Database), TLS: s.Secure})
 	}
-	return stores{sharedstore.New(lim, c.Rules, shared(own, c, lim), c.Seed, list, start, post, log)}
+	return stores{sharedstore.New(lim, c.Routing, shared(own, c, lim), c.Seed, list, start, post, log)}
 }
 
 // inner is where the carrier of all other nodes posts.
-func (s stores) inner(post func(time.Time, any)) func(time.Time, any) {
-	if s.Carrier == nil {
+func (s stores) inner(post func(time.Time, engine.Message)) func(time.Time, engine.Message) {
+	if s.Transport == nil {
 		return post
 	}
 	return s.Post
 }
 
 // over is what the engine drives.
-func (s stores) over(rest engine.Caches) engine.Caches {
-	if s.Carrier == nil {
+func (s stores) over(rest engine.Transport) engine.Transport {
+	if s.Transport == nil {
 		return rest
 	}
 	s.Over(rest)
-	return s.Carrier
+	return s.Transport
 }
 
-func (s stores) told(what any) any {
-	if s.Carrier == nil {
-		return what
+func (s stores) told(message engine.Message) engine.Message {
+	if s.Transport == nil {
+		return message
 	}
-	return s.Told(what)
+	return s.Told(message)
 }
 
-func (s stores) follow(f *discovery.Follower) {
-	if s.Carrier != nil {
-		f.Current, f.Gap = s.Current, s.Gap
+func (s stores) follow(f *discovery.Watcher) {
+	if s.Transport != nil {
+		f.OnCurrent, f.OnGap = s.Current, s.Gap
 	}
 }
 
 func (s stores) stepped(by time.Duration) {
-	if s.Carrier != nil {
+	if s.Transport != nil {
 		s.Stepped(by)
 	}
 }
 
 func (s stores) run(ctx context.Context) {
-	if s.Carrier != nil {
+	if s.Transport != nil {
 		s.Run(ctx)
 	}
 }
 
 func (s stores) summary(log *zap.Logger) {
-	if s.Carrier == nil {
+	if s.Transport == nil {
 		return
 	}
 	n := s.Counts()
@@ -107,7 +107,7 @@
 
 // reload takes over what may change of the operator's file.
 func (s stores) reload(own *operatorconfig.File, c *config.Config) {
-	if s.Carrier != nil {
+	if s.Transport != nil {
 		s.Set(shared(own, c, s.Limits()))
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,19 +16,19 @@
 
 // Config is what a router of the service is told at its start.
 type Config struct {
-	Name     string
-	Listen   string
-	Bulletin string
-	Seed     uint64
-	Cores    float64
-	MemoryMB int
-	Sockets  int
-	Flow     float64         // bytes a second of one transfer from the router's own memory
-	Link     float64         // and of all together
-	Known    json.RawMessage // the bulletin's events so far
-	Rules    routing.Settings
-	Names    Names
-	Fixed    string // all that holds until the next start, as text
+	Name               string
+	Listen             string
+	DiscoveryAddress   string
+	Seed               uint64
+	Cores              float64
+	MemoryMB           int
+	Sockets            int
+	FlowBytesPerSecond float64         // bytes a second of one transfer from the router's own memory
+	LinkBytesPerSecond float64         // and of all together
+	KnownEvents        json.RawMessage // the bulletin's events so far
+	Routing            routing.Settings
+	Names              Names
+	Immutable          string // all that holds until the next start, as text
 }
 
 // Load reads the environment and the file that it names.
@@ -64,8 +64,8 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, plain("configuration", text, err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Bulletin: f.Bulletin, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, Flow: f.Flow, Link: f.Link, Known: f.Known}
+	c := &Config{Name: f.Name, Listen: f.Listen, DiscoveryAddress: f.Bulletin, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
+		Sockets: f.Limits.Sockets, FlowBytesPerSecond: f.Flow, LinkBytesPerSecond: f.Link, KnownEvents: f.Known}
 	if name != "" {
 		c.Name = name
 	}
@@ -84,11 +84,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c.Fixed = string(fixed)
+	c.Immutable = string(fixed)
 	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("configuration: seed %q is not hexadecimal", f.Seed)
 	}
-	for _, a := range []struct{ what, address string }{{"listen", c.Listen}, {"bulletin", c.Bulletin}} {
+	for _, a := range []struct{ what, address string }{{"listen", c.Listen}, {"bulletin", c.DiscoveryAddress}} {
 		if _, _, err := net.SplitHostPort(a.address); err != nil {
 			return nil, fmt.Errorf("configuration: %s: %w", a.what, err)
 		}
@@ -99,10 +99,10 @@
 	if len(f.Settings) == 0 {
 		return nil, errors.New("configuration: settings are missing")
 	}
-	if c.Rules, c.Names, err = Decode(f.Settings); err != nil {
+	if c.Routing, c.Names, err = Decode(f.Settings); err != nil {
 		return nil, err
 	}
-	if len(c.Rules.Tariffs) == 0 {
+	if len(c.Routing.Classes) == 0 {
 		return nil, errors.New("settings: no classes")
 	}
 	return c, nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -60,7 +60,7 @@
 		Multiple  float64 `json:"fall_multiple"`
 		FallFor   float64 `json:"overload_for_ms"`
 		ColdShare float64 `json:"start_capacity"`
-	} `json:"policy/routing"`
+	} `json:"rules"`
 	Own struct {
 		Write          []bool    `json:"class_write"`
 		Flow           float64   `json:"flow_kb_per_s"`
@@ -85,13 +85,13 @@
 }
 
 var (
-	effects = map[string]routing.Effect{"retryable": routing.Harmless, "dedup": routing.Stamped, "fragile": routing.OneShot}
-	scopes  = map[string]routing.Scope{"all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
-	reaches = map[string]routing.Reach{"location": routing.ReachLocation, "any": routing.ReachAny}
-	tells   = map[string]routing.Tells{"hit": routing.TellsHit, "all": routing.TellsAll}
-	vias    = map[string]routing.Via{"answers": routing.ViaAnswers, "probe": routing.ViaProbe}
-	signals = map[string]routing.Signal{"busy_reqs": routing.SignalHeld, "pending": routing.SignalQueued,
-		"cpu_share": routing.SignalBusy, "x0": routing.SignalHits, "x1": routing.SignalPipe}
+	effects = map[string]routing.Idempotency{"retryable": routing.Idempotent, "dedup": routing.IdempotentWithKey, "fragile": routing.NonIdempotent}
+	scopes  = map[string]routing.DedupScope{"all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeCell}
+	reaches = map[string]routing.PeerFill{"location": routing.PeerFillLocation, "any": routing.PeerFillAny}
+	tells   = map[string]routing.ResponseDetail{"hit": routing.DetailHit, "all": routing.DetailFull}
+	vias    = map[string]routing.ReportChannel{"answers": routing.ReportsWithResponses, "probe": routing.ReportsWithHealthChecks}
+	signals = map[string]routing.Signal{"busy_reqs": routing.SignalInFlight, "pending": routing.SignalQueued,
+		"cpu_share": routing.SignalUtilization, "x0": routing.SignalHits, "x1": routing.SignalLinkUtilization}
 )
 
 func at[T any](list []T, i int) (v T) {
@@ -110,10 +110,10 @@
 
 // Names are what the settings call things, by place, and the figures that only connections need.
 type Names struct {
-	Tariffs, Tenants, Zones, Kinds, Columns []string
+	Classes, Tenants, Zones, Kinds, Columns []string
 
-	Idle    time.Duration // idle connections are closed after this
-	Streams int           // legs that one connection carries at a time
+	IdleTimeout          time.Duration // idle connections are closed after this
+	StreamsPerConnection int           // legs that one connection carries at a time
 }
 
 // plain words what is wrong with a text, and where.
@@ -131,8 +131,8 @@
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// Span is a time in milliseconds; one that is not a number or far off is 0.
-func Span(ms float64) time.Duration {
+// Milliseconds is a time in milliseconds; one that is not a number or far off is 0.
+func Milliseconds(ms float64) time.Duration {
 	if !(ms > -1e12) {
 		return 0
 	}
@@ -145,25 +145,25 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return routing.Settings{}, Names{}, plain("settings", text, err)
 	}
-	names := Names{Zones: c.Zones, Kinds: c.Kinds, Columns: c.Report.Columns, Idle: Span(c.Caps.Idle), Streams: c.Caps.Streams}
+	names := Names{Zones: c.Zones, Kinds: c.Kinds, Columns: c.Report.Columns, IdleTimeout: Milliseconds(c.Caps.Idle), StreamsPerConnection: c.Caps.Streams}
 	s := routing.Settings{
-		Routers: c.Instances, Zone: routing.ZoneID(c.Zone), ZoneRouters: c.Own.Seats, ZoneInlet: c.Own.Inlet,
+		Routers: c.Instances, Zone: routing.ZoneID(c.Zone), ZoneRouters: c.Own.Seats, ZoneIngressKBPerSecond: c.Own.Inlet,
 		ParentKind: kind(c.Own.Parent), OriginKind: kind(c.Own.Origin),
-		Probes: c.Caps.Probes, Cancel: c.Caps.Cancel, SecondCopies: c.Caps.Second, RetryAfter: c.Caps.RetryAfter,
-		Legs: c.Caps.Tries, MaxWait: Span(c.Caps.MaxWait), ConnectLimit: Span(c.Caps.Connect),
-		AskForList: c.Registry == "subscribe", AskWithin: Span(c.Rules.AskWithin),
-		DrainGrace: Span(c.Rules.Drain), ColdShare: c.Rules.ColdShare, ColdFor: Span(c.Rules.Cold),
-		FallMultiple: c.Rules.Multiple, FallFor: Span(c.Rules.FallFor),
-		ParentColdShare: c.Own.ParentFloor, ParentColdFor: Span(c.Own.ParentRamp),
-		ParentFallMultiple: c.Own.ParentMultiple,
-		OriginFallMultiple: c.Own.OriginMultiple, OriginFallFor: Span(c.Own.OriginFor),
-		PurgeGrace: Span(c.Own.PurgeGrace), PurgeDone: Span(c.Own.Done),
-		Direct: c.Own.Direct, Joins: c.Own.Joins, Siblings: reaches[c.Own.Neighbours],
-		Tells: tells[c.Own.Says], FlowKB: c.Own.Flow, Reports: vias[c.Report.Via],
-		WeightIsLink: c.Own.Flow > 0 && (c.Weights == "nominal" || c.Weights == "rough"),
+		HealthChecks: c.Caps.Probes, Cancel: c.Caps.Cancel, HedgedRequests: c.Caps.Second, RetryAfter: c.Caps.RetryAfter,
+		MaxAttempts: c.Caps.Tries, MaxRetryAfter: Milliseconds(c.Caps.MaxWait), ConnectTimeout: Milliseconds(c.Caps.Connect),
+		PollEndpoints: c.Registry == "subscribe", PollInterval: Milliseconds(c.Rules.AskWithin),
+		DrainGrace: Milliseconds(c.Rules.Drain), SlowStartShare: c.Rules.ColdShare, SlowStartFor: Milliseconds(c.Rules.Cold),
+		OverloadFactor: c.Rules.Multiple, OverloadWindow: Milliseconds(c.Rules.FallFor),
+		ParentSlowStartShare: c.Own.ParentFloor, ParentSlowStartFor: Milliseconds(c.Own.ParentRamp),
+		ParentOverloadFactor: c.Own.ParentMultiple,
+		OriginOverloadFactor: c.Own.OriginMultiple, OriginOverloadWindow: Milliseconds(c.Own.OriginFor),
+		PurgeGrace: Milliseconds(c.Own.PurgeGrace), PurgeCompleteAfter: Milliseconds(c.Own.Done),
+		AllowDirect: c.Own.Direct, CoalesceFills: c.Own.Joins, PeerFill: reaches[c.Own.Neighbours],
+		ResponseDetail: tells[c.Own.Says], FlowKBPerSecond: c.Own.Flow, ReportChannel: vias[c.Report.Via],
+		WeightIsLinkCapacity: c.Own.Flow > 0 && (c.Weights == "nominal" || c.Weights == "rough"),
 	}
 	for _, name := range c.Report.Columns {
-		s.Columns = append(s.Columns, signals[name])
+		s.ReportColumns = append(s.ReportColumns, signals[name])
 	}
 	for i, k := range c.Classes {
 		effect, known := effects[k.Effect]
@@ -171,24 +171,24 @@
 			return s, names, fmt.Errorf("settings.classes.%d: the unknown effect %q", i, k.Effect)
 		}
 		scope, known := scopes[k.Group]
-		if effect == routing.Stamped && !known {
-			effect = routing.OneShot // who drops its repeats is not known: nobody may be taken to
+		if effect == routing.IdempotentWithKey && !known {
+			effect = routing.NonIdempotent // who drops its repeats is not known: nobody may be taken to
 		}
-		if slices.Contains(names.Tariffs, k.Name) {
+		if slices.Contains(names.Classes, k.Name) {
 			return s, names, fmt.Errorf("settings.classes.%d: there is a class %q before it", i, k.Name)
 		}
 		if k.Deadline <= 0 {
 			return s, names, fmt.Errorf("settings.classes.%d: a deadline of %g ms", i, k.Deadline)
 		}
-		names.Tariffs = append(names.Tariffs, k.Name)
-		s.Tariffs = append(s.Tariffs, routing.Tariff{
-			Due: Span(k.Target), DueStretch: k.Stretch, Hard: Span(k.Deadline), Payoff: k.Worth, LatePayoff: k.Late,
-			Effect: effect, Scope: scope, Window: Span(k.Window), Stream: k.Stream,
-			Write: at(c.Own.Write, i), Fresh: Span(at(c.Own.Fresh, i)), Grace: Span(at(c.Own.Older, i)),
+		names.Classes = append(names.Classes, k.Name)
+		s.Classes = append(s.Classes, routing.Class{
+			LatencyObjective: Milliseconds(k.Target), ObjectiveStretch: k.Stretch, Deadline: Milliseconds(k.Deadline), Value: k.Worth, LateValue: k.Late,
+			Idempotency: effect, DedupScope: scope, DedupWindow: Milliseconds(k.Window), Stream: k.Stream,
+			Write: at(c.Own.Write, i), FreshFor: Milliseconds(at(c.Own.Fresh, i)), MaxStale: Milliseconds(at(c.Own.Older, i)),
 		})
 	}
 	for _, t := range c.Tenants {
-		s.Tenants = append(s.Tenants, routing.Tenant{Allowance: t.Allowance})
+		s.Tenants = append(s.Tenants, routing.Tenant{QuotaPerSecond: t.Allowance})
 		names.Tenants = append(names.Tenants, t.Name)
 	}
 	return s, names, nil
--- a/internal/discovery/bulletin.go
+++ b/internal/discovery/bulletin.go
@@ -35,12 +35,12 @@
 
 // Page is what a poll brings, and what the configuration knows at the start.
 type Page struct {
-	No    int64  `json:"no"`
-	Items []Item `json:"items"`
+	No    int64        `json:"no"`
+	Items []WatchEvent `json:"items"`
 }
 
-// Item is one event.
-type Item struct {
+// WatchEvent is one event.
+type WatchEvent struct {
 	No     int64   `json:"no"`
 	Roster *roster `json:"roster"`
 	Recall *recall `json:"recall"`
@@ -82,8 +82,8 @@
 	Issued int64  `json:"issued"`
 }
 
-// Follower follows the bulletin.
-type Follower struct {
+// Watcher follows the bulletin.
+type Watcher struct {
 	limits  limits.Limits
 	names   config.Names
 	log     *zap.Logger
@@ -92,10 +92,10 @@
 	current time.Time // when all that was told by then was last known, zero: not in this process
 	behind  time.Time // since when pages end before the last event, zero: they do not
 
-	Current func(asOf time.Time) // if set, is called when all that was told before a moment has been passed on
-	Gap     func()               // if set, is called when something was told that will never be
-	Watch   *stalldetect.Watch   // if set, notices that the process stood still while a poll waited
-	dial    func(ctx context.Context, network, address string) (net.Conn, error)
+	OnCurrent func(asOf time.Time) // if set, is called when all that was told before a moment has been passed on
+	OnGap     func()               // if set, is called when something was told that will never be
+	Stalls    *stalldetect.Watch   // if set, notices that the process stood still while a poll waited
+	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu      sync.Mutex
 	address string
@@ -103,12 +103,12 @@
 }
 
 // New returns a follower of the bulletin at an address, that has seen nothing.
-func New(l limits.Limits, n config.Names, address string, log *zap.Logger) *Follower {
-	return &Follower{limits: l, names: n, address: address, log: log, dial: system.DialContext}
+func New(l limits.Limits, n config.Names, address string, log *zap.Logger) *Watcher {
+	return &Watcher{limits: l, names: n, address: address, log: log, dial: system.DialContext}
 }
 
-// Move makes it follow the bulletin at another address, from the event that it has come to: the numbers go on.
-func (f *Follower) Move(address string) {
+// SetAddress makes it follow the bulletin at another address, from the event that it has come to: the numbers go on.
+func (f *Watcher) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.address == address {
@@ -121,27 +121,27 @@
 }
 
 // at begins a stay at the address of the moment; a move ends it.
-func (f *Follower) at(ctx context.Context) (stay context.Context, address string, end context.CancelFunc) {
+func (f *Watcher) at(ctx context.Context) (stay context.Context, address string, end context.CancelFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	stay, f.drop = context.WithCancel(ctx)
 	return stay, f.address, f.drop
 }
 
-var states = map[string]routing.State{"gone": routing.Gone, "ready": routing.Ready, "draining": routing.Draining}
+var states = map[string]routing.EndpointState{"gone": routing.Gone, "ready": routing.Ready, "draining": routing.Draining}
 
-// Take passes on the events of a page that are new. Where one is missing, what follows waits for the next page; if it is
+// Apply passes on the events of a page that are new. Where one is missing, what follows waits for the next page; if it is
 // missing there too, it is gone. Numbers that stay behind for long are those of a new bulletin, whose first event is a whole list;
 // for a moment, they are those of one that has not caught up yet, and tell what is no longer so. An event that can't be read is
 // passed over, and told in the end. Ago is how long ago the events may have been told.
-func (f *Follower) Take(p *Page, ago time.Duration, pass func(what any)) (unread error) {
+func (f *Watcher) Apply(p *Page, ago time.Duration, pass func(message engine.Message)) (unread error) {
 	switch now := time.Now(); {
 	case p.No <= 0 || p.No >= f.last:
 		f.behind = time.Time{}
-	case f.behind.IsZero() && f.limits.Rewind > 0:
+	case f.behind.IsZero() && f.limits.DiscoveryRewindAfter > 0:
 		f.behind = now
 		return fmt.Errorf("%w: at %d, not %d", errBehind, p.No, f.last)
-	case now.Sub(f.behind) < f.limits.Rewind:
+	case now.Sub(f.behind) < f.limits.DiscoveryRewindAfter:
 		return fmt.Errorf("%w: at %d, not %d", errBehind, p.No, f.last)
 	default:
 		f.log.Warn("bulletin went back", zap.Int64("from", f.last), zap.Int64("to", p.No))
@@ -167,8 +167,8 @@
 			unread = errors.Join(unread, fmt.Errorf("event %d: %w", it.No, err))
 			continue
 		}
-		if list, is := what.(engine.List); is {
-			list.Ago = ago
+		if list, is := what.(engine.EndpointList); is {
+			list.Age = ago
 			what = list
 		}
 		if what != nil {
@@ -178,18 +178,18 @@
 	return unread
 }
 
-func (f *Follower) lost() {
-	if f.Gap != nil {
-		f.Gap()
+func (f *Watcher) lost() {
+	if f.OnGap != nil {
+		f.OnGap()
 	}
 }
 
-func (f *Follower) read(it *Item) (any, error) {
+func (f *Watcher) read(it *WatchEvent) (engine.Message, error) {
 	switch {
 	case it.bad != nil:
 		return nil, it.bad
 	case it.Roster != nil:
-		l := engine.List{All: it.Roster.All}
+		l := engine.EndpointList{Complete: it.Roster.All}
 		for _, t := range it.Roster.Targets {
 			if t.bad != nil {
 				f.log.Warn("node cannot be read", zap.String("uid", t.UID), zap.Error(t.bad))
@@ -202,12 +202,12 @@
 					zap.String("zone", t.Zone))
 				continue
 			}
-			n := engine.Node{UID: t.UID, Address: t.Addr, Member: routing.Member{Node: engine.NodeID(t.UID), State: state,
+			n := engine.Endpoint{UID: t.UID, Address: t.Addr, Endpoint: routing.Endpoint{ID: engine.EndpointID(t.UID), State: state,
 				Kind: routing.KindID(kind), Zone: routing.ZoneID(zone), Cell: routing.CellID(t.Cell), Weight: t.Weight}}
 			if t.Boot > 0 {
-				n.Boot = time.UnixMilli(int64(t.Boot)).UTC()
+				n.BootTime = time.UnixMilli(int64(t.Boot)).UTC()
 			}
-			l.Nodes = append(l.Nodes, n)
+			l.Endpoints = append(l.Endpoints, n)
 		}
 		return l, nil
 	case it.Recall != nil:
@@ -225,20 +225,20 @@
 }
 
 // Run polls until the context ends.
-func (f *Follower) Run(ctx context.Context, post func(at time.Time, what any)) {
+func (f *Watcher) Run(ctx context.Context, post func(at time.Time, message engine.Message)) {
 	// A dial ends soon: the system's own tries may come further and further apart, and outlast an outage by seconds.
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, end := context.WithTimeout(ctx, f.limits.Dial)
+		ctx, end := context.WithTimeout(ctx, f.limits.DiscoveryDialTimeout)
 		defer end()
 		return f.dial(ctx, network, address)
 	}
-	client := &http.Client{Transport: &http.Transport{DialContext: dial, IdleConnTimeout: f.limits.Silent, DisableCompression: true}}
-	pass := func(what any) { post(time.Now(), what) }
-	wait, silent, before := f.limits.Again, false, ""
+	client := &http.Client{Transport: &http.Transport{DialContext: dial, IdleConnTimeout: f.limits.PollTimeout, DisableCompression: true}}
+	pass := func(message engine.Message) { post(time.Now(), message) }
+	wait, silent, before := f.limits.BackoffMin, false, ""
 	for ctx.Err() == nil {
 		stay, address, end := f.at(ctx)
 		if address != before {
-			wait, before = f.limits.Again, address
+			wait, before = f.limits.BackoffMin, address
 			client.CloseIdleConnections()
 		}
 		begun, last := time.Now(), f.last
@@ -251,15 +251,15 @@
 			f.log.Warn("bulletin cannot be read", zap.Error(err))
 			silent = true
 		}
-		if f.last > last || err == nil && time.Since(begun) > f.limits.Again {
-			wait = f.limits.Again
+		if f.last > last || err == nil && time.Since(begun) > f.limits.BackoffMin {
+			wait = f.limits.BackoffMin
 		} else {
 			// It brought nothing and did not wait either: no use in asking without a pause.
 			select {
 			case <-stay.Done():
 			case <-time.After(wait/2 + rand.N(wait)):
 			}
-			wait = min(2*wait, f.limits.Late)
+			wait = min(2*wait, f.limits.BackoffMax)
 		}
 		end()
 	}
@@ -267,13 +267,13 @@
 
 // poll asks once and takes what comes. An answer that is late, or once begun does not go on, is given up; the whole
 // events before its end are good all the same.
-func (f *Follower) poll(stay context.Context, client *http.Client, address string, pass func(any)) error {
+func (f *Watcher) poll(stay context.Context, client *http.Client, address string, pass func(engine.Message)) error {
 	begun := time.Now()
 	ctx, giveUp := context.WithCancel(stay)
 	defer giveUp()
-	watch := time.AfterFunc(f.limits.Silent, giveUp)
+	watch := time.AfterFunc(f.limits.PollTimeout, giveUp)
 	defer watch.Stop()
-	url := fmt.Sprintf("http://%s/bulletins?after=%d&patience=%d", address, f.last, f.limits.Poll.Milliseconds())
+	url := fmt.Sprintf("http://%s/bulletins?after=%d&patience=%d", address, f.last, f.limits.PollHold.Milliseconds())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -286,29 +286,29 @@
 	if res.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %s", res.Status)
 	}
-	watch.Reset(f.limits.Halt)
-	p, cut := readPage(&steady{io.LimitReader(res.Body, f.limits.Events), watch, f.limits.Halt, time.Now().Add(f.limits.Page)})
+	watch.Reset(f.limits.PollStallTimeout)
+	p, cut := readPage(&steady{io.LimitReader(res.Body, f.limits.DiscoveryPageBytes), watch, f.limits.PollStallTimeout, time.Now().Add(f.limits.PollPageTimeout)})
 	if cut == nil {
 		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, 1<<10))
 	}
 	now := time.Now()
-	if err := cmp.Or(f.Take(&p, f.age(begun, now), pass), cut); err != nil {
+	if err := cmp.Or(f.Apply(&p, f.age(begun, now), pass), cut); err != nil {
 		return err
 	}
 	f.current = now
-	if f.Current != nil && f.last >= p.No {
-		f.Current(begun)
+	if f.OnCurrent != nil && f.last >= p.No {
+		f.OnCurrent(begun)
 	}
 	return nil
 }
 
 // age is how long ago what a poll brings may have been told: if it was answered soon, the events were there already, and may have come
 // at any time since the last one that was answered; else they came while it waited.
-func (f *Follower) age(begun, now time.Time) time.Duration {
+func (f *Watcher) age(begun, now time.Time) time.Duration {
 	switch {
 	case f.current.IsZero():
-		return engine.LongTold
-	case now.Sub(begun) < f.limits.Prompt || f.Watch.Since(begun, now):
+		return engine.AgeBeforeStart
+	case now.Sub(begun) < f.limits.PollPromptWithin || f.Stalls.Since(begun, now):
 		return now.Sub(f.current)
 	}
 	return 0
@@ -328,8 +328,8 @@
 	return n, err
 }
 
-// Known reads the events that a configuration holds. What can't be read of them is told by the bulletin itself.
-func Known(text []byte) (Page, error) { return readPage(bytes.NewReader(text)) }
+// ParseKnown reads the events that a configuration holds. What can't be read of them is told by the bulletin itself.
+func ParseKnown(text []byte) (Page, error) { return readPage(bytes.NewReader(text)) }
 
 // readPage reads a page event by event; of one that breaks off, it returns the whole events before the break, and no
 // number.
@@ -361,7 +361,7 @@
 	return p, nil
 }
 
-func readItems(d *json.Decoder, items *[]Item) error {
+func readItems(d *json.Decoder, items *[]WatchEvent) error {
 	if t, err := d.Token(); err != nil || t != json.Delim('[') {
 		return cmp.Or(err, errPage)
 	}
@@ -370,7 +370,7 @@
 		if err := d.Decode(&text); err != nil {
 			return err
 		}
-		var it Item
+		var it WatchEvent
 		if err := json.Unmarshal(text, &it); err != nil {
 			// Its number alone says that it was told: one event that can't be used must not hide those after it.
 			var bare struct {
@@ -379,7 +379,7 @@
 			if json.Unmarshal(text, &bare) != nil || bare.No <= 0 {
 				return err
 			}
-			it = Item{No: bare.No, bad: err}
+			it = WatchEvent{No: bare.No, bad: err}
 		}
 		*items = append(*items, it)
 	}
--- a/internal/discovery/bulletin_test.go
+++ b/internal/discovery/bulletin_test.go
@@ -21,10 +21,10 @@
 	"fennelarch/internal/stalldetect"
 )
 
-func testFollower() *Follower {
-	l := limits.From(limits.Told{MemoryMB: 64, Sockets: 256})
-	l.Poll, l.Silent, l.Again = 50*time.Millisecond, 200*time.Millisecond, time.Millisecond
-	l.Halt, l.Rewind = 100*time.Millisecond, 0
+func testFollower() *Watcher {
+	l := limits.From(limits.Inputs{MemoryMB: 64, Sockets: 256})
+	l.PollHold, l.PollTimeout, l.BackoffMin = 50*time.Millisecond, 200*time.Millisecond, time.Millisecond
+	l.PollStallTimeout, l.DiscoveryRewindAfter = 100*time.Millisecond, 0
 	return New(l, config.Names{Zones: []string{"west", "east"}, Kinds: []string{"std", "parent"}}, "", zap.NewNop())
 }
 
@@ -37,13 +37,13 @@
 }
 
 // told takes a page and prints what is passed on.
-func told(f *Follower, text string) {
+func told(f *Watcher, text string) {
 	p, cut := readPage(strings.NewReader(text))
-	err := f.Take(&p, 0, func(what any) { fmt.Printf("%+v; ", what) })
+	err := f.Apply(&p, 0, func(message engine.Message) { fmt.Printf("%+v; ", message) })
 	fmt.Println(cmp.Or(err, cut), f.last)
 }
 
-func ExampleFollower_Take() {
+func ExampleWatcher_Apply() {
 	f := testFollower()
 	told(f, page(2, `{"no":1,"roster":{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.9:9090","az":"east",
 	  "model":"std","pod_group":2,"state":"draining","capacity_hint":4,"boot_ms":0}]}}`,
@@ -106,7 +106,7 @@
 			_ = http.NewResponseController(w).Flush()
 			<-silent
 		case n == 7: // moves while it is asked
-			f.Move(second.Listener.Addr().String())
+			f.SetAddress(second.Listener.Addr().String())
 			<-silent
 		default:
 			if n > 7 && r.Host != second.Listener.Addr().String() {
@@ -122,11 +122,11 @@
 	defer close(silent)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	f.Move(first.Listener.Addr().String())
-	events := make(chan any, 1)
-	go f.Run(ctx, func(_ time.Time, what any) {
+	f.SetAddress(first.Listener.Addr().String())
+	events := make(chan engine.Message, 1)
+	go f.Run(ctx, func(_ time.Time, message engine.Message) {
 		select {
-		case events <- what:
+		case events <- message:
 		case <-ctx.Done():
 		}
 	})
@@ -143,15 +143,15 @@
 }
 
 // follow runs a follower of what a handler tells, and returns the groups of the purges that it passes on.
-func follow(t *testing.T, f *Follower, address string) chan int {
+func follow(t *testing.T, f *Watcher, address string) chan int {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	t.Cleanup(func() { cancel(); <-done })
 	events := make(chan int, 1000)
-	f.Move(address)
+	f.SetAddress(address)
 	go func() {
 		defer close(done)
-		f.Run(ctx, func(_ time.Time, what any) { events <- int(what.(engine.Purge).Group) })
+		f.Run(ctx, func(_ time.Time, message engine.Message) { events <- int(message.(engine.Purge).Group) })
 	}()
 	return events
 }
@@ -209,7 +209,7 @@
 // A page that never ends is cut, and what it told is taken; the next one goes on from there.
 func TestEndlessPage(t *testing.T) {
 	f := testFollower()
-	f.limits.Page = 300 * time.Millisecond
+	f.limits.PollPageTimeout = 300 * time.Millisecond
 	events := follow(t, f, served(t, func(w http.ResponseWriter, r *http.Request) {
 		var after int
 		fmt.Sscan(r.FormValue("after"), &after)
@@ -225,7 +225,7 @@
 // While the bulletin is out of reach, a dial is answered by nobody. It is given up soon, and another one finds the bulletin back.
 func TestFollowedSoonAfterSilence(t *testing.T) {
 	f := testFollower()
-	f.limits.Silent, f.limits.Dial = time.Hour, 50*time.Millisecond // the dial's own bound has to do it
+	f.limits.PollTimeout, f.limits.DiscoveryDialTimeout = time.Hour, 50*time.Millisecond // the dial's own bound has to do it
 	var dials atomic.Int64
 	f.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if dials.Add(1) <= 3 {
@@ -241,14 +241,14 @@
 // A bulletin that has not caught up tells what is no longer so: it is passed over. One that stays behind is a new one.
 func TestBehind(t *testing.T) {
 	f := testFollower()
-	f.limits.Rewind = 100 * time.Millisecond
+	f.limits.DiscoveryRewindAfter = 100 * time.Millisecond
 	taken := 0
 	take := func(text string) error {
 		p, err := readPage(strings.NewReader(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return f.Take(&p, 0, func(any) { taken++ })
+		return f.Apply(&p, 0, func(engine.Message) { taken++ })
 	}
 	if err := take(page(3, purge(1), purge(2), purge(3))); err != nil || taken != 3 {
 		t.Fatalf("%d events, %v", taken, err)
@@ -277,11 +277,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told []any
-	if err := f.Take(&p, 0, func(what any) { told = append(told, what) }); err != nil || len(told) != 2 {
+	var told []engine.Message
+	if err := f.Apply(&p, 0, func(message engine.Message) { told = append(told, message) }); err != nil || len(told) != 2 {
 		t.Fatalf("%v, %v", told, err)
 	}
-	if list := told[0].(engine.List); len(list.Nodes) != 1 || list.Nodes[0].UID != "s-2" {
+	if list := told[0].(engine.EndpointList); len(list.Endpoints) != 1 || list.Endpoints[0].UID != "s-2" {
 		t.Errorf("%+v", list)
 	}
 }
@@ -292,7 +292,7 @@
 	f := testFollower()
 	now := time.Now()
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	if got := f.age(at(-time.Second), now); got != engine.LongTold {
+	if got := f.age(at(-time.Second), now); got != engine.AgeBeforeStart {
 		t.Errorf("at first: %v", got)
 	}
 	f.current = at(-5 * time.Second)
@@ -302,7 +302,7 @@
 	if got := f.age(at(-time.Second), now); got != 0 {
 		t.Errorf("while it waited: %v", got)
 	}
-	f.Watch = stalldetect.New()
+	f.Stalls = stalldetect.New()
 	time.Sleep(70 * time.Millisecond) // it does not beat
 	if got := f.age(time.Now().Add(-time.Second), time.Now()); got < 5*time.Second {
 		t.Errorf("while the process stood still: %v", got)
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -10,7 +10,7 @@
 )
 
 // stepped is a rig whose wall clock has been set by so much.
-func stepped(by time.Duration, own ...Own) *watcher {
+func stepped(by time.Duration, own ...LocalCacheSettings) *watcher {
 	w := newWatcher(nil, "", own...)
 	w.setClock(by)
 	return w
@@ -23,8 +23,8 @@
 
 // startOf is when the engine takes a server to have started, before now.
 func (w *watcher) startOf(boot time.Time) (ago time.Duration) {
-	w.tell(List{Nodes: []Node{{Member: routing.Member{Node: 9, State: routing.Ready, Weight: 1}, Boot: boot.Round(0)}}})
-	return w.now - w.members[0].Started
+	w.tell(EndpointList{Endpoints: []Endpoint{{Endpoint: routing.Endpoint{ID: 9, State: routing.Ready, Weight: 1}, BootTime: boot.Round(0)}}})
+	return w.now - w.members[0].StartedAt
 }
 
 // A server that started a moment ago is told, stamped by a clock that has stepped, or by one that has not: it is never taken for
@@ -48,7 +48,7 @@
 			w.tell(Purge{Object: 7, Issued: w.start.Add(w.at - age + theirs).Round(0)})
 			w.pass(time.Second)
 			w.view(1, 0, 2*time.Second)
-			if got := w.legs[0].Age; got <= 0 || got > age+time.Second {
+			if got := w.legs[0].MaxAge; got <= 0 || got > age+time.Second {
 				t.Errorf("step %v, stamp stepped by %v: %v after a purge copies may be %v old", step, theirs, age+time.Second, got)
 			}
 		}
@@ -58,14 +58,14 @@
 
 // A copy of the router's own, stamped on either clock, is not given out once a purge was told, nor once it is older than it may be.
 func ownCopiesAcrossSteps(t *testing.T) {
-	own := Own{Bytes: 1 << 20, Flow: 1e6, Link: 1e6, Forget: 10 * time.Second}
-	ask := &Ask{Object: 7}
+	own := LocalCacheSettings{Bytes: 1 << 20, FlowBytesPerSecond: 1e6, LinkBytesPerSecond: 1e6, MaxInFlight: 10 * time.Second}
+	ask := &Request{Object: 7}
 	for _, step := range []time.Duration{0, -time.Hour, time.Hour} {
 		for _, theirs := range []time.Duration{0, step} {
 			w := stepped(0, own)
 			w.view(1, 0, 2*time.Second)
-			w.tell(LegEnd{Leg: w.legs[0], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), Sum: "tag",
-				Born: w.start.Add(w.at + theirs).Round(0)})
+			w.tell(AttemptResult{Attempt: w.legs[0], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), ETag: "tag",
+				GeneratedAt: w.start.Add(w.at + theirs).Round(0)})
 			w.setClock(step)
 			w.pass(time.Second)
 			if step == 0 && w.ownCopy(ask, time.Minute) == nil {
@@ -82,8 +82,8 @@
 			}
 			// What was on its way when the purge was told is older than it, whatever its stamp says.
 			w.view(2, 0, 2*time.Second)
-			w.tell(LegEnd{Leg: w.legs[len(w.legs)-1], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), Sum: "tag",
-				Born: w.start.Add(w.at - time.Second + theirs).Round(0)})
+			w.tell(AttemptResult{Attempt: w.legs[len(w.legs)-1], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), ETag: "tag",
+				GeneratedAt: w.start.Add(w.at - time.Second + theirs).Round(0)})
 			if w.ownCopy(ask, 0) != nil {
 				t.Errorf("step %v, stamp stepped by %v: a copy from before a purge is kept after it", step, theirs)
 			}
@@ -91,6 +91,6 @@
 	}
 }
 
-func (w *watcher) ownCopy(a *Ask, oldest time.Duration) *ownCopy {
+func (w *watcher) ownCopy(a *Request, oldest time.Duration) *ownCopy {
 	return w.copies.find(a, oldest, w.now)
 }
--- a/internal/engine/copies.go
+++ b/internal/engine/copies.go
@@ -12,20 +12,20 @@
 	"fennelarch/policy/routing"
 )
 
-// Own is what the router may use for copies of its own.
-type Own struct {
-	Bytes  int           // for all copies
-	Flow   float64       // bytes a second of one transfer
-	Link   float64       // and of all together
-	Forget time.Duration // an answer older than this is no longer on its way
+// LocalCacheSettings is what the router may use for copies of its own.
+type LocalCacheSettings struct {
+	Bytes              int           // for all copies
+	FlowBytesPerSecond float64       // bytes a second of one transfer
+	LinkBytesPerSecond float64       // and of all together
+	MaxInFlight        time.Duration // an answer older than this is no longer on its way
 }
 
-// Room is how many transfers fit on the link, 0 where no copies can be kept.
-func (o Own) Room() float64 {
-	if o.Bytes <= 0 || o.Flow <= 0 {
+// Capacity is how many transfers fit on the link, 0 where no copies can be kept.
+func (o LocalCacheSettings) Capacity() float64 {
+	if o.Bytes <= 0 || o.FlowBytesPerSecond <= 0 {
 		return 0
 	}
-	return o.Link / o.Flow
+	return o.LinkBytesPerSecond / o.FlowBytesPerSecond
 }
 
 // overhead is what a copy takes beside its bytes, as measured: two map entries and a list's element.
@@ -52,7 +52,7 @@
 }
 
 type copies struct {
-	own    Own
+	own    LocalCacheSettings
 	held   int
 	byKey  map[copyKey]*list.Element
 	used   list.List       // the most lately used in front
@@ -60,16 +60,16 @@
 	free   []time.Duration // by place on the link: when its last transfer ends
 }
 
-func newCopies(o Own) *copies {
-	return &copies{own: o, byKey: map[copyKey]*list.Element{}, free: make([]time.Duration, max(1, int(o.Room())))}
+func newCopies(o LocalCacheSettings) *copies {
+	return &copies{own: o, byKey: map[copyKey]*list.Element{}, free: make([]time.Duration, max(1, int(o.Capacity())))}
 }
 
 // keep takes a copy that was born at some time since a moment, unless it may be older than a purge.
-func (c *copies) keep(a *Ask, end *LegEnd, now, since time.Duration) {
-	n := ownCopy{key: copyKey{a.Object, a.Part}, group: a.Group, body: end.Body, sum: end.Sum, born: end.Born, since: since}
-	c.purges = slices.DeleteFunc(c.purges, func(p toldPurge) bool { return now-p.told > c.own.Forget })
+func (c *copies) keep(a *Request, end *AttemptResult, now, since time.Duration) {
+	n := ownCopy{key: copyKey{a.Object, a.Part}, group: a.Group, body: end.Body, sum: end.ETag, born: end.GeneratedAt, since: since}
+	c.purges = slices.DeleteFunc(c.purges, func(p toldPurge) bool { return now-p.told > c.own.MaxInFlight })
 	size := len(n.body) + overhead
-	if len(n.body) == 0 || end.Born.IsZero() || size > c.own.Bytes ||
+	if len(n.body) == 0 || end.GeneratedAt.IsZero() || size > c.own.Bytes ||
 		c.hitByPurge(&n) {
 		return
 	}
@@ -113,7 +113,7 @@
 }
 
 // find returns a copy no older than so, 0 for any age.
-func (c *copies) find(a *Ask, oldest, now time.Duration) *ownCopy {
+func (c *copies) find(a *Request, oldest, now time.Duration) *ownCopy {
 	e := c.byKey[copyKey{a.Object, a.Part}]
 	if e == nil {
 		return nil
@@ -129,6 +129,6 @@
 // send puts bytes on the link and returns when they are through.
 func (c *copies) send(now time.Duration, bytes int) time.Duration {
 	i := slices.Index(c.free, slices.Min(c.free))
-	c.free[i] = max(now, c.free[i]) + time.Duration(float64(bytes)/c.own.Flow*float64(time.Second))
+	c.free[i] = max(now, c.free[i]) + time.Duration(float64(bytes)/c.own.FlowBytesPerSecond*float64(time.Second))
 	return c.free[i]
 }
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -28,27 +28,27 @@
 // watcher counts what a client hears, and which legs go out once nothing may.
 type watcher struct {
 	rig
-	answers []Verdict
+	answers []Status
 	over    bool // the client has left, or has its answer
 	t       *testing.T
 	what    string
 }
 
-func (w *watcher) Answer(_ Tag, a Answer) {
-	w.answers = append(w.answers, a.Verdict)
+func (w *watcher) Respond(_ Tag, a Response) {
+	w.answers = append(w.answers, a.Status)
 	w.over = true
 }
 
-func (w *watcher) Send(l *Leg) {
+func (w *watcher) Send(l *Attempt) {
 	if w.over {
-		w.t.Errorf("%s: leg %d was sent for a view that was over", w.what, l.No)
+		w.t.Errorf("%s: leg %d was sent for a view that was over", w.what, l.Number)
 	}
 	w.legs = append(w.legs, l)
 }
 
-func (w *watcher) Abort(l *Leg) bool { return w.tried }
+func (w *watcher) Abort(l *Attempt) bool { return w.tried }
 
-func newWatcher(t *testing.T, what string, own ...Own) *watcher {
+func newWatcher(t *testing.T, what string, own ...LocalCacheSettings) *watcher {
 	r := newRig(own...)
 	w := &watcher{rig: *r, t: t, what: what}
 	w.mute = true
@@ -64,9 +64,9 @@
 		name    string
 		outcome routing.Outcome
 		note    routing.Note
-	}{{"succeeded", routing.Succeeded, routing.NoteHit}, {"broken", routing.Broken, 0}, {"refused", routing.Unconnected, 0},
-		{"missed", routing.Missed, routing.NoteLacks}, {"error", routing.Errored, 0}, {"full", routing.Full, 0}}
-	for tariff := range routing.TariffID(2) {
+	}{{"succeeded", routing.Succeeded, routing.NoteHit}, {"broken", routing.ConnectionBroken, 0}, {"refused", routing.ConnectFailed, 0},
+		{"missed", routing.CacheMiss, routing.NoteSourceMiss}, {"error", routing.Failed, 0}, {"full", routing.Overloaded, 0}}
+	for tariff := range routing.ClassID(2) {
 		for _, end := range ends {
 			for _, ran := range []bool{true, false} { // what giving up finds
 				for _, time := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
@@ -79,10 +79,10 @@
 	}
 }
 
-func oneTurn(t *testing.T, tariff routing.TariffID, name string, outcome routing.Outcome, note routing.Note, ran bool, left time.Duration, order []int) {
+func oneTurn(t *testing.T, tariff routing.ClassID, name string, outcome routing.Outcome, note routing.Note, ran bool, left time.Duration, order []int) {
 	w := newWatcher(t, fmt.Sprintf("tariff %d, %s, may have run %v, %v left, order %v", tariff, name, ran, left, order))
 	w.tried = ran
-	w.tell(&Ask{View: 1, Client: w, Tag: 1, Tariff: tariff, Write: tariff == 1, Object: 7, KB: 100, Left: left, At: w.start.Add(w.at)})
+	w.tell(&Request{ID: 1, Client: w, Tag: 1, Class: tariff, Write: tariff == 1, Object: 7, SizeKB: 100, Timeout: left, ReceivedAt: w.start.Add(w.at)})
 	if len(w.legs) != 1 {
 		t.Fatalf("%s: %d legs", w.what, len(w.legs))
 	}
@@ -93,25 +93,25 @@
 	for _, what := range order {
 		switch what {
 		case 0:
-			mayRun = mayRun || !w.legs[0].done && (outcome == routing.Broken || outcome == routing.Errored)
+			mayRun = mayRun || !w.legs[0].done && (outcome == routing.ConnectionBroken || outcome == routing.Failed)
 			w.end(0, outcome, note)
 		case 1:
 			if !gone {
 				answered = len(w.answers)
 			}
 			gone, w.over = true, true
-			w.tell(Gone{1})
+			w.tell(ClientGone{1})
 		case 2:
 			w.Tick(w.at)
 		case 3:
 			w.end(0, routing.Succeeded, routing.NoteHit) // a second answer
 		case 4:
-			w.tell(Stop{After: time.Second})
+			w.tell(Shutdown{Grace: time.Second})
 		}
 	}
 	w.pass(4 * time.Second)
 	for i := range w.legs { // what is out yet ends now
-		w.end(i, routing.Broken, 0)
+		w.end(i, routing.ConnectionBroken, 0)
 	}
 	w.pass(time.Second)
 	switch n := len(w.answers); {
@@ -121,11 +121,11 @@
 		t.Fatalf("%s: an answer to a client that had gone", w.what)
 	case tariff == 1 && mayRun && len(w.legs) > before:
 		t.Fatalf("%s: a one-shot view that may have run was sent again", w.what)
-	case tariff == 1 && mayRun && n == 1 && w.answers[0] == TurnedBack:
+	case tariff == 1 && mayRun && n == 1 && w.answers[0] == StatusRejected:
 		t.Fatalf("%s: turned back though it may have run", w.what)
 	}
-	if len(w.views) != 0 || w.Open() != 0 {
-		t.Fatalf("%s: %d views, %d open", w.what, len(w.views), w.Open())
+	if len(w.views) != 0 || w.InFlight() != 0 {
+		t.Fatalf("%s: %d views, %d open", w.what, len(w.views), w.InFlight())
 	}
 }
 
@@ -135,29 +135,29 @@
 	for _, drops := range []func(w *watcher){
 		func(w *watcher) { w.tell(Purge{Object: 7, Issued: w.start.Add(w.at)}) },
 		func(w *watcher) {
-			a := &Ask{Object: 8, Left: time.Second}
-			w.copies.keep(a, &LegEnd{Body: make([]byte, 900), Sum: "other", Born: w.start.Add(w.at)}, w.at, w.at)
+			a := &Request{Object: 8, Timeout: time.Second}
+			w.copies.keep(a, &AttemptResult{Body: make([]byte, 900), ETag: "other", GeneratedAt: w.start.Add(w.at)}, w.at, w.at)
 		},
-		func(w *watcher) { w.tell(Gone{2}) },
+		func(w *watcher) { w.tell(ClientGone{2}) },
 	} {
-		w := newWatcher(t, "own copies", Own{Bytes: 1300, Flow: 1000, Link: 1000, Forget: time.Second})
-		ask := func(id routing.ViewID) {
+		w := newWatcher(t, "own copies", LocalCacheSettings{Bytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxInFlight: time.Second})
+		ask := func(id routing.RequestID) {
 			w.over = false
-			w.tell(&Ask{View: id, Client: w, Tag: Tag(id), Object: 7, KB: 100, Left: 3 * time.Second, At: w.start.Add(w.at)})
+			w.tell(&Request{ID: id, Client: w, Tag: Tag(id), Object: 7, SizeKB: 100, Timeout: 3 * time.Second, ReceivedAt: w.start.Add(w.at)})
 		}
 		ask(1)
 		w.end(0, routing.Succeeded, routing.NoteHit)
 		ask(2)
 		for i := 1; i < len(w.legs) && len(w.answers) < 2; i++ { // all nodes are full: its own copy is what is left
-			w.end(i, routing.Full, 0)
+			w.end(i, routing.Overloaded, 0)
 		}
-		if len(w.answers) != 2 || w.answers[1] != Succeeded {
+		if len(w.answers) != 2 || w.answers[1] != StatusOK {
 			t.Fatalf("answers %v", w.answers)
 		}
 		drops(w)
 		w.pass(time.Second)
-		if len(w.answers) != 2 || len(w.views) != 0 || w.Open() != 0 {
-			t.Errorf("%d answers, %d views, %d open", len(w.answers), len(w.views), w.Open())
+		if len(w.answers) != 2 || len(w.views) != 0 || w.InFlight() != 0 {
+			t.Errorf("%d answers, %d views, %d open", len(w.answers), len(w.views), w.InFlight())
 		}
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -20,130 +20,130 @@
 
 // Tag is a client's name for a view on its connection, Ident its id everywhere.
 type (
-	Tag   uint64
-	Ident uint64
+	Tag             uint64
+	ClientRequestID uint64
 )
 
-// Ask is a view as a client brings it.
-type Ask struct {
-	View   routing.ViewID
+// Request is a view as a client brings it.
+type Request struct {
+	ID     routing.RequestID
 	Client Client
 	Tag    Tag
 
-	Ident  Ident // goes on unchanged, as do object, part, operation and body
-	Tariff routing.TariffID
-	Tenant routing.TenantID
-	Object routing.ObjectID
-	Group  routing.GroupID
-	Part   int
-	KB     float64
-	Repeat bool
-	Write  bool
-	Have   string // the tag of a copy that the client holds
-	Once   string // the operation by which repeats of a stamped view are known
-	Body   []byte
-	Left   time.Duration // from At until the client gives up
-	At     time.Time     // the earliest moment at which its last byte may have come
+	ClientRequestID ClientRequestID // goes on unchanged, as do object, part, operation and body
+	Class           routing.ClassID
+	Tenant          routing.TenantID
+	Object          routing.ObjectID
+	Group           routing.GroupID
+	Part            int
+	SizeKB          float64
+	Repeat          bool
+	Write           bool
+	HeldETag        string // the tag of a copy that the client holds
+	IdempotencyKey  string // the operation by which repeats of a stamped view are known
+	Body            []byte
+	Timeout         time.Duration // from At until the client gives up
+	ReceivedAt      time.Time     // the earliest moment at which its last byte may have come
 
-	Guard *invariant.Request // knows when it ends, whoever ends it; none: nobody guards it
+	Invariants *invariant.Request // knows when it ends, whoever ends it; none: nobody guards it
 }
 
 // Client takes the one final answer of a view. It must not block.
 type Client interface {
-	Answer(tag Tag, a Answer)
+	Respond(tag Tag, a Response)
 }
 
-// Verdict is the kind of a final answer.
-type Verdict uint8
+// Status is the kind of a final answer.
+type Status uint8
 
 const (
-	Succeeded Verdict = iota
-	TurnedBack
-	Terminated
+	StatusOK Status = iota
+	StatusRejected
+	StatusFailed
 )
 
-// Answer is a final answer.
-type Answer struct {
-	Verdict   Verdict
-	Unchanged bool // the client's copy is the one
-	Wait      time.Duration
-	Body      []byte
+// Response is a final answer.
+type Response struct {
+	Status      Status
+	NotModified bool // the client's copy is the one
+	RetryAfter  time.Duration
+	Body        []byte
 }
 
-// Leg is one leg of a view on its way.
-type Leg struct {
-	Ask    *Ask
-	No     routing.LegNo
-	Node   routing.NodeID
-	Source routing.NodeID // none: no fill
+// Attempt is one leg of a view on its way.
+type Attempt struct {
+	Request  *Request
+	Number   routing.AttemptNumber
+	Endpoint routing.EndpointID
+	Source   routing.EndpointID // none: no fill
 
 	Deadline time.Time // when it is given up: the server is told what is left until then
 	NotAfter time.Time // on its way by then, or never; zero: no bound of its own
 
-	Age  time.Duration
-	Keep uint8
-	How  routing.How
+	MaxAge      time.Duration
+	CacheRank   uint8
+	FillOptions routing.FillOptions
 
-	Carrier any // the carrier's own
+	TransportState any // the carrier's own
 
-	At   time.Time // when it was sent
-	sent time.Duration
-	done bool
+	SentAt time.Time // when it was sent
+	sent   time.Duration
+	done   bool
 }
 
-// LegEnd is how a leg ended at its node.
-type LegEnd struct {
-	Leg     *Leg
-	Outcome routing.Outcome
-	Note    routing.Note
-	Waited  time.Duration
-	Report  routing.Report
-	Same    bool // the client's copy is the one
-	Body    []byte
-	Sum     string    // the tag of the bytes
-	Born    time.Time // when the origin gave them out, zero where untold
+// AttemptResult is how a leg ended at its node.
+type AttemptResult struct {
+	Attempt       *Attempt
+	Outcome       routing.Outcome
+	Note          routing.Note
+	FirstByteWait time.Duration
+	LoadReport    routing.LoadReport
+	NotModified   bool // the client's copy is the one
+	Body          []byte
+	ETag          string    // the tag of the bytes
+	GeneratedAt   time.Time // when the origin gave them out, zero where untold
 }
 
-// Caches carries legs to nodes. None of its calls may block.
-type Caches interface {
-	Learn(nodes []Node, all bool)
-	Send(l *Leg)
-	Abort(l *Leg) (written bool) // no end follows
-	Probe(n routing.NodeID)
+// Transport carries legs to nodes. None of its calls may block.
+type Transport interface {
+	UpdateEndpoints(nodes []Endpoint, all bool)
+	Send(l *Attempt)
+	Abort(l *Attempt) (written bool) // no end follows
+	CheckHealth(n routing.EndpointID)
 }
 
-// Node is one line of the list.
-type Node struct {
-	routing.Member
-	UID     string
-	Address string
-	Boot    time.Time // zero: long ago
+// Endpoint is one line of the list.
+type Endpoint struct {
+	routing.Endpoint
+	UID      string
+	Address  string
+	BootTime time.Time // zero: long ago
 }
 
-// NodeID is the id of a node: a hash of its uid, so that all routers agree on it.
-func NodeID(uid string) routing.NodeID {
+// EndpointID is the id of a node: a hash of its uid, so that all routers agree on it.
+func EndpointID(uid string) routing.EndpointID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(uid))
-	return routing.NodeID(max(1, h.Sum64()))
+	return routing.EndpointID(max(1, h.Sum64()))
 }
 
-// Probed is the answer to a probe.
-type Probed struct {
-	Node    routing.NodeID
-	Outcome routing.Outcome
-	Took    time.Duration
-	Report  routing.Report
+// HealthCheckResult is the answer to a probe.
+type HealthCheckResult struct {
+	Endpoint   routing.EndpointID
+	Outcome    routing.Outcome
+	Elapsed    time.Duration
+	LoadReport routing.LoadReport
 }
 
-// List is a list of nodes, or changes of it.
-type List struct {
-	Nodes []Node
-	All   bool
-	Ago   time.Duration // how long ago it may have been told, before it was heard
+// EndpointList is a list of nodes, or changes of it.
+type EndpointList struct {
+	Endpoints []Endpoint
+	Complete  bool
+	Age       time.Duration // how long ago it may have been told, before it was heard
 }
 
-// LongTold is the age of what was told before this process began.
-const LongTold = 24 * time.Hour
+// AgeBeforeStart is the age of what was told before this process began.
+const AgeBeforeStart = 24 * time.Hour
 
 // Purge tells that an object, or a group where it is 0, was purged.
 type Purge struct {
@@ -152,30 +152,42 @@
 	Issued time.Time
 }
 
-// Gone says that a client no longer waits for a view.
-type Gone struct{ View routing.ViewID }
+// ClientGone says that a client no longer waits for a view.
+type ClientGone struct{ Request routing.RequestID }
+
+// Shutdown says that this router will end: whatever view is open after so long gets its final answer then.
+type Shutdown struct{ Grace time.Duration }
+
+// Message is anything that the engine can be told: *Request, AttemptResult, HealthCheckResult, EndpointList, Purge,
+// ClientGone and Shutdown, and nothing else.
+type Message interface{ engineMessage() }
 
-// Stop says that this router will end: whatever view is open after so long gets its final answer then.
-type Stop struct{ After time.Duration }
+func (*Request) engineMessage()          {}
+func (AttemptResult) engineMessage()     {}
+func (HealthCheckResult) engineMessage() {}
+func (EndpointList) engineMessage()      {}
+func (Purge) engineMessage()             {}
+func (ClientGone) engineMessage()        {}
+func (Shutdown) engineMessage()          {}
 
-// Event is anything that the engine is told, with the time at which it came about.
+// Event is a message with the time at which what it tells came about.
 type Event struct {
-	At   time.Time
-	What any // *Ask, LegEnd, Probed, List, Purge, Gone, Stop
+	Time    time.Time
+	Message Message
 }
 
 // Counts is what happened so far.
 type Counts struct {
-	Views, Succeeded, TurnedBack, Terminated, Gone, Legs, Own uint64
-	Open                                                      int64
-	Lag                                                       time.Duration // longest wait of an event since the last ones
+	Requests, Succeeded, Rejected, Failed, ClientCancelled, Attempts, LocalCacheHits uint64
+	InFlight                                                                         int64
+	EventQueueDelay                                                                  time.Duration // longest wait of an event since the last ones
 }
 
 type view struct {
-	ask  *Ask
+	ask  *Request
 	end  time.Duration
 	open bool
-	legs []*Leg
+	legs []*Attempt
 	outs int
 }
 
@@ -184,21 +196,21 @@
 	in      chan Event
 	router  *routing.Router
 	set     routing.Settings
-	caches  Caches
+	caches  Transport
 	copies  *copies
 	log     *zap.Logger
 	start   time.Time
 	now     time.Duration
-	views   map[routing.ViewID]*view
+	views   map[routing.RequestID]*view
 	timers  timers
 	acts    []routing.Action
 	queue   []routing.Event
-	members []routing.Member
+	members []routing.Endpoint
 	counts  Counts
 	stop    time.Duration // no view lasts longer
 	monitor *invariant.Monitor
 	stamps  stamps
-	started map[routing.NodeID]stampedStart
+	started map[routing.EndpointID]stampedStart
 
 	departures departures
 	open       atomic.Int64
@@ -206,17 +218,17 @@
 }
 
 // New returns an engine whose clock starts at start.
-func New(set routing.Settings, seed uint64, queue int, start time.Time, caches Caches, own Own, log *zap.Logger) *Engine {
-	set.OwnRoom = own.Room()
+func New(set routing.Settings, seed uint64, queue int, start time.Time, caches Transport, own LocalCacheSettings, log *zap.Logger) *Engine {
+	set.LocalCacheCapacity = own.Capacity()
 	return &Engine{in: make(chan Event, queue), router: routing.New(set, seed), set: set, caches: caches, copies: newCopies(own), log: log,
 		start: start,
-		stop:  math.MaxInt64, views: map[routing.ViewID]*view{}, departures: departures{told: make(chan struct{}, 1)},
-		stamps: newStamps(start, stampsMatter(&set)), started: map[routing.NodeID]stampedStart{}}
+		stop:  math.MaxInt64, views: map[routing.RequestID]*view{}, departures: departures{told: make(chan struct{}, 1)},
+		stamps: newStamps(start, stampsMatter(&set)), started: map[routing.EndpointID]stampedStart{}}
 }
 
-// Guarded has the engine let readers go first just after a stall of the process, and tell a monitor of what must not be.
+// SetMonitor has the engine let readers go first just after a stall of the process, and tell a monitor of what must not be.
 // Where the wall clock steps, others are told of it too.
-func (e *Engine) Guarded(m *invariant.Monitor, stepped func(by time.Duration)) {
+func (e *Engine) SetMonitor(m *invariant.Monitor, stepped func(by time.Duration)) {
 	e.monitor = m
 	e.stamps.onStep = func(by time.Duration) {
 		stepped(by)
@@ -227,9 +239,9 @@
 
 // stampsMatter is how long anything that is stamped matters: while a server is cold, a purge unfinished, a copy fresh.
 func stampsMatter(set *routing.Settings) time.Duration {
-	longest := max(set.ColdFor, set.ParentColdFor, set.PurgeDone)
-	for i := range set.Tariffs {
-		longest = max(longest, set.Tariffs[i].Fresh+set.Tariffs[i].Grace)
+	longest := max(set.SlowStartFor, set.ParentSlowStartFor, set.PurgeCompleteAfter)
+	for i := range set.Classes {
+		longest = max(longest, set.Classes[i].FreshFor+set.Classes[i].MaxStale)
 	}
 	return longest + time.Minute
 }
@@ -243,18 +255,18 @@
 // Post tells the engine of an event. A request is not taken where too many events are before it: its client's connection
 // must go on being read, or a cancel behind it would not be seen. That a client has gone is always taken, at once; all else
 // waits for its turn.
-func (e *Engine) Post(at time.Time, what any) (taken bool) {
-	switch what := what.(type) {
-	case Gone:
+func (e *Engine) Post(at time.Time, message Message) (taken bool) {
+	switch what := message.(type) {
+	case ClientGone:
 		e.departures.add(what)
-	case *Ask:
+	case *Request:
 		select {
-		case e.in <- Event{at, what}:
+		case e.in <- Event{at, message}:
 		default:
 			return false
 		}
 	default:
-		e.in <- Event{at, what}
+		e.in <- Event{at, message}
 	}
 	return true
 }
@@ -263,11 +275,11 @@
 // of one ever waits.
 type departures struct {
 	mu   sync.Mutex
-	list []Gone
+	list []ClientGone
 	told chan struct{}
 }
 
-func (d *departures) add(g Gone) {
+func (d *departures) add(g ClientGone) {
 	d.mu.Lock()
 	d.list = append(d.list, g)
 	d.mu.Unlock()
@@ -277,7 +289,7 @@
 	}
 }
 
-func (d *departures) take() []Gone {
+func (d *departures) take() []ClientGone {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := d.list
@@ -285,11 +297,11 @@
 	return list
 }
 
-// Open is how many views have no final answer yet, those in the queue included as far as they were posted.
-func (e *Engine) Open() int { return int(e.open.Load()) + len(e.in) }
+// InFlight is how many views have no final answer yet, those in the queue included as far as they were posted.
+func (e *Engine) InFlight() int { return int(e.open.Load()) + len(e.in) }
 
-// Lag is how long the last event waited.
-func (e *Engine) Lag() time.Duration { return time.Duration(e.lag.Load()) }
+// EventQueueDelay is how long the last event waited.
+func (e *Engine) EventQueueDelay() time.Duration { return time.Duration(e.lag.Load()) }
 
 // Run drives the engine by the system's clock until done is closed, and hands out its counts now and then.
 func (e *Engine) Run(done <-chan struct{}, every time.Duration, counts func(Counts)) {
@@ -313,9 +325,9 @@
 		e.Tick(now)
 		if now-told >= every {
 			told = now
-			e.counts.Open = e.open.Load()
+			e.counts.InFlight = e.open.Load()
 			counts(e.counts)
-			e.counts.Lag = 0
+			e.counts.EventQueueDelay = 0
 		}
 		if len(e.timers) > 0 {
 			timer.Reset(e.timers[0].at - now)
@@ -338,7 +350,7 @@
 // depart takes the requests whose clients have gone.
 func (e *Engine) depart() {
 	for _, g := range e.departures.take() {
-		e.Handle(time.Since(e.start), Event{What: g})
+		e.Handle(time.Since(e.start), Event{Message: g})
 	}
 }
 
@@ -352,29 +364,29 @@
 // Handle takes one event.
 func (e *Engine) Handle(now time.Duration, ev Event) {
 	e.now = max(now, e.now)
-	if !ev.At.IsZero() {
-		lag := e.now - ev.At.Sub(e.start)
-		e.counts.Lag = max(e.counts.Lag, lag)
+	if !ev.Time.IsZero() {
+		lag := e.now - ev.Time.Sub(e.start)
+		e.counts.EventQueueDelay = max(e.counts.EventQueueDelay, lag)
 		e.lag.Store(int64(lag))
 	}
-	switch what := ev.What.(type) {
-	case *Ask:
+	switch what := ev.Message.(type) {
+	case *Request:
 		e.ask(what)
-	case LegEnd:
-		e.legEnd(what, ev.At.Sub(e.start))
-	case Probed:
-		e.tell(&routing.Event{Kind: routing.EventProbed, Node: what.Node, Outcome: what.Outcome, Took: what.Took, Report: what.Report})
-	case List:
+	case AttemptResult:
+		e.legEnd(what, ev.Time.Sub(e.start))
+	case HealthCheckResult:
+		e.tell(&routing.Event{Kind: routing.EventHealthCheck, Endpoint: what.Endpoint, Outcome: what.Outcome, Elapsed: what.Elapsed, LoadReport: what.LoadReport})
+	case EndpointList:
 		e.list(what)
 	case Purge:
 		e.purge(what)
-	case Gone:
-		if v := e.views[what.View]; v != nil && v.open {
-			e.counts.Gone++
+	case ClientGone:
+		if v := e.views[what.Request]; v != nil && v.open {
+			e.counts.ClientCancelled++
 			e.gone(v)
 		}
-	case Stop:
-		e.stop = e.now + what.After
+	case Shutdown:
+		e.stop = e.now + what.Grace
 		for id, v := range e.views {
 			if v.end > e.stop {
 				v.end = e.stop
@@ -393,8 +405,8 @@
 		switch {
 		case t.view == 0:
 			e.tell(&routing.Event{Kind: routing.EventTimer, Timer: t.name})
-		case t.leg != nil && t.leg.Node == routing.Own:
-			e.legEnd(LegEnd{Leg: t.leg, Outcome: routing.Succeeded}, e.now)
+		case t.leg != nil && t.leg.Endpoint == routing.LocalCache:
+			e.legEnd(AttemptResult{Attempt: t.leg, Outcome: routing.Succeeded}, e.now)
 		case t.leg != nil:
 			e.giveUp(t.leg, routing.TimedOut)
 			e.settle()
@@ -404,48 +416,48 @@
 	}
 }
 
-func (e *Engine) ask(a *Ask) {
-	if !a.Guard.Open() { // its client has gone while it waited here
-		e.counts.Views++
-		e.counts.Gone++
+func (e *Engine) ask(a *Request) {
+	if !a.Invariants.Open() { // its client has gone while it waited here
+		e.counts.Requests++
+		e.counts.ClientCancelled++
 		return
 	}
-	v := &view{ask: a, end: min(e.stop, a.At.Sub(e.start)+a.Left), open: true}
-	e.views[a.View] = v
+	v := &view{ask: a, end: min(e.stop, a.ReceivedAt.Sub(e.start)+a.Timeout), open: true}
+	e.views[a.ID] = v
 	e.open.Add(1)
-	e.counts.Views++
-	heap.Push(&e.timers, timer{at: v.end, view: a.View})
-	e.tell(&routing.Event{Kind: routing.EventView, View: a.View, Tariff: a.Tariff, Tenant: a.Tenant, Object: a.Object, Group: a.Group, Part: a.Part,
-		KB: a.KB, Left: v.end - e.now, Repeat: a.Repeat, Write: a.Write})
+	e.counts.Requests++
+	heap.Push(&e.timers, timer{at: v.end, view: a.ID})
+	e.tell(&routing.Event{Kind: routing.EventRequest, Request: a.ID, Class: a.Class, Tenant: a.Tenant, Object: a.Object, Group: a.Group, Part: a.Part,
+		SizeKB: a.SizeKB, TimeLeft: v.end - e.now, Repeat: a.Repeat, Write: a.Write})
 }
 
-func (e *Engine) list(l List) {
-	e.caches.Learn(l.Nodes, l.All)
+func (e *Engine) list(l EndpointList) {
+	e.caches.UpdateEndpoints(l.Endpoints, l.Complete)
 	e.members = e.members[:0]
-	for _, n := range l.Nodes {
-		m := n.Member
-		m.Started = e.startOf(&n)
+	for _, n := range l.Endpoints {
+		m := n.Endpoint
+		m.StartedAt = e.startOf(&n)
 		e.members = append(e.members, m)
 	}
-	e.monitor.Record(flightrecorder.Entry{Event: flightrecorder.ListReceived, Value: int64(len(l.Nodes))})
-	ev := routing.Event{Kind: routing.EventList, List: routing.ListChanges, Members: e.members, Ago: l.Ago}
-	if l.All {
-		ev.List = routing.ListFull
+	e.monitor.Record(flightrecorder.Entry{Event: flightrecorder.EndpointListReceived, Value: int64(len(l.Endpoints))})
+	ev := routing.Event{Kind: routing.EventEndpoints, EndpointListKind: routing.EndpointListDelta, Endpoints: e.members, Age: l.Age}
+	if l.Complete {
+		ev.EndpointListKind = routing.EndpointListFull
 	}
 	e.tell(&ev)
 }
 
 // startOf is when a server started, never later than now. The same stamp told again means the same moment.
-func (e *Engine) startOf(n *Node) time.Duration {
-	if n.Boot.IsZero() || n.State == routing.Gone {
-		delete(e.started, n.Node)
+func (e *Engine) startOf(n *Endpoint) time.Duration {
+	if n.BootTime.IsZero() || n.State == routing.Gone {
+		delete(e.started, n.ID)
 		return routing.LongAgo
 	}
-	if known, told := e.started[n.Node]; told && known.stamp.Equal(n.Boot) {
+	if known, told := e.started[n.ID]; told && known.stamp.Equal(n.BootTime) {
 		return known.at
 	}
-	least, _, _ := e.stamps.age(n.Boot, e.now)
-	e.started[n.Node] = stampedStart{n.Boot, e.now - least}
+	least, _, _ := e.stamps.age(n.BootTime, e.now)
+	e.started[n.ID] = stampedStart{n.BootTime, e.now - least}
 	return e.now - least
 }
 
@@ -457,89 +469,89 @@
 		ago, _, _ = e.stamps.age(p.Issued, e.now)
 	}
 	e.copies.purge(p, e.now, e.now-ago)
-	e.tell(&routing.Event{Kind: routing.EventPurge, Object: p.Object, Group: p.Group, Ago: ago})
+	e.tell(&routing.Event{Kind: routing.EventPurge, Object: p.Object, Group: p.Group, Age: ago})
 }
 
 // legEnd takes the end of a leg from its node.
-func (e *Engine) legEnd(end LegEnd, at time.Duration) {
-	l := end.Leg
+func (e *Engine) legEnd(end AttemptResult, at time.Duration) {
+	l := end.Attempt
 	if l.done {
 		return
 	}
-	v := e.views[l.Ask.View]
+	v := e.views[l.Request.ID]
 	if end.Outcome == routing.Succeeded && v.open {
-		e.answer(v, Answer{Verdict: Succeeded, Unchanged: end.Same, Body: end.Body})
+		e.answer(v, Response{Status: StatusOK, NotModified: end.NotModified, Body: end.Body})
 	}
-	if end.Outcome == routing.Succeeded && l.How&routing.HowCopy != 0 {
-		if _, most, believable := e.stamps.age(end.Born, e.now); believable {
-			e.copies.keep(l.Ask, &end, e.now, e.now-most)
+	if end.Outcome == routing.Succeeded && l.FillOptions&routing.StoreLocally != 0 {
+		if _, most, believable := e.stamps.age(end.GeneratedAt, e.now); believable {
+			e.copies.keep(l.Request, &end, e.now, e.now-most)
 		}
 	}
 	e.finish(v, l)
-	e.tell(&routing.Event{Kind: routing.EventLegEnd, View: l.Ask.View, Leg: l.No, Node: l.Node, Outcome: end.Outcome, Note: end.Note,
-		Final: !v.open, Took: max(0, min(at, e.now)-l.sent), Waited: end.Waited, Report: end.Report})
+	e.tell(&routing.Event{Kind: routing.EventAttemptResult, Request: l.Request.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: end.Outcome, Note: end.Note,
+		Final: !v.open, Elapsed: max(0, min(at, e.now)-l.sent), FirstByteWait: end.FirstByteWait, LoadReport: end.LoadReport})
 	e.forget(v)
 }
 
 // serve answers from the router's own copies. The leg ends when its bytes are through.
-func (e *Engine) serve(v *view, l *Leg) {
+func (e *Engine) serve(v *view, l *Attempt) {
 	a := v.ask
-	oldest := l.Age
+	oldest := l.MaxAge
 	if oldest == 0 {
-		oldest = e.set.Tariffs[a.Tariff].Fresh
+		oldest = e.set.Classes[a.Class].FreshFor
 	}
 	c := e.copies.find(a, oldest, e.now)
 	if c == nil {
 		e.finish(v, l)
-		e.queue = append(e.queue, routing.Event{Kind: routing.EventLegEnd, View: a.View, Leg: l.No, Node: l.Node, Outcome: routing.Missed})
+		e.queue = append(e.queue, routing.Event{Kind: routing.EventAttemptResult, Request: a.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: routing.CacheMiss})
 		return
 	}
-	answer := Answer{Verdict: Succeeded, Unchanged: a.Have != "" && a.Have == c.sum, Body: c.body}
+	answer := Response{Status: StatusOK, NotModified: a.HeldETag != "" && a.HeldETag == c.sum, Body: c.body}
 	size := len(c.body)
-	if answer.Unchanged {
+	if answer.NotModified {
 		size /= unchanged
 	}
-	e.counts.Own++
+	e.counts.LocalCacheHits++
 	if e.copies.hitByPurge(c) {
-		e.monitor.Violate(invariant.StaleCopyServed, uint64(a.Ident))
+		e.monitor.Violate(invariant.StaleCopyServed, uint64(a.ClientRequestID))
 	}
 	e.answer(v, answer)
-	e.queue = append(e.queue, routing.Event{Kind: routing.EventStream, View: a.View, Leg: l.No, Node: l.Node})
-	heap.Push(&e.timers, timer{at: e.copies.send(e.now, size), view: a.View, leg: l})
+	e.queue = append(e.queue, routing.Event{Kind: routing.EventStreamStarted, Request: a.ID, Attempt: l.Number, Endpoint: l.Endpoint})
+	heap.Push(&e.timers, timer{at: e.copies.send(e.now, size), view: a.ID, leg: l})
 }
 
 // unchanged is the part of its bytes' time that it takes to tell a client that its copy holds: the protocol's twentieth.
 const unchanged = 20
 
 // giveUp ends a leg from this side; the router hears of it next.
-func (e *Engine) giveUp(l *Leg, how routing.Outcome) {
+func (e *Engine) giveUp(l *Attempt, how routing.Outcome) {
 	if l.done {
 		return
 	}
 	if !e.caches.Abort(l) {
-		how = routing.Moot
+		how = routing.NotSent
 	}
-	v := e.views[l.Ask.View]
+	v := e.views[l.Request.ID]
 	e.finish(v, l)
-	e.queue = append(e.queue, routing.Event{Kind: routing.EventLegEnd, View: l.Ask.View, Leg: l.No, Node: l.Node, Outcome: how,
-		Final: !v.open, Took: e.now - l.sent})
+	e.queue = append(e.queue, routing.Event{Kind: routing.EventAttemptResult, Request: l.Request.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: how,
+		Final: !v.open, Elapsed: e.now - l.sent})
 	e.forget(v)
 }
 
-func (e *Engine) finish(v *view, l *Leg) {
+func (e *Engine) finish(v *view, l *Attempt) {
 	l.done = true
 	v.outs--
 }
 
 func (e *Engine) forget(v *view) {
 	if !v.open && v.outs == 0 {
-		delete(e.views, v.ask.View)
+		delete(e.views, v.ask.ID)
 	}
 }
 
 // expire ends a view whose client's time is up: its legs have timed out, and what the router leaves open after that
 // is terminated.
-func (e *Engine) expire(id routing.ViewID) {
+func (e *Engine) expire(id routing.RequestID) {
 	v := e.views[id]
 	if v == nil || !v.open {
 		return
@@ -549,7 +561,7 @@
 	}
 	e.settle()
 	if v.open {
-		e.answer(v, Answer{Verdict: Terminated})
+		e.answer(v, Response{Status: StatusFailed})
 		e.gone(v)
 	}
 }
@@ -560,25 +572,25 @@
 		v.open = false
 		e.open.Add(-1)
 	}
-	e.tell(&routing.Event{Kind: routing.EventGone, View: v.ask.View})
+	e.tell(&routing.Event{Kind: routing.EventClientGone, Request: v.ask.ID})
 	e.forget(v)
 }
 
-func (e *Engine) answer(v *view, a Answer) {
+func (e *Engine) answer(v *view, a Response) {
 	if !v.open {
 		return
 	}
 	v.open = false
 	e.open.Add(-1)
-	switch a.Verdict {
-	case Succeeded:
+	switch a.Status {
+	case StatusOK:
 		e.counts.Succeeded++
-	case TurnedBack:
-		e.counts.TurnedBack++
+	case StatusRejected:
+		e.counts.Rejected++
 	default:
-		e.counts.Terminated++
+		e.counts.Failed++
 	}
-	v.ask.Client.Answer(v.ask.Tag, a)
+	v.ask.Client.Respond(v.ask.Tag, a)
 }
 
 // tell hands the router an event and does what it wants done, and so on for what follows from that.
@@ -601,28 +613,28 @@
 func (e *Engine) obey() {
 	for i := range e.acts {
 		a := &e.acts[i]
-		v := e.views[a.View]
+		v := e.views[a.Request]
 		switch a.Kind {
-		case routing.ActionAsk, routing.ActionGet:
+		case routing.ActionLookup, routing.ActionSend:
 			if v != nil && v.open {
 				e.send(v, a)
 			}
-		case routing.ActionTurnBack:
+		case routing.ActionReject:
 			if v != nil {
-				e.answer(v, Answer{Verdict: TurnedBack, Wait: a.Wait})
+				e.answer(v, Response{Status: StatusRejected, RetryAfter: a.Wait})
 				e.forget(v)
 			}
-		case routing.ActionTerminate:
+		case routing.ActionFail:
 			if v != nil {
-				e.answer(v, Answer{Verdict: Terminated})
+				e.answer(v, Response{Status: StatusFailed})
 				e.forget(v)
 			}
 		case routing.ActionCancel:
-			if v != nil && int(a.Leg) < len(v.legs) {
-				e.giveUp(v.legs[a.Leg], routing.Cancelled)
+			if v != nil && int(a.Attempt) < len(v.legs) {
+				e.giveUp(v.legs[a.Attempt], routing.Cancelled)
 			}
-		case routing.ActionProbe:
-			e.caches.Probe(a.Node)
+		case routing.ActionHealthCheck:
+			e.caches.CheckHealth(a.Endpoint)
 		case routing.ActionTimer:
 			heap.Push(&e.timers, timer{at: e.now + a.Wait, name: a.Timer})
 		case routing.ActionLog:
@@ -632,29 +644,29 @@
 }
 
 func (e *Engine) send(v *view, a *routing.Action) {
-	l := &Leg{Ask: v.ask, No: routing.LegNo(len(v.legs)), Node: a.Node, Deadline: e.start.Add(v.end), Age: a.Age, Keep: a.Keep,
-		How: a.How, At: e.start.Add(e.now), sent: e.now}
-	if a.Begin > 0 {
-		l.NotAfter = e.start.Add(e.now + a.Begin)
+	l := &Attempt{Request: v.ask, Number: routing.AttemptNumber(len(v.legs)), Endpoint: a.Endpoint, Deadline: e.start.Add(v.end), MaxAge: a.MaxAge, CacheRank: a.CacheRank,
+		FillOptions: a.FillOptions, SentAt: e.start.Add(e.now), sent: e.now}
+	if a.StartWithin > 0 {
+		l.NotAfter = e.start.Add(e.now + a.StartWithin)
 	}
-	if a.Kind == routing.ActionGet && a.Source != a.Node {
+	if a.Kind == routing.ActionSend && a.Source != a.Endpoint {
 		l.Source = a.Source
 	}
 	v.legs = append(v.legs, l)
 	v.outs++
-	if !v.ask.Guard.Open() { // its client left a moment ago, and the event that says so is on its way
+	if !v.ask.Invariants.Open() { // its client left a moment ago, and the event that says so is on its way
 		e.finish(v, l)
-		e.queue = append(e.queue, routing.Event{Kind: routing.EventLegEnd, View: v.ask.View, Leg: l.No, Node: l.Node, Outcome: routing.Moot})
+		e.queue = append(e.queue, routing.Event{Kind: routing.EventAttemptResult, Request: v.ask.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: routing.NotSent})
 		return
 	}
-	if l.Node == routing.Own {
+	if l.Endpoint == routing.LocalCache {
 		e.serve(v, l)
 		return
 	}
-	e.counts.Legs++
-	if limit := e.start.Add(e.now + a.Limit); a.Limit > 0 && limit.Before(l.Deadline) {
+	e.counts.Attempts++
+	if limit := e.start.Add(e.now + a.Timeout); a.Timeout > 0 && limit.Before(l.Deadline) {
 		l.Deadline = limit
-		heap.Push(&e.timers, timer{at: e.now + a.Limit, view: v.ask.View, leg: l})
+		heap.Push(&e.timers, timer{at: e.now + a.Timeout, view: v.ask.ID, leg: l})
 	}
 	e.caches.Send(l)
 }
@@ -662,8 +674,8 @@
 // timer is one of the router's, or the end of a leg or of a view.
 type timer struct {
 	at   time.Duration
-	view routing.ViewID // 0: the router's
-	leg  *Leg
+	view routing.RequestID // 0: the router's
+	leg  *Attempt
 	name uint64
 }
 
--- a/internal/flightrecorder/flightrec.go
+++ b/internal/flightrecorder/flightrec.go
@@ -16,28 +16,28 @@
 
 // Events, in the order in which a request meets them.
 const (
-	ConnectionAccepted Event = iota // ID: the connection
-	ConnectionClosed                // ID: the connection, Reason: a guard.CloseReason
-	RequestArrived                  // ID: the request, Value: ms that the client has left
-	RequestRefused                  // Reason: a guard.EndReason, before the router of decisions saw it
-	AttemptQueued                   // Node, Attempt, Value: ms left
-	AttemptRefused                  // Node, Attempt, Reason: a guard.SendRefusal
-	AttemptSent                     // Node, Attempt, Value: the deadline passed on, in ms
-	AttemptWhole                    // Node, Attempt: its last byte was taken by the system
-	AttemptEnded                    // Node, Attempt, Reason: a rules.Outcome
-	AttemptAborted                  // Node, Attempt, Value: 1 if it may have run
-	RequestEnded                    // Reason: a guard.EndReason
-	ServerDialled                   // Node, Reason: a system.Fault, Value: ms that it took
-	ServerClosed                    // Node, Reason: a guard.CloseReason
-	ListReceived                    // Value: servers in it
-	PurgeReceived                   // ID: the object, Value: the group
-	ServerState                     // Node, Reason: a rules.State
-	PollFailed                      // Value: the last event's number
-	Reloaded                        // Reason: 0 taken, 1 to be tried again, 2 refused
-	Stalled                         // Value: ms
-	ClockStepped                    // Value: ms, negative for a step back
-	Stopping                        // Value: requests that are open
-	Violation                       // ID: the request or connection, Reason: a guard.Violation
+	ConnectionAccepted   Event = iota // ID: the connection
+	ConnectionClosed                  // ID: the connection, Reason: a guard.CloseReason
+	RequestArrived                    // ID: the request, Value: ms that the client has left
+	RequestRejected                   // Reason: a guard.EndReason, before the router of decisions saw it
+	AttemptQueued                     // Node, Attempt, Value: ms left
+	AttemptDenied                     // Node, Attempt, Reason: a guard.SendDenial
+	AttemptSent                       // Node, Attempt, Value: the deadline passed on, in ms
+	AttemptWritten                    // Node, Attempt: its last byte was taken by the system
+	AttemptEnded                      // Node, Attempt, Reason: a rules.Outcome
+	AttemptAborted                    // Node, Attempt, Value: 1 if it may have run
+	RequestEnded                      // Reason: a guard.EndReason
+	ServerDialled                     // Node, Reason: a system.Fault, Value: ms that it took
+	ServerClosed                      // Node, Reason: a guard.CloseReason
+	EndpointListReceived              // Value: servers in it
+	PurgeReceived                     // ID: the object, Value: the group
+	ServerState                       // Node, Reason: a rules.State
+	PollFailed                        // Value: the last event's number
+	Reloaded                          // Reason: 0 taken, 1 to be tried again, 2 refused
+	Stalled                           // Value: ms
+	ClockStepped                      // Value: ms, negative for a step back
+	ShuttingDown                      // Value: requests that are open
+	Violation                         // ID: the request or connection, Reason: a guard.Violation
 )
 
 var names = [...]string{"connection accepted", "connection closed", "request arrived", "request refused",
@@ -50,13 +50,13 @@
 
 // Entry is one recorded event. Which fields hold is said at the event.
 type Entry struct {
-	At      time.Duration // since the recorder began
-	Event   Event
-	Reason  uint8
-	Attempt uint8
-	ID      uint64
-	Node    uint64
-	Value   int64
+	At       time.Duration // since the recorder began
+	Event    Event
+	Reason   uint8
+	Attempt  uint8
+	ID       uint64
+	Endpoint uint64
+	Value    int64
 }
 
 // Recorder holds the last events. All methods also do on nil, where nothing is recorded.
@@ -122,8 +122,8 @@
 func (r *Recorder) Text(e Entry) string {
 	at := r.start.Add(e.At).Format("15:04:05.000000")
 	line := fmt.Sprintf("%s +%.6f %-19s id=%016x", at, e.At.Seconds(), e.Event, e.ID)
-	if e.Node != 0 {
-		line += fmt.Sprintf(" node=%x attempt=%d", e.Node, e.Attempt)
+	if e.Endpoint != 0 {
+		line += fmt.Sprintf(" node=%x attempt=%d", e.Endpoint, e.Attempt)
 	}
 	if reason := r.reasons(e.Event, e.Reason); reason != "" {
 		line += " reason=" + reason
--- a/internal/flightrecorder/flightrec_test.go
+++ b/internal/flightrecorder/flightrec_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("%+v", got)
 	}
 	for id := range uint64(4) {
-		r.Add(Entry{Event: RequestEnded, ID: 3 + id, Node: 7, Attempt: 1})
+		r.Add(Entry{Event: RequestEnded, ID: 3 + id, Endpoint: 7, Attempt: 1})
 	}
 	got := r.Entries()
 	for i, e := range got {
@@ -82,6 +82,6 @@
 	r := New(4096, noReason)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Add(Entry{Event: AttemptSent, ID: 7, Node: 8, Attempt: 1, Value: 1500})
+		r.Add(Entry{Event: AttemptSent, ID: 7, Endpoint: 8, Attempt: 1, Value: 1500})
 	}
 }
--- a/internal/frontend/cancel_test.go
+++ b/internal/frontend/cancel_test.go
@@ -59,7 +59,7 @@
 	if len(events) != 1 {
 		t.Fatalf("%d events, not one", len(events))
 	}
-	if a, asked := events[0].(*engine.Ask); !asked || a.Tag != 71 || len(s.open) != 1 {
+	if a, asked := events[0].(*engine.Request); !asked || a.Tag != 71 || len(s.open) != 1 {
 		t.Errorf("%+v is handed on, %d requests are open", events[0], len(s.open))
 	}
 }
@@ -88,7 +88,7 @@
 		"no tag yet":   {"*5\r\n$2\r\nDO\r\n$1\r\n7", ""},
 		"no request":   {"*5\r\n$4\r\nPING\r\n$1\r\n7\r\n", ""},
 	} {
-		h := newHouse(t, func(l *limits.Limits) { l.Whole = 50 * time.Millisecond })
+		h := newHouse(t, func(l *limits.Limits) { l.MessageTimeout = 50 * time.Millisecond })
 		conn := h.dial()
 		h.write(conn, frame("PING", "1")+c.half)
 		if got := h.rest(conn); got != frame("1", "UP", "", "")+c.want {
@@ -105,7 +105,7 @@
 		if err := s.got(copy(s.space(), do(tag, "")), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		s.answer(engine.Tag(tag), engine.Answer{Verdict: engine.Succeeded, Body: make([]byte, 100_000)})
+		s.answer(engine.Tag(tag), engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
 		return s.waiting[len(s.waiting)-1].word
 	}
 	tag := 1
@@ -119,7 +119,7 @@
 	if err := other.got(copy(other.space(), frame("DO", "1", "clip", "req=00000000000000aa,timeout=1500,subject=7f3a9c21e0b4d655")), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	other.answer(1, engine.Answer{Verdict: engine.Succeeded, Body: make([]byte, 100_000)})
+	other.answer(1, engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
 	if word := other.waiting[0].word; word != "OK" {
 		t.Errorf("a client that reads has %s", word)
 	}
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -46,7 +46,7 @@
 func (c *conn) unlock() {
 	if busy := !c.session.idle(); busy != c.busy {
 		c.busy = busy
-		kind := admission.EventRests
+		kind := admission.EventIdle
 		if busy {
 			c.server.busy.Add(1)
 			kind = admission.EventBusy
@@ -72,8 +72,8 @@
 // leaving says whether the connection is to go as soon as nothing is owed on it.
 func (c *conn) leaving() bool { return c.ended.Load() || c.server.ending.Load() }
 
-// Answer takes the final answer of a view.
-func (c *conn) Answer(tag engine.Tag, a engine.Answer) {
+// Respond takes the final answer of a view.
+func (c *conn) Respond(tag engine.Tag, a engine.Response) {
 	c.mu.Lock()
 	c.session.answer(tag, a)
 	c.unlock()
@@ -98,7 +98,7 @@
 	if !left(reason) {
 		c.part()
 	}
-	c.server.tell(admission.Event{Kind: admission.EventGone, Conn: c.id})
+	c.server.tell(admission.Event{Kind: admission.EventClosed, Conn: c.id})
 	return 0, io.EOF
 }
 
@@ -129,7 +129,7 @@
 	switch {
 	case bad != nil: // what is open has its answer yet
 		c.await(func() bool { return c.session.idle() })
-		return invariant.CloseUnreadable, true
+		return invariant.CloseClientMalformed, true
 	case c.gone:
 		return invariant.CloseClientLeft, true
 	case next.closed:
@@ -139,7 +139,7 @@
 	case next.leaves:
 		return next.reason, true
 	case len(next.space) == 0:
-		time.Sleep(c.server.shared.limits.Pause)
+		time.Sleep(c.server.shared.limits.RecheckInterval)
 		return invariant.CloseClientLeft, hungUp(c.raw)
 	}
 	err := c.take(next.space)
@@ -186,11 +186,11 @@
 // refused in time.
 func (c *conn) lookAhead(now time.Time) {
 	l := &c.server.shared.limits
-	if now.Sub(c.looked) < l.Watch {
+	if now.Sub(c.looked) < l.HeldInputInterval {
 		return
 	}
 	c.looked = now
-	if first := c.session.ahead(); !first.IsZero() && first.Sub(now) < l.Hurry {
+	if first := c.session.ahead(); !first.IsZero() && first.Sub(now) < l.PauseMargin {
 		c.opens = now
 	}
 }
@@ -198,7 +198,7 @@
 // catchUp reads what the system holds of the connection by now, and gives up what was taken back in it. Where there is more of it
 // than the ring has room for, what came long ago is refused: nobody can tell whether its client still waits.
 func (c *conn) catchUp() {
-	end := time.Now().Add(c.server.shared.limits.Behind)
+	end := time.Now().Add(c.server.shared.limits.ReadAheadTimeout)
 	err, whole := error(nil), false
 	for err == nil {
 		c.mu.Lock()
@@ -228,7 +228,7 @@
 
 // step is what the reader is to do next.
 type step struct {
-	events []any
+	events []engine.Message
 	space  []byte
 	until  time.Time // nothing is to come for longer
 	held   bool      // nothing may be taken at the moment
@@ -245,16 +245,16 @@
 	next.held = c.stalled || now.Before(c.opens)
 	ending := c.server.ending.Load()
 	next.leaves = (ending || c.ended.Load()) && !next.held && c.session.still(now, ending)
-	if next.reason = invariant.CloseForRoom; ending {
-		next.reason = invariant.CloseStopping
+	if next.reason = invariant.CloseClientForCapacity; ending {
+		next.reason = invariant.CloseShutdown
 	}
 	next.closed, next.events = c.session.closed, c.session.take()
 	next.space, next.until = c.session.space(), c.session.until(now)
 	switch {
 	case next.held:
-		next.until = now.Add(c.server.shared.limits.Watch)
+		next.until = now.Add(c.server.shared.limits.HeldInputInterval)
 	case ending && !c.session.asked && c.session.in.Len() == 0:
-		next.until = c.session.begun.Add(c.server.shared.limits.Polite)
+		next.until = c.session.begun.Add(c.server.shared.limits.CloseLinger)
 	}
 	_ = c.Conn.SetReadDeadline(next.until)
 	return next
@@ -281,7 +281,7 @@
 // rests is called when nothing came for long, and says whether the connection is to end for it.
 func (c *conn) rests(now time.Time) (reason invariant.CloseReason, over bool) {
 	c.mu.Lock()
-	if reason = invariant.CloseRested; c.session.in.Len() > 0 {
+	if reason = invariant.CloseClientIdle; c.session.in.Len() > 0 {
 		reason = invariant.CloseIncomplete
 	}
 	over = c.session.rest()
@@ -300,7 +300,7 @@
 	s := c.server
 	if c.ended.Load() { // another has its place already, and may need its descriptor
 		defer s.parting.Add(-1)
-		if s.parting.Add(1) > int64(s.shared.limits.Turned) && !s.ending.Load() {
+		if s.parting.Add(1) > int64(s.shared.limits.RejectedConnections) && !s.ending.Load() {
 			return
 		}
 	}
@@ -331,10 +331,10 @@
 
 // tell hands on what the client wants. A request that the engine has no room for is refused at once: the connection must go on
 // being read.
-func (c *conn) tell(at time.Time, events []any) {
+func (c *conn) tell(at time.Time, events []engine.Message) {
 	for _, e := range events {
-		if a, is := e.(*engine.Ask); !c.server.post(at, e) && is {
-			c.Answer(a.Tag, engine.Answer{Verdict: engine.TurnedBack})
+		if a, is := e.(*engine.Request); !c.server.post(at, e) && is {
+			c.Respond(a.Tag, engine.Response{Status: engine.StatusRejected})
 		}
 	}
 }
@@ -360,7 +360,7 @@
 		if closed {
 			return
 		}
-		_ = c.Conn.SetWriteDeadline(time.Now().Add(c.server.shared.limits.Stuck))
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(c.server.shared.limits.WriteStallTimeout))
 		n, err := system.Write(c.Conn, out)
 		c.mu.Lock()
 		c.session.out.Wrote(n)
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -26,23 +26,23 @@
 	*Server
 	t    *testing.T
 	ln   net.Listener
-	asks chan *engine.Ask
-	gone chan routing.ViewID
+	asks chan *engine.Request
+	gone chan routing.RequestID
 }
 
 func newHouse(t *testing.T, change func(*limits.Limits)) *house {
-	l := limits.From(limits.Told{MemoryMB: 192, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second})
-	l.Stuck = time.Hour // a client that reads nothing is not what ends it here
+	l := limits.From(limits.Inputs{MemoryMB: 192, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second})
+	l.WriteStallTimeout = time.Hour // a client that reads nothing is not what ends it here
 	if change != nil {
 		change(&l)
 	}
-	h := &house{t: t, asks: make(chan *engine.Ask, 1000), gone: make(chan routing.ViewID, 1000)}
-	h.Server = New(l, config.Names{Tariffs: []string{"clip"}}, []routing.Tariff{{}}, Doors{}, func(_ time.Time, what any) bool {
-		switch what := what.(type) {
-		case *engine.Ask:
-			h.asks <- what
-		case engine.Gone:
-			h.gone <- what.View
+	h := &house{t: t, asks: make(chan *engine.Request, 1000), gone: make(chan routing.RequestID, 1000)}
+	h.Server = New(l, config.Names{Classes: []string{"clip"}}, []routing.Class{{}}, Options{}, func(_ time.Time, message engine.Message) bool {
+		switch message := message.(type) {
+		case *engine.Request:
+			h.asks <- message
+		case engine.ClientGone:
+			h.gone <- message.Request
 		}
 		return true
 	}, zap.NewNop())
@@ -61,7 +61,7 @@
 		within(t, "every connection is closed, and nothing of it is left", func() bool {
 			h.shared.mu.Lock()
 			defer h.shared.mu.Unlock()
-			return h.Left() == 0 && h.Count() == 0 && h.busy.Load() == 0 && h.shared.held.Load() == 0 && len(h.shared.open) == 0
+			return h.UnclosedCount() == 0 && h.ConnectionCount() == 0 && h.busy.Load() == 0 && h.shared.held.Load() == 0 && len(h.shared.open) == 0
 		})
 	})
 	return h
@@ -138,7 +138,7 @@
 // A request comes at the moment in which its connection is ended for having rested: it is not taken any more, and what was
 // answered before arrives.
 func TestRequestCrossesEnd(t *testing.T) {
-	h := newHouse(t, func(l *limits.Limits) { l.Rest = 30 * time.Millisecond })
+	h := newHouse(t, func(l *limits.Limits) { l.ClientIdleTimeout = 30 * time.Millisecond })
 	for range 10 {
 		c := h.dial()
 		h.write(c, frame("PING", "1"))
@@ -146,7 +146,7 @@
 			t.Fatalf("%q", text)
 		}
 		h.write(c, view(2))
-		within(t, "the connection is closed", func() bool { return h.Left() == 0 })
+		within(t, "the connection is closed", func() bool { return h.UnclosedCount() == 0 })
 		if len(h.asks) > 0 {
 			t.Fatal("a request that was read after the end was taken")
 		}
@@ -168,7 +168,7 @@
 	for n := 1; n <= 60; n++ {
 		h.write(c, view(n))
 		a := got(h.t, h.asks)
-		a.Client.Answer(a.Tag, engine.Answer{Verdict: engine.Succeeded, Body: big})
+		a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusOK, Body: big})
 	}
 	h.write(c, view(tag))
 	got(h.t, h.asks)
@@ -215,7 +215,7 @@
 				t.Errorf("noticed after %v", took)
 			}
 			_ = c.Close()
-			within(t, "the end of it", func() bool { return h.Left() == 0 })
+			within(t, "the end of it", func() bool { return h.UnclosedCount() == 0 })
 			if len(h.asks) > 0 {
 				t.Error("a request was taken of a client that had gone")
 			}
@@ -250,8 +250,8 @@
 		}
 		return false
 	})
-	h.End()
-	h.End()
+	h.Drain()
+	h.Drain()
 	if text := h.rest(resting); text != "" {
 		t.Errorf("%q", text)
 	}
@@ -266,14 +266,14 @@
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
-	a.Client.Answer(a.Tag, engine.Answer{Verdict: engine.Succeeded, Body: []byte("bytes")})
+	a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")})
 	if text := h.rest(open); text != frame("4", "BUSY", "", "")+frame("3", "OK", "", "bytes") {
 		t.Errorf("%q", text)
 	}
 	for _, c := range []net.Conn{resting, open, half, late} {
 		_ = c.Close()
 	}
-	within(t, "nobody is left", func() bool { return h.Left() == 0 })
+	within(t, "nobody is left", func() bool { return h.UnclosedCount() == 0 })
 	if len(h.asks) > 0 {
 		t.Error("a request was taken after the order to end")
 	}
@@ -287,7 +287,7 @@
 		c := h.dial()
 		h.write(c, view(1))
 		a := got(t, h.asks)
-		answer := func() { a.Client.Answer(a.Tag, engine.Answer{Verdict: engine.Succeeded, Body: []byte("bytes")}) }
+		answer := func() { a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")}) }
 		switch order {
 		case 0:
 			answer()
@@ -312,7 +312,7 @@
 			both.Wait()
 		}
 		_ = c.Close()
-		within(t, "the end of it", func() bool { return h.Left() == 0 })
+		within(t, "the end of it", func() bool { return h.UnclosedCount() == 0 })
 		if len(h.gone) > 1 {
 			t.Errorf("order %d: %d times gone", order, len(h.gone))
 		}
--- a/internal/frontend/door.go
+++ b/internal/frontend/door.go
@@ -49,13 +49,13 @@
 func (s *Server) tell(e admission.Event) (a admission.Action, said bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e.Kind == admission.EventGone {
+	if e.Kind == admission.EventClosed {
 		delete(s.conns, e.Conn)
 	}
 	s.acts = s.doors.Handle(time.Since(s.start), &e, s.acts[:0])
 	for _, x := range s.acts {
 		switch x.Kind {
-		case admission.End:
+		case admission.CloseIdle:
 			if c := s.conns[x.Conn]; c != nil {
 				delete(s.conns, x.Conn)
 				c.ended.Store(true)
@@ -90,7 +90,7 @@
 		begun := time.Now()
 		up, err := l.Listener.Accept()
 		now := time.Now()
-		if now.Sub(begun) > s.shared.limits.Pause {
+		if now.Sub(begun) > s.shared.limits.RecheckInterval {
 			s.refusing = time.Time{} // nobody waited when the call began
 		}
 		switch {
@@ -98,8 +98,8 @@
 			if s.refusing.IsZero() {
 				s.refusing = now
 			}
-			if now.Sub(s.refusing) < s.shared.limits.Shortage { // it may be for a moment: who waits to be accepted loses nothing
-				time.Sleep(s.shared.limits.Pause)
+			if now.Sub(s.refusing) < s.shared.limits.DescriptorShortageAfter { // it may be for a moment: who waits to be accepted loses nothing
+				time.Sleep(s.shared.limits.RecheckInterval)
 				continue
 			}
 			if c := s.overflow(l.Listener); c != nil {
@@ -109,11 +109,11 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case err != nil: // one that went before it was taken
-			time.Sleep(s.shared.limits.Pause)
+			time.Sleep(s.shared.limits.RecheckInterval)
 			continue
 		}
 		s.spare.hold()
-		s.tell(admission.Event{Kind: admission.EventAccepted})
+		s.tell(admission.Event{Kind: admission.EventDescriptorAvailable})
 		c := s.arrive(up, s.arrived(now))
 		if s.spare.file != nil {
 			s.refusing = time.Time{} // what waited for descriptors is taken one by one; the next has hardly waited longer
@@ -138,23 +138,23 @@
 	s.conns[c.id] = c
 	s.mu.Unlock()
 	a, _ := s.tell(admission.Event{Kind: admission.EventArrive, Conn: c.id, Peer: admission.Address(ip.Addr().As16()), TLS: s.keys != nil})
-	if a.Kind == admission.Take {
+	if a.Kind == admission.Accept {
 		s.guard.Record(flightrecorder.Entry{Event: flightrecorder.ConnectionAccepted, ID: uint64(c.id)})
 		c.counts.Store(true)
 		s.live.Add(1)
 		return c
 	}
-	s.guard.CloseClient(uint64(c.id), invariant.CloseTurnedAway, 0)
+	s.guard.CloseClient(uint64(c.id), invariant.CloseRejected, 0)
 	s.mu.Lock()
 	delete(s.conns, c.id)
 	s.mu.Unlock()
-	if a.Kind == admission.Refuse && s.spare.file != nil && s.turned.Add(1) <= int64(s.shared.limits.Turned) {
+	if a.Kind == admission.Reject && s.spare.file != nil && s.turned.Add(1) <= int64(s.shared.limits.RejectedConnections) {
 		go func() {
 			defer s.turned.Add(-1)
 			s.turnBack(up, a.Wait)
 		}()
 		return nil
-	} else if a.Kind == admission.Refuse {
+	} else if a.Kind == admission.Reject {
 		if s.spare.file != nil {
 			s.turned.Add(-1)
 		}
@@ -186,9 +186,9 @@
 			})
 		}
 	}
-	in, dec := resp.Ring{Bound: l.ClientIn}, resp.Decoder{Args: l.Strings, Size: l.ClientIn - 2*l.Fields, Most: l.ClientIn}
+	in, dec := resp.Ring{Bound: l.ClientReadBuffer}, resp.Decoder{Args: l.FrameStrings, Size: l.ClientReadBuffer - 2*l.FieldBytes, Most: l.ClientReadBuffer}
 	in.Append(buf[:max(0, n)])
-	out := answers(nil, &dec, &in, l.Fields, wait)
+	out := answers(nil, &dec, &in, l.FieldBytes, wait)
 	if len(out) == 0 {
 		out = word(wait)
 	}
@@ -229,13 +229,13 @@
 func (s *Server) turnBack(up net.Conn, wait time.Duration) {
 	defer func() { _ = up.Close() }()
 	l := &s.shared.limits
-	_ = up.SetDeadline(time.Now().Add(l.Polite))
-	in, dec := resp.Ring{Bound: l.ClientIn}, resp.Decoder{Args: l.Strings, Size: l.ClientIn - 2*l.Fields, Most: l.ClientIn}
+	_ = up.SetDeadline(time.Now().Add(l.CloseLinger))
+	in, dec := resp.Ring{Bound: l.ClientReadBuffer}, resp.Decoder{Args: l.FrameStrings, Size: l.ClientReadBuffer - 2*l.FieldBytes, Most: l.ClientReadBuffer}
 	told := false
 	for !told {
 		n, err := up.Read(in.Tail())
 		in.Commit(n)
-		if out := answers(nil, &dec, &in, l.Fields, wait); len(out) > 0 {
+		if out := answers(nil, &dec, &in, l.FieldBytes, wait); len(out) > 0 {
 			if _, err := up.Write(out); err != nil {
 				return
 			}
@@ -245,7 +245,7 @@
 			break
 		}
 	}
-	_ = up.SetDeadline(time.Now().Add(l.Polite))
+	_ = up.SetDeadline(time.Now().Add(l.CloseLinger))
 	if !told {
 		if _, err := up.Write(word(wait)); err != nil {
 			return
@@ -259,25 +259,27 @@
 	if half, can := up.(interface{ CloseWrite() error }); can {
 		_ = half.CloseWrite()
 	}
-	_ = up.SetReadDeadline(time.Now().Add(l.Polite))
+	_ = up.SetReadDeadline(time.Now().Add(l.CloseLinger))
 	rest := make([]byte, 1<<10)
-	for range l.ClientIn / len(rest) {
+	for range l.ClientReadBuffer / len(rest) {
 		if _, err := up.Read(rest); err != nil {
 			return
 		}
 	}
 }
 
-// Short says that no descriptor was left for something else: connections that rest make room for it.
-func (s *Server) Short() { s.tell(admission.Event{Kind: admission.EventShort}) }
+// ReportDescriptorShortage says that no descriptor was left for something else: connections that rest make room for it.
+func (s *Server) ReportDescriptorShortage() {
+	s.tell(admission.Event{Kind: admission.EventNoUpstreamDescriptors})
+}
 
 // overflow: there is no descriptor left. The spare one is given up, and whoever comes in the time that the decisions say is
 // told so by it, or taken if they may be where the decisions have made room; then it is held again.
 func (s *Server) overflow(l net.Listener) *conn {
 	defer s.spare.hold()
-	a, _ := s.tell(admission.Event{Kind: admission.EventExhausted})
-	if s.Relieve != nil {
-		s.Relieve()
+	a, _ := s.tell(admission.Event{Kind: admission.EventNoDescriptors})
+	if s.OnDescriptorShortage != nil {
+		s.OnDescriptorShortage()
 	}
 	s.spare.release()
 	t, can := l.(interface{ SetDeadline(time.Time) error })
@@ -317,14 +319,14 @@
 // admits asks the decisions about a view, or tells them of one.
 func (c *conn) admits(e admission.Event) (time.Duration, bool) {
 	e.Conn = c.id
-	if e.Kind == admission.EventView {
+	if e.Kind == admission.EventRequest {
 		if c.server.ending.Load() {
 			return 0, false
 		}
-		e.Took = c.server.lag()
+		e.Elapsed = c.server.lag()
 	}
 	a, said := c.server.tell(e)
-	taken := said && a.Kind == admission.Take
+	taken := said && a.Kind == admission.Accept
 	if taken && !c.busy { // the decisions take it for busy from here on: its end would lose the view
 		c.busy = true
 		c.server.busy.Add(1)
@@ -340,8 +342,8 @@
 		return true
 	}
 	begun := time.Now()
-	peer, err := c.server.keys.shake(c.Conn, c.server.shared.limits.Whole)
-	c.server.tell(admission.Event{Kind: admission.EventShown, Conn: c.id, Peer: peer, Took: c.server.keys.cost(time.Since(begun), err)})
+	peer, err := c.server.keys.shake(c.Conn, c.server.shared.limits.MessageTimeout)
+	c.server.tell(admission.Event{Kind: admission.EventHandshakeDone, Conn: c.id, Peer: peer, Elapsed: c.server.keys.cost(time.Since(begun), err)})
 	if err != nil {
 		c.server.keys.complain(c.server.log, err)
 		c.mu.Lock()
--- a/internal/frontend/door_test.go
+++ b/internal/frontend/door_test.go
@@ -20,14 +20,15 @@
 	"go.uber.org/zap"
 
 	"fennelarch/internal/config"
+	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/admission"
 	"fennelarch/policy/routing"
 )
 
-func serve(t *testing.T, d Doors) (address string, s *Server) {
-	l := limits.From(limits.Told{MemoryMB: 64, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second})
-	s = New(l, config.Names{Tariffs: []string{"clip"}}, []routing.Tariff{{}}, d, func(time.Time, any) bool { return true }, zap.NewNop())
+func serve(t *testing.T, d Options) (address string, s *Server) {
+	l := limits.From(limits.Inputs{MemoryMB: 64, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second})
+	s = New(l, config.Names{Classes: []string{"clip"}}, []routing.Class{{}}, d, func(time.Time, engine.Message) bool { return true }, zap.NewNop())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +40,7 @@
 
 // One that is not taken is told so in a way that it can read, and the word arrives though it is still sending.
 func TestTurnedBackCleanly(t *testing.T) {
-	address, _ := serve(t, Doors{Admission: admission.Settings{PerPeer: 1, Tell: true, MaxWait: time.Second}})
+	address, _ := serve(t, Options{Admission: admission.Settings{ConnectionsPerPeer: 1, SendRetryAfter: true, MaxRetryAfter: time.Second}})
 	first, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -112,12 +113,12 @@
 	old.NotAfter = time.Now().Add(-time.Hour)
 	pair(t, folder, "old", old, ca, by)
 	pair(t, folder, "crew", &x509.Certificate{Subject: pkix.Name{CommonName: "crew"}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}, ca, by)
-	f := Files{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("ca.crt")}
-	keys, err := LoadKeys(f)
+	f := TLSFiles{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("ca.crt")}
+	keys, err := LoadTLSKeys(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, s := serve(t, Doors{Keys: keys, Admission: admission.Settings{Tell: true}})
+	address, s := serve(t, Options{Keys: keys, Admission: admission.Settings{SendRetryAfter: true}})
 	pool := x509.NewCertPool()
 	text, _ := os.ReadFile(at("ca.crt"))
 	pool.AppendCertsFromPEM(text)
@@ -145,7 +146,7 @@
 	if got := ask(before); got != up || name != "one" {
 		t.Fatalf("%q of %s", got, name)
 	}
-	for _, bad := range []Files{{Cert: at("none.crt"), Key: at("one.key")}, {Cert: at("one.crt"), Key: at("two.key")},
+	for _, bad := range []TLSFiles{{Cert: at("none.crt"), Key: at("one.key")}, {Cert: at("one.crt"), Key: at("two.key")},
 		{Cert: at("old.crt"), Key: at("old.key")}, {Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("one.key")}} {
 		if err := keys.Load(bad); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v", err)
@@ -176,9 +177,9 @@
 	if _, err := io.ReadAll(half); os.IsTimeout(err) || time.Since(begun) > 4*time.Second {
 		t.Errorf("half a handshake is held for %v", time.Since(begun))
 	}
-	for end := time.Now().Add(5 * time.Second); s.Count() > 3; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); s.ConnectionCount() > 3; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections", s.Count())
+			t.Fatalf("%d connections", s.ConnectionCount())
 		}
 	}
 }
--- a/internal/frontend/held_test.go
+++ b/internal/frontend/held_test.go
@@ -31,10 +31,10 @@
 		if took := time.Since(begun); took > 300*time.Millisecond {
 			t.Errorf("it is taken after %v", took)
 		}
-		if left := time.Until(a.At.Add(a.Left)); left > 300*time.Millisecond-time.Since(begun)+20*time.Millisecond {
+		if left := time.Until(a.ReceivedAt.Add(a.Timeout)); left > 300*time.Millisecond-time.Since(begun)+20*time.Millisecond {
 			t.Errorf("it has %v left after %v", left, time.Since(begun))
 		}
-		a.Client.Answer(a.Tag, engine.Answer{Verdict: engine.TurnedBack})
+		a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusRejected})
 	case <-time.After(time.Second):
 		t.Error("its time is up, and it has not been taken")
 	}
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -8,6 +8,7 @@
 	"go.uber.org/zap"
 
 	"fennelarch/internal/config"
+	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/routing"
 )
@@ -15,9 +16,9 @@
 // Clients that only sit there make room for those that come; where all are busy, the new one is closed. What is in
 // hand goes on.
 func TestTooManyClients(t *testing.T) {
-	l := limits.From(limits.Told{MemoryMB: 64, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second})
-	l.Clients, l.Rest = 3, 200*time.Millisecond
-	s := New(l, config.Names{Tariffs: []string{"clip"}}, []routing.Tariff{{}}, Doors{}, func(time.Time, any) bool { return true }, zap.NewNop())
+	l := limits.From(limits.Inputs{MemoryMB: 64, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second})
+	l.ClientConnections, l.ClientIdleTimeout = 3, 200*time.Millisecond
+	s := New(l, config.Names{Classes: []string{"clip"}}, []routing.Class{{}}, Options{}, func(time.Time, engine.Message) bool { return true }, zap.NewNop())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,9 +64,9 @@
 	if _, got := ask(frame("PING", "1")); got != frame("1", "BUSY", "", "") {
 		t.Errorf("a fourth busy client got %q", got)
 	}
-	for end := time.Now().Add(10 * time.Second); s.Count() > 3 || s.busy.Load() != 3; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); s.ConnectionCount() > 3 || s.busy.Load() != 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections, %d busy", s.Count(), s.busy.Load())
+			t.Fatalf("%d connections, %d busy", s.ConnectionCount(), s.busy.Load())
 		}
 	}
 }
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -28,18 +28,18 @@
 // shared is what all sessions of a server have in common.
 type shared struct {
 	limits  limits.Limits
-	tariffs map[string]routing.TariffID
+	tariffs map[string]routing.ClassID
 	tenants []string
 	writes  []bool
-	due     []time.Duration    // by tariff
-	growth  []float64          // seconds for each KB
-	repeats []invariant.Repeat // by tariff
+	due     []time.Duration          // by tariff
+	growth  []float64                // seconds for each KB
+	repeats []invariant.RepeatPolicy // by tariff
 	guard   *invariant.Monitor
 	views   atomic.Uint64
 	held    atomic.Int64 // bytes of answers that wait
 
 	mu   sync.Mutex
-	open map[engine.Ident]claim // views of all connections
+	open map[engine.ClientRequestID]claim // views of all connections
 }
 
 // claim says what a view's id stands for while it is open, and how often.
@@ -50,18 +50,18 @@
 }
 
 // claim takes a view's id into use; one that stands for something else at the moment can't be.
-func (s *shared) claim(a *engine.Ask) bool {
+func (s *shared) claim(a *engine.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := s.open[a.Ident]
+	c := s.open[a.ClientRequestID]
 	if c.times > 0 && (c.object != a.Object || c.part != a.Part) {
 		return false
 	}
-	s.open[a.Ident] = claim{a.Object, a.Part, c.times + 1}
+	s.open[a.ClientRequestID] = claim{a.Object, a.Part, c.times + 1}
 	return true
 }
 
-func (s *shared) release(id engine.Ident) {
+func (s *shared) release(id engine.ClientRequestID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.open[id]
@@ -80,14 +80,14 @@
 	dec    resp.Decoder
 	out    resp.Writer
 
-	open    map[engine.Tag]*engine.Ask // by tag
-	waiting []answer                   // nothing of them is in the stream
-	putting int64                      // length of the body that is being put into the stream
-	held    int64                      // bytes of answers that wait, of this session
+	open    map[engine.Tag]*engine.Request // by tag
+	waiting []answer                       // nothing of them is in the stream
+	putting int64                          // length of the body that is being put into the stream
+	held    int64                          // bytes of answers that wait, of this session
 	closed  bool
-	good    bool  // the view that is being shut was served
-	back    bool  // or turned back
-	events  []any // *engine.Ask and engine.Gone, to be taken by the driver
+	good    bool             // the view that is being shut was served
+	back    bool             // or turned back
+	events  []engine.Message // *engine.Ask and engine.Gone, to be taken by the driver
 
 	admits func(admission.Event) (wait time.Duration, taken bool) // asks whether a view may be opened, and tells of its end
 
@@ -106,9 +106,9 @@
 
 func newSession(s *shared, client engine.Client, admits func(admission.Event) (time.Duration, bool), now time.Time) *session {
 	l := &s.limits
-	return &session{shared: s, client: client, admits: admits, begun: now, in: resp.Ring{Bound: l.ClientIn}, out: resp.Writer{Ring: resp.Ring{Bound: l.ClientOut}},
-		dec:  resp.Decoder{Args: l.Strings, Size: l.ClientIn - 2*l.Fields, Most: l.ClientIn},
-		open: map[engine.Tag]*engine.Ask{}}
+	return &session{shared: s, client: client, admits: admits, begun: now, in: resp.Ring{Bound: l.ClientReadBuffer}, out: resp.Writer{Ring: resp.Ring{Bound: l.ClientWriteBuffer}},
+		dec:  resp.Decoder{Args: l.FrameStrings, Size: l.ClientReadBuffer - 2*l.FieldBytes, Most: l.ClientReadBuffer},
+		open: map[engine.Tag]*engine.Request{}}
 }
 
 // space is where what comes next is to be read into.
@@ -130,7 +130,7 @@
 		if err == nil && args != nil {
 			if s.begun = now; !s.asked {
 				s.asked = true
-				s.admits(admission.Event{Kind: admission.EventAsked})
+				s.admits(admission.Event{Kind: admission.EventMessage})
 			}
 			err = s.command(args, s.arrivals.of(s.in.Len()-s.dec.Taken()))
 		}
@@ -147,7 +147,7 @@
 // still says whether nothing is open, nothing is to be written and nothing has begun to come; one that has just come and has
 // not asked yet is about to.
 func (s *session) still(now time.Time, polite bool) bool {
-	return s.idle() && s.in.Len() == 0 && (s.asked || !polite || now.Sub(s.begun) >= s.shared.limits.Polite)
+	return s.idle() && s.in.Len() == 0 && (s.asked || !polite || now.Sub(s.begun) >= s.shared.limits.CloseLinger)
 }
 
 // ahead gives up what the client takes back in messages that wait to be taken: it has gone, though its input is held. It returns when
@@ -171,7 +171,7 @@
 			if a == nil {
 				continue
 			}
-			if end := s.arrivals.look(in.Len() - dec.Taken()).Add(a.Left); first.IsZero() || end.Before(first) {
+			if end := s.arrivals.look(in.Len() - dec.Taken()).Add(a.Timeout); first.IsZero() || end.Before(first) {
 				first = end
 			}
 		}
@@ -181,9 +181,9 @@
 // stale says whether a request is about to be handed on that came so long ago that its client may have taken it back, or left,
 // behind it.
 func (s *session) stale(now time.Time) bool {
-	return slices.ContainsFunc(s.events, func(e any) bool {
-		a, is := e.(*engine.Ask)
-		return is && now.Sub(a.At) > s.shared.limits.Stale
+	return slices.ContainsFunc(s.events, func(e engine.Message) bool {
+		a, is := e.(*engine.Request)
+		return is && now.Sub(a.ReceivedAt) > s.shared.limits.StaleReadAge
 	})
 }
 
@@ -191,9 +191,9 @@
 // sent, so that trying again is harmless.
 func (s *session) refuseStale(now time.Time) {
 	for _, e := range slices.Clone(s.events) {
-		if a, is := e.(*engine.Ask); is && now.Sub(a.At) > s.shared.limits.Stale {
-			s.events = slices.DeleteFunc(s.events, func(e any) bool { return e == any(a) })
-			s.answer(a.Tag, engine.Answer{Verdict: engine.TurnedBack})
+		if a, is := e.(*engine.Request); is && now.Sub(a.ReceivedAt) > s.shared.limits.StaleReadAge {
+			s.events = slices.DeleteFunc(s.events, func(e engine.Message) bool { return e == engine.Message(a) })
+			s.answer(a.Tag, engine.Response{Status: engine.StatusRejected})
 		}
 	}
 }
@@ -201,9 +201,9 @@
 // until is when the connection has rested for too long, or what comes first, or has begun to come, should be whole.
 func (s *session) until(now time.Time) time.Time {
 	if !s.asked || s.in.Len() > 0 {
-		return s.begun.Add(s.shared.limits.Whole)
+		return s.begun.Add(s.shared.limits.MessageTimeout)
 	}
-	return now.Add(s.shared.limits.Rest)
+	return now.Add(s.shared.limits.ClientIdleTimeout)
 }
 
 // refuse fails all that is open: the client sent what can't be read, so no answer of its would be known for what it is.
@@ -215,12 +215,12 @@
 }
 
 // full says that the client must read before more of it is taken.
-func (s *session) full() bool { return len(s.waiting) >= s.shared.limits.Waiting }
+func (s *session) full() bool { return len(s.waiting) >= s.shared.limits.PendingResponses }
 
 // command takes one frame. What cannot be used gets an answer under its tag; without a tag, or under one that is open,
 // none could be told from another.
 func (s *session) command(args [][]byte, came time.Time) error {
-	if len(args) < 2 || len(args[1]) > s.shared.limits.Fields {
+	if len(args) < 2 || len(args[1]) > s.shared.limits.FieldBytes {
 		return resp.ErrFraming
 	}
 	number, err := strconv.ParseUint(string(args[1]), 10, 64)
@@ -241,18 +241,18 @@
 		s.say(answer{tag: string(args[1]), word: "UP"})
 	case "DO":
 		// Asked before it is read: a view that is not let in must cost next to nothing.
-		if wait, taken := s.admits(admission.Event{Kind: admission.EventView}); !taken {
+		if wait, taken := s.admits(admission.Event{Kind: admission.EventRequest}); !taken {
 			s.busy(string(args[1]), wait)
 			return nil
 		}
 		a := s.ask(args[2:])
-		if a == nil || len(s.open) >= s.shared.limits.Open || !s.shared.claim(a) {
-			s.admits(admission.Event{Kind: admission.EventViewEnd})
+		if a == nil || len(s.open) >= s.shared.limits.OpenPerConnection || !s.shared.claim(a) {
+			s.admits(admission.Event{Kind: admission.EventRequestEnd})
 			s.fail(string(args[1]))
 			return nil
 		}
-		a.View, a.Client, a.Tag, a.At = routing.ViewID(s.shared.views.Add(1)), s.client, tag, came
-		a.Guard = s.shared.guard.NewRequest(uint64(a.Ident), came.Add(a.Left), s.shared.repeats[a.Tariff])
+		a.ID, a.Client, a.Tag, a.ReceivedAt = routing.RequestID(s.shared.views.Add(1)), s.client, tag, came
+		a.Invariants = s.shared.guard.NewRequest(uint64(a.ClientRequestID), came.Add(a.Timeout), s.shared.repeats[a.Class])
 		s.open[tag] = a
 		s.events = append(s.events, a)
 	default:
@@ -279,11 +279,11 @@
 // leave gives an open view up: no answer of the engine's is waited for. One that was not handed on yet never is.
 func (s *session) leave(tag engine.Tag, why invariant.EndReason) {
 	a := s.open[tag]
-	a.Guard.End(why, time.Now())
-	if i := slices.IndexFunc(s.events, func(e any) bool { return e == any(a) }); i >= 0 {
+	a.Invariants.End(why, time.Now())
+	if i := slices.IndexFunc(s.events, func(e engine.Message) bool { return e == engine.Message(a) }); i >= 0 {
 		s.events = slices.Delete(s.events, i, i+1)
 	} else {
-		s.events = append(s.events, engine.Gone{View: a.View})
+		s.events = append(s.events, engine.ClientGone{Request: a.ID})
 	}
 	s.shut(tag)
 }
@@ -299,7 +299,7 @@
 func (s *session) fits(bytes int) bool {
 	l := &s.shared.limits
 	total := s.shared.held.Load() + int64(bytes)
-	return total <= l.Answers-l.Answers/reservedPart || total <= l.Answers && s.held+int64(bytes) <= int64(l.Object)
+	return total <= l.ResponseBacklogBytes-l.ResponseBacklogBytes/reservedPart || total <= l.ResponseBacklogBytes && s.held+int64(bytes) <= int64(l.ResponseBodyBytes)
 }
 
 // reservedPart is the part of the memory for answers that is kept for clients that read.
@@ -307,10 +307,10 @@
 
 func (s *session) shut(tag engine.Tag) {
 	a := s.open[tag]
-	late := time.Since(a.At) > s.shared.due[a.Tariff]+time.Duration(a.KB*s.shared.growth[a.Tariff]*float64(time.Second))
-	s.admits(admission.Event{Kind: admission.EventViewEnd, InTime: s.good && !late, Back: s.back})
+	late := time.Since(a.ReceivedAt) > s.shared.due[a.Class]+time.Duration(a.SizeKB*s.shared.growth[a.Class]*float64(time.Second))
+	s.admits(admission.Event{Kind: admission.EventRequestEnd, InTime: s.good && !late, Rejected: s.back})
 	s.good, s.back = false, false
-	s.shared.release(s.open[tag].Ident)
+	s.shared.release(s.open[tag].ClientRequestID)
 	delete(s.open, tag)
 }
 
@@ -319,7 +319,7 @@
 func (s *session) fail(tag string) { s.say(answer{tag: tag, word: "FAILED"}) }
 
 // ask reads a view, or returns nothing if it can't be used.
-func (s *session) ask(args [][]byte) *engine.Ask {
+func (s *session) ask(args [][]byte) *engine.Request {
 	if len(args) < 2 || len(args) > 3 {
 		return nil
 	}
@@ -327,7 +327,7 @@
 	if !known {
 		return nil
 	}
-	a := &engine.Ask{Tariff: tariff, Write: s.shared.writes[tariff], Left: -1}
+	a := &engine.Request{Class: tariff, Write: s.shared.writes[tariff], Timeout: -1}
 	var ok, ident, object bool
 	seen := make([][]byte, 0, 16) // names, as they lie in the ring
 	for name, value, rest := []byte(nil), []byte(nil), args[1]; len(rest) > 0; {
@@ -340,11 +340,11 @@
 		case "req":
 			var n uint64
 			n, ident = id(value)
-			a.Ident, ok = engine.Ident(n), ident
+			a.ClientRequestID, ok = engine.ClientRequestID(n), ident
 		case "timeout":
 			var ms uint64
-			ms, ok = number(value, uint64(s.shared.limits.Timeout.Milliseconds()))
-			a.Left = time.Duration(ms) * time.Millisecond
+			ms, ok = number(value, uint64(s.shared.limits.MaxRequestTimeout.Milliseconds()))
+			a.Timeout = time.Duration(ms) * time.Millisecond
 		case "resent":
 			a.Repeat, ok = true, string(value) == "1"
 		case "subject":
@@ -361,16 +361,16 @@
 			a.Group = routing.GroupID(n)
 		case "need":
 			var err error
-			a.KB, err = strconv.ParseFloat(string(value), 64)
-			ok = err == nil && a.KB >= 0 && a.KB <= s.shared.limits.KB
+			a.SizeKB, err = strconv.ParseFloat(string(value), 64)
+			ok = err == nil && a.SizeKB >= 0 && a.SizeKB <= s.shared.limits.MaxSizeKB
 		case "owner":
 			a.Tenant = routing.TenantID(max(0, slices.Index(s.shared.tenants, string(value))))
 			ok = len(s.shared.tenants) == 0 || slices.Contains(s.shared.tenants, string(value))
 		case "opkey":
-			a.Once = string(value)
+			a.IdempotencyKey = string(value)
 			ok = len(value) > 0 && !bytes.ContainsFunc(value, func(r rune) bool { return r <= ' ' || r > '~' })
 		case "ver":
-			a.Have = string(value)
+			a.HeldETag = string(value)
 			_, ok = id(value)
 		default:
 			ok = true // a field to come
@@ -379,10 +379,10 @@
 			return nil
 		}
 	}
-	if !ident || !object || a.Left < 0 {
+	if !ident || !object || a.Timeout < 0 {
 		return nil
 	}
-	if len(args) > 2 && len(args[2]) > s.shared.limits.Request {
+	if len(args) > 2 && len(args[2]) > s.shared.limits.RequestBodyBytes {
 		return nil
 	}
 	if len(args) > 2 && len(args[2]) > 0 {
@@ -411,35 +411,35 @@
 }
 
 // answer adds the final answer of a view, unless the client has given it up. One for which there is no memory fails.
-func (s *session) answer(tag engine.Tag, a engine.Answer) {
+func (s *session) answer(tag engine.Tag, a engine.Response) {
 	if _, open := s.open[tag]; !open {
 		return
 	}
 	fits := s.fits(len(a.Body))
-	s.open[tag].Guard.End(endOf(a, fits), time.Now())
-	s.good, s.back = a.Verdict == engine.Succeeded, a.Verdict == engine.TurnedBack
+	s.open[tag].Invariants.End(endOf(a, fits), time.Now())
+	s.good, s.back = a.Status == engine.StatusOK, a.Status == engine.StatusRejected
 	s.shut(tag)
 	w := answer{tag: strconv.FormatUint(uint64(tag), 10), word: "FAILED"}
 	switch {
-	case a.Verdict == engine.Succeeded && a.Unchanged:
+	case a.Status == engine.StatusOK && a.NotModified:
 		w.word, w.fields = "OK", "unchanged=1"
-	case a.Verdict == engine.Succeeded && fits:
+	case a.Status == engine.StatusOK && fits:
 		w.word, w.body = "OK", a.Body
 		s.hold(len(a.Body))
-	case a.Verdict == engine.TurnedBack:
-		s.busy(w.tag, a.Wait)
+	case a.Status == engine.StatusRejected:
+		s.busy(w.tag, a.RetryAfter)
 		return
 	}
 	s.say(w)
 }
 
 // endOf is how a view ends by an answer.
-func endOf(a engine.Answer, fits bool) invariant.EndReason {
+func endOf(a engine.Response, fits bool) invariant.EndReason {
 	switch {
-	case a.Verdict == engine.Succeeded && (fits || a.Unchanged):
+	case a.Status == engine.StatusOK && (fits || a.NotModified):
 		return invariant.EndServed
-	case a.Verdict == engine.TurnedBack:
-		return invariant.EndRefused
+	case a.Status == engine.StatusRejected:
+		return invariant.EndRejected
 	}
 	return invariant.EndFailed
 }
@@ -504,7 +504,7 @@
 // nobody would answer them any more.
 func (s *session) refuseHalf() {
 	args := s.dec.Partial(&s.in)
-	if len(args) < 2 || string(args[0]) != "DO" || len(args[1]) > s.shared.limits.Fields {
+	if len(args) < 2 || string(args[0]) != "DO" || len(args[1]) > s.shared.limits.FieldBytes {
 		return
 	}
 	number, err := strconv.ParseUint(string(args[1]), 10, 64)
@@ -514,7 +514,7 @@
 }
 
 // take hands over what the client wants.
-func (s *session) take() []any {
+func (s *session) take() []engine.Message {
 	events := s.events
 	s.events = nil
 	return events
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -19,8 +19,8 @@
 func open(admission.Event) (time.Duration, bool) { return 0, true }
 
 func testSession() *session {
-	s := &shared{limits: limits.From(limits.Told{MemoryMB: 6, Sockets: 256, Streams: 100, LongestHard: 5 * time.Second}),
-		tariffs: map[string]routing.TariffID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]invariant.Repeat, 2), open: map[engine.Ident]claim{}}
+	s := &shared{limits: limits.From(limits.Inputs{MemoryMB: 6, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second}),
+		tariffs: map[string]routing.ClassID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]invariant.RepeatPolicy, 2), open: map[engine.ClientRequestID]claim{}}
 	s.due, s.growth = make([]time.Duration, len(s.writes)), make([]float64, len(s.writes))
 	return newSession(s, nil, open, time.Time{})
 }
@@ -56,11 +56,11 @@
 func (s *session) told() (log []string) {
 	for _, e := range s.take() {
 		switch e := e.(type) {
-		case *engine.Ask:
+		case *engine.Request:
 			log = append(log, fmt.Sprintf("view %d tariff %d of %x/%d group %d, %g KB, %v left, write %v, has %q, id %x, %d bytes", e.Tag,
-				e.Tariff, uint64(e.Object), e.Part, e.Group, e.KB, e.Left, e.Write, e.Have, e.Ident, len(e.Body)))
-		case engine.Gone:
-			log = append(log, fmt.Sprint("gone ", e.View))
+				e.Class, uint64(e.Object), e.Part, e.Group, e.SizeKB, e.Timeout, e.Write, e.HeldETag, e.ClientRequestID, len(e.Body)))
+		case engine.ClientGone:
+			log = append(log, fmt.Sprint("gone ", e.Request))
 		}
 	}
 	return log
@@ -90,12 +90,12 @@
 	fmt.Println(s.hear(frame("PING", "1")+do(2, ""), 1<<16))
 	fmt.Println(s.hear(frame("DO", "3", "signoff", "req=9b1f03aa5c7e2d42,timeout=7,subject=0000000000000001", "a\r\nb"), 1<<16))
 	_, _ = s.hear(do(4, "")+do(5, "")+do(6, "")+do(7, ""), 1<<16)
-	s.answer(3, engine.Answer{Verdict: engine.Terminated})
-	s.answer(4, engine.Answer{Verdict: engine.Succeeded, Body: []byte("bytes")})
-	s.answer(5, engine.Answer{Verdict: engine.Succeeded, Unchanged: true})
-	s.answer(6, engine.Answer{Verdict: engine.TurnedBack, Wait: 250 * time.Millisecond})
-	s.answer(6, engine.Answer{Verdict: engine.Terminated})
-	s.answer(7, engine.Answer{Verdict: engine.TurnedBack})
+	s.answer(3, engine.Response{Status: engine.StatusFailed})
+	s.answer(4, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")})
+	s.answer(5, engine.Response{Status: engine.StatusOK, NotModified: true})
+	s.answer(6, engine.Response{Status: engine.StatusRejected, RetryAfter: 250 * time.Millisecond})
+	s.answer(6, engine.Response{Status: engine.StatusFailed})
+	s.answer(7, engine.Response{Status: engine.StatusRejected})
 	fmt.Printf("%q\n", s.words())
 	s.over()
 	fmt.Println(s.told(), s.idle())
@@ -145,7 +145,7 @@
 	for _, stream := range []string{"GET / HTTP/1.1\r\n", "*2\r\n$4\r\nPING\r\n$99999999\r\n", frame("PING"), do(9, ""), frame("PING", "9")} {
 		s := testSession()
 		got, err := s.hear(do(9, "")+stream, 1)
-		if s.answer(9, engine.Answer{Body: []byte("late")}); err == nil || !strings.HasSuffix(got, "gone 1; 9 FAILED  ") || !s.idle() {
+		if s.answer(9, engine.Response{Body: []byte("late")}); err == nil || !strings.HasSuffix(got, "gone 1; 9 FAILED  ") || !s.idle() {
 			t.Errorf("%q leaves the connection in use, or is served for what went before: %s", stream, got)
 		}
 	}
@@ -183,8 +183,8 @@
 		if c.bad {
 			continue
 		}
-		if a := events[0].(*engine.Ask); a.Tenant != c.tenant || a.Once != c.once {
-			t.Errorf("%q: tenant %d, operation %q", c.fields, a.Tenant, a.Once)
+		if a := events[0].(*engine.Request); a.Tenant != c.tenant || a.IdempotencyKey != c.once {
+			t.Errorf("%q: tenant %d, operation %q", c.fields, a.Tenant, a.IdempotencyKey)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 	a := testSession()
 	b, other := newSession(a.shared, nil, open, time.Time{}), strings.Replace(asked, "piece=3", "piece=4", 1)
 	_, _ = a.hear(do(1, "")+do(2, ""), 1<<16)
-	for _, ends := range []func(){func() {}, func() { a.answer(1, engine.Answer{}) }} {
+	for _, ends := range []func(){func() {}, func() { a.answer(1, engine.Response{}) }} {
 		if ends(); len(b.words()) > 0 {
 			t.Fatal("an answer to nobody")
 		}
@@ -215,17 +215,17 @@
 func TestUntil(t *testing.T) {
 	s, l := testSession(), testSession().shared.limits
 	start, later := time.Time{}, time.Time{}.Add(time.Minute)
-	if s.until(later) != start.Add(l.Whole) || !s.rest() {
+	if s.until(later) != start.Add(l.MessageTimeout) || !s.rest() {
 		t.Error("one that says nothing stays")
 	}
 	_, _ = s.hear(do(1, ""), 9)
-	if s.until(later) != later.Add(l.Rest) || s.rest() {
+	if s.until(later) != later.Add(l.ClientIdleTimeout) || s.rest() {
 		t.Error("one with an open view goes")
 	}
-	if err := s.got(copy(s.space(), "*4\r\n$2\r\nDO"), later); err != nil || s.until(later.Add(time.Second)) != later.Add(l.Whole) {
+	if err := s.got(copy(s.space(), "*4\r\n$2\r\nDO"), later); err != nil || s.until(later.Add(time.Second)) != later.Add(l.MessageTimeout) {
 		t.Error("half a message may take as long as it likes")
 	}
-	if err := s.got(copy(s.space(), "\r"), later.Add(time.Second)); err != nil || s.until(later.Add(time.Second)) != later.Add(l.Whole) {
+	if err := s.got(copy(s.space(), "\r"), later.Add(time.Second)); err != nil || s.until(later.Add(time.Second)) != later.Add(l.MessageTimeout) {
 		t.Error("each byte gives it more time")
 	}
 	if rests := s.rest(); !rests || fmt.Sprint(s.words()) != "[1 FAILED  ]" {
@@ -255,8 +255,8 @@
 	if err != nil || got != "gone 1" {
 		t.Errorf("%s, %v", got, err)
 	}
-	s.answer(1, engine.Answer{Body: []byte("late")})
-	s.answer(2, engine.Answer{Body: []byte("in time")})
+	s.answer(1, engine.Response{Body: []byte("late")})
+	s.answer(2, engine.Response{Body: []byte("in time")})
 	if got, err := s.hear(frame("UNDO", "2"), 1<<16); got != "" || err != nil || !s.idle() || s.shared.held.Load() != 0 {
 		t.Errorf("%q, %v, %d bytes held", got, err, s.shared.held.Load())
 	}
@@ -270,10 +270,10 @@
 		if err := s.got(copy(s.space(), do(tag+1, "")), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		s.answer(engine.Tag(tag+1), engine.Answer{Body: make([]byte, 100_000)})
+		s.answer(engine.Tag(tag+1), engine.Response{Body: make([]byte, 100_000)})
 		s.outgoing()
 	}
-	if l := s.shared.limits; s.shared.held.Load() > l.Answers || s.out.Len() > l.ClientOut {
+	if l := s.shared.limits; s.shared.held.Load() > l.ResponseBacklogBytes || s.out.Len() > l.ClientWriteBuffer {
 		t.Errorf("%d bytes of answers held, %d in the ring", s.shared.held.Load(), s.out.Len())
 	}
 	for i := 0; i < 200 && !s.full(); i++ {
@@ -281,7 +281,7 @@
 			t.Fatal(err)
 		}
 	}
-	if !s.full() || len(s.waiting) > s.shared.limits.Waiting {
+	if !s.full() || len(s.waiting) > s.shared.limits.PendingResponses {
 		t.Errorf("%d answers wait", len(s.waiting))
 	}
 	if all := strings.Join(s.words(), ";"); strings.Count(all, "OK") < 8 || strings.Count(all, "FAILED")+strings.Count(all, "OK") != 32 {
@@ -295,7 +295,7 @@
 // What lies in the ring of a connection that is over is taken no more: its client has gone.
 func TestNothingTakenOnceOver(t *testing.T) {
 	s := testSession()
-	for tag := range s.shared.limits.Waiting + 1 {
+	for tag := range s.shared.limits.PendingResponses + 1 {
 		_ = s.got(copy(s.space(), frame("PING", fmt.Sprint(tag+100))), time.Time{})
 	}
 	if _ = s.got(copy(s.space(), do(1, "")), time.Time{}); !s.full() || len(s.take()) > 0 {
@@ -314,7 +314,7 @@
 	f.Fuzz(func(t *testing.T, stream string, each int) {
 		s := testSession()
 		_, _ = s.hear(stream, min(max(1, each), math.MaxInt16))
-		if s.in.Len() > s.shared.limits.ClientIn {
+		if s.in.Len() > s.shared.limits.ClientReadBuffer {
 			t.Errorf("%d bytes held", s.in.Len())
 		}
 		s.over()
@@ -341,8 +341,8 @@
 		t.Fatal(err)
 	}
 	for tag, ms := range []int{0, 10, 30} {
-		if a := s.open[engine.Tag(tag+1)]; a == nil || !a.At.Equal(at(ms)) {
-			t.Errorf("request %d came at %v", tag+1, a.At.Sub(start))
+		if a := s.open[engine.Tag(tag+1)]; a == nil || !a.ReceivedAt.Equal(at(ms)) {
+			t.Errorf("request %d came at %v", tag+1, a.ReceivedAt.Sub(start))
 		}
 	}
 	if len(s.arrivals.list) > 1 {
--- a/internal/invariant/guard.go
+++ b/internal/invariant/guard.go
@@ -150,7 +150,7 @@
 		return
 	}
 	m.closed[reason].Add(1)
-	m.recorder.Add(flightrecorder.Entry{Event: flightrecorder.ServerClosed, Node: node, Reason: uint8(reason), Value: int64(open)})
+	m.recorder.Add(flightrecorder.Entry{Event: flightrecorder.ServerClosed, Endpoint: node, Reason: uint8(reason), Value: int64(open)})
 	if open > 0 && reason.idle() {
 		m.Violate(AttemptCutOff, node, zap.Stringer("closed", reason), zap.Int("open", open))
 	}
--- a/internal/invariant/reasons.go
+++ b/internal/invariant/reasons.go
@@ -22,7 +22,7 @@
 	RepeatUnsafe                          // a repeat was asked for that might have had its effect twice
 	AnsweredTwice                         // a request got a second final answer
 	AnsweredLate                          // a request got its final answer after the client's time
-	RefusedThoughRan                      // a request was refused as harmless to repeat, though it may have run
+	RejectedThoughRan                     // a request was refused as harmless to repeat, though it may have run
 	RequestUnanswered                     // a connection was closed by this side with requests open
 	AttemptCutOff                         // a connection to a server was closed for resting, with attempts open
 	StaleCopyServed                       // an own copy was served that a purge had hit
@@ -36,17 +36,17 @@
 // String is the name under which a kind is counted and logged.
 func (v Violation) String() string { return violationNames[v] }
 
-// SendRefusal says why an attempt may not begin.
-type SendRefusal uint8
+// SendDenial says why an attempt may not begin.
+type SendDenial uint8
 
 // The reasons; SendAllowed is none.
 const (
-	SendAllowed        SendRefusal = iota
-	SendRequestEnded               // the request has its answer, or its client has gone
-	SendDeadlinePassed             // the client's time is up, or all but
-	SendBoundPassed                // the grace of a drain, or the window of its key, has passed
-	SendRepeatUnsafe               // an earlier attempt may have run, and this one might run again
-	SendNoConnection               // no connection came up in time
+	SendAllowed        SendDenial = iota
+	SendRequestEnded              // the request has its answer, or its client has gone
+	SendDeadlinePassed            // the client's time is up, or all but
+	SendBoundPassed               // the grace of a drain, or the window of its key, has passed
+	SendRepeatUnsafe              // an earlier attempt may have run, and this one might run again
+	SendNoConnection              // no connection came up in time
 	sendRefusals
 )
 
@@ -54,7 +54,7 @@
 	"repeat_unsafe", "no_connection"}
 
 // String is the name under which a reason is recorded.
-func (r SendRefusal) String() string { return sendRefusalNames[r] }
+func (r SendDenial) String() string { return sendRefusalNames[r] }
 
 // EndReason says how a request ended.
 type EndReason uint8
@@ -63,7 +63,7 @@
 const (
 	EndOpen       EndReason = iota
 	EndServed               // it has its answer, "served"
-	EndRefused              // it was refused: trying again is harmless
+	EndRejected             // it was refused: trying again is harmless
 	EndFailed               // it failed
 	EndCancelled            // its client took it back
 	EndClientLeft           // its client's connection ended
@@ -76,32 +76,32 @@
 func (r EndReason) String() string { return endReasonNames[r] }
 
 // answered says whether the client has its final answer.
-func (r EndReason) answered() bool { return r == EndServed || r == EndRefused || r == EndFailed }
+func (r EndReason) answered() bool { return r == EndServed || r == EndRejected || r == EndFailed }
 
 // CloseReason says why a connection is closed.
 type CloseReason uint8
 
 // The reasons. Those up to CloseIdle are of clients' connections, the rest of servers'.
 const (
-	CloseClientLeft    CloseReason = iota // the client ended it
-	CloseReadFailed                       // the system says that it is broken
-	CloseWriteFailed                      // the same, or the client reads nothing for too long
-	CloseUnreadable                       // the client sent what is no message
-	CloseIncomplete                       // a message was not whole for too long
-	CloseRested                           // nothing was open on it for long
-	CloseForRoom                          // its place is needed for another
-	CloseStopping                         // the router ends
-	CloseHandshake                        // TLS did not come about
-	CloseTurnedAway                       // it was never let in
-	CloseIdle                             // nothing was open on a server's connection for long
-	CloseServerForRoom                    // nothing was open on it, and its descriptor is needed
-	CloseUnsure                           // it may be stuck, or hold half of an answer; nothing is open on it
-	CloseServerEnded                      // the server ended it, or it broke
-	CloseServerWrite                      // it takes nothing any more
-	CloseSpoilt                           // the server sent what is no answer
-	CloseHalfWritten                      // a request was given up while it was half written
-	CloseMoved                            // the server has another address, or its address another server
-	CloseDialFailed                       // it never came up
+	CloseClientLeft        CloseReason = iota // the client ended it
+	CloseReadFailed                           // the system says that it is broken
+	CloseWriteFailed                          // the same, or the client reads nothing for too long
+	CloseClientMalformed                      // the client sent what is no message
+	CloseIncomplete                           // a message was not whole for too long
+	CloseClientIdle                           // nothing was open on it for long
+	CloseClientForCapacity                    // its place is needed for another
+	CloseShutdown                             // the router ends
+	CloseHandshake                            // TLS did not come about
+	CloseRejected                             // it was never let in
+	CloseIdle                                 // nothing was open on a server's connection for long
+	CloseServerForCapacity                    // nothing was open on it, and its descriptor is needed
+	CloseServerSuspect                        // it may be stuck, or hold half of an answer; nothing is open on it
+	CloseServerEnded                          // the server ended it, or it broke
+	CloseServerWrite                          // it takes nothing any more
+	CloseServerMalformed                      // the server sent what is no answer
+	CloseHalfWritten                          // a request was given up while it was half written
+	CloseServerMoved                          // the server has another address, or its address another server
+	CloseDialFailed                           // it never came up
 	closeReasons
 )
 
@@ -119,15 +119,15 @@
 
 // idle says whether a reason holds only for a connection on which nothing is open.
 func (r CloseReason) idle() bool {
-	return r == CloseIdle || r == CloseServerForRoom || r == CloseUnsure
+	return r == CloseIdle || r == CloseServerForCapacity || r == CloseServerSuspect
 }
 
 // outcomes name how attempts end.
-var outcomes = map[routing.Outcome]string{routing.Succeeded: "succeeded", routing.Errored: "errored", routing.Full: "full",
-	routing.TimedOut: "timed_out", routing.Unconnected: "unconnected", routing.Broken: "broken", routing.Cancelled: "cancelled",
-	routing.Moot: "never_sent", routing.Missed: "missed"}
+var outcomes = map[routing.Outcome]string{routing.Succeeded: "succeeded", routing.Failed: "errored", routing.Overloaded: "full",
+	routing.TimedOut: "timed_out", routing.ConnectFailed: "unconnected", routing.ConnectionBroken: "broken", routing.Cancelled: "cancelled",
+	routing.NotSent: "never_sent", routing.CacheMiss: "missed"}
 
-var memberStates = map[routing.State]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
+var memberStates = map[routing.EndpointState]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
 
 var localFaults = map[system.Fault]string{system.FaultNone: "up", system.FaultLocal: "local", system.FaultRefused: "refused",
 	system.FaultSilent: "silent", system.FaultBroken: "broken"}
@@ -137,14 +137,14 @@
 	switch event {
 	case flightrecorder.ConnectionClosed, flightrecorder.ServerClosed:
 		return named(closeReasonNames[:], reason)
-	case flightrecorder.RequestEnded, flightrecorder.RequestRefused:
+	case flightrecorder.RequestEnded, flightrecorder.RequestRejected:
 		return named(endReasonNames[:], reason)
-	case flightrecorder.AttemptRefused:
+	case flightrecorder.AttemptDenied:
 		return named(sendRefusalNames[:], reason)
 	case flightrecorder.AttemptEnded:
 		return outcomes[routing.Outcome(reason)]
 	case flightrecorder.ServerState:
-		return memberStates[routing.State(reason)]
+		return memberStates[routing.EndpointState(reason)]
 	case flightrecorder.ServerDialled:
 		return localFaults[system.Fault(reason)]
 	case flightrecorder.Violation:
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -10,24 +10,24 @@
 	"fennelarch/policy/routing"
 )
 
-// Repeat says what repeats of a request may do, as its class has it.
-type Repeat struct {
-	Effect routing.Effect
-	Scope  routing.Scope // the group of servers that drops repeats of a keyed request
-	Window time.Duration // for how long it does
+// RepeatPolicy says what repeats of a request may do, as its class has it.
+type RepeatPolicy struct {
+	Idempotency routing.Idempotency
+	DedupScope  routing.DedupScope // the group of servers that drops repeats of a keyed request
+	DedupWindow time.Duration      // for how long it does
 }
 
-// Place is a server as the guard needs it: who it is, and in which group it drops repeats.
-type Place struct {
-	Node routing.NodeID
-	Zone routing.ZoneID
-	Cell routing.CellID
+// Server is a server as the guard needs it: who it is, and in which group it drops repeats.
+type Server struct {
+	Endpoint routing.EndpointID
+	Zone     routing.ZoneID
+	Cell     routing.CellID
 }
 
 // Attempt is one try of a request at a server.
 type Attempt struct {
-	Number   routing.LegNo
-	Place    Place
+	Number   routing.AttemptNumber
+	Server   Server
 	NotAfter time.Time     // it begins by then or never; zero: no bound of its own
 	Deadline time.Duration // that the server is told
 }
@@ -45,7 +45,7 @@
 	monitor  *Monitor
 	id       uint64
 	deadline time.Time
-	repeat   Repeat
+	repeat   RepeatPolicy
 
 	mu       sync.Mutex
 	end      EndReason
@@ -54,7 +54,7 @@
 }
 
 // NewRequest begins the record of a request whose client waits until the deadline.
-func (m *Monitor) NewRequest(id uint64, deadline time.Time, repeat Repeat) *Request {
+func (m *Monitor) NewRequest(id uint64, deadline time.Time, repeat RepeatPolicy) *Request {
 	m.Record(flightrecorder.Entry{Event: flightrecorder.RequestArrived, ID: id, Value: time.Until(deadline).Milliseconds()})
 	return &Request{monitor: m, id: id, deadline: deadline, repeat: repeat}
 }
@@ -85,8 +85,8 @@
 	r.end, r.ended = reason, now
 	r.monitor.Record(flightrecorder.Entry{Event: flightrecorder.RequestEnded, ID: r.id, Reason: uint8(reason),
 		Value: r.deadline.Sub(now).Milliseconds()})
-	if reason == EndRefused && r.repeat.Effect == routing.OneShot && r.mayHaveRun() {
-		r.monitor.Violate(RefusedThoughRan, r.id)
+	if reason == EndRejected && r.repeat.Idempotency == routing.NonIdempotent && r.mayHaveRun() {
+		r.monitor.Violate(RejectedThoughRan, r.id)
 	}
 	if late := now.Sub(r.deadline); reason.answered() && late > AnswerSlack && !r.monitor.Watch().Since(r.deadline, now) {
 		r.monitor.Violate(AnsweredLate, r.id, zap.Duration("late", late))
@@ -104,8 +104,8 @@
 }
 
 // Begin is asked in the moment in which an attempt would begin to be written. Unless it is refused, the attempt may
-// have run from here on, until NotRun proves that it has not.
-func (r *Request) Begin(a Attempt, now time.Time) SendRefusal {
+// have run from here on, until MarkNotRun proves that it has not.
+func (r *Request) Begin(a Attempt, now time.Time) SendDenial {
 	if r == nil {
 		return boundOf(a, now)
 	}
@@ -113,7 +113,7 @@
 	defer r.mu.Unlock()
 	refusal := r.refusal(a, now)
 	if refusal != SendAllowed {
-		r.record(flightrecorder.AttemptRefused, a, uint8(refusal), 0)
+		r.record(flightrecorder.AttemptDenied, a, uint8(refusal), 0)
 		return refusal
 	}
 	r.record(flightrecorder.AttemptSent, a, 0, a.Deadline.Milliseconds())
@@ -121,14 +121,14 @@
 	return SendAllowed
 }
 
-func boundOf(a Attempt, now time.Time) SendRefusal {
+func boundOf(a Attempt, now time.Time) SendDenial {
 	if !a.NotAfter.IsZero() && now.After(a.NotAfter) {
 		return SendBoundPassed
 	}
 	return SendAllowed
 }
 
-func (r *Request) refusal(a Attempt, now time.Time) SendRefusal {
+func (r *Request) refusal(a Attempt, now time.Time) SendDenial {
 	switch {
 	case r.end != EndOpen:
 		return SendRequestEnded
@@ -136,7 +136,7 @@
 		return SendDeadlinePassed
 	case boundOf(a, now) != SendAllowed:
 		return SendBoundPassed
-	case !r.mayRepeat(a.Place, now):
+	case !r.mayRepeat(a.Server, now):
 		r.monitor.Violate(RepeatUnsafe, r.id, zap.Int("attempt", int(a.Number)), zap.Int("earlier", len(r.attempts)))
 		return SendRepeatUnsafe
 	}
@@ -144,8 +144,8 @@
 }
 
 // mayRepeat checks, apart from the decisions, that an earlier attempt which may have run does not forbid this one.
-func (r *Request) mayRepeat(to Place, now time.Time) bool {
-	if r.repeat.Effect == routing.Harmless {
+func (r *Request) mayRepeat(to Server, now time.Time) bool {
+	if r.repeat.Idempotency == routing.Idempotent {
 		return true
 	}
 	for i := range r.attempts {
@@ -153,8 +153,8 @@
 		if earlier.notRun {
 			continue
 		}
-		if r.repeat.Effect == routing.OneShot || !r.repeat.together(earlier.Place, to) ||
-			now.Sub(earlier.begun) >= r.repeat.Window {
+		if r.repeat.Idempotency == routing.NonIdempotent || !r.repeat.together(earlier.Server, to) ||
+			now.Sub(earlier.begun) >= r.repeat.DedupWindow {
 			return false
 		}
 	}
@@ -162,8 +162,8 @@
 }
 
 // together says whether two servers drop each other's repeats.
-func (p Repeat) together(a, b Place) bool {
-	switch p.Scope {
+func (p RepeatPolicy) together(a, b Server) bool {
+	switch p.DedupScope {
 	case routing.ScopeAll:
 		return true
 	case routing.ScopeZone:
@@ -172,8 +172,8 @@
 	return a.Zone == b.Zone && a.Cell == b.Cell
 }
 
-// Whole says that the system has taken the last byte of an attempt, and checks that it was in time.
-func (r *Request) Whole(number routing.LegNo, node routing.NodeID, now time.Time) {
+// Complete says that the system has taken the last byte of an attempt, and checks that it was in time.
+func (r *Request) Complete(number routing.AttemptNumber, node routing.EndpointID, now time.Time) {
 	if r == nil {
 		return
 	}
@@ -181,10 +181,10 @@
 	defer r.mu.Unlock()
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		if a.Number != number || a.Place.Node != node {
+		if a.Number != number || a.Server.Endpoint != node {
 			continue
 		}
-		r.record(flightrecorder.AttemptWhole, a.Attempt, 0, now.Sub(a.begun).Milliseconds())
+		r.record(flightrecorder.AttemptWritten, a.Attempt, 0, now.Sub(a.begun).Milliseconds())
 		r.check(a, now)
 		return
 	}
@@ -209,29 +209,29 @@
 	}
 }
 
-// NotRun says that an attempt has been proved not to have run.
-func (r *Request) NotRun(number routing.LegNo, node routing.NodeID) {
+// MarkNotRun says that an attempt has been proved not to have run.
+func (r *Request) MarkNotRun(number routing.AttemptNumber, node routing.EndpointID) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.Number == number && a.Place.Node == node {
+		if a := &r.attempts[i]; a.Number == number && a.Server.Endpoint == node {
 			a.notRun = true
 		}
 	}
 }
 
 // Record adds an event about an attempt to the flight recorder.
-func (r *Request) Record(event flightrecorder.Event, number routing.LegNo, node routing.NodeID, reason uint8, value int64) {
+func (r *Request) Record(event flightrecorder.Event, number routing.AttemptNumber, node routing.EndpointID, reason uint8, value int64) {
 	if r == nil {
 		return
 	}
-	r.record(event, Attempt{Number: number, Place: Place{Node: node}}, reason, value)
+	r.record(event, Attempt{Number: number, Server: Server{Endpoint: node}}, reason, value)
 }
 
 func (r *Request) record(event flightrecorder.Event, a Attempt, reason uint8, value int64) {
-	r.monitor.Record(flightrecorder.Entry{Event: event, ID: r.id, Node: uint64(a.Place.Node), Attempt: uint8(a.Number),
+	r.monitor.Record(flightrecorder.Entry{Event: event, ID: r.id, Endpoint: uint64(a.Server.Endpoint), Attempt: uint8(a.Number),
 		Reason: reason, Value: value})
 }
--- a/internal/operatorconfig/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -31,28 +31,28 @@
 
 // File is what the operator's file says.
 type File struct {
-	Stores    []Store    `json:"stores"`
-	Shared    Shared     `json:"shared"`
-	Admission *Admission `json:"admission"`
-	TLS       *FrontTLS  `json:"tls"`
+	Stores    []Store      `json:"stores"`
+	Shared    Shared       `json:"shared"`
+	Admission *Admission   `json:"admission"`
+	TLS       *FrontendTLS `json:"tls"`
 }
 
 // Admission is who may connect; what is absent does not hold, or is filled in by the decisions.
 type Admission struct {
-	Known        []string `json:"known"`
-	Reserve      int      `json:"reserve"`
-	PerAddress   int      `json:"per_address"`
-	PerSecond    float64  `json:"new_per_s"`
-	Burst        int      `json:"burst"`
-	Views        int      `json:"views_per_address"`
-	AllViews     int      `json:"views"`
-	Handshakes   int      `json:"handshakes"`
-	HandshakeCPU float64  `json:"handshake_cores"`
-	Remember     int      `json:"remember"`
+	Known              []string `json:"known"`
+	Reserve            int      `json:"reserve"`
+	PerAddress         int      `json:"per_address"`
+	NewPerSecond       float64  `json:"new_per_s"`
+	Burst              int      `json:"burst"`
+	RequestsPerAddress int      `json:"views_per_address"`
+	Requests           int      `json:"views"`
+	Handshakes         int      `json:"handshakes"`
+	HandshakeCPU       float64  `json:"handshake_cores"`
+	Remember           int      `json:"remember"`
 }
 
-// FrontTLS has the front speak TLS.
-type FrontTLS struct {
+// FrontendTLS has the front speak TLS.
+type FrontendTLS struct {
 	CertFile     string `json:"cert_file"`
 	KeyFile      string `json:"key_file"`
 	ClientCAFile string `json:"client_ca_file"`
@@ -86,18 +86,18 @@
 
 // Shared is what holds for all stores.
 type Shared struct {
-	Capacity  float64 `json:"capacity_per_s"`
-	ColdShare float64 `json:"cold_share"`
-	ColdMS    float64 `json:"cold_ms"`
-	Multiple  float64 `json:"multiple"`
-	Routers   int     `json:"routers"`
-	Most      int     `json:"most_out"`
-	KeepMS    float64 `json:"keep_ms"`
-	Lease     *bool   `json:"lease"`
+	Capacity       float64 `json:"capacity_per_s"`
+	SlowStartShare float64 `json:"cold_share"`
+	SlowStartMS    float64 `json:"cold_ms"`
+	OverloadFactor float64 `json:"multiple"`
+	Routers        int     `json:"routers"`
+	MaxInFlight    int     `json:"most_out"`
+	KeepMS         float64 `json:"keep_ms"`
+	Lease          *bool   `json:"lease"`
 }
 
-// Millis is a number of milliseconds as a duration.
-func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// Milliseconds is a number of milliseconds as a duration.
+func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Load reads the file at a path; an empty path is an empty file.
 func Load(path string) (*File, error) {
@@ -186,10 +186,10 @@
 	if a.Reserve > 0 && len(a.Known) == 0 && (f.TLS == nil || f.TLS.ClientCAFile == "") && a.Remember == 1 {
 		return fmt.Errorf("%s: a reserve for known clients, but nobody can be known", place(text, "admission", "reserve"))
 	}
-	if a.Burst > 0 && a.PerSecond <= 0 {
+	if a.Burst > 0 && a.NewPerSecond <= 0 {
 		return fmt.Errorf("%s: a burst of new connections has no meaning without new_per_s", place(text, "admission", "burst"))
 	}
-	if a.Views > 0 && a.AllViews > 0 && a.Views > a.AllViews {
+	if a.RequestsPerAddress > 0 && a.Requests > 0 && a.RequestsPerAddress > a.Requests {
 		return fmt.Errorf("%s: one address may have more open views than all together", place(text, "admission", "views_per_address"))
 	}
 	return nil
@@ -224,8 +224,8 @@
 	return c, nil
 }
 
-// Frozen names the part in which two files differ that cannot change while the router runs, or nothing.
-func (f *File) Frozen(to *File) string {
+// ImmutableChange names the part in which two files differ that cannot change while the router runs, or nothing.
+func (f *File) ImmutableChange(to *File) string {
 	strip := func(s Store) Store { s.Secure = nil; return s }
 	if !slices.EqualFunc(f.Stores, to.Stores, func(a, b Store) bool { return reflect.DeepEqual(strip(a), strip(b)) }) {
 		return "stores"
--- a/internal/operatorconfig/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -62,8 +62,8 @@
 	a, _ := Read([]byte(`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 2}}`), "")
 	b, _ := Read([]byte(`{"stores": [{"uid": "s-2", "listed": true}]}`), "")
 	c, _ := Read([]byte(`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"keep_ms": 5000}}`), "")
-	if a.Frozen(a) != "" || a.Frozen(b) != "stores" || a.Frozen(c) != "shared.keep_ms" {
-		t.Error(a.Frozen(a), a.Frozen(b), a.Frozen(c))
+	if a.ImmutableChange(a) != "" || a.ImmutableChange(b) != "stores" || a.ImmutableChange(c) != "shared.keep_ms" {
+		t.Error(a.ImmutableChange(a), a.ImmutableChange(b), a.ImmutableChange(c))
 	}
 }
 
--- a/internal/sharedstore/carrier.go
+++ b/internal/sharedstore/carrier.go
@@ -39,25 +39,25 @@
 
 var errSilent = errors.New("nothing is heard of it")
 
-// Carrier is an engine.Caches that knows stores. Its lock is taken before those of servers and of the inner carrier.
-type Carrier struct {
+// Transport is an engine.Caches that knows stores. Its lock is taken before those of servers and of the inner carrier.
+type Transport struct {
 	limits  limits.Limits
 	set     routing.Settings
 	log     *zap.Logger
 	start   time.Time
-	inner   engine.Caches
-	deliver func(at time.Time, what any)
+	inner   engine.Transport
+	deliver func(at time.Time, message engine.Message)
 	wake    chan struct{}
 
 	mu      sync.Mutex
-	keep    *decide.Keeper
-	stores  map[routing.NodeID]*server
-	members map[routing.NodeID]engine.Node // as last told, stores only
-	kinds   map[routing.NodeID]routing.KindID
-	origin  routing.NodeID
+	keep    *decide.Coordinator
+	stores  map[routing.EndpointID]*server
+	members map[routing.EndpointID]engine.Endpoint // as last told, stores only
+	kinds   map[routing.EndpointID]routing.KindID
+	origin  routing.EndpointID
 	last    decide.OpID
 	ops     map[decide.OpID]*op
-	legs    map[*engine.Leg]decide.OpID // legs and fills
+	legs    map[*engine.Attempt]decide.OpID // legs and fills
 	timers  timers
 	outbox  []engine.Event
 	acts    []decide.Action
@@ -65,11 +65,11 @@
 
 // op is one leg to a store.
 type op struct {
-	leg   *engine.Leg
+	leg   *engine.Attempt
 	store *server
 	relay bool // another cache was to be filled from the store
 	over  bool
-	fill  *engine.Leg
+	fill  *engine.Attempt
 	begun time.Time
 	copy  Copy
 	born  time.Time
@@ -77,26 +77,26 @@
 
 // New returns a carrier for the stores given. What is for the engine goes to deliver, from goroutines of its own only.
 func New(l limits.Limits, set routing.Settings, decisions decide.Settings, seed uint64, stores []Store, start time.Time,
-	deliver func(at time.Time, what any), log *zap.Logger) *Carrier {
-	c := &Carrier{limits: l, set: set, log: log, start: start, deliver: deliver, wake: make(chan struct{}, 1),
-		stores: map[routing.NodeID]*server{}, members: map[routing.NodeID]engine.Node{}, kinds: map[routing.NodeID]routing.KindID{},
-		ops: map[decide.OpID]*op{}, legs: map[*engine.Leg]decide.OpID{}}
-	var ids []routing.NodeID
+	deliver func(at time.Time, message engine.Message), log *zap.Logger) *Transport {
+	c := &Transport{limits: l, set: set, log: log, start: start, deliver: deliver, wake: make(chan struct{}, 1),
+		stores: map[routing.EndpointID]*server{}, members: map[routing.EndpointID]engine.Endpoint{}, kinds: map[routing.EndpointID]routing.KindID{},
+		ops: map[decide.OpID]*op{}, legs: map[*engine.Attempt]decide.OpID{}}
+	var ids []routing.EndpointID
 	for _, s := range stores {
-		id := engine.NodeID(s.UID)
+		id := engine.EndpointID(s.UID)
 		ids = append(ids, id)
 		c.stores[id] = &server{carrier: c, id: id, conf: s, keys: keys{s.Prefix}, wake: make(chan struct{}, 1), addrs: s.Addresses}
 	}
-	decisions.Epoch = decide.Stamp(start.UnixMilli())
+	decisions.Epoch = decide.Timestamp(start.UnixMilli())
 	c.keep = decide.New(decisions, seed, ids...)
 	return c
 }
 
 // Over sets the carrier of all other nodes; it comes before anything else.
-func (c *Carrier) Over(inner engine.Caches) { c.inner = inner }
+func (c *Transport) Over(inner engine.Transport) { c.inner = inner }
 
 // Run keeps the connections and delivers what is for the engine, until the context ends.
-func (c *Carrier) Run(ctx context.Context) {
+func (c *Transport) Run(ctx context.Context) {
 	for _, s := range c.stores {
 		go s.run(ctx)
 	}
@@ -122,9 +122,9 @@
 	}
 }
 
-func (c *Carrier) now() time.Duration { return time.Since(c.start) }
+func (c *Transport) now() time.Duration { return time.Since(c.start) }
 
-func (c *Carrier) stir() {
+func (c *Transport) stir() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -132,22 +132,22 @@
 }
 
 // out has something delivered to the engine: by flush, on a goroutine that may wait for it, or by Run.
-func (c *Carrier) out(what any) {
-	c.outbox = append(c.outbox, engine.Event{At: time.Now(), What: what})
+func (c *Transport) out(message engine.Message) {
+	c.outbox = append(c.outbox, engine.Event{Time: time.Now(), Message: message})
 }
 
-func (c *Carrier) flush() {
+func (c *Transport) flush() {
 	c.mu.Lock()
 	out := c.outbox
 	c.outbox = nil
 	c.mu.Unlock()
 	for _, e := range out {
-		c.deliver(e.At, e.What)
+		c.deliver(e.Time, e.Message)
 	}
 }
 
 // unlock lets go on the engine's own goroutine, which must not wait for itself.
-func (c *Carrier) unlock() {
+func (c *Transport) unlock() {
 	if len(c.outbox) > 0 {
 		c.stir()
 	}
@@ -155,36 +155,36 @@
 }
 
 // Told is to see whatever the bulletin tells before the engine does, and returns what the engine is to be told instead.
-func (c *Carrier) Told(what any) any {
+func (c *Transport) Told(message engine.Message) engine.Message {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch e := what.(type) {
+	switch e := message.(type) {
 	case engine.Purge:
-		if c.keep.Purged(c.now(), decide.Mark{Object: e.Object, Group: e.Group, Issued: decide.Stamp(e.Issued.UnixMilli())}) {
+		if c.keep.RecordPurge(c.now(), decide.PurgeMark{Object: e.Object, Group: e.Group, Issued: decide.Timestamp(e.Issued.UnixMilli())}) {
 			for _, s := range c.stores {
 				go s.beat()
 			}
 		}
-	case engine.List:
-		if e.All {
-			e.Nodes = append([]engine.Node(nil), e.Nodes...)
+	case engine.EndpointList:
+		if e.Complete {
+			e.Endpoints = append([]engine.Endpoint(nil), e.Endpoints...)
 			for _, s := range c.stores {
 				if !s.conf.Listed {
-					e.Nodes = append(e.Nodes, c.member(s))
+					e.Endpoints = append(e.Endpoints, c.member(s))
 				}
 			}
 			return e
 		}
 	}
-	return what
+	return message
 }
 
 // member is a store's line in the list where this router adds it.
-func (c *Carrier) member(s *server) engine.Node {
+func (c *Transport) member(s *server) engine.Endpoint {
 	if n, known := c.members[s.id]; known {
 		return n
 	}
-	n := engine.Node{UID: s.conf.UID, Member: routing.Member{Node: s.id, State: routing.Ready, Zone: c.set.Zone, Weight: s.conf.Weight}}
+	n := engine.Endpoint{UID: s.conf.UID, Endpoint: routing.Endpoint{ID: s.id, State: routing.Ready, Zone: c.set.Zone, Weight: s.conf.Weight}}
 	for n.Kind == c.set.ParentKind || n.Kind == c.set.OriginKind {
 		n.Kind++
 	}
@@ -192,52 +192,52 @@
 }
 
 // Current says that all that was told before a moment has been seen, Gap that something never will be.
-func (c *Carrier) Current(asOf time.Time) {
+func (c *Transport) Current(asOf time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keep.Current(decide.Stamp(asOf.UnixMilli()))
+	c.keep.DiscoveryCurrent(decide.Timestamp(asOf.UnixMilli()))
 }
 
 // Stepped says that the wall clock was set by so much.
-func (c *Carrier) Stepped(by time.Duration) {
+func (c *Transport) Stepped(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keep.Stepped(c.now(), by)
+	c.keep.ClockStepped(c.now(), by)
 }
 
-func (c *Carrier) Gap() {
+func (c *Transport) Gap() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keep.Gap(c.now())
+	c.keep.DiscoveryGap(c.now())
 }
 
 // Counts is what was decided so far.
-func (c *Carrier) Counts() decide.Counts {
+func (c *Transport) Counts() decide.Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.keep.Counts
 }
 
-// Learn keeps what the list says of stores, and passes the rest on.
-func (c *Carrier) Learn(nodes []engine.Node, all bool) {
+// UpdateEndpoints keeps what the list says of stores, and passes the rest on.
+func (c *Transport) UpdateEndpoints(nodes []engine.Endpoint, all bool) {
 	c.mu.Lock()
 	defer c.unlock()
-	rest := make([]engine.Node, 0, len(nodes))
-	listed := map[routing.NodeID]bool{}
+	rest := make([]engine.Endpoint, 0, len(nodes))
+	listed := map[routing.EndpointID]bool{}
 	for _, n := range nodes {
-		listed[n.Node] = true
-		c.kinds[n.Node] = n.Kind
+		listed[n.ID] = true
+		c.kinds[n.ID] = n.Kind
 		if n.Kind == c.set.OriginKind && n.State == routing.Ready {
-			c.origin = n.Node
+			c.origin = n.ID
 		}
-		c.tell(&decide.Event{Kind: decide.EventState, Node: n.Node, State: n.State})
-		if s := c.stores[n.Node]; s != nil {
-			c.members[n.Node] = n
+		c.tell(&decide.Event{Kind: decide.EventState, Node: n.ID, State: n.State})
+		if s := c.stores[n.ID]; s != nil {
+			c.members[n.ID] = n
 			s.at(n.Address)
 			continue
 		}
 		if n.State == routing.Gone {
-			delete(c.kinds, n.Node)
+			delete(c.kinds, n.ID)
 		}
 		rest = append(rest, n)
 	}
@@ -249,13 +249,13 @@
 			}
 		}
 	}
-	c.inner.Learn(rest, all)
+	c.inner.UpdateEndpoints(rest, all)
 }
 
 // Send takes a leg: to a store, to a cache that is to be filled from one, or to any other node.
-func (c *Carrier) Send(l *engine.Leg) {
-	id, relay := l.Node, false
-	if c.stores[l.Node] == nil {
+func (c *Transport) Send(l *engine.Attempt) {
+	id, relay := l.Endpoint, false
+	if c.stores[l.Endpoint] == nil {
 		if c.stores[l.Source] == nil {
 			c.inner.Send(l)
 			return
@@ -265,40 +265,40 @@
 	}
 	c.mu.Lock()
 	defer c.unlock()
-	a := l.Ask
+	a := l.Request
 	if a.Write {
-		c.out(engine.LegEnd{Leg: l, Outcome: routing.Missed, Note: routing.NoteNoPlace})
+		c.out(engine.AttemptResult{Attempt: l, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity})
 		return
 	}
 	c.last++
 	c.ops[c.last] = &op{leg: l, store: c.stores[id], relay: relay}
 	c.legs[l] = c.last
-	t := &c.set.Tariffs[a.Tariff]
+	t := &c.set.Classes[a.Class]
 	e := decide.Event{Kind: decide.EventAsk, Op: c.last, Node: id, Object: a.Object, Part: a.Part, Group: a.Group,
-		Held: l.How&routing.HowHoldsOnly != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.Age}
+		Held: l.FillOptions&routing.OnlyIfCached != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.MaxAge}
 	if !relay {
 		e.Source = l.Source
 	}
 	if e.Age == 0 {
-		e.Age = t.Fresh
+		e.Age = t.FreshFor
 	}
-	if t.Fresh > 0 {
-		e.Keep = t.Fresh + t.Grace
+	if t.FreshFor > 0 {
+		e.Keep = t.FreshFor + t.MaxStale
 	}
 	c.tell(&e)
 }
 
 // due is the time left until a view's due time, as its tariff has it.
-func (c *Carrier) due(a *engine.Ask, t *routing.Tariff) time.Duration {
+func (c *Transport) due(a *engine.Request, t *routing.Class) time.Duration {
 	sending := time.Duration(0)
-	if c.set.FlowKB > 0 {
-		sending = time.Duration(a.KB / c.set.FlowKB * t.DueStretch * float64(time.Second))
+	if c.set.FlowKBPerSecond > 0 {
+		sending = time.Duration(a.SizeKB / c.set.FlowKBPerSecond * t.ObjectiveStretch * float64(time.Second))
 	}
-	return min(t.Due+sending, a.Left) - time.Since(a.At)
+	return min(t.LatencyObjective+sending, a.Timeout) - time.Since(a.ReceivedAt)
 }
 
 // Abort gives a leg up. A view that may go to a store may run again: nothing hangs on whether it did.
-func (c *Carrier) Abort(l *engine.Leg) bool {
+func (c *Transport) Abort(l *engine.Attempt) bool {
 	c.mu.Lock()
 	defer c.unlock()
 	id, known := c.legs[l]
@@ -310,50 +310,50 @@
 	return true
 }
 
-// Probe asks a node for its state.
-func (c *Carrier) Probe(id routing.NodeID) {
+// CheckHealth asks a node for its state.
+func (c *Transport) CheckHealth(id routing.EndpointID) {
 	s := c.stores[id]
 	if s == nil {
-		c.inner.Probe(id)
+		c.inner.CheckHealth(id)
 		return
 	}
 	if !s.send(command{verb: verbProbe, args: [][]byte{[]byte("PING")}}) {
 		c.mu.Lock()
 		defer c.unlock()
-		c.out(engine.Probed{Node: id, Outcome: routing.Unconnected})
+		c.out(engine.HealthCheckResult{Endpoint: id, Outcome: routing.ConnectFailed})
 	}
 }
 
 // Post takes what the inner carrier tells: the ends of fills are for this one, all else is for the engine.
-func (c *Carrier) Post(at time.Time, what any) {
-	if end, is := what.(engine.LegEnd); is && c.filled(&end, at) {
+func (c *Transport) Post(at time.Time, message engine.Message) {
+	if end, is := message.(engine.AttemptResult); is && c.filled(&end, at) {
 		return
 	}
-	c.deliver(at, what)
+	c.deliver(at, message)
 }
 
-func (c *Carrier) filled(end *engine.LegEnd, at time.Time) bool {
+func (c *Transport) filled(end *engine.AttemptResult, at time.Time) bool {
 	defer c.flush()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	id, known := c.legs[end.Leg]
+	id, known := c.legs[end.Attempt]
 	if !known {
 		return false
 	}
-	delete(c.legs, end.Leg)
+	delete(c.legs, end.Attempt)
 	o := c.ops[id]
-	if o.fill != end.Leg {
+	if o.fill != end.Attempt {
 		return true // given up
 	}
 	o.fill = nil
-	a := o.leg.Ask
-	e := decide.Event{Kind: decide.EventFilled, Op: id, Outcome: end.Outcome, Note: end.Note, Waited: end.Waited,
+	a := o.leg.Request
+	e := decide.Event{Kind: decide.EventFilled, Op: id, Outcome: end.Outcome, Note: end.Note, Waited: end.FirstByteWait,
 		Took: at.Sub(o.begun), Size: len(end.Body)}
 	if end.Outcome == routing.Succeeded {
-		o.born = end.Born
-		o.copy = Copy{Object: a.Object, Part: a.Part, Group: a.Group, Sum: end.Sum, Body: end.Body}
-		if !end.Born.IsZero() {
-			e.Born = decide.Stamp(end.Born.UnixMilli())
+		o.born = end.GeneratedAt
+		o.copy = Copy{Object: a.Object, Part: a.Part, Group: a.Group, Sum: end.ETag, Body: end.Body}
+		if !end.GeneratedAt.IsZero() {
+			e.Born = decide.Timestamp(end.GeneratedAt.UnixMilli())
 			o.copy.Born = e.Born
 		}
 	}
@@ -362,7 +362,7 @@
 }
 
 // took takes what a server's connection says.
-func (c *Carrier) took(s *server, ends []any) {
+func (c *Transport) took(s *server, ends []any) {
 	if len(ends) == 0 {
 		return
 	}
@@ -379,7 +379,7 @@
 		case replied:
 			c.replied(s, &e)
 		case probed:
-			p := engine.Probed{Node: s.id, Outcome: routing.Unconnected, Took: e.took}
+			p := engine.HealthCheckResult{Endpoint: s.id, Outcome: routing.ConnectFailed, Elapsed: e.took}
 			if e.good {
 				p.Outcome = routing.Succeeded
 			}
@@ -387,13 +387,13 @@
 		case interval:
 			s.reading = false
 			if e.good {
-				c.write(s, c.keep.Read(c.now(), s.id, e.is))
+				c.write(s, c.keep.ReadInterval(c.now(), s.id, e.is))
 			}
 		case marks:
 			c.marked(s, &e)
 		case wrote:
 			s.reading = false
-			if e.good && c.keep.Wrote(s.id, e.plan) {
+			if e.good && c.keep.LedgerWritten(s.id, e.plan) {
 				go s.beat()
 			}
 		}
@@ -402,9 +402,9 @@
 
 var kindOf = map[verb]decide.EventKind{verbGet: decide.EventGot, verbLease: decide.EventLeased, verbSet: decide.EventSet}
 
-func (c *Carrier) replied(s *server, r *replied) {
+func (c *Transport) replied(s *server, r *replied) {
 	e := decide.Event{Kind: kindOf[r.command.verb], Op: r.command.op, Node: s.id, Reply: r.reply, Took: r.took}
-	told := time.Since(s.complained) < c.limits.Late // a line for each would drown the others
+	told := time.Since(s.complained) < c.limits.BackoffMax // a line for each would drown the others
 	if !told && (r.reply == decide.ReplySpoilt || r.reply == decide.ReplyOdd) {
 		s.complained = time.Now()
 	}
@@ -423,14 +423,14 @@
 }
 
 // write carries a plan for the ledger out.
-func (c *Carrier) write(s *server, p decide.Plan) {
+func (c *Transport) write(s *server, p decide.LedgerUpdate) {
 	switch {
 	case p.Wants:
 		s.taken = nil
 		s.reading = s.send(s.page(0))
 	case p.Seen > 0 || len(p.Marks) > 0:
 		args := [][]byte{[]byte("ZADD"), s.keys.ledger(), []byte("GT")}
-		add := func(at decide.Stamp, name []byte) {
+		add := func(at decide.Timestamp, name []byte) {
 			args = append(args, strconv.AppendInt(nil, int64(at), 10), name)
 		}
 		for _, m := range p.Marks {
@@ -458,18 +458,18 @@
 }
 
 // marked takes a page of a store's marks. A page that holds one moment only can't be passed: then the marks are not whole.
-func (c *Carrier) marked(s *server, e *marks) {
+func (c *Transport) marked(s *server, e *marks) {
 	s.taken = append(s.taken, e.list...)
 	if e.good && !e.whole && e.last > e.from {
 		s.reading = s.send(s.page(e.last))
 		return
 	}
 	s.reading = false
-	c.keep.Took(c.now(), s.id, s.taken, e.good && e.whole)
+	c.keep.MergeMarks(c.now(), s.id, s.taken, e.good && e.whole)
 	s.taken = nil
 }
 
-func (c *Carrier) down(s *server, err error) {
+func (c *Transport) down(s *server, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !s.lost {
@@ -480,7 +480,7 @@
 }
 
 // tell hands the decisions an event and does what they want done.
-func (c *Carrier) tell(e *decide.Event) {
+func (c *Transport) tell(e *decide.Event) {
 	acts := c.keep.Handle(c.now(), e, c.acts[:0])
 	c.acts = nil // obeying may tell more
 	for i := range acts {
@@ -489,7 +489,7 @@
 	c.acts = acts[:0]
 }
 
-func (c *Carrier) obey(a *decide.Action) {
+func (c *Transport) obey(a *decide.Action) {
 	o := c.ops[a.Op]
 	switch a.Kind {
 	case decide.ActionTimer:
@@ -500,9 +500,9 @@
 		return
 	case decide.ActionCold:
 		if n, known := c.members[a.Node]; known && n.State == routing.Ready {
-			n.Boot = time.Now().Add(-a.Wait)
+			n.BootTime = time.Now().Add(-a.Wait)
 			c.members[a.Node] = n
-			c.out(engine.List{Nodes: []engine.Node{n}})
+			c.out(engine.EndpointList{Endpoints: []engine.Endpoint{n}})
 		}
 		return
 	case decide.ActionLog:
@@ -512,7 +512,7 @@
 	if o == nil {
 		return
 	}
-	k := copyKey{o.leg.Ask.Object, o.leg.Ask.Part}
+	k := copyKey{o.leg.Request.Object, o.leg.Request.Part}
 	switch a.Kind {
 	case decide.ActionGet:
 		c.send(o, command{verb: verbGet, op: a.Op, key: k, args: [][]byte{[]byte("GET"), o.store.keys.value(k.object, k.part)}})
@@ -544,7 +544,7 @@
 func millis(d time.Duration) []byte { return strconv.AppendInt(nil, max(1, d.Milliseconds()), 10) }
 
 // send puts a command out; one that finds no connection is answered as broken, after whatever is being obeyed.
-func (c *Carrier) send(o *op, cmd command) {
+func (c *Transport) send(o *op, cmd command) {
 	if o.store.send(cmd) {
 		return
 	}
@@ -553,12 +553,12 @@
 
 // fill asks the leg's source in the store's stead: a parent fetches from the origin what it lacks, unless it is to give
 // only what it holds; any other cache gives what it holds.
-func (c *Carrier) fill(a *decide.Action, o *op) {
-	ask := *o.leg.Ask
-	ask.Have = "" // the store needs the bytes
-	l := &engine.Leg{Ask: &ask, No: o.leg.No, Node: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, Age: a.Age,
-		How: o.leg.How &^ (routing.HowRenew | routing.HowCopy | routing.HowHoldsOnly)}
-	if c.kinds[l.Node] == c.set.ParentKind && o.leg.How&routing.HowHoldsOnly == 0 {
+func (c *Transport) fill(a *decide.Action, o *op) {
+	ask := *o.leg.Request
+	ask.HeldETag = "" // the store needs the bytes
+	l := &engine.Attempt{Request: &ask, Number: o.leg.Number, Endpoint: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, MaxAge: a.Age,
+		FillOptions: o.leg.FillOptions &^ (routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached)}
+	if c.kinds[l.Endpoint] == c.set.ParentKind && o.leg.FillOptions&routing.OnlyIfCached == 0 {
 		l.Source = c.origin
 	}
 	o.fill, o.begun = l, time.Now()
@@ -566,24 +566,24 @@
 	c.inner.Send(l)
 }
 
-func (o *op) sent() time.Time { return o.leg.At }
+func (o *op) sent() time.Time { return o.leg.SentAt }
 
 // end tells the engine how the leg ended.
-func (c *Carrier) end(a *decide.Action, o *op) {
+func (c *Transport) end(a *decide.Action, o *op) {
 	o.over = true
 	delete(c.legs, o.leg)
-	end := engine.LegEnd{Leg: o.leg, Outcome: a.Outcome, Note: a.Note, Waited: a.Waited}
+	end := engine.AttemptResult{Attempt: o.leg, Outcome: a.Outcome, Note: a.Note, FirstByteWait: a.Waited}
 	switch from := c.ops[a.From]; {
 	case a.Outcome == routing.Succeeded && from != nil:
-		end.Sum, end.Born, end.Body = from.copy.Sum, from.born, from.copy.Body
-		if end.Same = o.leg.Ask.Have != "" && o.leg.Ask.Have == end.Sum; end.Same {
+		end.ETag, end.GeneratedAt, end.Body = from.copy.Sum, from.born, from.copy.Body
+		if end.NotModified = o.leg.Request.HeldETag != "" && o.leg.Request.HeldETag == end.ETag; end.NotModified {
 			end.Body = nil
 		}
 		if o.relay {
 			end.Note = routing.NoteFilled
 		}
 	case o.relay:
-		end.Outcome, end.Note = routing.Missed, routing.NoteLacks
+		end.Outcome, end.Note = routing.CacheMiss, routing.NoteSourceMiss
 	}
 	c.out(end)
 }
@@ -591,7 +591,7 @@
 type timer struct {
 	at   time.Duration
 	op   decide.OpID
-	node routing.NodeID
+	node routing.EndpointID
 	name uint64
 }
 
@@ -609,11 +609,11 @@
 }
 
 // Set takes settings that changed while the router runs.
-func (c *Carrier) Set(s decide.Settings) {
+func (c *Transport) Set(s decide.Settings) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keep.Set(s)
+	c.keep.UpdateSettings(s)
 }
 
 // Limits are the bounds that the carrier was given.
-func (c *Carrier) Limits() limits.Limits { return c.limits }
+func (c *Transport) Limits() limits.Limits { return c.limits }
--- a/internal/sharedstore/link.go
+++ b/internal/sharedstore/link.go
@@ -37,11 +37,11 @@
 type command struct {
 	verb verb
 	op   decide.OpID
-	node routing.NodeID
+	node routing.EndpointID
 	key  copyKey
 	args [][]byte // the last may be long; all are lent until they are in the stream
 	sent time.Time
-	plan decide.Plan
+	plan decide.LedgerUpdate
 	from float64
 }
 
@@ -70,18 +70,18 @@
 		took time.Duration
 	}
 	interval struct {
-		is   decide.Interval
+		is   decide.LedgerRange
 		good bool
 	}
 	marks struct {
-		list  []decide.Mark
+		list  []decide.PurgeMark
 		from  float64 // the first score asked for
 		last  float64 // the last score of the page
 		whole bool    // there are no more
 		good  bool
 	}
 	wrote struct {
-		plan decide.Plan
+		plan decide.LedgerUpdate
 		good bool
 	}
 )
@@ -110,8 +110,8 @@
 const smallReads = 200
 
 func newLink(l *limits.Limits, as login, now time.Time) *link {
-	k := &link{limits: l, dec: resp.Replies{Size: l.NodeIn, Line: l.Fields, Parts: 2*marksPage + 8}, heard: now}
-	k.in.Bound, k.out.Bound = l.NodeIn, l.NodeOut
+	k := &link{limits: l, dec: resp.Replies{Size: l.UpstreamReadBuffer, Line: l.FieldBytes, Parts: 2*marksPage + 8}, heard: now}
+	k.in.Bound, k.out.Bound = l.UpstreamReadBuffer, l.UpstreamWriteBuffer
 	if as.word != "" {
 		args := [][]byte{[]byte("AUTH"), []byte(as.user), []byte(as.word)}
 		if as.user == "" {
@@ -273,9 +273,9 @@
 	return nil
 }
 
-func stamp(b []byte) decide.Stamp {
+func stamp(b []byte) decide.Timestamp {
 	x, _ := strconv.ParseFloat(string(b), 64)
-	return decide.Stamp(x)
+	return decide.Timestamp(x)
 }
 
 func readMarks(parts []resp.Reply, from float64, good bool) marks {
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/server.go
@@ -19,8 +19,8 @@
 
 // server is one store as this router speaks to it.
 type server struct {
-	carrier *Carrier
-	id      routing.NodeID
+	carrier *Transport
+	id      routing.EndpointID
 	conf    Store
 	keys    keys
 
@@ -33,7 +33,7 @@
 	// Under the carrier's lock.
 	reading    bool // the ledger is being read or written
 	lost       bool // the last attempt to connect failed, or the connection ended
-	taken      []decide.Mark
+	taken      []decide.PurgeMark
 	complained time.Time // when its answers were last logged
 }
 
@@ -72,7 +72,7 @@
 // run keeps one connection up until the context ends.
 func (s *server) run(ctx context.Context) {
 	l := &s.carrier.limits
-	wait := l.Again
+	wait := l.BackoffMin
 	for i := 0; ctx.Err() == nil; i++ {
 		s.mu.Lock()
 		addrs := s.addrs
@@ -83,19 +83,19 @@
 				s.carrier.down(s, err)
 			}
 		}
-		if time.Since(begun) > l.Late {
-			wait = l.Again
+		if time.Since(begun) > l.BackoffMax {
+			wait = l.BackoffMin
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait/2 + rand.N(wait)):
 		}
-		wait = min(2*wait, l.Late)
+		wait = min(2*wait, l.BackoffMax)
 	}
 }
 
 func (s *server) dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, end := context.WithTimeout(ctx, s.carrier.limits.Connect)
+	ctx, end := context.WithTimeout(ctx, s.carrier.limits.ConnectTimeout)
 	defer end()
 	up, err := system.DialContext(ctx, "tcp", address)
 	if err != nil || s.conf.TLS == nil {
@@ -135,20 +135,20 @@
 
 func (s *server) write(ctx context.Context, up net.Conn, k *link, ended chan error) error {
 	l := &s.carrier.limits
-	look := time.NewTicker(l.Silent / 8)
+	look := time.NewTicker(l.PollTimeout / 8)
 	defer look.Stop()
-	beat := time.NewTimer(rand.N(decide.Beat))
+	beat := time.NewTimer(rand.N(decide.LedgerInterval))
 	defer beat.Stop()
 	for {
 		now := time.Now()
 		s.mu.Lock()
-		out, silent := k.outgoing(now), k.silent(now, l.StoreSilent)
+		out, silent := k.outgoing(now), k.silent(now, l.StoreSilenceTimeout)
 		s.mu.Unlock()
 		switch {
 		case silent:
 			return errSilent
 		case len(out) > 0:
-			_ = up.SetWriteDeadline(now.Add(l.Stuck))
+			_ = up.SetWriteDeadline(now.Add(l.WriteStallTimeout))
 			n, err := up.Write(out)
 			s.mu.Lock()
 			k.out.Wrote(n)
@@ -162,7 +162,7 @@
 		case <-s.wake:
 		case <-look.C:
 		case <-beat.C:
-			beat.Reset(decide.Beat*3/4 + rand.N(decide.Beat/2))
+			beat.Reset(decide.LedgerInterval*3/4 + rand.N(decide.LedgerInterval/2))
 			s.beat()
 		case err := <-ended:
 			return err
--- a/internal/sharedstore/store_test.go
+++ b/internal/sharedstore/store_test.go
@@ -52,7 +52,7 @@
 }
 
 func bounds() limits.Limits {
-	return limits.From(limits.Told{Cores: 1, MemoryMB: 64, Sockets: 256, Drain: time.Second, LongestHard: 3 * time.Second})
+	return limits.From(limits.Inputs{Cores: 1, MemoryMB: 64, Sockets: 256, DrainGrace: time.Second, LongestDeadline: 3 * time.Second})
 }
 
 // A link greets, asks nothing before it has greeted, matches replies in their order, and says what never got one.
@@ -111,27 +111,27 @@
 
 // shelfSource answers fills at once, as a parent would.
 type shelfSource struct {
-	post  func(time.Time, any)
+	post  func(time.Time, engine.Message)
 	body  []byte
 	fills int
 }
 
-func (s *shelfSource) Learn([]engine.Node, bool) {}
-func (s *shelfSource) Probe(routing.NodeID)      {}
-func (s *shelfSource) Abort(*engine.Leg) bool    { return true }
-func (s *shelfSource) Send(l *engine.Leg) {
+func (s *shelfSource) UpdateEndpoints([]engine.Endpoint, bool) {}
+func (s *shelfSource) CheckHealth(routing.EndpointID)          {}
+func (s *shelfSource) Abort(*engine.Attempt) bool              { return true }
+func (s *shelfSource) Send(l *engine.Attempt) {
 	s.fills++
-	go s.post(time.Now(), engine.LegEnd{Leg: l, Outcome: routing.Succeeded, Note: routing.NoteHit, Body: s.body, Sum: "5", Born: time.Now()})
+	go s.post(time.Now(), engine.AttemptResult{Attempt: l, Outcome: routing.Succeeded, Note: routing.NoteHit, Body: s.body, ETag: "5", GeneratedAt: time.Now()})
 }
 
 const storeNode, parentNode = "s-redis", "s-parent"
 
 // rig is a carrier over a stand-in; what reaches the engine comes on a channel.
 type rig struct {
-	*Carrier
+	*Transport
 	redis  *redis.Store
 	source *shelfSource
-	ends   chan engine.LegEnd
+	ends   chan engine.AttemptResult
 }
 
 func newRig(t testing.TB, log *zap.Logger) *rig {
@@ -139,12 +139,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := routing.Settings{ParentKind: 1, OriginKind: 2, FlowKB: 1000, Tariffs: []routing.Tariff{{Due: time.Second}}}
-	r := &rig{redis: s, ends: make(chan engine.LegEnd, 64)}
-	r.Carrier = New(bounds(), set, decide.Settings{Capacity: 0, Most: 64, Bytes: 240_000, Life: time.Minute, Lease: true}, 1,
+	set := routing.Settings{ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000, Classes: []routing.Class{{LatencyObjective: time.Second}}}
+	r := &rig{redis: s, ends: make(chan engine.AttemptResult, 64)}
+	r.Transport = New(bounds(), set, decide.Settings{Capacity: 0, MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true}, 1,
 		[]Store{{UID: storeNode, Addresses: []string{s.Address()}, Weight: 1, Prefix: "t:", Login: NewLogin("u", "w", 1)}},
-		time.Now().Add(-time.Second), func(_ time.Time, what any) {
-			if end, is := what.(engine.LegEnd); is {
+		time.Now().Add(-time.Second), func(_ time.Time, message engine.Message) {
+			if end, is := message.(engine.AttemptResult); is {
 				r.ends <- end
 			}
 		}, log)
@@ -153,9 +153,9 @@
 	ctx, end := context.WithCancel(context.Background())
 	t.Cleanup(func() { end(); s.Close() })
 	go r.Run(ctx)
-	list := r.Told(engine.List{All: true, Nodes: []engine.Node{{UID: parentNode, Member: routing.Member{Node: engine.NodeID(parentNode),
-		State: routing.Ready, Kind: 1}}}}).(engine.List)
-	r.Learn(list.Nodes, true)
+	list := r.Told(engine.EndpointList{Complete: true, Endpoints: []engine.Endpoint{{UID: parentNode, Endpoint: routing.Endpoint{ID: engine.EndpointID(parentNode),
+		State: routing.Ready, Kind: 1}}}}).(engine.EndpointList)
+	r.UpdateEndpoints(list.Endpoints, true)
 	for until := time.Now().Add(5 * time.Second); s.Counts().Commands < 3 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
@@ -163,21 +163,21 @@
 	return r
 }
 
-func (r *rig) ask(object routing.ObjectID) *engine.Leg {
+func (r *rig) ask(object routing.ObjectID) *engine.Attempt {
 	now := time.Now()
-	l := &engine.Leg{Ask: &engine.Ask{Object: object, Group: 1, KB: 10, Left: time.Second, At: now}, Node: engine.NodeID(storeNode),
-		Source: engine.NodeID(parentNode), Deadline: now.Add(time.Second), At: now}
+	l := &engine.Attempt{Request: &engine.Request{Object: object, Group: 1, SizeKB: 10, Timeout: time.Second, ReceivedAt: now}, Endpoint: engine.EndpointID(storeNode),
+		Source: engine.EndpointID(parentNode), Deadline: now.Add(time.Second), SentAt: now}
 	r.Send(l)
 	return l
 }
 
-func (r *rig) end(t testing.TB) engine.LegEnd {
+func (r *rig) end(t testing.TB) engine.AttemptResult {
 	select {
 	case e := <-r.ends:
 		return e
 	case <-time.After(5 * time.Second):
 		t.Fatal("no end")
-		return engine.LegEnd{}
+		return engine.AttemptResult{}
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	time.Sleep(30 * time.Millisecond)
 	r.ask(7)
-	if e := r.end(t); e.Note != routing.NoteHit || !bytes.Equal(e.Body, r.source.body) || e.Sum != "5" {
+	if e := r.end(t); e.Note != routing.NoteHit || !bytes.Equal(e.Body, r.source.body) || e.ETag != "5" {
 		t.Fatalf("%v, %d bytes", e.Note, len(e.Body))
 	}
 	r.Told(engine.Purge{Object: 7, Issued: time.Now()})
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -21,9 +21,9 @@
 	Object routing.ObjectID
 	Part   int
 	Group  routing.GroupID
-	Born   decide.Stamp // when the origin gave it out
-	Valid  decide.Stamp // no purge before this can have been missed on its way here
-	Sum    string       // the tag of the bytes
+	Born   decide.Timestamp // when the origin gave it out
+	Valid  decide.Timestamp // no purge before this can have been missed on its way here
+	Sum    string           // the tag of the bytes
 	Body   []byte
 }
 
@@ -73,7 +73,7 @@
 	}
 	at := binary.BigEndian.Uint64(b[12:])
 	c = Copy{Object: routing.ObjectID(binary.BigEndian.Uint64(b[4:])), Part: int(at >> 32), Group: routing.GroupID(at),
-		Born: decide.Stamp(binary.BigEndian.Uint64(b[20:])), Valid: decide.Stamp(binary.BigEndian.Uint64(b[28:]))}
+		Born: decide.Timestamp(binary.BigEndian.Uint64(b[20:])), Valid: decide.Timestamp(binary.BigEndian.Uint64(b[28:]))}
 	tag := headSize + int(b[3])
 	c.Sum, c.Body = string(b[headSize:tag]), b[tag:end]
 	return c, nil
@@ -99,7 +99,7 @@
 	memberSeen  = "seen"
 )
 
-func member(b []byte, m decide.Mark) []byte {
+func member(b []byte, m decide.PurgeMark) []byte {
 	if m.Object != 0 {
 		return strconv.AppendUint(append(b, "o:"...), uint64(m.Object), 16)
 	}
@@ -107,12 +107,12 @@
 }
 
 // readMember reads a member and its score; a foreign one is passed over.
-func readMember(name, score []byte) (m decide.Mark, known bool) {
+func readMember(name, score []byte) (m decide.PurgeMark, known bool) {
 	at, err := strconv.ParseFloat(string(score), 64)
 	if err != nil || len(name) < 3 || name[1] != ':' {
 		return m, false
 	}
-	m.Issued = decide.Stamp(at)
+	m.Issued = decide.Timestamp(at)
 	switch name[0] {
 	case 'o':
 		n, err := strconv.ParseUint(string(name[2:]), 16, 64)
