--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -54,7 +54,7 @@
 // Host hosts the routers of one process.
 type Host struct {
 	routers map[uint32]*routing.Router
-	lists   [16][]routing.Member
+	lists   [16][]routing.Endpoint
 	event   routing.Event
 	actions []routing.Action
 	frame   []byte
@@ -141,20 +141,20 @@
 }
 
 // node packs an address and a port; the id is never 0 for a real server.
-func node(b []byte) routing.NodeID {
-	return routing.NodeID(uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 |
+func node(b []byte) routing.EndpointID {
+	return routing.EndpointID(uint64(b[0])<<40 | uint64(b[1])<<32 | uint64(b[2])<<24 | uint64(b[3])<<16 |
 		uint64(le.Uint16(b[4:])))
 }
 
-func putNode(b []byte, n routing.NodeID) {
+func putNode(b []byte, n routing.EndpointID) {
 	b[0], b[1], b[2], b[3] = byte(n>>40), byte(n>>32), byte(n>>24), byte(n>>16)
 	le.PutUint16(b[4:], uint16(n))
 }
 
-func report(b []byte) routing.Report {
-	r := routing.Report{N: min(int(b[0]), 4)}
-	for i := range r.N {
-		r.V[i] = f32(b[1+4*i:])
+func report(b []byte) routing.LoadReport {
+	r := routing.LoadReport{Count: min(int(b[0]), 4)}
+	for i := range r.Count {
+		r.Values[i] = f32(b[1+4*i:])
 	}
 	return r
 }
@@ -172,7 +172,7 @@
 	if count > (len(frame)-headerSize)/eventSize {
 		return fmt.Errorf("frame of %d bytes cannot hold %d records", len(frame), count)
 	}
-	now := config.Span(f64(frame[12:]))
+	now := config.Milliseconds(f64(frame[12:]))
 	tail := frame[headerSize+count*eventSize:]
 	for i := range count {
 		rec := frame[headerSize+i*eventSize:][:eventSize]
@@ -217,49 +217,49 @@
 	case evRing:
 		e.Kind, e.Timer = routing.EventTimer, le.Uint64(rec[5:])
 	case evPeers:
-		e.Kind, e.List = routing.EventList, routing.ListKind(rec[6])
-		if e.List > routing.ListFailed {
+		e.Kind, e.EndpointListKind = routing.EventEndpoints, routing.EndpointListKind(rec[6])
+		if e.EndpointListKind > routing.EndpointListFailed {
 			return fmt.Errorf("list of unknown scope %d", rec[6])
 		}
-		if e.List != routing.ListFailed {
+		if e.EndpointListKind != routing.EndpointListFailed {
 			if rec[5] >= byte(len(h.lists)) {
 				return fmt.Errorf("list number %d is out of bounds", rec[5])
 			}
-			e.Members = h.lists[rec[5]]
+			e.Endpoints = h.lists[rec[5]]
 		}
 	case evWithdrawn:
-		e.Kind, e.Object, e.Ago = routing.EventPurge, routing.ObjectID(le.Uint64(rec[5:])), config.Span(f64(rec[13:]))
+		e.Kind, e.Object, e.Age = routing.EventPurge, routing.ObjectID(le.Uint64(rec[5:])), config.Milliseconds(f64(rec[13:]))
 		e.Group = routing.GroupID(le.Uint16(rec[21:]))
 	case evKnock:
-		e.Kind, e.View = routing.EventView, routing.ViewID(le.Uint64(rec[5:]))
-		e.Tariff, e.Tenant = routing.TariffID(rec[13]), routing.TenantID(le.Uint32(rec[14:]))
-		e.Object, e.Left, e.KB = routing.ObjectID(le.Uint64(rec[18:])), config.Span(f64(rec[26:])), f32(rec[34:])
+		e.Kind, e.Request = routing.EventRequest, routing.RequestID(le.Uint64(rec[5:]))
+		e.Class, e.Tenant = routing.ClassID(rec[13]), routing.TenantID(le.Uint32(rec[14:]))
+		e.Object, e.TimeLeft, e.SizeKB = routing.ObjectID(le.Uint64(rec[18:])), config.Milliseconds(f64(rec[26:])), f32(rec[34:])
 		e.Group, e.Part = routing.GroupID(max(0, f32(rec[38:]))), int(f32(rec[42:]))
 		e.Repeat, e.Write = rec[46]&2 != 0, rec[46]&4 != 0
 	case evWhisper:
 		if _, err := tailPart(tail, rec[7:], 1); err != nil {
 			return err
 		}
-		e.Kind = routing.EventMessage
+		e.Kind = routing.EventGossip
 	case evEnd:
-		e.Kind, e.View = routing.EventLegEnd, routing.ViewID(le.Uint64(rec[5:]))
-		e.Leg, e.Node = routing.LegNo(le.Uint16(rec[13:])), node(rec[15:])
-		if e.Outcome = routing.Outcome(le.Uint16(rec[21:])); e.Outcome > routing.Missed {
+		e.Kind, e.Request = routing.EventAttemptResult, routing.RequestID(le.Uint64(rec[5:]))
+		e.Attempt, e.Endpoint = routing.AttemptNumber(le.Uint16(rec[13:])), node(rec[15:])
+		if e.Outcome = routing.Outcome(le.Uint16(rec[21:])); e.Outcome > routing.CacheMiss {
 			return fmt.Errorf("unknown outcome %d", le.Uint16(rec[21:]))
 		}
-		e.Took, e.Final, e.Note = config.Span(f64(rec[23:])), rec[31] != 0, routing.Note(rec[32])
-		e.Waited, e.Report = config.Span(f64(rec[33:])), report(rec[41:])
+		e.Elapsed, e.Final, e.Note = config.Milliseconds(f64(rec[23:])), rec[31] != 0, routing.Note(rec[32])
+		e.FirstByteWait, e.LoadReport = config.Milliseconds(f64(rec[33:])), report(rec[41:])
 	case evAbandoned:
-		e.Kind, e.View = routing.EventGone, routing.ViewID(le.Uint64(rec[5:]))
+		e.Kind, e.Request = routing.EventClientGone, routing.RequestID(le.Uint64(rec[5:]))
 	case evHeaders:
-		e.Kind, e.View, e.Node = routing.EventStream, routing.ViewID(le.Uint64(rec[5:])), node(rec[13:])
-		e.Leg, e.Took = routing.LegNo(le.Uint16(rec[19:])), config.Span(f64(rec[21:]))
+		e.Kind, e.Request, e.Endpoint = routing.EventStreamStarted, routing.RequestID(le.Uint64(rec[5:])), node(rec[13:])
+		e.Attempt, e.Elapsed = routing.AttemptNumber(le.Uint16(rec[19:])), config.Milliseconds(f64(rec[21:]))
 	case evPong:
-		e.Kind, e.Node = routing.EventProbed, node(rec[5:])
-		if e.Outcome = routing.Outcome(le.Uint16(rec[11:])); e.Outcome > routing.Missed {
+		e.Kind, e.Endpoint = routing.EventHealthCheck, node(rec[5:])
+		if e.Outcome = routing.Outcome(le.Uint16(rec[11:])); e.Outcome > routing.CacheMiss {
 			return fmt.Errorf("unknown outcome %d", le.Uint16(rec[11:]))
 		}
-		e.Took, e.Report = config.Span(f64(rec[13:])), report(rec[21:])
+		e.Elapsed, e.LoadReport = config.Milliseconds(f64(rec[13:])), report(rec[21:])
 	default:
 		return fmt.Errorf("unknown code %d", rec[0])
 	}
@@ -279,18 +279,18 @@
 	if err != nil {
 		return err
 	}
-	list := make([]routing.Member, 0, len(part)/entrySize)
+	list := make([]routing.Endpoint, 0, len(part)/entrySize)
 	for ; len(part) > 0; part = part[entrySize:] {
-		m := routing.Member{
-			Node: node(part[15:]), State: routing.State(part[8]), Kind: routing.KindID(le.Uint16(part[9:])),
+		m := routing.Endpoint{
+			ID: node(part[15:]), State: routing.EndpointState(part[8]), Kind: routing.KindID(le.Uint16(part[9:])),
 			Zone: routing.ZoneID(le.Uint16(part[11:])), Cell: routing.CellID(le.Uint16(part[13:])),
-			Weight: f32(part[21:]), Started: config.Span(f64(part)),
+			Weight: f32(part[21:]), StartedAt: config.Milliseconds(f64(part)),
 		}
 		if m.State > routing.Draining {
 			return fmt.Errorf("unknown state %d", part[8])
 		}
-		if m.Started == 0 {
-			m.Started = routing.LongAgo
+		if m.StartedAt == 0 {
+			m.StartedAt = routing.LongAgo
 		}
 		list = append(list, m)
 	}
@@ -308,41 +308,41 @@
 		le.PutUint32(rec[1:], id)
 		putF64 := func(at int, d time.Duration) { le.PutUint64(rec[at:], math.Float64bits(millis(d))) }
 		switch a.Kind {
-		case routing.ActionAsk:
+		case routing.ActionLookup:
 			rec[0] = acSubmit
-			le.PutUint64(rec[5:], uint64(a.View))
-			putNode(rec[13:], a.Node)
-			putF64(19, a.Limit)
-		case routing.ActionGet:
+			le.PutUint64(rec[5:], uint64(a.Request))
+			putNode(rec[13:], a.Endpoint)
+			putF64(19, a.Timeout)
+		case routing.ActionSend:
 			rec[0] = acServe
-			le.PutUint64(rec[5:], uint64(a.View))
-			putF64(13, a.Age)
-			putNode(rec[21:], a.Node)
-			rec[27] = a.Keep
-			putF64(28, a.Limit)
+			le.PutUint64(rec[5:], uint64(a.Request))
+			putF64(13, a.MaxAge)
+			putNode(rec[21:], a.Endpoint)
+			rec[27] = a.CacheRank
+			putF64(28, a.Timeout)
 			putNode(rec[36:], a.Source)
-			rec[42] = byte(a.How)
-		case routing.ActionTurnBack:
+			rec[42] = byte(a.FillOptions)
+		case routing.ActionReject:
 			rec[0] = acDecline
-			le.PutUint64(rec[5:], uint64(a.View))
+			le.PutUint64(rec[5:], uint64(a.Request))
 			putF64(13, a.Wait)
-		case routing.ActionTerminate:
+		case routing.ActionFail:
 			rec[0] = acSurrender
-			le.PutUint64(rec[5:], uint64(a.View))
+			le.PutUint64(rec[5:], uint64(a.Request))
 		case routing.ActionCancel:
 			rec[0] = acCancel
-			le.PutUint64(rec[5:], uint64(a.View))
-			le.PutUint16(rec[13:], uint16(a.Leg))
-		case routing.ActionProbe:
+			le.PutUint64(rec[5:], uint64(a.Request))
+			le.PutUint16(rec[13:], uint16(a.Attempt))
+		case routing.ActionHealthCheck:
 			rec[0] = acProbe
-			putNode(rec[5:], a.Node)
+			putNode(rec[5:], a.Endpoint)
 		case routing.ActionTimer:
 			rec[0] = acNotify
 			putF64(5, a.Wait)
 			le.PutUint64(rec[13:], a.Timer)
-		case routing.ActionFollow:
+		case routing.ActionWatchEndpoints:
 			rec[0], rec[5] = acSubscribe, 1
-		case routing.ActionList:
+		case routing.ActionPollEndpoints:
 			rec[0] = acLookup
 		case routing.ActionLog:
 			rec[0] = acPrint
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -96,8 +96,8 @@
 
 func Example_settings() {
 	s, _, err := config.Decode([]byte(confText))
-	fmt.Println(err, s.Zone, s.Routers, s.Legs, s.ParentKind, s.OriginKind, s.FlowKB, s.Tells == routing.TellsAll)
-	fmt.Println(s.Tariffs[0].Due, s.Tariffs[0].Hard, s.Tariffs[0].Effect == routing.Harmless)
+	fmt.Println(err, s.Zone, s.Routers, s.MaxAttempts, s.ParentKind, s.OriginKind, s.FlowKBPerSecond, s.ResponseDetail == routing.DetailFull)
+	fmt.Println(s.Classes[0].LatencyObjective, s.Classes[0].Deadline, s.Classes[0].Idempotency == routing.Idempotent)
 	_, _, err = config.Decode([]byte(`{"classes": [{"effect": "odd"}]}`))
 	fmt.Println(err)
 	// Output:
--- a/internal/testbed/router.go
+++ b/internal/testbed/router.go
@@ -61,7 +61,7 @@
 		"caps": map[string]any{"cancelling": true, "conn_idle_ms": 30000, "connect_timeout_ms": 400, "max_retry_after_ms": 1000,
 			"most_tries": 6, "multiplex": 100, "probes": true, "retry_after": true, "second_copies": true},
 		"report": map[string]any{"columns": []string{"cpu_share"}, "via": "probe"},
-		"policy/routing": map[string]any{"drain_grace_ms": s.Grace.Milliseconds(), "start_capacity": s.ColdShare, "cold_ms": s.ColdMS,
+		"rules": map[string]any{"drain_grace_ms": s.Grace.Milliseconds(), "start_capacity": s.ColdShare, "cold_ms": s.ColdMS,
 			"fall_multiple": 2.5, "overload_for_ms": 3000},
 		"specifics": map[string]any{"class_write": []bool{false, true}, "flow_kb_per_s": s.FlowKB, "gone_everywhere_ms": 1000,
 			"lifetime_by_class_ms": []float64{s.FreshMS, 0}, "may_pass_by": s.Direct, "neighbours": "any", "parent_floor": 1,
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -54,7 +54,7 @@
 // newWired returns a rig whose dials give these connections in turn.
 func newWired(t *testing.T, change func(*limits.Limits), wires ...*wire) *rig {
 	r := newRig(t, func(l *limits.Limits) {
-		l.Slow = time.Hour // nothing goes by another connection
+		l.SlowConnect = time.Hour // nothing goes by another connection
 		if change != nil {
 			change(l)
 		}
@@ -85,7 +85,7 @@
 	r.t.Helper()
 	select {
 	case end := <-r.ends:
-		r.t.Fatalf("leg %x ended with %d", end.Leg.Ask.Ident, end.Outcome)
+		r.t.Fatalf("leg %x ended with %d", end.Attempt.Request.ClientRequestID, end.Outcome)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
@@ -96,15 +96,15 @@
 	for _, c := range []struct {
 		most int
 		want routing.Outcome
-	}{{1 << 20, routing.Broken}, {1, routing.Unconnected}, {30, routing.Unconnected}} {
+	}{{1 << 20, routing.ConnectionBroken}, {1, routing.ConnectFailed}, {30, routing.ConnectFailed}} {
 		w := newWire(c.most)
 		r := newWired(t, nil, w)
 		l := r.send(1, 1)
 		next(t, w.took)
 		r.conn().end(invariant.CloseServerEnded) // as the reader does at a reset
 		r.end(c.want, l)
-		if r.Count() != 0 {
-			t.Errorf("%d connections", r.Count())
+		if r.ConnectionCount() != 0 {
+			t.Errorf("%d connections", r.ConnectionCount())
 		}
 	}
 }
@@ -113,7 +113,7 @@
 // that waits behind it is taken back, and did not run.
 func TestGivenUpHalfWritten(t *testing.T) {
 	w, other := newWire(10), newWire(1<<20)
-	r := newWired(t, func(l *limits.Limits) { l.NodeConns = 1 }, w, other)
+	r := newWired(t, func(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }, w, other)
 	half := r.send(1, 1)
 	next(t, w.took)
 	behind := r.send(2, 1)
@@ -129,7 +129,7 @@
 		t.Fatal("the rest of it may still go")
 	}
 	r.noEnd()
-	for end := time.Now().Add(10 * time.Second); r.Count() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); r.ConnectionCount() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection keeps its place")
 		}
@@ -143,7 +143,7 @@
 // Two legs wait for one connection: as long as the first is being written, the second can be taken back.
 func TestOneFrameAtATime(t *testing.T) {
 	w, up := newWire(1<<20), make(chan struct{})
-	r := newWired(t, func(l *limits.Limits) { l.NodeConns = 1 }, w)
+	r := newWired(t, func(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }, w)
 	dial := r.dial
 	r.dial = func(n, a string, d time.Duration) (net.Conn, error) { <-up; return dial(n, a, d) }
 	first, second := r.send(1, 1), r.send(2, 1)
@@ -156,7 +156,7 @@
 	}
 	w.goesOn <- nil
 	r.conn().end(invariant.CloseServerEnded)
-	r.end(routing.Broken, first)
+	r.end(routing.ConnectionBroken, first)
 	r.noEnd()
 	if len(w.took) > 0 {
 		t.Errorf("%q went after all", <-w.took)
@@ -166,7 +166,7 @@
 // A repeat that must be on its way within a window is not when its connection comes up late; nor is one to a node that is told
 // to leave.
 func TestConnectionLateForWindow(t *testing.T) {
-	for _, state := range []routing.State{routing.Ready, routing.Draining} {
+	for _, state := range []routing.EndpointState{routing.Ready, routing.Draining} {
 		w, up := newWire(1<<20), make(chan struct{})
 		r := newWired(t, nil, w)
 		dial := r.dial
@@ -175,14 +175,14 @@
 			r.list(1, state, "10.0.0.1:1")
 		}
 		l := leg(1)
-		l.Node, l.NotAfter = 1, time.Now().Add(20*time.Millisecond)
+		l.Endpoint, l.NotAfter = 1, time.Now().Add(20*time.Millisecond)
 		if state == routing.Draining {
 			l.NotAfter = time.Now().Add(time.Minute)
 		}
 		r.Send(l)
-		time.Sleep(bounds.BeginLate + 30*time.Millisecond)
+		time.Sleep(bounds.DrainingStartWithin + 30*time.Millisecond)
 		close(up)
-		r.end(routing.Unconnected, l)
+		r.end(routing.ConnectFailed, l)
 		if len(w.took) > 0 {
 			t.Errorf("%q went all the same", <-w.took)
 		}
@@ -208,7 +208,7 @@
 	r.noEnd()
 }
 
-func containsID(text string, id engine.Ident) bool {
+func containsID(text string, id engine.ClientRequestID) bool {
 	for i := 0; i+16 <= len(text); i++ {
 		if text[i:i+16] == hex(uint64(id)) {
 			return true
@@ -242,7 +242,7 @@
 func TestLateConnection(t *testing.T) {
 	for _, up := range []error{nil, errCut} {
 		s := newStand(t)
-		r := newRig(t, func(l *limits.Limits) { l.Slow = 5 * time.Millisecond })
+		r := newRig(t, func(l *limits.Limits) { l.SlowConnect = 5 * time.Millisecond })
 		ends := r.late()
 		r.list(1, routing.Ready, s.Addr().String())
 		l := r.send(1, 1)
@@ -257,12 +257,12 @@
 		s.answer <- false
 		ends <- up
 		r.noEnd()
-		for end := time.Now().Add(10 * time.Second); r.Count() > 1; time.Sleep(time.Millisecond) {
-			if up == nil && r.Count() == 2 { // one in doubt, one that came late
+		for end := time.Now().Add(10 * time.Second); r.ConnectionCount() > 1; time.Sleep(time.Millisecond) {
+			if up == nil && r.ConnectionCount() == 2 { // one in doubt, one that came late
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%d connections", r.Count())
+				t.Fatalf("%d connections", r.ConnectionCount())
 			}
 		}
 		l = r.send(3, 1)
@@ -274,7 +274,7 @@
 // Two are late at once, and a third has an answer: the first that waits goes by it then. What is late for good ends as such.
 func TestLateConnectionWaitsForOther(t *testing.T) {
 	s := newStand(t)
-	r := newRig(t, func(l *limits.Limits) { l.Slow, l.NodeConns = 5*time.Millisecond, 2 })
+	r := newRig(t, func(l *limits.Limits) { l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2 })
 	r.list(1, routing.Ready, s.Addr().String())
 	busy := r.send(1, 1)
 	next(t, s.asked)
@@ -290,7 +290,7 @@
 	next(t, s.asked)
 	l = r.send(4, 1) // for the late one again
 	ends <- errCut
-	r.end(routing.Unconnected, l)
+	r.end(routing.ConnectFailed, l)
 	s.answer <- true
 	r.end(routing.Succeeded, busy)
 }
@@ -308,13 +308,13 @@
 		dial := r.dial
 		r.dial = func(n, a string, d time.Duration) (net.Conn, error) { <-up; return dial(n, a, d) }
 		l := leg(1)
-		l.Node, l.Deadline = 1, time.Now().Add(100*time.Millisecond)
+		l.Endpoint, l.Deadline = 1, time.Now().Add(100*time.Millisecond)
 		monitor := invariant.NewMonitor(zap.NewNop(), flightrecorder.New(64, invariant.ReasonName), nil, nil)
-		l.Ask.Guard = monitor.NewRequest(1, l.Deadline, invariant.Repeat{})
+		l.Request.Invariants = monitor.NewRequest(1, l.Deadline, invariant.RepeatPolicy{})
 		r.Send(l)
-		over(l.Ask.Guard)
+		over(l.Request.Invariants)
 		close(up)
-		r.end(routing.Moot, l)
+		r.end(routing.NotSent, l)
 		if len(w.took) > 0 {
 			t.Errorf("%s: %q went all the same", name, <-w.took)
 		}
@@ -338,14 +338,14 @@
 			accepted <- c
 		}
 	}()
-	r := newRig(t, func(l *limits.Limits) { l.NodeConns, l.NodeOut = 1, 8<<20 })
+	r := newRig(t, func(l *limits.Limits) { l.ConnectionsPerEndpoint, l.UpstreamWriteBuffer = 1, 8<<20 })
 	r.list(1, routing.Ready, ln.Addr().String())
 	l := leg(1)
-	l.Node, l.Deadline, l.Ask.Body = 1, time.Now().Add(10*time.Second), make([]byte, 8<<20) // more than the system takes
+	l.Endpoint, l.Deadline, l.Request.Body = 1, time.Now().Add(10*time.Second), make([]byte, 8<<20) // more than the system takes
 	begun := time.Now()
 	r.Send(l)
-	r.end(routing.Unconnected, l)
-	if took := time.Since(begun); took < bounds.Frame || took > bounds.Stuck/2 {
+	r.end(routing.ConnectFailed, l)
+	if took := time.Since(begun); took < bounds.RequestWriteTimeout || took > bounds.WriteStallTimeout/2 {
 		t.Errorf("given up after %v", took)
 	}
 	c := next(t, accepted)
--- a/internal/upstream/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -54,7 +54,7 @@
 	check("a late connection", next(t, connection.took))
 
 	connection = newWire(1 << 20)
-	r = newWired(t, func(l *limits.Limits) { l.NodeConns = 1 }, connection)
+	r = newWired(t, func(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }, connection)
 	r.send(1, 1)
 	next(t, connection.took)
 	r.send(2, 1)
@@ -63,7 +63,7 @@
 	check("a frame before it", next(t, connection.took))
 
 	s := newStand(t)
-	rescued := newRig(t, func(l *limits.Limits) { l.Slow, l.NodeConns = 5*time.Millisecond, 2 })
+	rescued := newRig(t, func(l *limits.Limits) { l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2 })
 	rescued.list(1, routing.Ready, s.Addr().String())
 	busy := rescued.send(1, 1)
 	next(t, s.asked)
--- a/internal/upstream/link_test.go
+++ b/internal/upstream/link_test.go
@@ -12,18 +12,18 @@
 	"fennelarch/policy/routing"
 )
 
-var bounds = limits.From(limits.Told{MemoryMB: 64, Sockets: 256, Streams: 100, Drain: time.Second, LongestHard: time.Second})
+var bounds = limits.From(limits.Inputs{MemoryMB: 64, Sockets: 256, StreamsPerConnection: 100, DrainGrace: time.Second, LongestDeadline: time.Second})
 
 func testLink() *link {
 	return newLink(&bounds, &names{tariffs: []string{"clip", "signoff"}, columns: []string{"util", "x1"}})
 }
 
-func leg(ident engine.Ident) *engine.Leg {
-	return &engine.Leg{Ask: &engine.Ask{Ident: ident, Object: 0xbeef, Part: 3}, Deadline: time.Now().Add(1500 * time.Millisecond)}
+func leg(ident engine.ClientRequestID) *engine.Attempt {
+	return &engine.Attempt{Request: &engine.Request{ClientRequestID: ident, Object: 0xbeef, Part: 3}, Deadline: time.Now().Add(1500 * time.Millisecond)}
 }
 
 // send puts a leg into the stream and has so many bytes of it written, all if -1.
-func (k *link) sendAll(l *engine.Leg, most int) string {
+func (k *link) sendAll(l *engine.Attempt, most int) string {
 	k.send(order{leg: l, until: time.Now().Add(time.Minute)})
 	out := k.outgoing(time.Now())
 	if most < 0 || most > len(out) {
@@ -55,8 +55,8 @@
 	now := time.Now()
 	l, second := leg(0xa7), leg(0xa8)
 	l.Deadline, second.Deadline = now.Add(1500*time.Millisecond), now.Add(1400*time.Millisecond)
-	l.Age, l.Keep, l.How = 2*time.Second, 2, routing.HowJoin|routing.HowHoldsOnly|routing.HowNoCopy|routing.HowRenew
-	l.Ask.Have, l.Ask.Once, l.Ask.Body = "4be0", "op-7", []byte("a\r\nb")
+	l.MaxAge, l.CacheRank, l.FillOptions = 2*time.Second, 2, routing.CoalesceFill|routing.OnlyIfCached|routing.NoStore|routing.StaleWhileRevalidate
+	l.Request.HeldETag, l.Request.IdempotencyKey, l.Request.Body = "4be0", "op-7", []byte("a\r\nb")
 	k.send(order{leg: l, next: "s-1", until: time.Now().Add(time.Second)})
 	fmt.Printf("%q\n", k.outgoing(now))
 	k.out.Wrote(k.out.Len())
@@ -82,23 +82,23 @@
 		{"200", "sum=1,t0=5,how=local", routing.Succeeded, routing.NoteHit},
 		{"200", "how=pulled,slow=12.5", routing.Succeeded, routing.NoteFilled},
 		{"200", "how=pulled_far", routing.Succeeded, routing.NoteViaOrigin},
-		{"200", "how=rode", routing.Succeeded, routing.NoteJoined},
+		{"200", "how=rode", routing.Succeeded, routing.NoteCoalesced},
 		{"200", "how=expired", routing.Succeeded, routing.NoteStale},
 		{"200", "-", routing.Succeeded, routing.NoteNone},
 		{"304", "sum=copy,how=local", routing.Succeeded, routing.NoteHit},
-		{"404", "how=rode", routing.Missed, routing.NoteJoined},
-		{"404", "", routing.Missed, routing.NoteNone},
-		{"503", "how=turned_away", routing.Full, routing.NoteRefused},
-		{"503", "how=no_place", routing.Full, routing.NoteNoPlace},
-		{"500", "how=cut_off", routing.Errored, routing.NoteUnreached},
-		{"500", "how=not_there", routing.Errored, routing.NoteLacks},
-		{"500", "how=far_fault", routing.Errored, routing.NoteOriginFail},
-		{"504", "-", routing.Moot, routing.NoteNone},
+		{"404", "how=rode", routing.CacheMiss, routing.NoteCoalesced},
+		{"404", "", routing.CacheMiss, routing.NoteNone},
+		{"503", "how=turned_away", routing.Overloaded, routing.NoteSourceRefused},
+		{"503", "how=no_place", routing.Overloaded, routing.NoteNoFillCapacity},
+		{"500", "how=cut_off", routing.Failed, routing.NoteSourceUnreachable},
+		{"500", "how=not_there", routing.Failed, routing.NoteSourceMiss},
+		{"500", "how=far_fault", routing.Failed, routing.NoteOriginFailed},
+		{"504", "-", routing.NotSent, routing.NoteNone},
 	} {
 		for _, each := range []int{1, 7, 1 << 16} {
 			k := testLink()
 			l := leg(0xa7)
-			l.Ask.Have = "copy"
+			l.Request.HeldETag = "copy"
 			k.sendAll(l, -1)
 			if err := k.hear(frame(ident, c.word, c.fields+",stats=x1:2.5;util:0.25", "body"), each); err != nil {
 				t.Fatalf("%s %s: %v", c.word, c.fields, err)
@@ -107,16 +107,16 @@
 			if len(ends) != 1 {
 				t.Fatalf("%s %s: %d ends", c.word, c.fields, len(ends))
 			}
-			end := ends[0].(engine.LegEnd)
-			if end.Leg != l || end.Outcome != c.outcome || end.Note != c.note || end.Same != (c.word == "304") ||
+			end := ends[0].(engine.AttemptResult)
+			if end.Attempt != l || end.Outcome != c.outcome || end.Note != c.note || end.NotModified != (c.word == "304") ||
 				(string(end.Body) == "body") != (c.word == "200") {
 				t.Errorf("%s %s: %+v", c.word, c.fields, end)
 			}
-			if end.Report != (routing.Report{N: 2, V: [4]float64{0.25, 2.5}}) {
-				t.Errorf("report %v", end.Report)
+			if end.LoadReport != (routing.LoadReport{Count: 2, Values: [4]float64{0.25, 2.5}}) {
+				t.Errorf("report %v", end.LoadReport)
 			}
-			if c.fields == "how=pulled,slow=12.5" && end.Waited != 12500*time.Microsecond {
-				t.Errorf("waited %v", end.Waited)
+			if c.fields == "how=pulled,slow=12.5" && end.FirstByteWait != 12500*time.Microsecond {
+				t.Errorf("waited %v", end.FirstByteWait)
 			}
 			if k.busy() != 0 {
 				t.Errorf("%s %s: still open", c.word, c.fields)
@@ -132,11 +132,11 @@
 		k := testLink()
 		k.sendAll(leg(0xa7), written)
 		k.over()
-		want := routing.Unconnected
+		want := routing.ConnectFailed
 		if written == whole {
-			want = routing.Broken
+			want = routing.ConnectionBroken
 		}
-		if ends := k.take(); len(ends) != 1 || ends[0].(engine.LegEnd).Outcome != want {
+		if ends := k.take(); len(ends) != 1 || ends[0].(engine.AttemptResult).Outcome != want {
 			t.Errorf("%d of %d bytes written: %+v", written, whole, ends)
 		}
 	}
@@ -183,7 +183,7 @@
 		k := testLink()
 		l := leg(0xa7)
 		if strings.Contains(text, "sum=") {
-			l.Ask.Have = "copy"
+			l.Request.HeldETag = "copy"
 		}
 		k.sendAll(l, -1)
 		k.probe(7, "stats", time.Now())
@@ -191,7 +191,7 @@
 			t.Errorf("%q is believed", text)
 		}
 		k.over()
-		if end := k.take()[0].(engine.LegEnd); end.Outcome != routing.Broken {
+		if end := k.take()[0].(engine.AttemptResult); end.Outcome != routing.ConnectionBroken {
 			t.Errorf("%q: %+v", text, end)
 		}
 	}
@@ -230,7 +230,7 @@
 	if out := k.outgoing(now.Add(time.Millisecond)); len(out) > 0 {
 		t.Errorf("written: %q", out)
 	}
-	if ends := k.take(); len(ends) != 1 || ends[0].(engine.LegEnd).Outcome != routing.Unconnected {
+	if ends := k.take(); len(ends) != 1 || ends[0].(engine.AttemptResult).Outcome != routing.ConnectFailed {
 		t.Errorf("%+v", ends)
 	}
 }
@@ -248,12 +248,12 @@
 	k.over()
 	var got []string
 	for _, e := range k.take() {
-		if p, probed := e.(engine.Probed); probed {
-			got = append(got, fmt.Sprint(p.Node, p.Outcome, p.Report.V[:p.Report.N]))
+		if p, probed := e.(engine.HealthCheckResult); probed {
+			got = append(got, fmt.Sprint(p.Endpoint, p.Outcome, p.LoadReport.Values[:p.LoadReport.Count]))
 		}
 	}
-	want := []string{fmt.Sprint(7, routing.Succeeded, []float64{0.5}), fmt.Sprint(8, routing.Errored, []float64{}),
-		fmt.Sprint(9, routing.Unconnected, []float64{})}
+	want := []string{fmt.Sprint(7, routing.Succeeded, []float64{0.5}), fmt.Sprint(8, routing.Failed, []float64{}),
+		fmt.Sprint(9, routing.ConnectFailed, []float64{})}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%v, not %v", got, want)
 	}
@@ -272,11 +272,11 @@
 		k.over()
 		ends := 0
 		for _, e := range k.take() {
-			if _, leg := e.(engine.LegEnd); leg {
+			if _, leg := e.(engine.AttemptResult); leg {
 				ends++
 			}
 		}
-		if ends != 1 || k.in.Len() > bounds.NodeIn {
+		if ends != 1 || k.in.Len() > bounds.UpstreamReadBuffer {
 			t.Errorf("%d ends, %d bytes held", ends, k.in.Len())
 		}
 	})
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -28,22 +28,22 @@
 	limits limits.Limits
 	names  names
 	verb   string // of a probe
-	post   func(at time.Time, what any)
+	post   func(at time.Time, message engine.Message)
 	log    *zap.Logger
 
-	Short func() // if set, is called when there is no descriptor for a connection
-	Guard *invariant.Monitor
-	dial  func(network, address string, within time.Duration) (net.Conn, error)
+	OnDescriptorShortage func() // if set, is called when there is no descriptor for a connection
+	Monitor              *invariant.Monitor
+	dial                 func(network, address string, within time.Duration) (net.Conn, error)
 
 	mu    sync.Mutex
-	nodes map[routing.NodeID]*node
+	nodes map[routing.EndpointID]*node
 	conns int
 }
 
 type node struct {
 	uid, address string
-	place        invariant.Place
-	state        routing.State
+	place        invariant.Server
+	state        routing.EndpointState
 	told         time.Time // when its state last changed
 	conns        []*conn
 }
@@ -51,7 +51,7 @@
 // conn is a connection, being dialled or up.
 type conn struct {
 	pool *Pool
-	node routing.NodeID
+	node routing.EndpointID
 
 	mu      sync.Mutex
 	link    *link
@@ -68,17 +68,17 @@
 }
 
 // New returns a pool that knows no node. Ends of legs and probes go to post.
-func New(l limits.Limits, n config.Names, reports bool, post func(at time.Time, what any), log *zap.Logger) *Pool {
-	p := &Pool{limits: l, names: names{tariffs: n.Tariffs, columns: n.Columns}, verb: "alive", post: post, log: log, dial: system.DialTimeout,
-		nodes: map[routing.NodeID]*node{}}
+func New(l limits.Limits, n config.Names, reports bool, post func(at time.Time, message engine.Message), log *zap.Logger) *Pool {
+	p := &Pool{limits: l, names: names{tariffs: n.Classes, columns: n.Columns}, verb: "alive", post: post, log: log, dial: system.DialTimeout,
+		nodes: map[routing.EndpointID]*node{}}
 	if reports {
 		p.verb = "stats"
 	}
 	return p
 }
 
-// Count is how many connections there are.
-func (p *Pool) Count() int {
+// ConnectionCount is how many connections there are.
+func (p *Pool) ConnectionCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.conns
@@ -86,25 +86,25 @@
 
 var states = [...]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
 
-// Learn keeps the address of each node of the list. One that is gone is known for a while: legs may still name it.
-func (p *Pool) Learn(list []engine.Node, all bool) {
+// UpdateEndpoints keeps the address of each node of the list. One that is gone is known for a while: legs may still name it.
+func (p *Pool) UpdateEndpoints(list []engine.Endpoint, all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	listed := map[routing.NodeID]bool{}
+	listed := map[routing.EndpointID]bool{}
 	for _, m := range list {
-		listed[m.Node] = true
-		n := p.nodes[m.Node]
+		listed[m.ID] = true
+		n := p.nodes[m.ID]
 		if n == nil {
 			n = &node{uid: m.UID, address: m.Address}
-			p.nodes[m.Node] = n
+			p.nodes[m.ID] = n
 		}
-		n.place = invariant.Place{Node: m.Node, Zone: m.Zone, Cell: m.Cell}
+		n.place = invariant.Server{Endpoint: m.ID, Zone: m.Zone, Cell: m.Cell}
 		if n.address != m.Address && m.Address != "" {
 			n.address = m.Address
 			p.retire(n)
 		}
-		p.turn(m.Node, n, m.State, now)
+		p.turn(m.ID, n, m.State, now)
 	}
 	for id, n := range p.nodes {
 		if all && !listed[id] {
@@ -118,18 +118,18 @@
 				p.drop(n) // another stands there now
 			}
 		}
-		if len(n.conns) == 0 && now.Sub(n.told) > p.limits.Forget {
+		if len(n.conns) == 0 && now.Sub(n.told) > p.limits.ForgetAfter {
 			delete(p.nodes, id)
 		}
 	}
 }
 
-func (p *Pool) turn(id routing.NodeID, n *node, s routing.State, now time.Time) {
+func (p *Pool) turn(id routing.EndpointID, n *node, s routing.EndpointState, now time.Time) {
 	if n.state == s {
 		return
 	}
 	n.state, n.told = s, now
-	p.Guard.Record(flightrecorder.Entry{Event: flightrecorder.ServerState, Node: uint64(id), Reason: uint8(s)})
+	p.Monitor.Record(flightrecorder.Entry{Event: flightrecorder.ServerState, Endpoint: uint64(id), Reason: uint8(s)})
 	p.log.Info("node", zap.String("uid", n.uid), zap.String("id", fmt.Sprintf("%x", uint64(id))), zap.String("state", states[s]))
 }
 
@@ -137,7 +137,7 @@
 // them leads anywhere.
 func (p *Pool) drop(n *node) {
 	for _, c := range n.conns {
-		go c.end(invariant.CloseMoved)
+		go c.end(invariant.CloseServerMoved)
 	}
 }
 
@@ -150,7 +150,7 @@
 		rests := c.link.busy() == 0 || c.up == nil
 		c.mu.Unlock()
 		if rests {
-			go c.end(invariant.CloseMoved)
+			go c.end(invariant.CloseServerMoved)
 		} else {
 			c.stir()
 		}
@@ -159,13 +159,13 @@
 
 // Send puts a leg on a connection to its node. One that ends at this moment is no reason to fail: there may be another. A leg
 // for which this router has no connection left was never sent, and tells nothing of its node.
-func (p *Pool) Send(l *engine.Leg) {
-	now, how := time.Now(), routing.Unconnected
+func (p *Pool) Send(l *engine.Attempt) {
+	now, how := time.Now(), routing.ConnectFailed
 	for range 2 {
 		p.mu.Lock()
 		c, o := p.place(l, now)
-		if known := p.nodes[l.Node]; c == nil && known != nil {
-			how = routing.Moot
+		if known := p.nodes[l.Endpoint]; c == nil && known != nil {
+			how = routing.NotSent
 		}
 		p.mu.Unlock()
 		if c == nil {
@@ -175,7 +175,7 @@
 			return
 		}
 	}
-	go p.post(now, engine.LegEnd{Leg: l, Outcome: how}) // the caller must not wait
+	go p.post(now, engine.AttemptResult{Attempt: l, Outcome: how}) // the caller must not wait
 }
 
 func (c *conn) send(o order) bool {
@@ -185,18 +185,18 @@
 	if c.over || c.retired {
 		return false
 	}
-	o.leg.Carrier = c
+	o.leg.TransportState = c
 	c.link.send(o)
 	return true
 }
 
 // place finds the connection for a leg. To a node, or from a source, that is told to leave, it must be on its way soon.
-func (p *Pool) place(l *engine.Leg, now time.Time) (*conn, order) {
-	o := order{leg: l, place: invariant.Place{Node: l.Node}, until: now.Add(p.limits.Begin)}
+func (p *Pool) place(l *engine.Attempt, now time.Time) (*conn, order) {
+	o := order{leg: l, place: invariant.Server{Endpoint: l.Endpoint}, until: now.Add(p.limits.AttemptStartWithin)}
 	if !l.NotAfter.IsZero() {
 		o.until = earlier(o.until, l.NotAfter)
 	}
-	for _, id := range [...]routing.NodeID{l.Node, l.Source} {
+	for _, id := range [...]routing.EndpointID{l.Endpoint, l.Source} {
 		n := p.nodes[id]
 		switch {
 		case id == 0:
@@ -204,7 +204,7 @@
 		case n == nil:
 			return nil, o
 		case n.state != routing.Ready:
-			o.until = earlier(o.until, now.Add(p.limits.BeginLate))
+			o.until = earlier(o.until, now.Add(p.limits.DrainingStartWithin))
 		}
 		if id == l.Source {
 			o.next = n.uid
@@ -212,7 +212,7 @@
 			o.place = n.place
 		}
 	}
-	return p.find(l.Node, l), o
+	return p.find(l.Endpoint, l), o
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -225,21 +225,21 @@
 // find is the connection to a node for a leg: of those on which nothing is open the one used last, or a new one, so that
 // what ends a connection takes no other leg with it; where there is no room for more, the least busy one, and at last one
 // that may be stuck.
-func (p *Pool) find(id routing.NodeID, l *engine.Leg) *conn {
+func (p *Pool) find(id routing.EndpointID, l *engine.Attempt) *conn {
 	n := p.nodes[id]
 	if n == nil {
 		return nil
 	}
 	var free, least, unsure *conn
 	var used time.Time
-	most := p.limits.Streams
+	most := p.limits.StreamsPerConnection
 	for _, c := range n.conns {
 		c.mu.Lock()
 		busy, fits, stuck, last := c.link.busy(), !c.over && !c.retired && (l == nil || c.link.takes(l)), c.link.unsure(), c.used
 		c.mu.Unlock()
 		switch {
 		case stuck && busy == 0:
-			go c.end(invariant.CloseUnsure)
+			go c.end(invariant.CloseServerSuspect)
 		case !fits:
 		case stuck:
 			unsure = c
@@ -256,8 +256,8 @@
 }
 
 // open begins a new connection to a node, where there is room for one.
-func (p *Pool) open(id routing.NodeID, n *node) *conn {
-	if len(n.conns) >= p.limits.NodeConns || p.conns >= p.limits.Nodes && !p.spare() {
+func (p *Pool) open(id routing.EndpointID, n *node) *conn {
+	if len(n.conns) >= p.limits.ConnectionsPerEndpoint || p.conns >= p.limits.UpstreamConnections && !p.spare() {
 		return nil
 	}
 	now := time.Now()
@@ -326,7 +326,7 @@
 	fits := !to.over && to.link.takes(o.leg)
 	to.mu.Unlock()
 	if (!fits || !to.send(o)) && !from.send(o) {
-		go p.post(time.Now(), engine.LegEnd{Leg: o.leg, Outcome: routing.Unconnected}) // the dial has failed meanwhile
+		go p.post(time.Now(), engine.AttemptResult{Attempt: o.leg, Outcome: routing.ConnectFailed}) // the dial has failed meanwhile
 	}
 }
 
@@ -346,7 +346,7 @@
 	for _, n := range p.nodes {
 		for _, c := range n.conns {
 			if c.rests(0) {
-				go c.end(invariant.CloseServerForRoom)
+				go c.end(invariant.CloseServerForCapacity)
 				return true
 			}
 		}
@@ -354,24 +354,24 @@
 	return false
 }
 
-// Relieve ends the connections on which nothing is open: their descriptors are needed.
-func (p *Pool) Relieve() {
+// CloseIdle ends the connections on which nothing is open: their descriptors are needed.
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, n := range p.nodes {
 		for _, c := range n.conns {
 			if c.rests(0) {
-				go c.end(invariant.CloseServerForRoom)
+				go c.end(invariant.CloseServerForCapacity)
 			}
 		}
 	}
 }
 
 // Abort gives a leg up and says whether it may have run.
-func (p *Pool) Abort(l *engine.Leg) bool {
+func (p *Pool) Abort(l *engine.Attempt) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock() // so that it stays where it is
-	c, sent := l.Carrier.(*conn)
+	c, sent := l.TransportState.(*conn)
 	if !sent {
 		return false
 	}
@@ -386,13 +386,13 @@
 	return ran
 }
 
-// Probe asks a node for its state.
-func (p *Pool) Probe(id routing.NodeID) {
+// CheckHealth asks a node for its state.
+func (p *Pool) CheckHealth(id routing.EndpointID) {
 	p.mu.Lock()
 	c := p.find(id, nil)
 	p.mu.Unlock()
 	if c == nil {
-		go p.post(time.Now(), engine.Probed{Node: id, Outcome: routing.Unconnected})
+		go p.post(time.Now(), engine.HealthCheckResult{Endpoint: id, Outcome: routing.ConnectFailed})
 		return
 	}
 	c.mu.Lock()
@@ -423,7 +423,7 @@
 
 // connect brings the connection up, or returns nothing.
 func (c *conn) connect(address string) net.Conn {
-	late := time.AfterFunc(c.pool.limits.Slow, func() { c.pool.rescue(c) })
+	late := time.AfterFunc(c.pool.limits.SlowConnect, func() { c.pool.rescue(c) })
 	defer late.Stop()
 	up, err := c.dial(address)
 	if err != nil {
@@ -446,23 +446,23 @@
 func (c *conn) dial(address string) (net.Conn, error) {
 	l := &c.pool.limits
 	begun := time.Now()
-	up, err := c.pool.dial("tcp", address, l.Connect)
+	up, err := c.pool.dial("tcp", address, l.ConnectTimeout)
 	for n := 0; n < l.Redials && c.again(err, time.Since(begun)); n++ {
 		if n > 0 && system.Exhausted(err) { // not for the moment only
-			c.pool.Relieve()
-			if c.pool.Short != nil {
-				c.pool.Short() // others may make room: legs under way come first
+			c.pool.CloseIdle()
+			if c.pool.OnDescriptorShortage != nil {
+				c.pool.OnDescriptorShortage() // others may make room: legs under way come first
 			}
 		}
-		time.Sleep(l.Pause)
-		up, err = c.pool.dial("tcp", address, max(l.Pause, l.Connect-time.Since(begun)))
+		time.Sleep(l.RecheckInterval)
+		up, err = c.pool.dial("tcp", address, max(l.RecheckInterval, l.ConnectTimeout-time.Since(begun)))
 	}
 	now := time.Now()
 	fault := system.Classify(err)
-	if fault == system.FaultSilent && c.pool.Guard.Watch().Since(begun, now) {
+	if fault == system.FaultSilent && c.pool.Monitor.Watch().Since(begun, now) {
 		fault = system.FaultLocal // this process stood still meanwhile: nobody knows what came
 	}
-	c.pool.Guard.Record(flightrecorder.Entry{Event: flightrecorder.ServerDialled, Node: uint64(c.node), Reason: uint8(fault),
+	c.pool.Monitor.Record(flightrecorder.Entry{Event: flightrecorder.ServerDialled, Endpoint: uint64(c.node), Reason: uint8(fault),
 		Value: now.Sub(begun).Milliseconds()})
 	if err != nil {
 		c.mu.Lock()
@@ -478,17 +478,17 @@
 	case system.FaultLocal:
 		return true
 	case system.FaultSilent: // told at once: the way to the server may be back in a moment
-		return took < c.pool.limits.Slow
+		return took < c.pool.limits.SlowConnect
 	}
 	return false
 }
 
 // write writes until the connection is over, and says why it is.
 func (c *conn) write(up net.Conn) invariant.CloseReason {
-	idle := time.NewTicker(c.pool.limits.Idle / 4)
+	idle := time.NewTicker(c.pool.limits.UpstreamIdleTimeout / 4)
 	defer idle.Stop()
 	for {
-		c.pool.Guard.Watch().Settle() // a cancel of what waits here may have come while the process stood still
+		c.pool.Monitor.Watch().Settle() // a cancel of what waits here may have come while the process stood still
 		now := time.Now()
 		c.mu.Lock()
 		over := c.over || c.retired && c.link.busy() == 0
@@ -504,7 +504,7 @@
 			c.pool.post(now, end)
 		}
 		if over {
-			return invariant.CloseMoved // or for the reason for which it was ended before
+			return invariant.CloseServerMoved // or for the reason for which it was ended before
 		}
 		if len(out) > 0 {
 			_ = up.SetWriteDeadline(now.Add(patience))
@@ -521,7 +521,7 @@
 		select {
 		case <-c.wake:
 		case <-idle.C:
-			if c.rests(c.pool.limits.Idle) {
+			if c.rests(c.pool.limits.UpstreamIdleTimeout) {
 				return invariant.CloseIdle
 			}
 		}
@@ -567,12 +567,12 @@
 		}
 		switch {
 		case bad != nil:
-			reason = invariant.CloseSpoilt
+			reason = invariant.CloseServerMalformed
 			return
 		case err != nil:
 			return
 		case retired:
-			reason = invariant.CloseMoved
+			reason = invariant.CloseServerMoved
 			return
 		}
 	}
@@ -596,10 +596,10 @@
 	p.mu.Unlock()
 	c.mu.Lock()
 	if first {
-		p.Guard.CloseServer(uint64(c.node), reason, c.link.busy())
+		p.Monitor.CloseServer(uint64(c.node), reason, c.link.busy())
 	}
 	c.over = true
-	var ends []any
+	var ends []engine.Message
 	if !c.writing {
 		c.link.over()
 		ends = c.link.take()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -72,18 +72,18 @@
 type rig struct {
 	*Pool
 	t    *testing.T
-	ends chan engine.LegEnd
+	ends chan engine.AttemptResult
 }
 
 func newRig(t *testing.T, change func(*limits.Limits)) *rig {
 	l := bounds
-	l.Connect = 300 * time.Millisecond
+	l.ConnectTimeout = 300 * time.Millisecond
 	if change != nil {
 		change(&l)
 	}
-	r := &rig{t: t, ends: make(chan engine.LegEnd, 100)}
-	r.Pool = New(l, config.Names{Tariffs: []string{"clip"}}, false, func(_ time.Time, what any) {
-		if end, leg := what.(engine.LegEnd); leg {
+	r := &rig{t: t, ends: make(chan engine.AttemptResult, 100)}
+	r.Pool = New(l, config.Names{Classes: []string{"clip"}}, false, func(_ time.Time, message engine.Message) {
+		if end, leg := message.(engine.AttemptResult); leg {
 			r.ends <- end
 		}
 	}, zap.NewNop())
@@ -93,32 +93,32 @@
 			r.drop(n)
 		}
 		r.mu.Unlock()
-		for end := time.Now().Add(10 * time.Second); r.Count() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(10 * time.Second); r.ConnectionCount() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d connections are left", r.Count())
+				t.Fatalf("%d connections are left", r.ConnectionCount())
 			}
 		}
 	})
 	return r
 }
 
-func (r *rig) list(id routing.NodeID, s routing.State, address string) {
-	r.Learn([]engine.Node{{Member: routing.Member{Node: id, State: s}, UID: "s", Address: address}}, false)
+func (r *rig) list(id routing.EndpointID, s routing.EndpointState, address string) {
+	r.UpdateEndpoints([]engine.Endpoint{{Endpoint: routing.Endpoint{ID: id, State: s}, UID: "s", Address: address}}, false)
 }
 
-func (r *rig) send(ident engine.Ident, node routing.NodeID) *engine.Leg {
+func (r *rig) send(ident engine.ClientRequestID, node routing.EndpointID) *engine.Attempt {
 	l := leg(ident)
-	l.Node = node
+	l.Endpoint = node
 	r.Send(l)
 	return l
 }
 
-func (r *rig) end(want routing.Outcome, l *engine.Leg) {
+func (r *rig) end(want routing.Outcome, l *engine.Attempt) {
 	r.t.Helper()
 	select {
 	case end := <-r.ends:
-		if end.Leg != l || end.Outcome != want {
-			r.t.Fatalf("leg %x ended with %d, not %x with %d", end.Leg.Ask.Ident, end.Outcome, l.Ask.Ident, want)
+		if end.Attempt != l || end.Outcome != want {
+			r.t.Fatalf("leg %x ended with %d, not %x with %d", end.Attempt.Request.ClientRequestID, end.Outcome, l.Request.ClientRequestID, want)
 		}
 	case <-time.After(10 * time.Second):
 		r.t.Fatal("no end")
@@ -168,7 +168,7 @@
 	deaf, fine := r.send(1, 1), r.send(2, 2)
 	other.answer <- true
 	r.end(routing.Succeeded, fine)
-	r.end(routing.Unconnected, deaf)
+	r.end(routing.ConnectFailed, deaf)
 }
 
 // A connection on which a leg was given up in silence is not trusted with the next; the same one is, once it is heard of.
@@ -191,15 +191,17 @@
 	third := r.send(3, 1)
 	s.answer <- true
 	r.end(routing.Succeeded, third)
-	if r.Count() > 2 || len(s.conns) > 0 {
-		t.Errorf("%d connections, %d more", r.Count(), len(s.conns))
+	if r.ConnectionCount() > 2 || len(s.conns) > 0 {
+		t.Errorf("%d connections, %d more", r.ConnectionCount(), len(s.conns))
 	}
 }
 
 // What ends a connection takes one leg with it, as long as there is room; a leg without any place was never sent.
 func TestConnectionsOfTheirOwn(t *testing.T) {
 	s := newStand(t)
-	r := newRig(t, func(l *limits.Limits) { l.Nodes, l.NodeConns, l.Streams = 2, 2, 2 })
+	r := newRig(t, func(l *limits.Limits) {
+		l.UpstreamConnections, l.ConnectionsPerEndpoint, l.StreamsPerConnection = 2, 2, 2
+	})
 	r.list(1, routing.Ready, s.Addr().String())
 	first := r.send(1, 1)
 	conn := next(t, s.conns)
@@ -207,16 +209,16 @@
 	second := r.send(2, 1)
 	next(t, s.asked)
 	_ = conn.Close()
-	r.end(routing.Broken, first)
+	r.end(routing.ConnectionBroken, first)
 	s.answer <- false // to the first
 	s.answer <- true
 	r.end(routing.Succeeded, second)
-	for ident := range engine.Ident(4) {
+	for ident := range engine.ClientRequestID(4) {
 		r.send(10+ident, 1)
 	}
-	r.end(routing.Moot, r.send(20, 1))
-	if r.Count() != 2 {
-		t.Errorf("%d connections", r.Count())
+	r.end(routing.NotSent, r.send(20, 1))
+	if r.ConnectionCount() != 2 {
+		t.Errorf("%d connections", r.ConnectionCount())
 	}
 }
 
@@ -229,7 +231,7 @@
 	next(t, s.asked)
 	r.list(1, routing.Gone, s.Addr().String())
 	r.list(2, routing.Ready, s.Addr().String())
-	r.end(routing.Broken, l)
+	r.end(routing.ConnectionBroken, l)
 	s.answer <- false
 	l = r.send(2, 2)
 	s.answer <- true
@@ -241,28 +243,30 @@
 
 // Connections that rest are closed, after a while or when others need their place; nothing is kept of nodes long gone.
 func TestRest(t *testing.T) {
-	r := newRig(t, func(l *limits.Limits) { l.Nodes, l.Idle, l.Forget = 2, 100*time.Millisecond, 0 })
+	r := newRig(t, func(l *limits.Limits) {
+		l.UpstreamConnections, l.UpstreamIdleTimeout, l.ForgetAfter = 2, 100*time.Millisecond, 0
+	})
 	var stands []*stand
 	for id := range 4 {
 		s := newStand(t)
 		s.answer <- true
 		stands = append(stands, s)
-		r.list(routing.NodeID(id+1), routing.Ready, s.Addr().String())
-		r.end(routing.Succeeded, r.send(engine.Ident(id+1), routing.NodeID(id+1)))
+		r.list(routing.EndpointID(id+1), routing.Ready, s.Addr().String())
+		r.end(routing.Succeeded, r.send(engine.ClientRequestID(id+1), routing.EndpointID(id+1)))
 	}
-	for end := time.Now().Add(10 * time.Second); r.Count() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); r.ConnectionCount() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections rest", r.Count())
+			t.Fatalf("%d connections rest", r.ConnectionCount())
 		}
 	}
 	for id, s := range stands {
-		r.list(routing.NodeID(id+1), routing.Gone, s.Addr().String())
+		r.list(routing.EndpointID(id+1), routing.Gone, s.Addr().String())
 	}
 	r.list(9, routing.Gone, "")
 	if len(r.nodes) > 1 {
 		t.Errorf("%d nodes are kept", len(r.nodes))
 	}
-	r.end(routing.Unconnected, r.send(9, 1))
+	r.end(routing.ConnectFailed, r.send(9, 1))
 }
 
 // A server moves: what is open on its old connection ends there, what waits for one goes elsewhere, and nothing new goes by the old.
@@ -279,9 +283,9 @@
 	r.end(routing.Succeeded, moved)
 	old.answer <- true
 	r.end(routing.Succeeded, open)
-	for end := time.Now().Add(10 * time.Second); r.Count() > 1; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); r.ConnectionCount() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are left", r.Count())
+			t.Fatalf("%d connections are left", r.ConnectionCount())
 		}
 	}
 	if len(old.asked) > 0 {
@@ -299,7 +303,7 @@
 	r.list(1, routing.Ready, old.Addr().String())
 	waits := r.send(3, 1)
 	r.list(1, routing.Ready, to.Addr().String())
-	r.end(routing.Unconnected, waits)
+	r.end(routing.ConnectFailed, waits)
 	close(held)
 }
 
@@ -313,14 +317,14 @@
 		dials int
 	}{
 		{syscall.EADDRNOTAVAIL, 2, routing.Succeeded, 3},
-		{syscall.ENETUNREACH, 100, routing.Moot, 9},
+		{syscall.ENETUNREACH, 100, routing.NotSent, 9},
 		{syscall.EHOSTUNREACH, 1, routing.Succeeded, 2},
-		{syscall.EHOSTUNREACH, 100, routing.Unconnected, 9},
+		{syscall.EHOSTUNREACH, 100, routing.ConnectFailed, 9},
 		{syscall.EINTR, 1, routing.Succeeded, 2},
-		{syscall.ECONNREFUSED, 1, routing.Unconnected, 1},
+		{syscall.ECONNREFUSED, 1, routing.ConnectFailed, 1},
 	} {
 		s := newStand(t)
-		r := newRig(t, func(l *limits.Limits) { l.Slow = 100 * time.Millisecond })
+		r := newRig(t, func(l *limits.Limits) { l.SlowConnect = 100 * time.Millisecond })
 		var dials atomic.Int64
 		r.dial = func(n, a string, d time.Duration) (net.Conn, error) {
 			if dials.Add(1) <= int64(c.times) {
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -24,8 +24,8 @@
 	young    bool          // on the list of those that have not asked
 }
 
-// Admission holds all decisions on connections of one router. It is not safe for use by several goroutines.
-type Admission struct {
+// Controller holds all decisions on connections of one router. It is not safe for use by several goroutines.
+type Controller struct {
 	set  Settings
 	now  time.Duration
 	acts []Action
@@ -58,65 +58,65 @@
 }
 
 // New returns decisions that know nobody.
-func New(set Settings) *Admission {
-	set.Remember = max(1, set.Remember)
-	set.Reserve = min(set.Reserve, set.Most/2) // somebody must be able to become known
-	a := &Admission{set: set, byConn: map[ConnID]int32{}, byPeer: map[Peer]int32{}, idle: newChain(),
-		allow: float64(set.AllViews)}
+func New(set Settings) *Controller {
+	set.MaxRememberedPeers = max(1, set.MaxRememberedPeers)
+	set.Reserve = min(set.Reserve, set.MaxConnections/2) // somebody must be able to become known
+	a := &Controller{set: set, byConn: map[ConnID]int32{}, byPeer: map[Peer]int32{}, idle: newChain(),
+		allow: float64(set.MaxRequests)}
 	for i := range a.rest {
 		a.rest[i] = newChain()
 	}
 	return a
 }
 
-// Whole returns settings of an operator who wants admission, with what was not told filled in.
-func (s Settings) Whole() Settings {
-	if s.PerPeer > 0 && s.Burst <= 0 {
-		s.Burst = 2 * s.PerPeer // a peer that comes back with all its connections at once, twice
+// WithDefaults returns settings of an operator who wants admission, with what was not told filled in.
+func (s Settings) WithDefaults() Settings {
+	if s.ConnectionsPerPeer > 0 && s.Burst <= 0 {
+		s.Burst = 2 * s.ConnectionsPerPeer // a peer that comes back with all its connections at once, twice
 	}
-	if s.PerSecond > 0 && s.Burst <= 0 {
-		s.Burst = int(max(1, 2*s.PerSecond))
+	if s.NewPerPeerPerSecond > 0 && s.Burst <= 0 {
+		s.Burst = int(max(1, 2*s.NewPerPeerPerSecond))
 	}
-	if s.Handshakes <= 0 {
-		s.Handshakes = 64 // what a core signs in a twentieth of a second
+	if s.MaxHandshakes <= 0 {
+		s.MaxHandshakes = 64 // what a core signs in a twentieth of a second
 	}
 	if s.HandshakeCPU <= 0 {
 		s.HandshakeCPU = 0.3 // views need little of a core; a flood may not have half of it
 	}
-	if s.Rested <= 0 {
-		s.Rested = time.Second // a flood would end as many as it opens, and each costs more than a word
+	if s.MinIdle <= 0 {
+		s.MinIdle = time.Second // a flood would end as many as it opens, and each costs more than a word
 	}
-	if s.Remember <= 0 {
-		s.Remember = 4096 // some 600 KB
+	if s.MaxRememberedPeers <= 0 {
+		s.MaxRememberedPeers = 4096 // some 600 KB
 	}
 	return s
 }
 
-// Set takes settings that changed; connections that are there stay.
-func (a *Admission) Set(set Settings) {
-	set.Remember = max(1, set.Remember)
-	set.Reserve = min(set.Reserve, set.Most/2) // somebody must be able to become known
-	a.set, a.allow = set, float64(set.AllViews)
+// UpdateSettings takes settings that changed; connections that are there stay.
+func (a *Controller) UpdateSettings(set Settings) {
+	set.MaxRememberedPeers = max(1, set.MaxRememberedPeers)
+	set.Reserve = min(set.Reserve, set.MaxConnections/2) // somebody must be able to become known
+	a.set, a.allow = set, float64(set.MaxRequests)
 	for i := range a.peers {
 		if p := &a.peers[i]; a.byPeer[p.id] == int32(i) {
-			p.listed = set.Listed != nil && set.Listed(p.id)
+			p.listed = set.IsKnown != nil && set.IsKnown(p.id)
 		}
 	}
 }
 
-// Count is how many connections there are.
-func (a *Admission) Count() int { return a.count }
+// ConnectionCount is how many connections there are.
+func (a *Controller) ConnectionCount() int { return a.count }
 
 // Mode names how near the bounds are.
-func (a *Admission) Mode() string { return modeNames[a.mode] }
+func (a *Controller) Mode() string { return modeNames[a.mode] }
 
 // Handle takes one event and appends what is to be done. A clock that goes back is taken to stand still.
-func (a *Admission) Handle(now time.Duration, e *Event, acts []Action) []Action {
+func (a *Controller) Handle(now time.Duration, e *Event, acts []Action) []Action {
 	a.now, a.acts = max(now, a.now), acts
 	switch i, known := a.byConn[e.Conn]; {
 	case e.Kind == EventArrive:
 		a.arrive(e)
-	case e.Kind == EventExhausted:
+	case e.Kind == EventNoDescriptors:
 		a.Counts.Exhausted++
 		a.shedTill = a.now + shedFor
 		a.turn(signExhausted)
@@ -126,13 +126,13 @@
 		for a.count > a.fits && a.makeRoom(listed) {
 		}
 		a.do(Action{Kind: Pause, Wait: pauseFor})
-	case e.Kind == EventShort:
+	case e.Kind == EventNoUpstreamDescriptors:
 		a.shedTill = a.now + shedFor
 		a.turn(signExhausted)
 		for range shortRoom {
 			a.makeRoom(listed)
 		}
-	case e.Kind == EventAccepted:
+	case e.Kind == EventDescriptorAvailable:
 		a.restored()
 	case !known:
 	default:
@@ -162,10 +162,10 @@
 	comeBack = 250 * ms
 )
 
-func (a *Admission) do(x Action) { a.acts = append(a.acts, x) }
+func (a *Controller) do(x Action) { a.acts = append(a.acts, x) }
 
 // turn changes the mode by the table.
-func (a *Admission) turn(s sign) {
+func (a *Controller) turn(s sign) {
 	if to := moods[a.mode][s]; to != a.mode {
 		a.do(Action{Kind: Log, Text: "admission " + modeNames[a.mode] + ", now " + modeNames[to]})
 		a.mode = to
@@ -173,17 +173,17 @@
 }
 
 // most is how many connections there may be now.
-func (a *Admission) most() int {
+func (a *Controller) most() int {
 	if a.fits > 0 {
-		return min(a.set.Most, a.fits)
+		return min(a.set.MaxConnections, a.fits)
 	}
-	return a.set.Most
+	return a.set.MaxConnections
 }
 
-func (a *Admission) restored() {
+func (a *Controller) restored() {
 	if a.fits > 0 && a.now-a.fitsAt >= shedFor {
 		a.fitsAt = a.now
-		if a.fits += max(1, int(fitsGrow*float64(a.fits))); a.fits >= a.set.Most {
+		if a.fits += max(1, int(fitsGrow*float64(a.fits))); a.fits >= a.set.MaxConnections {
 			a.fits = 0
 		}
 	}
@@ -194,10 +194,12 @@
 }
 
 // open is how many places there are that strangers may take.
-func (a *Admission) open() int { return max(1, a.most()-a.set.Reserve*a.most()/max(1, a.set.Most)) }
+func (a *Controller) open() int {
+	return max(1, a.most()-a.set.Reserve*a.most()/max(1, a.set.MaxConnections))
+}
 
 // weigh tells the mode how full it is. What the known have taken of their reserve does not count.
-func (a *Admission) weigh() {
+func (a *Controller) weigh() {
 	taken, places := float64(a.count-a.kept), float64(a.open())
 	switch {
 	case taken >= places:
@@ -214,7 +216,7 @@
 }
 
 // arrive takes a new connection, or not.
-func (a *Admission) arrive(e *Event) {
+func (a *Controller) arrive(e *Event) {
 	a.restored()
 	i := a.find(e.Peer)
 	a.join(i) // so that it is not forgotten while others make room
@@ -225,14 +227,14 @@
 }
 
 // enter takes a connection of a peer, which is counted already, or says that it is not taken.
-func (a *Admission) enter(e *Event, i int32) bool {
+func (a *Controller) enter(e *Event, i int32) bool {
 	p := &a.peers[i]
 	known := a.standing(p)
 	part := parts[a.mode][known]
-	within := a.set.PerPeer <= 0 || p.conns <= max(1, int(float64(a.set.PerPeer)*part))
+	within := a.set.ConnectionsPerPeer <= 0 || p.conns <= max(1, int(float64(a.set.ConnectionsPerPeer)*part))
 	if !within || !a.allows(p, part) {
 		p.score = math.Max(0, p.score-refusedCosts)
-		return a.refuse(e, Refuse)
+		return a.refuse(e, Reject)
 	}
 	if e.TLS && !a.mayShake(known) {
 		return a.refuse(e, Drop) // it could not read a word yet
@@ -251,10 +253,10 @@
 	case take, reserve:
 	case room:
 		if !a.makeRoom(known) {
-			return a.refuse(e, Refuse)
+			return a.refuse(e, Reject)
 		}
 	case refuse:
-		return a.refuse(e, Refuse)
+		return a.refuse(e, Reject)
 	default:
 		return a.refuse(e, Drop)
 	}
@@ -265,37 +267,37 @@
 // reservePart is the part of the reserve that one peer may have: a known one that floods leaves the rest to the others.
 const reservePart = 4
 
-func (a *Admission) mayReserve(p *peer) bool {
+func (a *Controller) mayReserve(p *peer) bool {
 	return a.kept < a.set.Reserve && p.reserved < max(1, a.set.Reserve/reservePart)
 }
 
-func (a *Admission) refuse(e *Event, how ActionKind) (taken bool) {
+func (a *Controller) refuse(e *Event, how ActionKind) (taken bool) {
 	if e.TLS {
 		how = Drop
 	}
 	if how == Drop {
 		a.Counts.Dropped++
 	} else {
-		a.Counts.Refused++
+		a.Counts.Rejected++
 	}
 	a.do(Action{Kind: how, Conn: e.Conn, Wait: a.back(e.Conn)})
 	return false
 }
 
 // back is when to come back: later the fuller it is, and not all in one moment.
-func (a *Admission) back(c ConnID) time.Duration {
-	if !a.set.Tell {
+func (a *Controller) back(c ConnID) time.Duration {
+	if !a.set.SendRetryAfter {
 		return 0
 	}
 	spread := float64(uint64(c)*0x9e3779b97f4a7c15>>40) / (1 << 24)
 	wait := time.Duration(float64(comeBack) * (1 + float64(a.mode)) * (0.5 + spread))
-	if a.set.MaxWait > 0 {
-		wait = min(wait, a.set.MaxWait)
+	if a.set.MaxRetryAfter > 0 {
+		wait = min(wait, a.set.MaxRetryAfter)
 	}
 	return wait
 }
 
-func (a *Admission) take(e *Event, p int32, kept bool) {
+func (a *Controller) take(e *Event, p int32, kept bool) {
 	var i int32
 	if n := len(a.free); n > 0 {
 		i = a.free[n-1]
@@ -315,16 +317,16 @@
 		a.hands++
 	}
 	a.lie(i)
-	a.Counts.Taken++
-	a.do(Action{Kind: Take, Conn: e.Conn})
+	a.Counts.Accepted++
+	a.do(Action{Kind: Accept, Conn: e.Conn})
 }
 
-func (a *Admission) connLinks(i int32) *links { return &a.conns[i].links }
+func (a *Controller) connLinks(i int32) *links { return &a.conns[i].links }
 
 // lie puts a connection at the young end of those that rest, rise takes it out.
-func (a *Admission) lie(i int32) { a.rest[which(a.conns[i].young)].put(i, a.connLinks) }
+func (a *Controller) lie(i int32) { a.rest[which(a.conns[i].young)].put(i, a.connLinks) }
 
-func (a *Admission) rise(i int32) { a.rest[which(a.conns[i].young)].drop(i, a.connLinks) }
+func (a *Controller) rise(i int32) { a.rest[which(a.conns[i].young)].drop(i, a.connLinks) }
 
 func which(young bool) int {
 	if young {
@@ -334,7 +336,7 @@
 }
 
 // mayEnd says whether a connection that rests may be ended for a newcomer of a standing.
-func (a *Admission) mayEnd(c *conn, who standing) bool {
+func (a *Controller) mayEnd(c *conn, who standing) bool {
 	if c.reserved || who < listed && a.now < c.till {
 		return false
 	}
@@ -350,7 +352,7 @@
 // goes before those that have, unless it has only just come. None of the reserve is ended, and none of a known peer for a
 // stranger. What may lie unread on one ends with it only where descriptors have run out: it was not picked up, and what was
 // comes first.
-func (a *Admission) makeRoom(who standing) bool {
+func (a *Controller) makeRoom(who standing) bool {
 	found, longest := none, time.Duration(math.MaxInt64)
 	for k := range a.rest {
 		i := a.rest[k].oldest
@@ -364,17 +366,17 @@
 		if k == 1 && a.now-since < justCome {
 			since = a.now - justCome // one that has asked and rested for longer goes first
 		} else if k == 1 {
-			since -= a.set.Fresh
+			since -= a.set.FirstRequestGrace
 		}
 		if since < longest {
 			found, longest = i, since
 		}
 	}
-	if found == none || who == stranger && a.now-a.conns[found].since < a.set.Rested {
+	if found == none || who == stranger && a.now-a.conns[found].since < a.set.MinIdle {
 		return false
 	}
-	a.Counts.Ended++
-	a.do(Action{Kind: End, Conn: a.conns[found].id})
+	a.Counts.ClosedIdle++
+	a.do(Action{Kind: CloseIdle, Conn: a.conns[found].id})
 	a.gone(found)
 	return true
 }
@@ -389,7 +391,7 @@
 
 // mayShake says whether one more handshake may begin: there is a place, or one that takes long makes it, and the time that
 // they may use is not spent. What they cost is known when they are over: half a handshake costs next to nothing.
-func (a *Admission) mayShake(who standing) bool {
+func (a *Controller) mayShake(who standing) bool {
 	if a.set.HandshakeCPU > 0 {
 		a.cpu = math.Min(a.set.HandshakeCPU/4, a.cpu+a.set.HandshakeCPU*(a.now-a.cpuAt).Seconds())
 		a.cpuAt = a.now
@@ -397,17 +399,17 @@
 			return false
 		}
 	}
-	most := a.set.Handshakes
+	most := a.set.MaxHandshakes
 	if who == stranger {
 		most = int(strangersShake * float64(most))
 	}
-	if a.set.Handshakes <= 0 || a.hands < most {
+	if a.set.MaxHandshakes <= 0 || a.hands < most {
 		return true
 	}
 	for i := a.rest[1].oldest; i != none; i = a.conns[i].younger {
 		if c := &a.conns[i]; c.hands && !c.reserved && a.now-c.since >= slowShake {
-			a.Counts.Ended++
-			a.do(Action{Kind: End, Conn: c.id})
+			a.Counts.ClosedIdle++
+			a.do(Action{Kind: CloseIdle, Conn: c.id})
 			a.gone(i)
 			return true
 		}
@@ -416,21 +418,21 @@
 }
 
 // heard takes what came of a connection that was taken.
-func (a *Admission) heard(i int32, e *Event) {
+func (a *Controller) heard(i int32, e *Event) {
 	c := &a.conns[i]
 	p := &a.peers[c.peer]
 	switch e.Kind {
-	case EventShown:
+	case EventHandshakeDone:
 		if c.hands {
 			c.hands = false
 			a.hands--
 			a.Counts.Handshakes++
-			a.cpu -= e.Took.Seconds()
+			a.cpu -= e.Elapsed.Seconds()
 		}
 		if e.Peer != (Peer{}) {
 			a.move(i, e.Peer)
 		}
-	case EventAsked:
+	case EventMessage:
 		if !c.asked {
 			c.asked, c.since = true, a.now
 			if !c.busy {
@@ -446,24 +448,24 @@
 			a.rise(i)
 			c.busy = true
 		}
-	case EventRests:
+	case EventIdle:
 		if c.busy {
 			c.busy, c.since = false, a.now
 			a.lie(i)
 			if a.count > a.most() && !c.reserved && (a.now >= c.till || a.mode == modeShedding) && a.standing(p) == stranger {
-				a.Counts.Ended++
-				a.do(Action{Kind: End, Conn: c.id})
+				a.Counts.ClosedIdle++
+				a.do(Action{Kind: CloseIdle, Conn: c.id})
 				a.gone(i)
 			}
 		}
-	case EventView:
-		a.pace(e.Took)
+	case EventRequest:
+		a.pace(e.Elapsed)
 		who := a.standing(p)
 		if !a.mayOpen(p, who) {
-			a.Counts.ViewsRefused++
-			wait := a.back(c.id + ConnID(a.Counts.ViewsRefused))
-			a.do(Action{Kind: Refuse, Conn: c.id, Wait: wait})
-			if c.row++; c.row >= refusedRow || a.mode >= modeFull || a.allow < float64(a.set.AllViews) {
+			a.Counts.RequestsRejected++
+			wait := a.back(c.id + ConnID(a.Counts.RequestsRejected))
+			a.do(Action{Kind: Reject, Conn: c.id, Wait: wait})
+			if c.row++; c.row >= refusedRow || a.mode >= modeFull || a.allow < float64(a.set.MaxRequests) {
 				c.row = 0
 				c.till = a.now + comeBack + crossing
 				a.do(Action{Kind: Pause, Conn: c.id, Wait: comeBack})
@@ -482,8 +484,8 @@
 			c.known++
 			a.known++
 		}
-		a.do(Action{Kind: Take, Conn: c.id})
-	case EventViewEnd:
+		a.do(Action{Kind: Accept, Conn: c.id})
+	case EventRequestEnd:
 		if c.views > 0 {
 			c.views--
 			p.views--
@@ -493,13 +495,13 @@
 				a.known--
 			}
 		}
-		if e.Back && a.standing(p) > stranger {
+		if e.Rejected && a.standing(p) > stranger {
 			a.pressed = true
 		}
 		if e.InTime {
 			p.score = math.Min(scoreMost, a.fade(p)+1)
 		}
-	case EventGone:
+	case EventClosed:
 		a.gone(i)
 		a.weigh()
 	}
@@ -507,16 +509,16 @@
 
 // mayOpen: a peer has its own bound on open views. The known have all that may be open to themselves; strangers have no more
 // than is allowed to them, and each its share once half of that is taken.
-func (a *Admission) mayOpen(p *peer, who standing) bool {
+func (a *Controller) mayOpen(p *peer, who standing) bool {
 	switch {
-	case a.set.Views > 0 && p.views >= a.set.Views:
+	case a.set.RequestsPerPeer > 0 && p.views >= a.set.RequestsPerPeer:
 		return false
 	case who == stranger && a.mode == modeShedding:
 		return false // what is owed comes first
-	case a.set.AllViews <= 0:
+	case a.set.MaxRequests <= 0:
 		return true
 	case who > stranger:
-		return a.known < a.set.AllViews
+		return a.known < a.set.MaxRequests
 	}
 	strangers, with := float64(a.views-a.known), len(a.byPeer)-a.idle.n
 	share := a.allow / float64(max(1, with)) * parts[a.mode][who]
@@ -534,8 +536,8 @@
 
 // pace has the views allowed to strangers follow how long events wait for the engine, and whether a known peer's view was
 // turned back: what strangers ask for may fill links and the origin before it fills the core.
-func (a *Admission) pace(lag time.Duration) {
-	if a.set.AllViews <= 0 || a.now-a.pacedAt < paceEach {
+func (a *Controller) pace(lag time.Duration) {
+	if a.set.MaxRequests <= 0 || a.now-a.pacedAt < paceEach {
 		return
 	}
 	a.pacedAt = a.now
@@ -543,12 +545,12 @@
 		a.pressed = false
 		a.allow = math.Max(leastViews, a.allow*paceDown)
 	} else {
-		a.allow = math.Min(float64(a.set.AllViews), a.allow*paceUp)
+		a.allow = math.Min(float64(a.set.MaxRequests), a.allow*paceUp)
 	}
 }
 
 // move has a connection count for the certificate that it showed: behind one address, each has its own.
-func (a *Admission) move(i int32, id Peer) {
+func (a *Controller) move(i int32, id Peer) {
 	c := &a.conns[i]
 	from := c.peer
 	to := a.find(id)
@@ -564,15 +566,15 @@
 	a.part(from)
 	c.peer = to
 	// The connection was taken by the address's rate; the certificate's own bounds hold from here on.
-	if part := parts[a.mode][listed]; a.set.PerPeer > 0 && q.conns > max(1, int(float64(a.set.PerPeer)*part)) {
-		a.Counts.Ended++
-		a.do(Action{Kind: End, Conn: c.id})
+	if part := parts[a.mode][listed]; a.set.ConnectionsPerPeer > 0 && q.conns > max(1, int(float64(a.set.ConnectionsPerPeer)*part)) {
+		a.Counts.ClosedIdle++
+		a.do(Action{Kind: CloseIdle, Conn: c.id})
 		a.gone(i)
 	}
 }
 
 // gone takes a connection out.
-func (a *Admission) gone(i int32) {
+func (a *Controller) gone(i int32) {
 	c := &a.conns[i]
 	if !c.busy {
 		a.rise(i)
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -16,14 +16,14 @@
 const crew, crew2 = 200_000, 200_001 // listed by the operator
 
 func plain() Settings {
-	s := Settings{Most: 40, Reserve: 12, PerPeer: 10, PerSecond: 20, Views: 16, AllViews: 60, Remember: 50, Fresh: time.Second, Tell: true,
-		MaxWait: time.Second, Handshakes: 4, HandshakeCPU: 0.1, Listed: func(p Peer) bool { return p == ip(crew) || p == ip(crew2) }}
-	return s.Whole()
+	s := Settings{MaxConnections: 40, Reserve: 12, ConnectionsPerPeer: 10, NewPerPeerPerSecond: 20, RequestsPerPeer: 16, MaxRequests: 60, MaxRememberedPeers: 50, FirstRequestGrace: time.Second, SendRetryAfter: true,
+		MaxRetryAfter: time.Second, MaxHandshakes: 4, HandshakeCPU: 0.1, IsKnown: func(p Peer) bool { return p == ip(crew) || p == ip(crew2) }}
+	return s.WithDefaults()
 }
 
 // A world of clients that come, ask, go and flood in any order, and what must hold all along.
 type world struct {
-	a    *Admission
+	a    *Controller
 	now  time.Duration
 	last ConnID
 	open map[ConnID]*member
@@ -50,7 +50,7 @@
 	verdict = Drop
 	for _, x := range w.a.Handle(w.now, &e, nil) {
 		switch x.Kind {
-		case End:
+		case CloseIdle:
 			m := w.open[x.Conn]
 			if m == nil {
 				w.fail("connection %d is ended, which is not there", x.Conn)
@@ -60,11 +60,11 @@
 				w.fail("a busy connection is ended")
 			}
 			delete(w.open, x.Conn)
-		case Take, Refuse, Drop:
+		case Accept, Reject, Drop:
 			if x.Conn != e.Conn {
 				w.fail("a verdict on another connection")
 			}
-			if verdict = x.Kind; x.Wait < 0 || x.Wait > w.a.set.MaxWait {
+			if verdict = x.Kind; x.Wait < 0 || x.Wait > w.a.set.MaxRetryAfter {
 				w.fail("come back in %v", x.Wait)
 			}
 		}
@@ -75,12 +75,12 @@
 
 func (w *world) arrive(p Peer, tls bool) (ConnID, bool) {
 	w.last++
-	taken := w.tell(Event{Kind: EventArrive, Conn: w.last, Peer: p, TLS: tls}) == Take
+	taken := w.tell(Event{Kind: EventArrive, Conn: w.last, Peer: p, TLS: tls}) == Accept
 	if taken {
 		if c := &w.a.conns[w.a.byConn[w.last]]; c.reserved && w.a.standing(&w.a.peers[c.peer]) == stranger {
 			w.fail("a stranger in the reserve")
 		}
-		w.open[w.last] = &member{peer: p, known: w.a.set.Listed(p), shakes: tls}
+		w.open[w.last] = &member{peer: p, known: w.a.set.IsKnown(p), shakes: tls}
 	}
 	return w.last, taken
 }
@@ -90,11 +90,11 @@
 	if len(w.open) != a.count && len(w.open) != a.count-1 { // one that is being taken
 		w.fail("%d connections, %d counted", len(w.open), a.count)
 	}
-	if a.count > a.set.Most {
-		w.fail("%d connections of %d", a.count, a.set.Most)
+	if a.count > a.set.MaxConnections {
+		w.fail("%d connections of %d", a.count, a.set.MaxConnections)
 	}
-	if a.count-a.kept > a.set.Most-a.set.Reserve {
-		w.fail("strangers have %d places of %d", a.count-a.kept, a.set.Most-a.set.Reserve)
+	if a.count-a.kept > a.set.MaxConnections-a.set.Reserve {
+		w.fail("strangers have %d places of %d", a.count-a.kept, a.set.MaxConnections-a.set.Reserve)
 	}
 	kept, views := 0, 0
 	for _, i := range a.byConn {
@@ -107,7 +107,7 @@
 	if kept != a.kept || views != a.views {
 		w.fail("%d kept, %d counted; %d views, %d counted", kept, a.kept, views, a.views)
 	}
-	if a.idle.n > a.set.Remember || len(a.byPeer) > a.set.Remember+a.set.Most+1 {
+	if a.idle.n > a.set.MaxRememberedPeers || len(a.byPeer) > a.set.MaxRememberedPeers+a.set.MaxConnections+1 {
 		w.fail("%d peers are remembered", len(a.byPeer))
 	}
 }
@@ -138,9 +138,9 @@
 	case n < 13:
 		w.now += time.Duration(draw(400)) * ms
 	case n == 13:
-		w.tell(Event{Kind: EventExhausted})
+		w.tell(Event{Kind: EventNoDescriptors})
 	case n == 14:
-		w.tell(Event{Kind: EventAccepted})
+		w.tell(Event{Kind: EventDescriptorAvailable})
 	default:
 		id, m := pick()
 		if m == nil {
@@ -148,9 +148,9 @@
 		}
 		switch n {
 		case 15:
-			w.tell(Event{Kind: EventAsked, Conn: id})
+			w.tell(Event{Kind: EventMessage, Conn: id})
 		case 16, 17:
-			if w.tell(Event{Kind: EventView, Conn: id}) == Take {
+			if w.tell(Event{Kind: EventRequest, Conn: id}) == Accept {
 				m.views++
 			}
 			if !m.busy {
@@ -160,16 +160,16 @@
 		case 18, 19:
 			if m.views > 0 {
 				m.views--
-				w.tell(Event{Kind: EventViewEnd, Conn: id, InTime: draw(3) > 0})
+				w.tell(Event{Kind: EventRequestEnd, Conn: id, InTime: draw(3) > 0})
 			}
 			if m.views == 0 && m.busy {
 				m.busy = false
-				w.tell(Event{Kind: EventRests, Conn: id})
+				w.tell(Event{Kind: EventIdle, Conn: id})
 			}
 		case 20:
 			if m.shakes {
 				m.shakes = false
-				e := Event{Kind: EventShown, Conn: id, Took: ms}
+				e := Event{Kind: EventHandshakeDone, Conn: id, Elapsed: ms}
 				if draw(2) == 0 {
 					e.Peer = Certificate([32]byte{1: byte(draw(3))})
 				}
@@ -177,7 +177,7 @@
 			}
 		default:
 			delete(w.open, id)
-			w.tell(Event{Kind: EventGone, Conn: id})
+			w.tell(Event{Kind: EventClosed, Conn: id})
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	for id := ConnID(1); id <= w.last; id++ {
 		if w.open[id] != nil {
 			delete(w.open, id)
-			w.tell(Event{Kind: EventGone, Conn: id})
+			w.tell(Event{Kind: EventClosed, Conn: id})
 		}
 	}
 	a := w.a
@@ -195,7 +195,7 @@
 		w.fail("left: %d connections, %d kept, %d views, %d handshakes", a.count, a.kept, a.views, a.hands)
 	}
 	w.now += time.Minute
-	w.tell(Event{Kind: EventAccepted})
+	w.tell(Event{Kind: EventDescriptorAvailable})
 	if _, taken := w.arrive(ip(7), false); !taken || a.mode != modeOpen {
 		w.fail("nobody is there, and it is %s", a.Mode())
 	}
@@ -239,7 +239,7 @@
 	if w.open[own] == nil {
 		w.fail("the crew's connection was ended for strangers")
 	}
-	if mine := w.a.peers[w.a.byPeer[ip(1%addresses)]].conns; mine > w.a.set.PerPeer {
+	if mine := w.a.peers[w.a.byPeer[ip(1%addresses)]].conns; mine > w.a.set.ConnectionsPerPeer {
 		w.fail("one address has %d connections", mine)
 	}
 	for range 2 {
@@ -247,7 +247,7 @@
 			w.fail("the crew does not get in during the flood, which is %s", w.a.Mode())
 		}
 	}
-	w.tell(Event{Kind: EventExhausted})
+	w.tell(Event{Kind: EventNoDescriptors})
 	if _, taken := w.arrive(ip(crew), false); !taken {
 		w.fail("the crew does not get in while descriptors are short")
 	}
@@ -261,8 +261,8 @@
 	id, _ := w.arrive(ip(5), false)
 	at := func() standing { return w.a.standing(&w.a.peers[w.a.byPeer[ip(5)]]) }
 	for range 8 {
-		w.tell(Event{Kind: EventView, Conn: id})
-		w.tell(Event{Kind: EventViewEnd, Conn: id, InTime: true})
+		w.tell(Event{Kind: EventRequest, Conn: id})
+		w.tell(Event{Kind: EventRequestEnd, Conn: id, InTime: true})
 	}
 	if at() != lately {
 		return fmt.Errorf("served eight times in time, and still a stranger")
@@ -282,8 +282,8 @@
 	w := newWorld()
 	id, _ := w.arrive(ip(5), false)
 	for range 50 {
-		w.tell(Event{Kind: EventView, Conn: id})
-		w.tell(Event{Kind: EventViewEnd, Conn: id})
+		w.tell(Event{Kind: EventRequest, Conn: id})
+		w.tell(Event{Kind: EventRequestEnd, Conn: id})
 	}
 	if w.a.standing(&w.a.peers[w.a.byPeer[ip(5)]]) != stranger {
 		return fmt.Errorf("never served in time, and known")
@@ -343,9 +343,9 @@
 }
 
 // One address with many connections gets no more than its share of the views.
-func ExampleAdmission() {
+func ExampleController() {
 	set := plain()
-	set.PerSecond = 0
+	set.NewPerPeerPerSecond = 0
 	a := New(set)
 	conn := ConnID(0)
 	come := func(who int) ConnID {
@@ -355,7 +355,7 @@
 	}
 	ask := func(c ConnID, n int) (taken int) {
 		for range n {
-			if a.Handle(0, &Event{Kind: EventView, Conn: c}, nil)[0].Kind == Take {
+			if a.Handle(0, &Event{Kind: EventRequest, Conn: c}, nil)[0].Kind == Accept {
 				taken++
 			}
 		}
@@ -379,7 +379,7 @@
 
 func BenchmarkArrive(b *testing.B) {
 	set := plain()
-	set.Most, set.Reserve, set.Remember = 400, 100, 4096
+	set.MaxConnections, set.Reserve, set.MaxRememberedPeers = 400, 100, 4096
 	a := New(set)
 	acts := make([]Action, 0, 8)
 	now, c := time.Duration(0), ConnID(0)
@@ -395,12 +395,12 @@
 // goes instead; one that has still not asked after it goes first. Met on a crowded day: new connections were ended after a
 // tenth of a millisecond, one for the next.
 func TestNewcomersMayAsk(t *testing.T) {
-	a := New(Settings{Most: 20, Fresh: time.Second, Remember: 100})
+	a := New(Settings{MaxConnections: 20, FirstRequestGrace: time.Second, MaxRememberedPeers: 100})
 	now, last := time.Second, ConnID(0)
 	ended := map[ConnID]bool{}
 	tell := func(e Event) {
 		for _, x := range a.Handle(now, &e, nil) {
-			if x.Kind == End {
+			if x.Kind == CloseIdle {
 				ended[x.Conn] = true
 			}
 		}
@@ -411,7 +411,7 @@
 		return last
 	}
 	for range 20 {
-		tell(Event{Kind: EventAsked, Conn: arrive()})
+		tell(Event{Kind: EventMessage, Conn: arrive()})
 		now += time.Millisecond
 	}
 	now += 150 * time.Millisecond
--- a/policy/admission/iface.go
+++ b/policy/admission/iface.go
@@ -29,63 +29,63 @@
 
 // Settings are what the decisions are told at the start; what is 0 does not hold.
 type Settings struct {
-	Most    int // connections of all clients
-	Reserve int // of them, for known clients only
+	MaxConnections int // connections of all clients
+	Reserve        int // of them, for known clients only
 
-	PerPeer   int     // connections of one peer
-	PerSecond float64 // new ones of one peer
-	Burst     int     // new ones at once
-	Views     int     // open views of one peer
-	AllViews  int     // open views of all, past which each peer has its share
+	ConnectionsPerPeer  int     // connections of one peer
+	NewPerPeerPerSecond float64 // new ones of one peer
+	Burst               int     // new ones at once
+	RequestsPerPeer     int     // open views of one peer
+	MaxRequests         int     // open views of all, past which each peer has its share
 
-	Handshakes   int           // at once
-	HandshakeCPU float64       // part of a core that they may use
-	Remember     int           // peers of whom anything is remembered while they have no connection
-	Fresh        time.Duration // how much longer than one that has asked a connection counts as resting that has not
-	Rested       time.Duration // how long one must have rested to make room for a stranger
-	Tell         bool          // a time to come back may be told
-	MaxWait      time.Duration // the longest one
-	Listed       func(Peer) bool
+	MaxHandshakes      int           // at once
+	HandshakeCPU       float64       // part of a core that they may use
+	MaxRememberedPeers int           // peers of whom anything is remembered while they have no connection
+	FirstRequestGrace  time.Duration // how much longer than one that has asked a connection counts as resting that has not
+	MinIdle            time.Duration // how long one must have rested to make room for a stranger
+	SendRetryAfter     bool          // a time to come back may be told
+	MaxRetryAfter      time.Duration // the longest one
+	IsKnown            func(Peer) bool
 }
 
 // EventKind says what happened; the comment names the fields that are set.
 type EventKind uint8
 
 const (
-	EventArrive    EventKind = iota // Conn Peer TLS
-	EventShown                      // Conn Peer: the handshake is over; Peer is the certificate's, or none; Took
-	EventAsked                      // Conn: a whole message came
-	EventView                       // Conn Took: it wants to open a view; how long events wait for the engine
-	EventViewEnd                    // Conn InTime Back: one of its views has its answer
-	EventBusy                       // Conn: something is open or to be written
-	EventRests                      // Conn: nothing is any more
-	EventGone                       // Conn
-	EventExhausted                  // no descriptor is left, in the process or the system
-	EventShort                      // none is left for a connection to a node
-	EventAccepted                   // a descriptor could be had again
+	EventArrive                EventKind = iota // Conn Peer TLS
+	EventHandshakeDone                          // Conn Peer: the handshake is over; Peer is the certificate's, or none; Took
+	EventMessage                                // Conn: a whole message came
+	EventRequest                                // Conn Took: it wants to open a view; how long events wait for the engine
+	EventRequestEnd                             // Conn InTime Back: one of its views has its answer
+	EventBusy                                   // Conn: something is open or to be written
+	EventIdle                                   // Conn: nothing is any more
+	EventClosed                                 // Conn
+	EventNoDescriptors                          // no descriptor is left, in the process or the system
+	EventNoUpstreamDescriptors                  // none is left for a connection to a node
+	EventDescriptorAvailable                    // a descriptor could be had again
 )
 
 // Event is what the decisions are told.
 type Event struct {
-	Kind   EventKind
-	Conn   ConnID
-	Peer   Peer
-	TLS    bool
-	InTime bool // it was served by its due time
-	Back   bool // it was turned back by the decisions on views
-	Took   time.Duration
+	Kind     EventKind
+	Conn     ConnID
+	Peer     Peer
+	TLS      bool
+	InTime   bool // it was served by its due time
+	Rejected bool // it was turned back by the decisions on views
+	Elapsed  time.Duration
 }
 
 // ActionKind says what is to be done.
 type ActionKind uint8
 
 const (
-	Take   ActionKind = iota // the connection, or the view
-	Refuse                   // with a word and the time to come back
-	Drop                     // without a word
-	End                      // another connection, which rests, makes room
-	Pause                    // accept nothing for so long, or read nothing of the connection
-	Log                      // Text
+	Accept    ActionKind = iota // the connection, or the view
+	Reject                      // with a word and the time to come back
+	Drop                        // without a word
+	CloseIdle                   // another connection, which rests, makes room
+	Pause                       // accept nothing for so long, or read nothing of the connection
+	Log                         // Text
 )
 
 // Action is what the decisions want done, in the order given.
@@ -98,5 +98,5 @@
 
 // Counts is what was decided so far.
 type Counts struct {
-	Taken, Refused, Dropped, Ended, ViewsRefused, Exhausted, Handshakes uint64
+	Accepted, Rejected, Dropped, ClosedIdle, RequestsRejected, Exhausted, Handshakes uint64
 }
--- a/policy/admission/peers.go
+++ b/policy/admission/peers.go
@@ -31,11 +31,11 @@
 )
 
 // find is the place of a peer, which is made for it if there is none.
-func (a *Admission) find(id Peer) int32 {
+func (a *Controller) find(id Peer) int32 {
 	if i, known := a.byPeer[id]; known {
 		return i
 	}
-	a.forget(a.set.Remember - 1)
+	a.forget(a.set.MaxRememberedPeers - 1)
 	var i int32
 	switch {
 	case len(a.freePeers) > 0:
@@ -46,30 +46,30 @@
 		i = int32(len(a.peers) - 1)
 	}
 	a.peers[i] = peer{id: id, level: float64(a.set.Burst), filled: a.now, scored: a.now,
-		listed: a.set.Listed != nil && a.set.Listed(id)}
+		listed: a.set.IsKnown != nil && a.set.IsKnown(id)}
 	a.byPeer[id] = i
 	a.idle.put(i, a.peerLinks)
 	return i
 }
 
-func (a *Admission) peerLinks(i int32) *links { return &a.peers[i].links }
+func (a *Controller) peerLinks(i int32) *links { return &a.peers[i].links }
 
 // join counts a connection to a peer.
-func (a *Admission) join(i int32) {
+func (a *Controller) join(i int32) {
 	if a.peers[i].conns++; a.peers[i].conns == 1 {
 		a.idle.drop(i, a.peerLinks)
 	}
 }
 
-func (a *Admission) part(i int32) {
+func (a *Controller) part(i int32) {
 	if a.peers[i].conns--; a.peers[i].conns == 0 {
 		a.idle.put(i, a.peerLinks)
-		a.forget(a.set.Remember)
+		a.forget(a.set.MaxRememberedPeers)
 	}
 }
 
 // forget drops whoever was here longest ago, until so many are left of those without a connection.
-func (a *Admission) forget(left int) {
+func (a *Controller) forget(left int) {
 	for a.idle.n > max(0, left) {
 		i := a.idle.oldest
 		a.idle.drop(i, a.peerLinks)
@@ -79,7 +79,7 @@
 }
 
 // fade brings a peer's score to this moment.
-func (a *Admission) fade(p *peer) float64 {
+func (a *Controller) fade(p *peer) float64 {
 	if d := a.now - p.scored; d > 0 {
 		p.score *= math.Exp2(-float64(d) / float64(scoreHalf))
 		p.scored = a.now
@@ -88,7 +88,7 @@
 }
 
 // standing is what a peer is known as.
-func (a *Admission) standing(p *peer) standing {
+func (a *Controller) standing(p *peer) standing {
 	switch {
 	case p.listed:
 		return listed
@@ -99,11 +99,11 @@
 }
 
 // allows takes a new connection out of a peer's rate, if that has one.
-func (a *Admission) allows(p *peer, part float64) bool {
-	if a.set.PerSecond <= 0 {
+func (a *Controller) allows(p *peer, part float64) bool {
+	if a.set.NewPerPeerPerSecond <= 0 {
 		return true
 	}
-	p.level = math.Min(math.Max(1, float64(a.set.Burst)*part), p.level+a.set.PerSecond*part*max(0, a.now-p.filled).Seconds())
+	p.level = math.Min(math.Max(1, float64(a.set.Burst)*part), p.level+a.set.NewPerPeerPerSecond*part*max(0, a.now-p.filled).Seconds())
 	p.filled = a.now
 	if p.level < 1 {
 		return false
--- a/policy/routing/bench_test.go
+++ b/policy/routing/bench_test.go
@@ -13,24 +13,24 @@
 			r := New(plain(), 1)
 			now := time.Minute
 			acts := r.Start(now, nil)
-			e := Event{Kind: EventList, List: ListFull, Members: []Member{member(parentP), member(origin)}}
+			e := Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Endpoints: []Endpoint{member(parentP), member(origin)}}
 			for i := range n {
 				m := member(cacheA)
-				m.Node = NodeID(100_000 + i*7919)
-				e.Members = append(e.Members, m)
+				m.ID = EndpointID(100_000 + i*7919)
+				e.Endpoints = append(e.Endpoints, m)
 			}
 			acts = r.Handle(now, &e, acts[:0])
-			id := ViewID(0)
+			id := RequestID(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 100 * time.Microsecond
-				acts = r.Handle(now, &Event{Kind: EventView, View: id, Object: ObjectID(id%5000 + 1), KB: 30, Left: 2 * time.Second}, acts[:0])
+				acts = r.Handle(now, &Event{Kind: EventRequest, Request: id, Object: ObjectID(id%5000 + 1), SizeKB: 30, TimeLeft: 2 * time.Second}, acts[:0])
 				if len(acts) == 0 {
 					b.Fatal("no leg")
 				}
-				acts = r.Handle(now, &Event{Kind: EventLegEnd, View: id, Node: acts[len(acts)-1].Node, Outcome: Succeeded, Note: NoteHit,
-					Final: true, Took: 30 * time.Millisecond}, acts[:0])
+				acts = r.Handle(now, &Event{Kind: EventAttemptResult, Request: id, Endpoint: acts[len(acts)-1].Endpoint, Outcome: Succeeded, Note: NoteHit,
+					Final: true, Elapsed: 30 * time.Millisecond}, acts[:0])
 			}
 		})
 	}
--- a/policy/routing/drain_test.go
+++ b/policy/routing/drain_test.go
@@ -9,24 +9,24 @@
 func TestLeftBeforeTheStart(t *testing.T) {
 	for name, tell := range map[string]func(b *bench){
 		"first seen as it drains": func(b *bench) {
-			b.do(&Event{Kind: EventList, List: ListFull, Ago: time.Minute, Members: []Member{member(cacheA), leaving(cacheB), member(parentP), member(origin)}})
+			b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Age: time.Minute, Endpoints: []Endpoint{member(cacheA), leaving(cacheB), member(parentP), member(origin)}})
 		},
 		"ready, then draining, long ago": func(b *bench) {
-			b.do(&Event{Kind: EventList, List: ListFull, Ago: time.Minute, Members: []Member{member(cacheA), member(cacheB), member(parentP), member(origin)}})
-			b.do(&Event{Kind: EventList, Ago: time.Minute, Members: []Member{leaving(cacheB)}})
+			b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Age: time.Minute, Endpoints: []Endpoint{member(cacheA), member(cacheB), member(parentP), member(origin)}})
+			b.do(&Event{Kind: EventEndpoints, Age: time.Minute, Endpoints: []Endpoint{leaving(cacheB)}})
 		},
 		"missing in a whole list": func(b *bench) {
-			b.do(&Event{Kind: EventList, List: ListFull, Ago: time.Minute, Members: []Member{member(cacheA), member(cacheB), member(parentP), member(origin)}})
-			b.do(&Event{Kind: EventList, List: ListFull, Ago: time.Minute, Members: []Member{member(cacheA), member(parentP), member(origin)}})
+			b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Age: time.Minute, Endpoints: []Endpoint{member(cacheA), member(cacheB), member(parentP), member(origin)}})
+			b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Age: time.Minute, Endpoints: []Endpoint{member(cacheA), member(parentP), member(origin)}})
 		},
 	} {
-		b := &bench{r: New(plain(), 1), legs: map[ViewID]LegNo{}, mute: true}
+		b := &bench{r: New(plain(), 1), legs: map[RequestID]AttemptNumber{}, mute: true}
 		b.acts = b.r.Start(0, nil)
 		tell(b)
 		if n, known := b.r.index[cacheB]; known && b.r.usable(n) {
 			t.Errorf("%s: it may still be named at the start", name)
 		}
-		for id := range ViewID(40) {
+		for id := range RequestID(40) {
 			b.view(id+1, 0, ObjectID(id+1))
 		}
 		for _, v := range b.r.views {
@@ -40,13 +40,13 @@
 	// One that is told now has its grace, as ever.
 	b := newBench(plain(), cacheA, cacheB)
 	b.mute = true
-	b.do(&Event{Kind: EventList, Members: []Member{leaving(cacheB)}})
+	b.do(&Event{Kind: EventEndpoints, Endpoints: []Endpoint{leaving(cacheB)}})
 	if !b.r.usable(b.r.index[cacheB]) {
 		t.Error("a drain that is told now has no grace")
 	}
 }
 
-func leaving(n NodeID) Member {
+func leaving(n EndpointID) Endpoint {
 	m := member(n)
 	m.State = Draining
 	return m
--- a/policy/routing/fleet_test.go
+++ b/policy/routing/fleet_test.go
@@ -46,16 +46,16 @@
 	total := 0.0
 	// A process has a clock of its own, which stands at 0 when it starts; since is that moment on the test's clock.
 	process := func(i int, since, now time.Duration) *bench {
-		b := &bench{r: New(set, f.seed*1000+uint64(i)+uint64(since)), now: now - since, legs: map[ViewID]LegNo{}, mute: true}
+		b := &bench{r: New(set, f.seed*1000+uint64(i)+uint64(since)), now: now - since, legs: map[RequestID]AttemptNumber{}, mute: true}
 		b.acts = b.r.Start(b.now, nil)
-		e := Event{Kind: EventList, List: ListCached, Ago: time.Hour}
-		for _, n := range []NodeID{cacheA, cacheB, cacheC, cacheD, parentP, parentQ, origin} {
+		e := Event{Kind: EventEndpoints, EndpointListKind: EndpointListCached, Age: time.Hour}
+		for _, n := range []EndpointID{cacheA, cacheB, cacheC, cacheD, parentP, parentQ, origin} {
 			m := member(n)
 			m.Weight = f.link
 			if n == cold {
-				m.Started = start - since
+				m.StartedAt = start - since
 			}
-			e.Members = append(e.Members, m)
+			e.Endpoints = append(e.Endpoints, m)
 		}
 		b.do(&e)
 		return b
@@ -73,22 +73,22 @@
 	type due struct {
 		at     time.Duration
 		router int
-		view   ViewID
-		leg    LegNo
-		node   NodeID
+		view   RequestID
+		leg    AttemptNumber
+		node   EndpointID
 		note   Note
 		fails  bool
 	}
 	var dues []due
-	holds := map[NodeID]map[ObjectID]bool{}
-	for _, n := range []NodeID{cacheA, cacheB, cacheC, cacheD} {
+	holds := map[EndpointID]map[ObjectID]bool{}
+	for _, n := range []EndpointID{cacheA, cacheB, cacheC, cacheD} {
 		holds[n] = map[ObjectID]bool{}
 	}
 	views, good := 0.0, 0.0
-	id := ViewID(0)
-	length := set.ColdFor
+	id := RequestID(0)
+	length := set.SlowStartFor
 	if f.parent {
-		length = set.ParentColdFor
+		length = set.ParentSlowStartFor
 	}
 	const turn = 10 * ms
 	for now := start; now < start+length; now += turn {
@@ -104,9 +104,9 @@
 		if f.lostAt > 0 && now-start >= f.lostAt && now-start < f.lostAt+turn {
 			for _, b := range fleet { // all hear of it at once
 				b.now = now - begun[slices.Index(fleet, b)]
-				lost := []NodeID{cacheB, cacheC, cacheD}
+				lost := []EndpointID{cacheB, cacheC, cacheD}
 				if f.parent {
-					lost = []NodeID{parentQ}
+					lost = []EndpointID{parentQ}
 				}
 				for _, n := range lost {
 					b.change(n, Gone, LongAgo)
@@ -115,22 +115,22 @@
 		}
 		take := func(i int, acts []Action) {
 			for _, a := range acts {
-				if a.Kind != ActionGet {
+				if a.Kind != ActionSend {
 					continue
 				}
-				v := fleet[i].r.find(a.View)
+				v := fleet[i].r.find(a.Request)
 				work := float64(v.sending) / float64(100*ms)
-				filled := a.Source != a.Node && !holds[a.Node][v.object]
-				if a.Node == cold || a.Source == cold && filled {
+				filled := a.Source != a.Endpoint && !holds[a.Endpoint][v.object]
+				if a.Endpoint == cold || a.Source == cold && filled {
 					got = append(got, arrival{now, work})
 				}
-				fails := f.failing && (a.Node == cold || a.Source == cold && filled)
+				fails := f.failing && (a.Endpoint == cold || a.Source == cold && filled)
 				note := NoteHit
 				if filled && !fails {
-					note, holds[a.Node][v.object] = NoteFilled, true
+					note, holds[a.Endpoint][v.object] = NoteFilled, true
 				}
 				took := time.Duration(float64(v.sending) * 1.1)
-				dues = append(dues, due{now + took, i, a.View, LegNo(v.n - 1), a.Node, note, fails})
+				dues = append(dues, due{now + took, i, a.Request, AttemptNumber(v.n - 1), a.Endpoint, note, fails})
 			}
 		}
 		for i, b := range fleet {
@@ -146,7 +146,7 @@
 			for n := rng.float(); n < rate; n++ {
 				id++
 				views++
-				b.do(&Event{Kind: EventView, View: id, Object: ObjectID(rng.float() * 30000 * f.link), KB: 20 + 160*rng.float(), Left: 3 * time.Second})
+				b.do(&Event{Kind: EventRequest, Request: id, Object: ObjectID(rng.float() * 30000 * f.link), SizeKB: 20 + 160*rng.float(), TimeLeft: 3 * time.Second})
 				take(i, b.acts)
 			}
 		}
@@ -155,9 +155,9 @@
 				return false
 			}
 			b := fleet[d.router]
-			e := Event{Kind: EventLegEnd, View: d.view, Leg: d.leg, Node: d.node, Outcome: Succeeded, Note: d.note, Final: true, Took: 100 * ms}
+			e := Event{Kind: EventAttemptResult, Request: d.view, Attempt: d.leg, Endpoint: d.node, Outcome: Succeeded, Note: d.note, Final: true, Elapsed: 100 * ms}
 			if d.fails {
-				e.Outcome, e.Note, e.Final = Errored, NoteUnreached, false
+				e.Outcome, e.Note, e.Final = Failed, NoteSourceUnreachable, false
 			} else if v := b.r.find(d.view); v != nil && v.open {
 				good++
 			}
@@ -172,19 +172,19 @@
 // worst is the highest ratio, over all windows, of the work that reached the node to what it bears without falling: N and
 // twice its root and two more, N as the settings allow it at the window's end.
 func (f *coldFleet) worst(set Settings, start time.Duration, got []arrival) (worst float64) {
-	least, over, multiple := set.ColdShare, set.ColdFor, set.FallMultiple
+	least, over, multiple := set.SlowStartShare, set.SlowStartFor, set.OverloadFactor
 	if f.parent {
-		least, over, multiple = set.ParentColdShare, set.ParentColdFor, set.ParentFallMultiple
+		least, over, multiple = set.ParentSlowStartShare, set.ParentSlowStartFor, set.ParentOverloadFactor
 	}
 	from, sum := 0, 0.0
 	for _, a := range got {
 		sum += a.work
-		for got[from].at <= a.at-set.FallFor {
+		for got[from].at <= a.at-set.OverloadWindow {
 			sum -= got[from].work
 			from++
 		}
 		warm := least + (1-least)*float64(a.at-start)/float64(over)
-		n := multiple * warm * f.link / 0.1 * set.FallFor.Seconds() // requests of mean work, a tenth of a second each
+		n := multiple * warm * f.link / 0.1 * set.OverloadWindow.Seconds() // requests of mean work, a tenth of a second each
 		worst = math.Max(worst, sum/(n+2*math.Sqrt(n)+2))
 	}
 	return worst
@@ -201,7 +201,7 @@
 					text, worst := "", 0.0
 					for seed, lost := range []time.Duration{0, 3 * time.Second, 9 * time.Second, 13 * time.Second} {
 						set := plain()
-						set.WeightIsLink, set.Direct = true, false
+						set.WeightIsLinkCapacity, set.AllowDirect = true, false
 						f := coldFleet{routers: routers, link: link, parent: parent, lostAt: lost, quiet: 0.1, failing: failing, seed: uint64(seed + 1)}
 						got, served := f.play(set, start)
 						ratio := f.worst(set, start, got)
@@ -233,7 +233,7 @@
 					quiet     float64
 				}{{500 * ms, 7, 1}, {time.Second, 10, 1}, {3 * time.Second, 10, 1}, {6 * time.Second, 7, 0.1}} {
 					set := plain()
-					set.WeightIsLink, set.Direct = true, false
+					set.WeightIsLinkCapacity, set.AllowDirect = true, false
 					f := coldFleet{routers: routers, link: link, parent: parent, lostAt: c.at + 2*time.Second, quiet: c.quiet,
 						seed: uint64(seed + 1), restartAt: c.at, restarted: c.restarted}
 					got, served := f.play(set, start)
--- a/policy/routing/helper_test.go
+++ b/policy/routing/helper_test.go
@@ -10,51 +10,51 @@
 	r    *Router
 	now  time.Duration
 	acts []Action
-	legs map[ViewID]LegNo
+	legs map[RequestID]AttemptNumber
 	mute bool // prints nothing
 }
 
 // Nodes of the small fleet that the traces use: caches of the router's location, parents and the origin.
 const (
-	cacheA NodeID = 101 + iota
+	cacheA EndpointID = 101 + iota
 	cacheB
 	cacheC
 	cacheD
 )
 const (
-	parentP NodeID = 201 + iota
+	parentP EndpointID = 201 + iota
 	parentQ
 )
-const origin NodeID = 301
+const origin EndpointID = 301
 
-var names = map[NodeID]string{cacheA: "A", cacheB: "B", cacheC: "C", cacheD: "D", parentP: "P", parentQ: "Q",
-	origin: "origin", Own: "own"}
+var names = map[EndpointID]string{cacheA: "A", cacheB: "B", cacheC: "C", cacheD: "D", parentP: "P", parentQ: "Q",
+	origin: "origin", LocalCache: "own"}
 
 // plain are the settings that the traces start from: one harmless tariff, one write, everything told and allowed.
 func plain() Settings {
 	return Settings{
 		Routers: 1, Zone: 2, ZoneRouters: []int{0, 0, 1}, ParentKind: 1, OriginKind: 2,
-		Tariffs: []Tariff{
-			{Due: 500 * ms, DueStretch: 2, Hard: 5 * time.Second, Payoff: 2},
-			{Due: 700 * ms, Hard: 3 * time.Second, Payoff: 3, Effect: OneShot, Write: true},
+		Classes: []Class{
+			{LatencyObjective: 500 * ms, ObjectiveStretch: 2, Deadline: 5 * time.Second, Value: 2},
+			{LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Value: 3, Idempotency: NonIdempotent, Write: true},
 		},
-		Cancel: true, SecondCopies: true, RetryAfter: true, Legs: 6, MaxWait: 500 * ms,
-		DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 16 * time.Second, FallMultiple: 2.5, FallFor: 3 * time.Second,
-		ParentColdShare: 0.07, ParentColdFor: 20 * time.Second, ParentFallMultiple: 2,
-		PurgeGrace: time.Second, PurgeDone: 6 * time.Second,
-		Direct: true, Siblings: ReachLocation, Tells: TellsAll, FlowKB: 1000,
+		Cancel: true, HedgedRequests: true, RetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 500 * ms,
+		DrainGrace: time.Second, SlowStartShare: 0.2, SlowStartFor: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 3 * time.Second,
+		ParentSlowStartShare: 0.07, ParentSlowStartFor: 20 * time.Second, ParentOverloadFactor: 2,
+		PurgeGrace: time.Second, PurgeCompleteAfter: 6 * time.Second,
+		AllowDirect: true, PeerFill: PeerFillLocation, ResponseDetail: DetailFull, FlowKBPerSecond: 1000,
 	}
 }
 
-func newBench(set Settings, caches ...NodeID) *bench {
-	b := &bench{r: New(set, 1), now: time.Minute, legs: map[ViewID]LegNo{}}
+func newBench(set Settings, caches ...EndpointID) *bench {
+	b := &bench{r: New(set, 1), now: time.Minute, legs: map[RequestID]AttemptNumber{}}
 	b.acts = b.r.Start(b.now, nil)
-	b.list(ListCached, append(caches, parentP, parentQ, origin)...)
+	b.list(EndpointListCached, append(caches, parentP, parentQ, origin)...)
 	return b
 }
 
-func member(n NodeID) Member {
-	m := Member{Node: n, State: Ready, Zone: 2, Weight: 1, Started: LongAgo}
+func member(n EndpointID) Endpoint {
+	m := Endpoint{ID: n, State: Ready, Zone: 2, Weight: 1, StartedAt: LongAgo}
 	switch {
 	case n == origin:
 		m.Kind, m.Zone = 2, 0
@@ -64,19 +64,19 @@
 	return m
 }
 
-func (b *bench) list(k ListKind, nodes ...NodeID) {
-	e := Event{Kind: EventList, List: k}
+func (b *bench) list(k EndpointListKind, nodes ...EndpointID) {
+	e := Event{Kind: EventEndpoints, EndpointListKind: k}
 	for _, n := range nodes {
-		e.Members = append(e.Members, member(n))
+		e.Endpoints = append(e.Endpoints, member(n))
 	}
 	b.do(&e)
 }
 
 // change tells of one node: its state, and when it started (LongAgo: unchanged).
-func (b *bench) change(n NodeID, s State, started time.Duration) {
+func (b *bench) change(n EndpointID, s EndpointState, started time.Duration) {
 	m := member(n)
-	m.State, m.Started = s, started
-	b.do(&Event{Kind: EventList, List: ListChanges, Members: []Member{m}})
+	m.State, m.StartedAt = s, started
+	b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
 }
 
 func (b *bench) do(e *Event) {
@@ -84,7 +84,7 @@
 	for _, a := range b.acts {
 		b.print(&a)
 		if a.Kind == ActionCancel { // it ends at once
-			b.r.Handle(b.now, &Event{Kind: EventLegEnd, View: a.View, Leg: a.Leg, Outcome: Cancelled, Final: true}, nil)
+			b.r.Handle(b.now, &Event{Kind: EventAttemptResult, Request: a.Request, Attempt: a.Attempt, Outcome: Cancelled, Final: true}, nil)
 		}
 	}
 }
@@ -93,43 +93,43 @@
 	if b.mute {
 		return
 	}
-	at := fmt.Sprintf("%6.2fs view %d", (b.now - time.Minute).Seconds(), a.View)
+	at := fmt.Sprintf("%6.2fs view %d", (b.now - time.Minute).Seconds(), a.Request)
 	switch a.Kind {
-	case ActionAsk, ActionGet:
+	case ActionLookup, ActionSend:
 		how := ""
-		if a.How&HowHoldsOnly != 0 {
+		if a.FillOptions&OnlyIfCached != 0 {
 			how = ", holds-only"
 		}
-		if a.Age > 0 {
-			how += fmt.Sprintf(", no older than %v", a.Age)
+		if a.MaxAge > 0 {
+			how += fmt.Sprintf(", no older than %v", a.MaxAge)
 		}
-		if a.Begin > 0 {
-			how += fmt.Sprintf(", on its way within %v", a.Begin)
+		if a.StartWithin > 0 {
+			how += fmt.Sprintf(", on its way within %v", a.StartWithin)
 		}
-		fmt.Printf("%s: leg to %s, fill from %s%s\n", at, names[a.Node], names[a.Source], how)
-	case ActionTurnBack:
+		fmt.Printf("%s: leg to %s, fill from %s%s\n", at, names[a.Endpoint], names[a.Source], how)
+	case ActionReject:
 		fmt.Printf("%s: turned back\n", at)
-	case ActionTerminate:
+	case ActionFail:
 		fmt.Printf("%s: terminated\n", at)
 	case ActionCancel:
-		fmt.Printf("%s: leg %d cancelled\n", at, a.Leg)
-	case ActionFollow:
+		fmt.Printf("%s: leg %d cancelled\n", at, a.Attempt)
+	case ActionWatchEndpoints:
 		fmt.Printf("%6.2fs the list is asked for\n", (b.now - time.Minute).Seconds())
 	}
 }
 
 // view brings a view of 100 KB: a tenth of a second at full pace.
-func (b *bench) view(id ViewID, tariff TariffID, o ObjectID) {
+func (b *bench) view(id RequestID, tariff ClassID, o ObjectID) {
 	b.legs[id] = 0
-	b.do(&Event{Kind: EventView, View: id, Tariff: tariff, Object: o, Group: GroupID(o % 8), KB: 100, Left: 3 * time.Second,
+	b.do(&Event{Kind: EventRequest, Request: id, Class: tariff, Object: o, Group: GroupID(o % 8), SizeKB: 100, TimeLeft: 3 * time.Second,
 		Write: tariff == 1})
 }
 
 // end ends a view's next leg after a time.
-func (b *bench) end(id ViewID, n NodeID, after time.Duration, o Outcome, note Note) {
+func (b *bench) end(id RequestID, n EndpointID, after time.Duration, o Outcome, note Note) {
 	b.pass(after)
-	b.do(&Event{Kind: EventLegEnd, View: id, Leg: b.legs[id], Node: n, Outcome: o, Note: note, Took: after,
-		Waited: max(0, after-110*ms), Final: o == Succeeded})
+	b.do(&Event{Kind: EventAttemptResult, Request: id, Attempt: b.legs[id], Endpoint: n, Outcome: o, Note: note, Elapsed: after,
+		FirstByteWait: max(0, after-110*ms), Final: o == Succeeded})
 	b.legs[id]++
 }
 
@@ -141,12 +141,12 @@
 	}
 }
 
-func (b *bench) owner(o ObjectID) NodeID {
+func (b *bench) owner(o ObjectID) EndpointID {
 	n := b.r.walk(&b.r.caches, mix(uint64(o)), func(int32) bool { return true })
 	return b.r.nodes[n].id
 }
 
-func (b *bench) home(o ObjectID) NodeID {
+func (b *bench) home(o ObjectID) EndpointID {
 	n := b.r.walk(&b.r.parents, mix(uint64(o)), func(int32) bool { return true })
 	return b.r.nodes[n].id
 }
--- a/policy/routing/purge_test.go
+++ b/policy/routing/purge_test.go
@@ -8,10 +8,10 @@
 // Copies of a class may be 2 s old. A purge that was told a while ago makes that stricter, and never laxer.
 func TestPurgeExtendsNoLife(t *testing.T) {
 	set := plain()
-	set.Tariffs[0].Fresh = 2 * time.Second
+	set.Classes[0].FreshFor = 2 * time.Second
 	b := newBench(set, cacheA)
 	b.mute = true
-	b.do(&Event{Kind: EventPurge, Object: 7, Ago: 100 * ms})
+	b.do(&Event{Kind: EventPurge, Object: 7, Age: 100 * ms})
 	for i, c := range []struct{ later, want time.Duration }{
 		{0, 99 * ms}, {time.Second, 1099 * ms}, {1900 * ms, 1999 * ms}, {2 * time.Second, 0}, {4 * time.Second, 0}, {7 * time.Second, 0},
 	} {
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -6,20 +6,20 @@
 
 // New returns a router with empty hands.
 func New(set Settings, seed uint64) *Router {
-	r := &Router{set: set, rng: newPCG(seed), index: map[NodeID]int32{}, byID: map[ViewID]int32{}, origin: none, own: none,
-		rows: make([]row, len(set.Tariffs)), tenants: make([]allowance, len(set.Tenants)),
+	r := &Router{set: set, rng: newPCG(seed), index: map[EndpointID]int32{}, byID: map[RequestID]int32{}, origin: none, own: none,
+		rows: make([]row, len(set.Classes)), tenants: make([]allowance, len(set.Tenants)),
 		memory: make([]memo, memorySize), gate: gate{window: gateStart}, share: 1, retries: retriesMost}
 	z := int(set.Zone)
 	if z < len(set.ZoneRouters) && set.ZoneRouters[z] > 1 {
 		r.share = 1 / float64(set.ZoneRouters[z])
 	}
 	r.inlet.room = set.inlet()
-	if set.OwnRoom > 0 {
+	if set.LocalCacheCapacity > 0 {
 		r.own = r.place()
-		r.nodes[r.own] = node{id: Own, role: roleOwn, state: Ready, started: LongAgo, pipe: pipe{room: set.OwnRoom}}
+		r.nodes[r.own] = node{id: LocalCache, role: roleOwn, state: Ready, started: LongAgo, pipe: pipe{room: set.LocalCacheCapacity}}
 	}
-	if r.set.Legs <= 0 || r.set.Legs > maxLegs {
-		r.set.Legs = maxLegs
+	if r.set.MaxAttempts <= 0 || r.set.MaxAttempts > maxLegs {
+		r.set.MaxAttempts = maxLegs
 	}
 	return r
 }
@@ -28,8 +28,8 @@
 func (r *Router) Start(now time.Duration, acts []Action) []Action {
 	r.now, r.acts = now, acts
 	r.timer(tick, timerTick)
-	if r.set.AskForList {
-		r.act(Action{Kind: ActionFollow})
+	if r.set.PollEndpoints {
+		r.act(Action{Kind: ActionWatchEndpoints})
 	}
 	return r.acts
 }
@@ -37,22 +37,22 @@
 // Handle takes one event and returns the actions that it calls for, appended to acts.
 func (r *Router) Handle(now time.Duration, e *Event, acts []Action) []Action {
 	r.now, r.acts = now, acts
-	v := r.find(e.View)
+	v := r.find(e.Request)
 	switch e.Kind {
-	case EventView:
+	case EventRequest:
 		r.arrive(e)
-	case EventLegEnd:
+	case EventAttemptResult:
 		r.legEnd(v, e)
-	case EventStream:
+	case EventStreamStarted:
 		if v != nil {
 			v.streaming = true
 		}
-	case EventGone:
+	case EventClientGone:
 		if v != nil {
 			r.close(v)
 		}
-	case EventList:
-		if e.List == ListFailed {
+	case EventEndpoints:
+		if e.EndpointListKind == EndpointListFailed {
 			r.timer(followWait+time.Duration(r.rng.float()*float64(followWait)), timerList)
 		} else {
 			r.enlist(e)
@@ -60,9 +60,9 @@
 		}
 	case EventPurge:
 		r.purged(e)
-	case EventProbed:
-		if n, known := r.index[e.Node]; known {
-			r.report(n, &e.Report)
+	case EventHealthCheck:
+		if n, known := r.index[e.Endpoint]; known {
+			r.report(n, &e.LoadReport)
 		}
 	case EventTimer:
 		switch e.Timer {
@@ -70,7 +70,7 @@
 			r.timer(tick, timerTick)
 			r.lookOver()
 		case timerList:
-			r.act(Action{Kind: ActionFollow})
+			r.act(Action{Kind: ActionWatchEndpoints})
 		}
 	}
 	return r.acts
--- a/policy/routing/rules.go
+++ b/policy/routing/rules.go
@@ -83,21 +83,21 @@
 // ended tells from an answer what failed. Without notes only the outcome speaks.
 func ended(e *Event) ending {
 	switch e.Note {
-	case NoteLacks:
+	case NoteSourceMiss:
 		return endLacks
-	case NoteRefused, NoteUnreached:
+	case NoteSourceRefused, NoteSourceUnreachable:
 		return endSource
-	case NoteOriginFail:
+	case NoteOriginFailed:
 		return endOrigin
-	case NoteNoPlace:
+	case NoteNoFillCapacity:
 		return endPlace
 	}
 	switch e.Outcome {
-	case Missed:
+	case CacheMiss:
 		return endLacks
-	case Full:
+	case Overloaded:
 		return endPlace
-	case TimedOut, Cancelled, Moot:
+	case TimedOut, Cancelled, NotSent:
 		return endLate
 	}
 	return endCache
@@ -105,32 +105,32 @@
 
 // arrive takes a new view, or turns it back.
 func (r *Router) arrive(e *Event) {
-	if int(e.Tariff) >= len(r.set.Tariffs) {
-		r.act(Action{Kind: ActionTurnBack, View: e.View})
+	if int(e.Class) >= len(r.set.Classes) {
+		r.act(Action{Kind: ActionReject, Request: e.Request})
 		return
 	}
-	t, usual := &r.set.Tariffs[e.Tariff], &r.rows[e.Tariff].usual
+	t, usual := &r.set.Classes[e.Class], &r.rows[e.Class].usual
 	i := r.take()
 	v := &r.views[i]
 	r.arrived++
-	*v = view{id: e.View, tariff: e.Tariff, object: e.Object, group: e.Group, open: true, end: r.now + e.Left,
+	*v = view{id: e.Request, tariff: e.Class, object: e.Object, group: e.Group, open: true, end: r.now + e.TimeLeft,
 		cache: none, erred: none, sending: usual.get(), hash: e.hash()}
-	r.byID[e.View] = i
+	r.byID[e.Request] = i
 	m := r.recall(v)
-	v.sized = e.KB > 0 && r.set.FlowKB > 0 && !t.Write
+	v.sized = e.SizeKB > 0 && r.set.FlowKBPerSecond > 0 && !t.Write
 	v.known = v.sized || m != nil && m.sending > 0
 	switch {
 	case v.sized:
-		v.sending = time.Duration(e.KB / r.set.FlowKB * float64(time.Second))
+		v.sending = time.Duration(e.SizeKB / r.set.FlowKBPerSecond * float64(time.Second))
 		usual.add(v.sending, 0.02)
 	case v.known:
 		v.sending = m.sending
 	}
-	if r.set.Tells == TellsNone && !v.sized && !t.Write {
+	if r.set.ResponseDetail == DetailNone && !v.sized && !t.Write {
 		// A time that may hold a fill's wait turns nothing back by itself, or nothing better would ever be learned.
-		v.sending = min(v.sending, time.Duration(0.95/margin*float64(t.Due)))
+		v.sending = min(v.sending, time.Duration(0.95/margin*float64(t.LatencyObjective)))
 	}
-	v.due = min(v.end, r.now+t.Due+time.Duration(t.DueStretch*float64(v.sending)))
+	v.due = min(v.end, r.now+t.LatencyObjective+time.Duration(t.ObjectiveStretch*float64(v.sending)))
 	v.spare = r.overAllowance(int(e.Tenant))
 	r.retries = min(retriesMost, r.retries+retriesEach)
 	if t.Write {
@@ -150,7 +150,7 @@
 // start sends a view by the ordinary path: the ring's cache, the former owner if the slot moved, the parent.
 func (r *Router) start(v *view) {
 	v.cache = r.pick(v)
-	if !r.fill(v, stageRelay) && (v.cache != none || !r.set.Direct || !r.direct(v)) {
+	if !r.fill(v, stageRelay) && (v.cache != none || !r.set.AllowDirect || !r.direct(v)) {
 		r.giveUp(v)
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	if st == stageRelay {
 		f := r.former(v)
-		if f != none && r.inTime(v, v.cache, f) && r.send(v, stageRelay, v.cache, f, HowHoldsOnly) {
+		if f != none && r.inTime(v, v.cache, f) && r.send(v, stageRelay, v.cache, f, OnlyIfCached) {
 			return true
 		}
 	}
@@ -179,7 +179,7 @@
 			return r.send(v, stageHome, v.cache, p, 0)
 		}
 		if v.stage != stageHeld {
-			return r.send(v, stageHeld, v.cache, p, HowHoldsOnly)
+			return r.send(v, stageHeld, v.cache, p, OnlyIfCached)
 		}
 	}
 	// Nothing can be filled in time: what the cache holds may still do.
@@ -236,7 +236,7 @@
 func (r *Router) write(v *view) {
 	v.again = 0
 	n := r.origin
-	if !r.set.Direct {
+	if !r.set.AllowDirect {
 		n = r.pick(v)
 	}
 	if n == none || r.origin == none || !r.send(v, stageDirect, n, r.origin, 0) {
@@ -249,14 +249,14 @@
 
 // send is the gate through which every leg passes; it holds the guards of the five rules and reports whether
 // the leg went out.
-func (r *Router) send(v *view, st stage, n, src int32, how How) bool {
-	t := &r.set.Tariffs[v.tariff]
+func (r *Router) send(v *view, st stage, n, src int32, how FillOptions) bool {
+	t := &r.set.Classes[v.tariff]
 	// Rule 1: nothing for a view that is answered, nor so late that its answer cannot come back.
-	if !v.open || v.streaming || v.n >= r.set.Legs || v.end-r.now < 2*ms {
+	if !v.open || v.streaming || v.n >= r.set.MaxAttempts || v.end-r.now < 2*ms {
 		return false
 	}
 	// Rule 2: what may have run goes out again only as its tariff allows.
-	if v.outs > 0 && !r.set.SecondCopies || !r.mayRepeat(v, n) {
+	if v.outs > 0 && !r.set.HedgedRequests || !r.mayRepeat(v, n) {
 		return false
 	}
 	// Rules 3 and 4: nothing past its grace, no more to a cold node than it bears, as view or as source.
@@ -264,7 +264,7 @@
 		return false
 	}
 	r.charge(v, n, 1)
-	l := leg{node: n, source: src, sent: r.now, out: true, ran: true, held: how&HowHoldsOnly != 0}
+	l := leg{node: n, source: src, sent: r.now, out: true, ran: true, held: how&OnlyIfCached != 0}
 	l.expect, l.duty, l.filled = r.predict(v, n, src)
 	if l.filled {
 		r.charge(v, src, 1)
@@ -283,25 +283,25 @@
 		}
 	}
 	r.hold(&l, 1)
-	a := Action{Kind: ActionGet, View: v.id, Node: r.nodes[n].id, Source: r.nodes[src].id, How: how}
-	a.Begin = r.window(v)
+	a := Action{Kind: ActionSend, Request: v.id, Endpoint: r.nodes[n].id, Source: r.nodes[src].id, FillOptions: how}
+	a.StartWithin = r.window(v)
 	if !t.Write {
 		// Rule 5: nothing older than the last purge will do.
-		a.Age = r.oldest(v)
+		a.MaxAge = r.oldest(v)
 		if r.nodes[n].role == roleCache {
-			a.Keep = r.rank(v)
+			a.CacheRank = r.rank(v)
 		}
-		if r.set.Joins {
-			a.How |= HowJoin
+		if r.set.CoalesceFills {
+			a.FillOptions |= CoalesceFill
 		}
-		if t.Fresh > 0 && a.Keep > 1 {
-			a.How |= HowRenew
+		if t.FreshFor > 0 && a.CacheRank > 1 {
+			a.FillOptions |= StaleWhileRevalidate
 		}
 		if r.own != none && n != r.own {
-			a.How |= HowCopy
+			a.FillOptions |= StoreLocally
 		}
 	}
-	l.kept = a.Keep > 0
+	l.kept = a.CacheRank > 0
 	v.legs[v.n] = l
 	v.n++
 	v.outs++
@@ -313,8 +313,8 @@
 // mayRepeat: a harmless view always; another one only if no leg may have run, or, stamped, inside the scope
 // and window of the first that may have.
 func (r *Router) mayRepeat(v *view, n int32) bool {
-	t := &r.set.Tariffs[v.tariff]
-	if t.Effect == Harmless {
+	t := &r.set.Classes[v.tariff]
+	if t.Idempotency == Idempotent {
 		return true
 	}
 	for i := range v.n {
@@ -323,8 +323,8 @@
 			continue
 		}
 		a, b := &r.nodes[l.node], &r.nodes[n]
-		inside := t.Scope == ScopeAll || a.zone == b.zone && (t.Scope == ScopeZone || a.cell == b.cell)
-		if t.Effect == OneShot || !inside || r.now-l.sent >= t.Window {
+		inside := t.DedupScope == ScopeAll || a.zone == b.zone && (t.DedupScope == ScopeZone || a.cell == b.cell)
+		if t.Idempotency == NonIdempotent || !inside || r.now-l.sent >= t.DedupWindow {
 			return false
 		}
 	}
@@ -335,8 +335,8 @@
 // run yet. A repeat must be on its way by then, however late its connection comes up. Guards rule 2.
 func (r *Router) window(v *view) time.Duration {
 	for i := range v.n {
-		if l := &v.legs[i]; l.ran && r.set.Tariffs[v.tariff].Effect == Stamped {
-			return r.set.Tariffs[v.tariff].Window - (r.now - l.sent)
+		if l := &v.legs[i]; l.ran && r.set.Classes[v.tariff].Idempotency == IdempotentWithKey {
+			return r.set.Classes[v.tariff].DedupWindow - (r.now - l.sent)
 		}
 	}
 	return 0
@@ -356,42 +356,42 @@
 	if !v.open || v.outs > 0 {
 		return
 	}
-	t := &r.set.Tariffs[v.tariff]
+	t := &r.set.Classes[v.tariff]
 	// What the caches cannot give in time, a copy of the router's own may; it is asked last, so that they learn
 	// of every view. Guards against lost, cold and crowded caches of whatever cause.
-	if r.own != none && t.Effect == Harmless && !t.Write && !r.asked(v, r.own) && r.inTime(v, r.own, none) &&
+	if r.own != none && t.Idempotency == Idempotent && !t.Write && !r.asked(v, r.own) && r.inTime(v, r.own, none) &&
 		r.send(v, stageOwn, r.own, r.own, 0) {
 		return
 	}
-	if t.Effect == Harmless || !v.ran() || t.Effect == Stamped && t.Scope == ScopeAll {
-		a := Action{Kind: ActionTurnBack, View: v.id}
+	if t.Idempotency == Idempotent || !v.ran() || t.Idempotency == IdempotentWithKey && t.DedupScope == ScopeAll {
+		a := Action{Kind: ActionReject, Request: v.id}
 		if r.set.RetryAfter {
-			a.Wait = min(r.set.MaxWait, backoff/2+time.Duration(r.rng.float()*float64(backoff)))
+			a.Wait = min(r.set.MaxRetryAfter, backoff/2+time.Duration(r.rng.float()*float64(backoff)))
 		}
 		r.act(a)
 	} else {
-		r.act(Action{Kind: ActionTerminate, View: v.id})
+		r.act(Action{Kind: ActionFail, Request: v.id})
 	}
 	r.close(v)
 }
 
 // legEnd learns from an outcome and takes the step that follows.
 func (r *Router) legEnd(v *view, e *Event) {
-	if v == nil || int(e.Leg) >= v.n || !v.legs[e.Leg].out {
+	if v == nil || int(e.Attempt) >= v.n || !v.legs[e.Attempt].out {
 		return
 	}
-	l := &v.legs[e.Leg]
+	l := &v.legs[e.Attempt]
 	l.out = false
 	v.outs--
 	r.hold(l, -1)
 	r.gate.out.add(-l.gate, r.now)
 	switch e.Outcome {
-	case Full, Unconnected, Moot, Missed:
+	case Overloaded, ConnectFailed, NotSent, CacheMiss:
 		l.ran = false
 	}
-	r.report(l.node, &e.Report)
+	r.report(l.node, &e.LoadReport)
 	end := ended(e)
-	if end == endCache && e.Outcome == Errored && v.erred != none && v.erred != l.node {
+	if end == endCache && e.Outcome == Failed && v.erred != none && v.erred != l.node {
 		end = endView
 	}
 	if e.Outcome == Succeeded {
@@ -413,13 +413,13 @@
 func (r *Router) follow(v *view, end ending) {
 	s := steps[v.stage][end]
 	// A further leg after a failure, unlike one after a miss, is bounded: else it multiplies a trouble's load.
-	if s.effect != turnBack && end != endLacks && !r.set.Tariffs[v.tariff].Write {
+	if s.effect != turnBack && end != endLacks && !r.set.Classes[v.tariff].Write {
 		if r.retries--; r.retries < 0 || r.now >= v.due {
 			r.retries, s.effect = max(0, r.retries), turnBack
 		}
 	}
 	switch {
-	case r.set.Tariffs[v.tariff].Write:
+	case r.set.Classes[v.tariff].Write:
 		if wait := writeAgain << v.n; s.effect != turnBack && r.now+wait < v.due && r.mayRepeat(v, r.origin) {
 			v.again = r.now + wait
 			return
@@ -437,13 +437,13 @@
 
 // learn keeps what a good answer tells of the nodes and links on its way.
 func (r *Router) learn(v *view, l *leg, e *Event) {
-	n, t, row := &r.nodes[l.node], &r.set.Tariffs[v.tariff], &r.rows[v.tariff]
+	n, t, row := &r.nodes[l.node], &r.set.Classes[v.tariff], &r.rows[v.tariff]
 	r.good(l.node, l.sent, e.Note == NoteHit)
 	if v.erred != none {
 		r.bad(v.erred, badSoft)
 	}
 	if t.Write {
-		row.usual.add(e.Took, 0.1)
+		row.usual.add(e.Elapsed, 0.1)
 		return
 	}
 	far := n.role > roleCache
@@ -451,19 +451,19 @@
 	n.carries.add(v.sending.Seconds(), r.now, r.carriesOver(l.node))
 	m := r.remember(v)
 	// Where no answer tells, the first of an object stands for a hit, and any of a cache that should hold it.
-	hit := e.Note == NoteHit || r.set.Tells == TellsNone && !far && (m.sending == 0 || r.holds(v, l.node))
+	hit := e.Note == NoteHit || r.set.ResponseDetail == DetailNone && !far && (m.sending == 0 || r.holds(v, l.node))
 	if m.seen = r.now; l.kept || hit {
 		m.at = l.node
 	}
-	body, stretch := e.Took-e.Waited, 1.0
+	body, stretch := e.Elapsed-e.FirstByteWait, 1.0
 	if v.sending > 0 {
 		stretch = float64(body) / float64(v.sending)
 	}
 	if hit {
 		// The shortest time seen is nearest to the sending time at full pace.
-		shorter := !v.sized && (m.sending == 0 || e.Took < m.sending)
+		shorter := !v.sized && (m.sending == 0 || e.Elapsed < m.sending)
 		if shorter {
-			m.sending = e.Took
+			m.sending = e.Elapsed
 		}
 		if !v.sized && n.load < calm || shorter && row.usual.n < sizesSeen {
 			row.usual.add(m.sending, 0.02)
@@ -490,9 +490,9 @@
 	via := 0.0 // did the parent have it?
 	if e.Note == NoteViaOrigin || s.role == roleOrigin {
 		via = 1
-		r.gate.learn(e.Waited, e.Waited > t.Due/2 && r.now >= v.due, r.now)
+		r.gate.learn(e.FirstByteWait, e.FirstByteWait > t.LatencyObjective/2 && r.now >= v.due, r.now)
 	} else if !far {
-		s.wait += (e.Waited - s.wait) / 8
+		s.wait += (e.FirstByteWait - s.wait) / 8
 	}
 	if s.role == roleParent {
 		r.gate.via += (via - r.gate.via) / 20
@@ -535,9 +535,9 @@
 	switch end {
 	case endCache:
 		switch {
-		case e.Outcome == Errored:
+		case e.Outcome == Failed:
 			v.erred = l.node // the next node that it is sent to tells whose fault it is
-		case e.Outcome != Broken:
+		case e.Outcome != ConnectionBroken:
 			r.bad(l.node, badHard)
 		case r.now-n.broke >= together:
 			n.broke = r.now
@@ -551,9 +551,9 @@
 	case endSource:
 		switch {
 		case l.source == r.origin,
-			!l.held && e.Waited > overdue && r.nodes[l.source].heard > l.sent && r.gate.good < l.sent:
+			!l.held && e.FirstByteWait > overdue && r.nodes[l.source].heard > l.sent && r.gate.good < l.sent:
 			r.gate.fail(r.now)
-		case e.Note == NoteUnreached:
+		case e.Note == NoteSourceUnreachable:
 			r.bad(l.source, badHard)
 		default:
 			r.bad(l.source, badSoft)
@@ -605,7 +605,7 @@
 				silent = l.node
 			case !l.filled && !v.sized:
 				continue
-			case l.source != r.origin && r.set.Tells == TellsAll && r.nodes[l.source].heard < l.sent:
+			case l.source != r.origin && r.set.ResponseDetail == DetailFull && r.nodes[l.source].heard < l.sent:
 				silent = l.source
 			}
 			l.nudged = true
@@ -616,7 +616,7 @@
 			} else if !v.known {
 				continue // it may just be long
 			}
-			if r.set.Tariffs[v.tariff].Effect == OneShot || r.now > v.due || r.retries < 1 {
+			if r.set.Classes[v.tariff].Idempotency == NonIdempotent || r.now > v.due || r.retries < 1 {
 				continue
 			}
 			r.retries--
@@ -642,13 +642,13 @@
 
 // probe asks for the state of the location's link, where no answer tells.
 func (r *Router) probe() {
-	if r.now < r.probeAt || r.arrived < probeViews || len(r.caches.members) == 0 || !r.set.Probes ||
-		r.set.Reports != ViaProbe || !slices.Contains(r.set.Columns, SignalPipe) {
+	if r.now < r.probeAt || r.arrived < probeViews || len(r.caches.members) == 0 || !r.set.HealthChecks ||
+		r.set.ReportChannel != ReportsWithHealthChecks || !slices.Contains(r.set.ReportColumns, SignalLinkUtilization) {
 		return
 	}
 	r.probeAt, r.arrived = r.now+probeEach, 0
 	if n := r.caches.members[int(r.now/probeEach)%len(r.caches.members)]; r.healthy(n) {
-		r.act(Action{Kind: ActionProbe, Node: r.nodes[n].id})
+		r.act(Action{Kind: ActionHealthCheck, Endpoint: r.nodes[n].id})
 	}
 }
 
@@ -656,13 +656,13 @@
 const reported = 2 * time.Second
 
 // report reads a load report. A link whose size the settings tell is as wide as they say.
-func (r *Router) report(n int32, rep *Report) {
-	for i := range min(rep.N, len(r.set.Columns)) {
-		x := rep.V[i]
+func (r *Router) report(n int32, rep *LoadReport) {
+	for i := range min(rep.Count, len(r.set.ReportColumns)) {
+		x := rep.Values[i]
 		switch {
-		case r.set.Columns[i] == SignalBusy:
+		case r.set.ReportColumns[i] == SignalUtilization:
 			r.nodes[n].load = x
-		case r.set.Columns[i] != SignalPipe || r.nodes[n].role != roleCache:
+		case r.set.ReportColumns[i] != SignalLinkUtilization || r.nodes[n].role != roleCache:
 		case r.set.inlet() > 0:
 			r.inlet.full, r.inlet.heard = r.inlet.full+(x-r.inlet.full)/4, r.now
 		case x > 0.2 && r.total(&r.inlet) > 0.5:
@@ -703,7 +703,7 @@
 		if found != none && left >= 0 {
 			return found
 		}
-		if first != none || pass == 1 && r.set.Direct {
+		if first != none || pass == 1 && r.set.AllowDirect {
 			return first
 		}
 	}
@@ -751,10 +751,10 @@
 		return
 	}
 	if r.rows[v.tariff].usual.n < sizesSeen {
-		weight = r.set.Tariffs[v.tariff].Due // until sizes are known: longer than any usual view
+		weight = r.set.Classes[v.tariff].LatencyObjective // until sizes are known: longer than any usual view
 	}
 	d, sum, count := &r.nodes[n], 0.0, 0.0
-	if r.set.WeightIsLink {
+	if r.set.WeightIsLinkCapacity {
 		sum = d.weight * r.part(n)
 	} else {
 		for i := range r.nodes {
@@ -765,14 +765,14 @@
 			}
 		}
 	}
-	multiple := r.set.FallMultiple
+	multiple := r.set.OverloadFactor
 	if d.role == roleParent {
-		multiple = r.set.ParentFallMultiple
+		multiple = r.set.ParentOverloadFactor
 	}
 	carries := max(guessCarries*r.part(n), sum/max(1, count))
 	rate := max(1e-6, coldSafety*multiple*warm*carries) // a setting that is missing leaves it next to nothing
 	gap := time.Duration(float64(weight) / rate)
-	saved := time.Duration((1/coldSafety - 1) * float64(r.set.FallFor))
+	saved := time.Duration((1/coldSafety - 1) * float64(r.set.OverloadWindow))
 	d.next = max(d.next, r.now-max(0, saved-gap)) + time.Duration(times*float64(gap))
 }
 
@@ -808,7 +808,7 @@
 // holds nothing, and one past its grace must not be asked. A cache that started lately is empty though its
 // slot may not have moved: the next of the ring had it meanwhile.
 func (r *Router) former(v *view) int32 {
-	if r.set.Siblings == ReachNone {
+	if r.set.PeerFill == PeerFillNone {
 		return none
 	}
 	good := func(f int32) bool {
@@ -870,7 +870,7 @@
 // predict is the time until a leg's answer is through, the part of it that uses the link, and whether a fill
 // is expected. src none: the time of a hit.
 func (r *Router) predict(v *view, n, src int32) (expect time.Duration, duty float64, filled bool) {
-	if r.set.Tariffs[v.tariff].Write {
+	if r.set.Classes[v.tariff].Write {
 		return v.sending, 0, false
 	}
 	s := r.stretch(&r.nodes[n].pipe, r.warm(n))
@@ -1024,9 +1024,9 @@
 // oldest is the oldest copy that will do: 0 for the tariff's own limit, else younger than the last purge. A purge
 // makes the tariff's limit stricter, never laxer.
 func (r *Router) oldest(v *view) time.Duration {
-	oldest, fresh := time.Duration(0), r.set.Tariffs[v.tariff].Fresh
+	oldest, fresh := time.Duration(0), r.set.Classes[v.tariff].FreshFor
 	for _, p := range r.purges {
-		if r.now-p.at > r.set.PurgeDone || p.object != v.object && (p.object != 0 || p.group != v.group) {
+		if r.now-p.at > r.set.PurgeCompleteAfter || p.object != v.object && (p.object != 0 || p.group != v.group) {
 			continue
 		}
 		if age := max(ms, r.now-p.at-ms); (fresh == 0 || age < fresh) && (oldest == 0 || age < oldest) {
--- a/policy/routing/rules_test.go
+++ b/policy/routing/rules_test.go
@@ -7,7 +7,7 @@
 )
 
 // first returns the first object from 1 on whose cache and parent are the ones named.
-func (b *bench) first(cache, parent NodeID) ObjectID {
+func (b *bench) first(cache, parent EndpointID) ObjectID {
 	for o := ObjectID(1); ; o++ {
 		if b.owner(o) == cache && b.home(o) == parent {
 			return o
@@ -36,7 +36,7 @@
 	o := b.first(cacheA, parentP)
 	b.change(cacheA, Draining, LongAgo)
 	b.view(1, 0, o)
-	b.end(1, cacheB, 20*ms, Missed, NoteLacks)
+	b.end(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
 	b.end(1, cacheB, 150*ms, Succeeded, NoteFilled)
 	b.change(cacheA, Ready, LongAgo) // back before its grace ran out: the slot moves again
 	b.view(2, 0, o)
@@ -56,16 +56,16 @@
 func Example_parentLoss() {
 	b := newBench(plain(), cacheA)
 	o := b.first(cacheA, parentP)
-	for id := ViewID(1); id <= 3; id++ {
+	for id := RequestID(1); id <= 3; id++ {
 		b.view(id, 0, o)
 		if id < 3 {
-			b.end(id, cacheA, 20*ms, Full, NoteUnreached)
+			b.end(id, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
 		}
 		b.end(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	}
 	b.pass(10 * time.Second)
 	b.view(4, 0, o) // due for a trial
-	b.end(4, cacheA, 20*ms, Full, NoteUnreached)
+	b.end(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
 	b.end(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	b.view(5, 0, o)
 	b.end(5, cacheA, 150*ms, Succeeded, NoteFilled)
@@ -85,10 +85,10 @@
 	b := newBench(plain(), cacheA)
 	b.view(1, 0, 7)
 	b.end(1, cacheA, 200*ms, TimedOut, NoteNone)
-	b.do(&Event{Kind: EventGone, View: 1}) // an id no longer held
+	b.do(&Event{Kind: EventClientGone, Request: 1}) // an id no longer held
 	b.pass(time.Second)
 	b.view(2, 0, b.first(cacheA, parentQ))
-	b.do(&Event{Kind: EventGone, View: 2}) // the client left: nothing more is owed
+	b.do(&Event{Kind: EventClientGone, Request: 2}) // the client left: nothing more is owed
 	b.end(2, cacheA, 10*ms, Cancelled, NoteNone)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -101,11 +101,11 @@
 func Example_oneShot() {
 	b := newBench(plain(), cacheA)
 	b.view(1, 1, 7)
-	b.end(1, origin, 20*ms, Full, NoteNone)
+	b.end(1, origin, 20*ms, Overloaded, NoteNone)
 	b.pass(200 * ms)
 	b.end(1, origin, 20*ms, Succeeded, NoteNone)
 	b.view(2, 1, 8)
-	b.end(2, origin, 20*ms, Broken, NoteNone)
+	b.end(2, origin, 20*ms, ConnectionBroken, NoteNone)
 	b.pass(200 * ms)
 	// Output:
 	//   0.00s view 1: leg to origin, fill from origin
@@ -117,16 +117,16 @@
 // Rule 2: a stamped view that may have run goes again inside its cell only, and is not turned back.
 func Example_stamped() {
 	set := plain()
-	set.Tariffs[0].Effect, set.Tariffs[0].Scope, set.Tariffs[0].Window = Stamped, ScopeCell, 5*time.Second
+	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentWithKey, ScopeCell, 5*time.Second
 	b := newBench(set, cacheA, cacheB)
 	m := member(cacheB)
 	m.Cell = 1 // B is in another cell than A
-	b.do(&Event{Kind: EventList, List: ListChanges, Members: []Member{m}})
+	b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
 	b.r.nodes[b.r.index[cacheB]].cell = 1
 	b.view(1, 0, b.first(cacheA, parentP))
-	b.end(1, cacheA, 20*ms, Errored, NoteNone)
+	b.end(1, cacheA, 20*ms, Failed, NoteNone)
 	b.view(2, 0, b.first(cacheA, parentP))
-	b.end(2, cacheA, 20*ms, Unconnected, NoteNone)
+	b.end(2, cacheA, 20*ms, ConnectFailed, NoteNone)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.02s view 1: terminated
@@ -137,12 +137,12 @@
 // Rule 2: a repeat of what may have run must be on its way while repeats are dropped, whenever its connection comes up.
 func Example_stampedWindow() {
 	set := plain()
-	set.Tariffs[0].Effect, set.Tariffs[0].Window = Stamped, 300*ms
+	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotentWithKey, 300*ms
 	b := newBench(set, cacheA, cacheB, cacheC)
 	b.view(1, 0, b.first(cacheA, parentP))
-	b.end(1, cacheA, 20*ms, Unconnected, NoteNone) // it did not run
-	b.end(1, cacheB, 100*ms, Broken, NoteNone)     // it may have
-	b.end(1, cacheC, 210*ms, Unconnected, NoteNone)
+	b.end(1, cacheA, 20*ms, ConnectFailed, NoteNone)     // it did not run
+	b.end(1, cacheB, 100*ms, ConnectionBroken, NoteNone) // it may have
+	b.end(1, cacheC, 210*ms, ConnectFailed, NoteNone)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.02s view 1: leg to B, fill from P
@@ -155,15 +155,15 @@
 // was taken until all was late.
 func Example_nothingTold() {
 	set := plain()
-	set.Tells, set.FlowKB, set.Direct = TellsNone, 0, false
-	set.Tariffs[0].DueStretch = 0
+	set.ResponseDetail, set.FlowKBPerSecond, set.AllowDirect = DetailNone, 0, false
+	set.Classes[0].ObjectiveStretch = 0
 	b := newBench(set, cacheA)
-	ask := func(id ViewID) {
-		b.do(&Event{Kind: EventView, View: id, Object: 7, Left: 3 * time.Second})
+	ask := func(id RequestID) {
+		b.do(&Event{Kind: EventRequest, Request: id, Object: 7, TimeLeft: 3 * time.Second})
 	}
-	answer := func(id ViewID, took time.Duration) {
+	answer := func(id RequestID, took time.Duration) {
 		b.pass(took)
-		b.do(&Event{Kind: EventLegEnd, View: id, Node: cacheA, Outcome: Succeeded, Took: took, Final: true})
+		b.do(&Event{Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Elapsed: took, Final: true})
 	}
 	ask(1)
 	answer(1, 900*ms)
@@ -208,8 +208,8 @@
 			continue
 		}
 		sent++
-		b.acts = b.r.Handle(b.now, &Event{Kind: EventView, View: ViewID(o), Object: o, KB: 100, Left: time.Second}, b.acts[:0])
-		if b.acts[0].Node == cacheA {
+		b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, SizeKB: 100, TimeLeft: time.Second}, b.acts[:0])
+		if b.acts[0].Endpoint == cacheA {
 			toA++
 		}
 	}
@@ -228,8 +228,8 @@
 	b.change(cacheA, Ready, b.now)
 	sent := 0
 	for o := ObjectID(1); o <= 200; o++ {
-		b.acts = b.r.Handle(b.now, &Event{Kind: EventView, View: ViewID(o), Object: o, Left: time.Second}, b.acts[:0])
-		if b.acts[0].Node == cacheA {
+		b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.acts[:0])
+		if b.acts[0].Endpoint == cacheA {
 			sent++
 		}
 	}
@@ -242,12 +242,12 @@
 // be taken for one at that cache.
 func Example_noCacheLeft() {
 	set := plain()
-	set.Direct = false
+	set.AllowDirect = false
 	b := newBench(set, cacheA, cacheB)
 	b.view(1, 0, b.first(cacheA, parentP))
 	b.pass(400 * ms) // overdue and silent: a second copy
-	b.do(&Event{Kind: EventLegEnd, View: 1, Leg: 1, Node: cacheB, Outcome: Full, Note: NoteNoPlace})
-	b.do(&Event{Kind: EventLegEnd, View: 1, Leg: 0, Node: cacheA, Outcome: Missed, Note: NoteLacks})
+	b.do(&Event{Kind: EventAttemptResult, Request: 1, Attempt: 1, Endpoint: cacheB, Outcome: Overloaded, Note: NoteNoFillCapacity})
+	b.do(&Event{Kind: EventAttemptResult, Request: 1, Attempt: 0, Endpoint: cacheA, Outcome: CacheMiss, Note: NoteSourceMiss})
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.36s view 1: leg to B, fill from P
@@ -265,8 +265,8 @@
 		b.r.rng, b.mute = newPCG(uint64(seed)), true
 		b.change(cacheA, Ready, b.now)
 		for o := ObjectID(1); o <= 300; o++ {
-			b.acts = b.r.Handle(b.now, &Event{Kind: EventView, View: ViewID(o), Object: o, Left: time.Second}, b.acts[:0])
-			if b.acts[0].Node == cacheA {
+			b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.acts[:0])
+			if b.acts[0].Endpoint == cacheA {
 				sent++
 			}
 			b.now += 20 * ms
@@ -280,14 +280,14 @@
 // Settings without the figures of cold nodes: nothing is known to be borne, so a cold cache gets no herd.
 func Example_coldFiguresMissing() {
 	set := plain()
-	set.ColdShare, set.FallMultiple = 0, 0
+	set.SlowStartShare, set.OverloadFactor = 0, 0
 	b := newBench(set, cacheA)
 	b.mute = true
 	b.change(cacheA, Ready, b.now)
 	sent := 0
-	for id := ViewID(1); id <= 50; id++ {
+	for id := RequestID(1); id <= 50; id++ {
 		b.view(id, 0, ObjectID(id))
-		if b.acts[0].Node == cacheA {
+		if b.acts[0].Endpoint == cacheA {
 			sent++
 		}
 	}
@@ -301,16 +301,16 @@
 func Example_sharedLink() {
 	for _, routers := range []int{1, 20} {
 		set, fills := plain(), 0
-		set.Routers, set.ZoneRouters, set.ZoneInlet = routers, []int{0, 0, routers}, []float64{0, 0, 1000}
+		set.Routers, set.ZoneRouters, set.ZoneIngressKBPerSecond = routers, []int{0, 0, routers}, []float64{0, 0, 1000}
 		b := newBench(set, cacheA, cacheB)
 		b.mute = true
-		for id := ViewID(1); id <= 30; id++ {
+		for id := RequestID(1); id <= 30; id++ {
 			b.view(id, 0, ObjectID(id)*1000)
-			if b.acts[0].Source != b.acts[0].Node {
+			if b.acts[0].Source != b.acts[0].Endpoint {
 				fills++
 			}
 			b.now += 400 * ms
-			b.do(&Event{Kind: EventLegEnd, View: id, Outcome: Succeeded, Note: NoteFilled, Took: 400 * ms, Waited: ms, Final: true})
+			b.do(&Event{Kind: EventAttemptResult, Request: id, Outcome: Succeeded, Note: NoteFilled, Elapsed: 400 * ms, FirstByteWait: ms, Final: true})
 		}
 		fmt.Printf("%d routers: %d of 30 views are filled\n", routers, fills)
 	}
@@ -324,12 +324,12 @@
 func Example_toldLink() {
 	for _, told := range []bool{false, true} {
 		set, sent := plain(), 0
-		set.WeightIsLink = told
+		set.WeightIsLinkCapacity = told
 		b := newBench(set, cacheA) // of weight 1
 		b.mute = true
-		for id := ViewID(1); id <= 20; id++ {
+		for id := RequestID(1); id <= 20; id++ {
 			b.view(id, 0, ObjectID(id))
-			if b.acts[0].Kind == ActionGet {
+			if b.acts[0].Kind == ActionSend {
 				sent++
 			}
 		}
@@ -343,11 +343,11 @@
 // Rule 5: after a purge only younger copies will do, until all old ones are dropped.
 func Example_purge() {
 	b := newBench(plain(), cacheA)
-	b.do(&Event{Kind: EventPurge, Object: 9, Group: 1, Ago: 200 * ms})
+	b.do(&Event{Kind: EventPurge, Object: 9, Group: 1, Age: 200 * ms})
 	b.view(1, 0, 9)
 	b.view(2, 0, 17) // same group, not purged
 	b.pass(time.Second)
-	b.do(&Event{Kind: EventPurge, Group: 1, Ago: 300 * ms})
+	b.do(&Event{Kind: EventPurge, Group: 1, Age: 300 * ms})
 	b.view(3, 0, 17)
 	b.view(4, 0, 9)
 	b.pass(7 * time.Second)
@@ -389,8 +389,8 @@
 	for i, window := range []float64{24, 4} {
 		b.r.gate.wait, b.r.gate.window = 650*ms, window
 		b.r.gate.out.add(1, b.now) // the one trial is out
-		b.view(ViewID(i+1), 0, b.first(cacheA, parentP)+ObjectID(100*i))
-		b.end(ViewID(i+1), cacheA, 150*ms, Succeeded, NoteFilled)
+		b.view(RequestID(i+1), 0, b.first(cacheA, parentP)+ObjectID(100*i))
+		b.end(RequestID(i+1), cacheA, 150*ms, Succeeded, NoteFilled)
 	}
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -423,21 +423,21 @@
 func Example_gateBelieves() {
 	b := newBench(plain(), cacheA, cacheB)
 	b.mute = true
-	for id := ViewID(1); id <= 80; id++ {
+	for id := RequestID(1); id <= 80; id++ {
 		b.view(id, 1, ObjectID(id))
 		b.pass(20 * ms)
-		b.do(&Event{Kind: EventGone, View: id})
+		b.do(&Event{Kind: EventClientGone, Request: id})
 	}
 	o := b.first(cacheA, parentP)
-	for id := ViewID(101); id <= 105; id++ {
+	for id := RequestID(101); id <= 105; id++ {
 		b.view(id, 0, o)
-		for hit, c := range []NodeID{cacheA, cacheB} { // the caches are well
-			b.view(id*10+ViewID(hit), 0, b.first(c, parentQ))
-			b.end(id*10+ViewID(hit), c, 60*ms, Succeeded, NoteHit)
+		for hit, c := range []EndpointID{cacheA, cacheB} { // the caches are well
+			b.view(id*10+RequestID(hit), 0, b.first(c, parentQ))
+			b.end(id*10+RequestID(hit), c, 60*ms, Succeeded, NoteHit)
 		}
 	}
 	b.mute = false
-	for id := ViewID(201); id <= 203; id++ {
+	for id := RequestID(201); id <= 203; id++ {
 		b.view(id, 0, o)
 	}
 	// Output:
@@ -452,28 +452,28 @@
 	b := newBench(plain(), cacheA, cacheB)
 	o := b.first(cacheA, parentP)
 	b.mute = true
-	for id := ViewID(1); id <= 8; id++ {
+	for id := RequestID(1); id <= 8; id++ {
 		b.view(id, 0, o)
-		b.end(id, cacheA, ms, Errored, NoteNone)
-		b.end(id, cacheB, ms, Errored, NoteNone)
+		b.end(id, cacheA, ms, Failed, NoteNone)
+		b.end(id, cacheB, ms, Failed, NoteNone)
 	}
 	b.mute = false
 	b.view(9, 0, o)
-	b.end(9, cacheA, ms, Errored, NoteNone)
-	b.end(9, cacheB, ms, Errored, NoteNone)
+	b.end(9, cacheA, ms, Failed, NoteNone)
+	b.end(9, cacheB, ms, Failed, NoteNone)
 	b.mute = true
-	for id := ViewID(10); id <= 16; id++ {
+	for id := RequestID(10); id <= 16; id++ {
 		b.view(id, 0, o)
 	}
-	for id := ViewID(10); id <= 16; id++ {
-		b.end(id, cacheA, 0, Broken, NoteNone)
+	for id := RequestID(10); id <= 16; id++ {
+		b.end(id, cacheA, 0, ConnectionBroken, NoteNone)
 		b.end(id, cacheB, 0, Succeeded, NoteHit)
 	}
 	b.mute = false
-	for id := ViewID(17); id <= 21; id++ {
+	for id := RequestID(17); id <= 21; id++ {
 		b.view(id, 0, o)
 		if id < 20 {
-			b.end(id, cacheA, ms, Errored, NoteNone)
+			b.end(id, cacheA, ms, Failed, NoteNone)
 		}
 		b.end(id, cacheB, 100*ms, Succeeded, NoteHit)
 	}
@@ -495,17 +495,17 @@
 // is not asked; one that answers from a kept copy is not taken for restarted.
 func Example_brokenEverywhere() {
 	set := plain()
-	set.Direct = false
+	set.AllowDirect = false
 	b := newBench(set, cacheA, cacheB)
 	b.mute = true
 	o := b.first(cacheA, parentP)
-	for id := ViewID(1); id <= 4; id++ {
+	for id := RequestID(1); id <= 4; id++ {
 		b.view(id, 0, o)
-		b.end(id, cacheA, 10*ms, Broken, NoteNone)
-		b.end(id, cacheB, 10*ms, Broken, NoteNone)
+		b.end(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
+		b.end(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
 	}
 	b.mute = false
-	for id := ViewID(5); id <= 8; id++ {
+	for id := RequestID(5); id <= 8; id++ {
 		b.view(id, 0, o)
 		b.end(id, cacheA, 300*ms, Succeeded, NoteHit)
 	}
@@ -521,7 +521,7 @@
 func Example_slowOrigin() {
 	b := newBench(plain(), cacheA)
 	b.mute = true
-	for id := ViewID(1); id <= 40; id++ {
+	for id := RequestID(1); id <= 40; id++ {
 		b.view(id, 0, ObjectID(id))
 		b.end(id, cacheA, 1500*ms, Succeeded, NoteViaOrigin)
 	}
@@ -530,7 +530,7 @@
 	b.view(42, 0, 1000)
 	b.view(43, 0, 1001)
 	b.view(44, 0, 1002)
-	b.end(44, cacheA, 20*ms, Missed, NoteLacks)
+	b.end(44, cacheA, 20*ms, CacheMiss, NoteSourceMiss)
 	// Output:
 	//  70.00s view 42: leg to A, fill from P
 	//  70.00s view 43: leg to A, fill from Q, holds-only
@@ -542,14 +542,14 @@
 // count on the location's link: once that is full, they are turned back.
 func Example_pastTheCaches() {
 	set := plain()
-	set.ZoneInlet = []float64{0, 0, 1000} // one transfer at full pace
+	set.ZoneIngressKBPerSecond = []float64{0, 0, 1000} // one transfer at full pace
 	b := newBench(set, cacheA)
-	for id := ViewID(1); id <= 2; id++ {
+	for id := RequestID(1); id <= 2; id++ {
 		b.view(id, 0, b.first(cacheA, parentP))
-		b.end(id, cacheA, 20*ms, Unconnected, NoteNone)
+		b.end(id, cacheA, 20*ms, ConnectFailed, NoteNone)
 		b.end(id, parentP, 110*ms, Succeeded, NoteFilled)
 	}
-	for id := ViewID(3); id <= 8; id++ {
+	for id := RequestID(3); id <= 8; id++ {
 		b.view(id, 0, b.first(cacheA, parentQ))
 	}
 	// Output:
@@ -568,11 +568,11 @@
 // Found on branch-library: a parent that begins its fills in good time, and then drags, counts as failing.
 func Example_draggingParent() {
 	b := newBench(plain(), cacheA)
-	for id := ViewID(1); id <= 6; id++ {
+	for id := RequestID(1); id <= 6; id++ {
 		b.view(id, 0, 7+ObjectID(id)*1000)
 		b.pass(2 * time.Second)
-		b.do(&Event{Kind: EventLegEnd, View: id, Node: cacheA, Outcome: Succeeded, Note: NoteFilled, Took: 2 * time.Second,
-			Waited: 20 * ms, Final: true})
+		b.do(&Event{Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled, Elapsed: 2 * time.Second,
+			FirstByteWait: 20 * ms, Final: true})
 	}
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -588,25 +588,25 @@
 // On no list: load reports frozen at a full link, sizes untold. The link may not be shut for good: one fill always goes.
 func Example_frozenReports() {
 	set := plain()
-	set.Reports, set.Columns, set.ZoneInlet = ViaAnswers, []Signal{SignalPipe}, []float64{0, 0, 20000}
+	set.ReportChannel, set.ReportColumns, set.ZoneIngressKBPerSecond = ReportsWithResponses, []Signal{SignalLinkUtilization}, []float64{0, 0, 20000}
 	b := newBench(set, cacheA, cacheB)
 	b.mute = true
-	for id := ViewID(5000); id < 5030; id++ { // hits tell the usual size
-		b.do(&Event{Kind: EventView, View: id, Object: ObjectID(id), Left: time.Second})
+	for id := RequestID(5000); id < 5030; id++ { // hits tell the usual size
+		b.do(&Event{Kind: EventRequest, Request: id, Object: ObjectID(id), TimeLeft: time.Second})
 		b.end(id, b.owner(ObjectID(id)), 100*ms, Succeeded, NoteHit)
 	}
 	b.mute = false
-	for id := ViewID(1); id <= 1200; id += 12 {
+	for id := RequestID(1); id <= 1200; id += 12 {
 		for k := id; k < id+12; k++ {
-			b.acts = b.r.Handle(b.now, &Event{Kind: EventView, View: k, Object: ObjectID(k), Left: time.Second}, b.acts[:0])
+			b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: k, Object: ObjectID(k), TimeLeft: time.Second}, b.acts[:0])
 		}
 		b.now += 110 * ms
 		for k := id; k < id+12; k++ {
-			b.acts = b.r.Handle(b.now, &Event{Kind: EventLegEnd, View: k, Outcome: Succeeded, Note: NoteFilled, Took: 110 * ms,
-				Waited: 10 * ms, Final: true, Report: Report{N: 1, V: [4]float64{50}}}, b.acts[:0])
+			b.acts = b.r.Handle(b.now, &Event{Kind: EventAttemptResult, Request: k, Outcome: Succeeded, Note: NoteFilled, Elapsed: 110 * ms,
+				FirstByteWait: 10 * ms, Final: true, LoadReport: LoadReport{Count: 1, Values: [4]float64{50}}}, b.acts[:0])
 		}
 	}
-	b.do(&Event{Kind: EventView, View: 2000, Object: b.first(cacheA, parentP), Left: time.Second})
+	b.do(&Event{Kind: EventRequest, Request: 2000, Object: b.first(cacheA, parentP), TimeLeft: time.Second})
 	// Output:
 	// 14.00s view 2000: leg to A, fill from P
 }
@@ -615,19 +615,19 @@
 // view that may not run twice; after a purge no copy from before it will do.
 func Example_ownCopies() {
 	set := plain()
-	set.OwnRoom, set.Direct = 1, false
+	set.LocalCacheCapacity, set.AllowDirect = 1, false
 	b := newBench(set, cacheA)
 	b.view(1, 0, 7)
-	b.end(1, cacheA, 20*ms, Full, NoteNoPlace)
-	b.do(&Event{Kind: EventStream, View: 1, Leg: 1})
-	b.do(&Event{Kind: EventPurge, Object: 8, Ago: 100 * ms})
+	b.end(1, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
+	b.do(&Event{Kind: EventStreamStarted, Request: 1, Attempt: 1})
+	b.do(&Event{Kind: EventPurge, Object: 8, Age: 100 * ms})
 	b.view(2, 0, 8)
-	b.end(2, cacheA, 20*ms, Full, NoteNoPlace)
-	b.end(2, Own, 0, Missed, NoteNone)
-	b.end(1, Own, 100*ms, Succeeded, NoteNone)
+	b.end(2, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
+	b.end(2, LocalCache, 0, CacheMiss, NoteNone)
+	b.end(1, LocalCache, 100*ms, Succeeded, NoteNone)
 	b.view(3, 1, 9)
-	b.end(3, cacheA, 20*ms, Errored, NoteNone)
-	b.list(ListFull)
+	b.end(3, cacheA, 20*ms, Failed, NoteNone)
+	b.list(EndpointListFull)
 	b.view(4, 0, 7)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -643,9 +643,9 @@
 // The list by asking: asked for at the start, and again after a failure.
 func Example_askForList() {
 	set := plain()
-	set.AskForList = true
+	set.PollEndpoints = true
 	b := newBench(set, cacheA)
-	b.do(&Event{Kind: EventList, List: ListFailed})
+	b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFailed})
 	for i := range b.acts {
 		if a := &b.acts[i]; a.Kind == ActionTimer && a.Timer == timerList {
 			b.now += a.Wait
@@ -661,11 +661,11 @@
 	b := newBench(plain(), cacheA)
 	b.mute = true
 	for i := range 5000 {
-		n := NodeID(10000 + i)
+		n := EndpointID(10000 + i)
 		b.change(n, Ready, LongAgo)
 		b.do(&Event{Kind: EventPurge, Object: ObjectID(i + 1)})
-		b.do(&Event{Kind: EventView, View: ViewID(i + 1), Object: ObjectID(i), KB: 10, Left: time.Second})
-		b.do(&Event{Kind: EventLegEnd, View: ViewID(i + 1), Outcome: Succeeded, Note: NoteHit, Took: 10 * ms, Final: true})
+		b.do(&Event{Kind: EventRequest, Request: RequestID(i + 1), Object: ObjectID(i), SizeKB: 10, TimeLeft: time.Second})
+		b.do(&Event{Kind: EventAttemptResult, Request: RequestID(i + 1), Outcome: Succeeded, Note: NoteHit, Elapsed: 10 * ms, Final: true})
 		b.change(n, Gone, LongAgo)
 		b.now += 2 * time.Second
 	}
@@ -678,14 +678,14 @@
 // The ordinary path allocates nothing once the slab has grown.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	b := newBench(plain(), cacheA, cacheB)
-	id := ViewID(0)
-	view, end := Event{Kind: EventView, KB: 100, Left: time.Second}, Event{Kind: EventLegEnd, Outcome: Succeeded,
-		Note: NoteHit, Took: 100 * ms, Final: true}
+	id := RequestID(0)
+	view, end := Event{Kind: EventRequest, SizeKB: 100, TimeLeft: time.Second}, Event{Kind: EventAttemptResult, Outcome: Succeeded,
+		Note: NoteHit, Elapsed: 100 * ms, Final: true}
 	got := testing.AllocsPerRun(1000, func() {
 		id++
-		view.View, view.Object, end.View = id, ObjectID(id%50), id
+		view.Request, view.Object, end.Request = id, ObjectID(id%50), id
 		b.acts = b.r.Handle(b.now, &view, b.acts[:0])
-		if len(b.acts) != 1 || b.acts[0].Kind != ActionGet {
+		if len(b.acts) != 1 || b.acts[0].Kind != ActionSend {
 			t.Fatal("the view was not sent")
 		}
 		b.now += 100 * ms
--- a/policy/routing/state.go
+++ b/policy/routing/state.go
@@ -25,12 +25,12 @@
 
 // node is what the router knows of a cache of its location, a parent or the origin.
 type node struct {
-	id      NodeID
+	id      EndpointID
 	role    role
 	zone    ZoneID
 	cell    CellID
 	weight  float64
-	state   State
+	state   EndpointState
 	told    time.Duration // when told that it drains or is gone
 	started time.Duration
 	pipe    pipe // its link out, as far as this router's transfers show it
@@ -63,8 +63,8 @@
 
 // view is a view in hand, or one whose last legs have yet to end.
 type view struct {
-	id        ViewID
-	tariff    TariffID
+	id        RequestID
+	tariff    ClassID
 	object    ObjectID
 	group     GroupID
 	hash      uint64
@@ -96,7 +96,7 @@
 	now     time.Duration
 	acts    []Action
 	nodes   []node
-	index   map[NodeID]int32
+	index   map[EndpointID]int32
 	origin  int32
 	own     int32 // the router itself, where it keeps copies
 	caches  ring
@@ -105,7 +105,7 @@
 	walks   int
 	views   []view
 	free    []int32
-	byID    map[ViewID]int32
+	byID    map[RequestID]int32
 	memory  []memo
 	rows    []row
 	tenants []allowance
@@ -210,8 +210,8 @@
 
 // inlet is the link into the router's location in transfers, 0 where it is not told.
 func (s *Settings) inlet() float64 {
-	if z := int(s.Zone); z < len(s.ZoneInlet) && s.FlowKB > 0 {
-		return s.ZoneInlet[z] / s.FlowKB
+	if z := int(s.Zone); z < len(s.ZoneIngressKBPerSecond) && s.FlowKBPerSecond > 0 {
+		return s.ZoneIngressKBPerSecond[z] / s.FlowKBPerSecond
 	}
 	return 0
 }
@@ -231,7 +231,7 @@
 	r.act(Action{Kind: ActionTimer, Wait: wait, Timer: name})
 }
 
-func (r *Router) find(id ViewID) *view {
+func (r *Router) find(id RequestID) *view {
 	if i, held := r.byID[id]; held {
 		return &r.views[i]
 	}
@@ -361,9 +361,9 @@
 // warm is the part of its capacity that a node surely gives by now.
 func (r *Router) warm(n int32) float64 {
 	d := &r.nodes[n]
-	least, over := r.set.ColdShare, r.set.ColdFor
+	least, over := r.set.SlowStartShare, r.set.SlowStartFor
 	if d.role == roleParent {
-		least, over = r.set.ParentColdShare, r.set.ParentColdFor
+		least, over = r.set.ParentSlowStartShare, r.set.ParentSlowStartFor
 	}
 	if age := r.now - d.started; d.role != roleOrigin && age < over {
 		return least + (1-least)*max(0, float64(age))/float64(over)
@@ -399,8 +399,8 @@
 
 // overAllowance: the tenant has had its share of views lately; such a view must not crowd out others.
 func (r *Router) overAllowance(tenant int) bool {
-	return tenant < len(r.tenants) && r.set.Tenants[tenant].Allowance > 0 &&
-		!r.tenants[tenant].take(r.set.Tenants[tenant].Allowance/float64(max(1, r.set.Routers)), r.now)
+	return tenant < len(r.tenants) && r.set.Tenants[tenant].QuotaPerSecond > 0 &&
+		!r.tenants[tenant].take(r.set.Tenants[tenant].QuotaPerSecond/float64(max(1, r.set.Routers)), r.now)
 }
 
 // take takes one view of an allowance a second, if there is one left.
@@ -446,7 +446,7 @@
 }
 
 // update keeps the time at which a node was first told to leave.
-func (r *Router) update(d *node, s State, told time.Duration) {
+func (r *Router) update(d *node, s EndpointState, told time.Duration) {
 	if s != Ready && d.state == Ready {
 		d.told = told
 	}
@@ -470,7 +470,7 @@
 	v.open = false
 	for i := range v.n {
 		if v.legs[i].out && r.set.Cancel && !v.streaming {
-			r.act(Action{Kind: ActionCancel, View: v.id, Leg: LegNo(i)})
+			r.act(Action{Kind: ActionCancel, Request: v.id, Attempt: AttemptNumber(i)})
 		}
 	}
 	r.release(v)
@@ -485,17 +485,17 @@
 }
 
 func (r *Router) purged(e *Event) {
-	r.purges = slices.DeleteFunc(r.purges, func(p purge) bool { return r.now-p.at > r.set.PurgeDone })
-	r.purges = append(r.purges, purge{e.Object, e.Group, r.now - e.Ago})
+	r.purges = slices.DeleteFunc(r.purges, func(p purge) bool { return r.now-p.at > r.set.PurgeCompleteAfter })
+	r.purges = append(r.purges, purge{e.Object, e.Group, r.now - e.Age})
 }
 
 // enlist takes what the list says of the nodes. Caches of other locations are passed over.
 func (r *Router) enlist(e *Event) {
 	r.walks++
-	told := r.now - e.Ago
-	for i := range e.Members {
-		m := &e.Members[i]
-		n, known := r.index[m.Node]
+	told := r.now - e.Age
+	for i := range e.Endpoints {
+		m := &e.Endpoints[i]
+		n, known := r.index[m.ID]
 		if !known {
 			k := roleCache
 			switch m.Kind {
@@ -508,10 +508,10 @@
 				continue
 			}
 			n = r.place()
-			r.index[m.Node] = n
+			r.index[m.ID] = n
 			// One that is not ready when it is first heard of was told to leave at some time before.
-			r.nodes[n] = node{id: m.Node, role: k, zone: m.Zone, cell: m.Cell, started: LongAgo, heard: r.now, told: LongAgo, paced: LongAgo}
-			if r.set.WeightIsLink {
+			r.nodes[n] = node{id: m.ID, role: k, zone: m.Zone, cell: m.Cell, started: LongAgo, heard: r.now, told: LongAgo, paced: LongAgo}
+			if r.set.WeightIsLinkCapacity {
 				r.nodes[n].pipe.room = m.Weight // as told, until transfers show it
 			}
 			if k == roleOrigin {
@@ -520,13 +520,13 @@
 		}
 		d := &r.nodes[n]
 		d.seen, d.weight = r.walks, m.Weight
-		if m.Started > d.started {
-			d.started, d.health = m.Started, health{}
+		if m.StartedAt > d.started {
+			d.started, d.health = m.StartedAt, health{}
 		}
 		r.update(d, m.State, told)
 	}
 	for n := range r.nodes {
-		if d := &r.nodes[n]; e.List != ListChanges && d.seen != r.walks && d.role != roleOwn {
+		if d := &r.nodes[n]; e.EndpointListKind != EndpointListDelta && d.seen != r.walks && d.role != roleOwn {
 			r.update(d, Gone, told)
 		}
 	}
--- a/policy/sharedstore/health.go
+++ b/policy/sharedstore/health.go
@@ -12,7 +12,7 @@
 
 // node is one store.
 type node struct {
-	id      routing.NodeID
+	id      routing.EndpointID
 	mode    mode
 	run     uint64
 	known   bool          // it was up before
@@ -127,23 +127,23 @@
 }
 
 // share is the part of its capacity that a store has by now.
-func (k *Keeper) share(n *node) float64 {
-	if k.set.ColdFor <= 0 || k.now-n.started >= k.set.ColdFor {
+func (k *Coordinator) share(n *node) float64 {
+	if k.set.SlowStartFor <= 0 || k.now-n.started >= k.set.SlowStartFor {
 		return 1
 	}
-	return k.set.ColdShare + (1-k.set.ColdShare)*float64(k.now-n.started)/float64(k.set.ColdFor)
+	return k.set.SlowStartShare + (1-k.set.SlowStartShare)*float64(k.now-n.started)/float64(k.set.SlowStartFor)
 }
 
 // rate is how many commands a second this router may ask of a cold store, so that all routers together, each by this
 // alone, stay under the multiple.
-func (k *Keeper) rate(n *node) float64 {
-	return k.set.Capacity * k.share(n) * k.set.Multiple * margin / float64(k.set.Routers)
+func (k *Coordinator) rate(n *node) float64 {
+	return k.set.Capacity * k.share(n) * k.set.OverloadFactor * margin / float64(k.set.Routers)
 }
 
-func (k *Keeper) cold(n *node) bool { return k.set.Capacity > 0 && k.share(n) < 1 }
+func (k *Coordinator) cold(n *node) bool { return k.set.Capacity > 0 && k.share(n) < 1 }
 
 // may says whether so many commands can be asked now: there is room, and a cold store's budget has them.
-func (k *Keeper) may(n *node, commands float64) bool {
+func (k *Coordinator) may(n *node, commands float64) bool {
 	if n.mode == modeOut || !n.room.free() || !k.ready(k.index[n.id]) {
 		return false
 	}
@@ -155,20 +155,20 @@
 }
 
 // top fills the budget up; it holds no more than a fiftieth of a second, or the three commands of one view.
-func (k *Keeper) top(n *node) {
+func (k *Coordinator) top(n *node) {
 	r := k.rate(n)
 	n.level = math.Min(math.Max(3, r/50), n.level+r*(k.now-n.filled).Seconds())
 	n.filled = k.now
 }
 
-func (k *Keeper) charge(n *node, commands float64) {
+func (k *Coordinator) charge(n *node, commands float64) {
 	if k.cold(n) {
 		n.level -= commands
 	}
 }
 
 // mode says whether a leg may ask the store by its mode; on trial only one may, and only one that can be filled.
-func (k *Keeper) mode(n *node, i int32) bool {
+func (k *Coordinator) mode(n *node, i int32) bool {
 	switch n.mode {
 	case modeReady, modeCold:
 		return true
@@ -182,7 +182,7 @@
 }
 
 // turn changes a store's mode by the table.
-func (k *Keeper) turn(n *node, s sign) {
+func (k *Coordinator) turn(n *node, s sign) {
 	to := moods[n.mode][s]
 	if to == n.mode && s != signDown && s != signLate {
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-func (k *Keeper) pauseOver(e *Event) {
+func (k *Coordinator) pauseOver(e *Event) {
 	i, known := k.index[e.Node]
 	if !known || k.nodes[i].turn != e.Timer {
 		return
@@ -232,14 +232,14 @@
 }
 
 // warmAt has the store looked at again when its cold time is over.
-func (k *Keeper) warmAt(n *node) {
+func (k *Coordinator) warmAt(n *node) {
 	k.timer++
 	n.turn = k.timer
-	k.do(Action{Kind: ActionTimer, Node: n.id, Wait: max(ms, n.started+k.set.ColdFor-k.now), Timer: k.timer})
+	k.do(Action{Kind: ActionTimer, Node: n.id, Wait: max(ms, n.started+k.set.SlowStartFor-k.now), Timer: k.timer})
 }
 
 // link takes news of a store's connection.
-func (k *Keeper) link(e *Event) {
+func (k *Coordinator) link(e *Event) {
 	i, known := k.index[e.Node]
 	if !known {
 		return
@@ -259,7 +259,7 @@
 	n.full = false
 	again := n.known && n.run == e.Run
 	n.known, n.run = true, e.Run
-	if started := k.now - e.Age; !again && (k.set.ColdFor > e.Age) {
+	if started := k.now - e.Age; !again && (k.set.SlowStartFor > e.Age) {
 		k.fresh(n, started)
 		return
 	}
@@ -269,7 +269,7 @@
 }
 
 // fresh takes a store for just started: its budget begins with what the connection itself has asked already.
-func (k *Keeper) fresh(n *node, started time.Duration) {
+func (k *Coordinator) fresh(n *node, started time.Duration) {
 	n.started, n.level, n.filled = started, 1-handshake, k.now
 	n.room.limit = math.Min(n.room.limit, firstRoom)
 	n.took, n.late = average{}, 0
@@ -296,7 +296,7 @@
 }
 
 // answered takes the end of a command at a store, whatever became of the leg.
-func (k *Keeper) answered(n *node, e *Event) {
+func (k *Coordinator) answered(n *node, e *Event) {
 	n.room.out = max(0, n.room.out-1)
 	trial := n.trial == e.Op
 	if trial {
@@ -341,7 +341,7 @@
 }
 
 // overdue counts a get that is later than it is worth.
-func (k *Keeper) overdue(n *node, o OpID) {
+func (k *Coordinator) overdue(n *node, o OpID) {
 	if n.late++; n.late == 1 {
 		n.lateAt = k.now
 	}
@@ -353,7 +353,7 @@
 }
 
 // source is the limit on fills from one source.
-func (k *Keeper) source(id routing.NodeID) *bound {
+func (k *Coordinator) source(id routing.EndpointID) *bound {
 	b := k.fills[id]
 	if b == nil {
 		b = &bound{limit: firstFills, most: fillsMost}
@@ -367,16 +367,16 @@
 const firstFills, fillsMost = 64, 256
 
 // filled takes the end of a fill: what it says of the source, and of the time that fills take.
-func (k *Keeper) filled(o *op, e *Event) {
+func (k *Coordinator) filled(o *op, e *Event) {
 	b := k.source(o.source)
 	b.out = max(0, b.out-1)
 	switch e.Outcome {
 	case routing.Succeeded:
 		k.fillIn.add(e.Took)
 		b.good()
-	case routing.Missed:
+	case routing.CacheMiss:
 		b.good()
-	case routing.Cancelled, routing.Moot:
+	case routing.Cancelled, routing.NotSent:
 	default:
 		b.bad(failCut, k.now, k.fillIn.usual())
 	}
--- a/policy/sharedstore/iface.go
+++ b/policy/sharedstore/iface.go
@@ -14,23 +14,23 @@
 // OpID is one leg to a store: the carrier numbers them from 1.
 type OpID uint64
 
-// Stamp is a time by the Unix clock, in milliseconds; 0 is none.
-type Stamp int64
+// Timestamp is a time by the Unix clock, in milliseconds; 0 is none.
+type Timestamp int64
 
 // Settings are what the decisions are told at the start.
 type Settings struct {
-	Routers    int           // that share the store, this one counted
-	Capacity   float64       // commands a second of a warm store, 0 where untold
-	ColdShare  float64       // of its capacity just after its start
-	ColdFor    time.Duration // until it has all of it, in a straight line
-	Multiple   float64       // of the capacity of the moment that all routers together may ask of a cold one
-	Most       int           // commands out at once, whatever the answer times
-	Bytes      int           // the longest value
-	Life       time.Duration // the longest that a copy may stay in the store
-	DrainGrace time.Duration
-	PurgeDone  time.Duration // by then a source has dropped what was purged, 0 where untold
-	Lease      bool          // misses of one object at several routers become one fill
-	Epoch      Stamp         // the Unix time at which the carrier's clock was 0
+	Routers            int           // that share the store, this one counted
+	Capacity           float64       // commands a second of a warm store, 0 where untold
+	SlowStartShare     float64       // of its capacity just after its start
+	SlowStartFor       time.Duration // until it has all of it, in a straight line
+	OverloadFactor     float64       // of the capacity of the moment that all routers together may ask of a cold one
+	MaxInFlight        int           // commands out at once, whatever the answer times
+	MaxValueBytes      int           // the longest value
+	MaxTTL             time.Duration // the longest that a copy may stay in the store
+	DrainGrace         time.Duration
+	PurgeCompleteAfter time.Duration // by then a source has dropped what was purged, 0 where untold
+	Lease              bool          // misses of one object at several routers become one fill
+	Epoch              Timestamp     // the Unix time at which the carrier's clock was 0
 }
 
 // Reply is how a command ended at the store.
@@ -74,8 +74,8 @@
 type Event struct {
 	Kind    EventKind
 	Op      OpID
-	Node    routing.NodeID
-	Source  routing.NodeID
+	Node    routing.EndpointID
+	Source  routing.EndpointID
 	Held    bool // the source gives only what it holds
 	Object  routing.ObjectID
 	Part    int
@@ -89,11 +89,11 @@
 	Note    routing.Note
 	Waited  time.Duration
 	Took    time.Duration
-	Born    Stamp
-	Valid   Stamp
+	Born    Timestamp
+	Valid   Timestamp
 	Size    int // of the body
 	Run     uint64
-	State   routing.State
+	State   routing.EndpointState
 	Timer   uint64
 }
 
@@ -119,10 +119,10 @@
 	Kind    ActionKind
 	Op      OpID
 	From    OpID
-	Node    routing.NodeID
+	Node    routing.EndpointID
 	Wait    time.Duration
 	Age     time.Duration
-	Valid   Stamp
+	Valid   Timestamp
 	Outcome routing.Outcome
 	Note    routing.Note
 	Waited  time.Duration
--- a/policy/sharedstore/ledger.go
+++ b/policy/sharedstore/ledger.go
@@ -19,70 +19,70 @@
 	"fennelarch/policy/routing"
 )
 
-// Mark is one purge: of an object, or of a group where the object is 0.
-type Mark struct {
+// PurgeMark is one purge: of an object, or of a group where the object is 0.
+type PurgeMark struct {
 	Object routing.ObjectID
 	Group  routing.GroupID
-	Issued Stamp
+	Issued Timestamp
 }
 
 const (
 	// marksKept bounds a ledger: a purge a second for over an hour. What falls out shortens the interval.
 	marksKept = 4096
 	// skew is how far the clocks of routers, origin and purger may be apart.
-	skew Stamp = 500
+	skew Timestamp = 500
 	// A young router leaves it for so long to older ones to join the store's interval to this moment, before it gives
 	// up what was stored earlier: they write at least each beat.
 	youngFor = 5 * time.Second
 )
 
-// Beat is how often a store's interval is read and moved on; a purge moves it at once. Half of what late starters wait.
-const Beat = time.Second
+// LedgerInterval is how often a store's interval is read and moved on; a purge moves it at once. Half of what late starters wait.
+const LedgerInterval = time.Second
 
 // sync is how far this router and one store's ledger know of each other, on one connection.
 type sync struct {
 	up     time.Duration // when the connection came
 	read   bool          // the store's interval was read on this connection
 	has    bool          // it has one
-	floor  Stamp
-	seen   Stamp
+	floor  Timestamp
+	seen   Timestamp
 	told   int  // marks of ours that the store has taken
 	taking bool // all its marks are being read
 	vast   bool // they are more than can be kept
 }
 
 type ledger struct {
-	since  Stamp // every purge told from here
-	asOf   Stamp // to here is known
+	since  Timestamp // every purge told from here
+	asOf   Timestamp // to here is known
 	life   time.Duration
-	byObj  map[routing.ObjectID]Stamp
-	byGrp  map[routing.GroupID]Stamp
-	marks  []Mark // in the order in which they were told
-	passed int    // marks that have fallen out, so that places in the order stay true
+	byObj  map[routing.ObjectID]Timestamp
+	byGrp  map[routing.GroupID]Timestamp
+	marks  []PurgeMark // in the order in which they were told
+	passed int         // marks that have fallen out, so that places in the order stay true
 }
 
-func newLedger(start Stamp, life time.Duration) ledger {
-	return ledger{since: start, asOf: start, life: life, byObj: map[routing.ObjectID]Stamp{}, byGrp: map[routing.GroupID]Stamp{}}
+func newLedger(start Timestamp, life time.Duration) ledger {
+	return ledger{since: start, asOf: start, life: life, byObj: map[routing.ObjectID]Timestamp{}, byGrp: map[routing.GroupID]Timestamp{}}
 }
 
 // last is the latest purge of an object or its group.
-func (l *ledger) last(o routing.ObjectID, g routing.GroupID) Stamp {
+func (l *ledger) last(o routing.ObjectID, g routing.GroupID) Timestamp {
 	return max(l.byObj[o], l.byGrp[g])
 }
 
 // newer says whether a copy is newer than every purge that is known.
-func (l *ledger) newer(o routing.ObjectID, g routing.GroupID, born Stamp) bool {
+func (l *ledger) newer(o routing.ObjectID, g routing.GroupID, born Timestamp) bool {
 	return born > l.last(o, g)
 }
 
 // proves says whether a copy is newer than every purge that there was: this router must know all purges since the moment
 // before which none can have been missed.
-func (l *ledger) proves(o routing.ObjectID, g routing.GroupID, born, valid Stamp) bool {
+func (l *ledger) proves(o routing.ObjectID, g routing.GroupID, born, valid Timestamp) bool {
 	return max(born, valid) >= l.since+skew && l.newer(o, g, born)
 }
 
 // add takes a purge, if it says anything new.
-func (l *ledger) add(m Mark) bool {
+func (l *ledger) add(m PurgeMark) bool {
 	if m.Object != 0 {
 		if l.byObj[m.Object] >= m.Issued {
 			return false
@@ -119,7 +119,7 @@
 }
 
 // age forgets what no copy can be as old as.
-func (l *ledger) age(now Stamp) {
+func (l *ledger) age(now Timestamp) {
 	n := 0
 	for n < len(l.marks) && l.marks[n].Issued < l.dead(now) {
 		n++
@@ -130,57 +130,59 @@
 }
 
 // dead is the time before which no copy that is still in a store can be born.
-func (l *ledger) dead(now Stamp) Stamp { return now - Stamp(l.life/ms) - 2*skew - Stamp(youngFor/ms) }
+func (l *ledger) dead(now Timestamp) Timestamp {
+	return now - Timestamp(l.life/ms) - 2*skew - Timestamp(youngFor/ms)
+}
 
-// Purged takes a purge that was told, and says whether the stores are to hear of it now.
-func (k *Keeper) Purged(now time.Duration, m Mark) bool {
+// RecordPurge takes a purge that was told, and says whether the stores are to hear of it now.
+func (k *Coordinator) RecordPurge(now time.Duration, m PurgeMark) bool {
 	k.now = max(now, k.now)
 	k.ledger.age(k.wall())
 	return k.ledger.add(m)
 }
 
-// Current says that whatever was told before a moment is known.
-func (k *Keeper) Current(asOf Stamp) { k.ledger.asOf = max(k.ledger.asOf, asOf) }
+// DiscoveryCurrent says that whatever was told before a moment is known.
+func (k *Coordinator) DiscoveryCurrent(asOf Timestamp) { k.ledger.asOf = max(k.ledger.asOf, asOf) }
 
-// Gap says that purges may have been told of which this router will never know, up to now.
-func (k *Keeper) Gap(now time.Duration) {
+// DiscoveryGap says that purges may have been told of which this router will never know, up to now.
+func (k *Coordinator) DiscoveryGap(now time.Duration) {
 	k.now = max(now, k.now)
 	k.ledger.since = k.wall()
 	k.ledger.asOf = max(k.ledger.asOf, k.ledger.since)
 }
 
-// Stepped says that the wall clock was set by so much. What was stamped before and what is stamped from now on cannot be
+// ClockStepped says that the wall clock was set by so much. What was stamped before and what is stamped from now on cannot be
 // compared: nothing that was stored until now is proved any more, until the clock has passed both readings.
-func (k *Keeper) Stepped(now, by time.Duration) {
+func (k *Coordinator) ClockStepped(now, by time.Duration) {
 	k.now = max(now, k.now)
 	before := k.wall()
-	k.set.Epoch += Stamp(by / ms)
+	k.set.Epoch += Timestamp(by / ms)
 	k.ledger.since = max(before, k.wall())
 	k.ledger.asOf = max(k.ledger.asOf, k.ledger.since)
 }
 
 // ahead says whether a copy's stamps lie in the future: a clock has been set back since, and they prove nothing.
-func (k *Keeper) ahead(born, valid Stamp) bool { return max(born, valid) > k.wall()+skew }
+func (k *Coordinator) ahead(born, valid Timestamp) bool { return max(born, valid) > k.wall()+skew }
 
-// Interval is what a store's ledger says of itself; one without an end has none.
-type Interval struct{ Floor, Seen Stamp }
+// LedgerRange is what a store's ledger says of itself; one without an end has none.
+type LedgerRange struct{ Floor, Seen Timestamp }
 
-// Plan is what a router writes into a store's ledger, in one command, or that it wants all its marks first.
-type Plan struct {
+// LedgerUpdate is what a router writes into a store's ledger, in one command, or that it wants all its marks first.
+type LedgerUpdate struct {
 	Wants bool
-	Marks []Mark
-	Floor Stamp // 0: as it is
-	Seen  Stamp // 0: as it is
-	Upto  int   // to be told to Wrote
-	Old   Stamp // marks before this may be dropped from the store; 0: none now
+	Marks []PurgeMark
+	Floor Timestamp // 0: as it is
+	Seen  Timestamp // 0: as it is
+	Upto  int       // to be told to Wrote
+	Old   Timestamp // marks before this may be dropped from the store; 0: none now
 }
 
-// Read takes a store's interval, as read on this connection, and says what to write. Lent until the next call.
-func (k *Keeper) Read(now time.Duration, id routing.NodeID, i Interval) Plan {
+// ReadInterval takes a store's interval, as read on this connection, and says what to write. Lent until the next call.
+func (k *Coordinator) ReadInterval(now time.Duration, id routing.EndpointID, i LedgerRange) LedgerUpdate {
 	k.now = max(now, k.now)
 	at, known := k.index[id]
 	if !known {
-		return Plan{}
+		return LedgerUpdate{}
 	}
 	n, l := &k.nodes[at], &k.ledger
 	l.age(k.wall())
@@ -201,11 +203,11 @@
 	switch {
 	case s.has && !s.vast && l.since > max(s.floor, l.dead(k.wall())) && s.seen >= l.since+skew:
 		s.taking = true
-		return Plan{Wants: true}
+		return LedgerUpdate{Wants: true}
 	case s.has && !touches(l.since, s.seen) && k.now-s.up < youngFor:
-		return Plan{}
+		return LedgerUpdate{}
 	}
-	p := Plan{Seen: min(max(l.asOf, l.since), k.wall()+skew), Upto: l.passed + len(l.marks)}
+	p := LedgerUpdate{Seen: min(max(l.asOf, l.since), k.wall()+skew), Upto: l.passed + len(l.marks)}
 	s.told = max(s.told, l.passed)
 	p.Marks = l.marks[s.told-l.passed:]
 	if len(p.Marks) > marksAtOnce {
@@ -225,13 +227,13 @@
 }
 
 // touches says whether knowledge from a moment on joins an interval that ends at another without a hole.
-var touches = func(since, seen Stamp) bool { return since <= seen }
+var touches = func(since, seen Timestamp) bool { return since <= seen }
 
 // marksAtOnce is how many marks go in one command: some 30 KB.
 const marksAtOnce = 1000
 
-// Wrote says that what a plan held is in the store, and whether there is more to write at once.
-func (k *Keeper) Wrote(id routing.NodeID, p Plan) (more bool) {
+// LedgerWritten says that what a plan held is in the store, and whether there is more to write at once.
+func (k *Coordinator) LedgerWritten(id routing.EndpointID, p LedgerUpdate) (more bool) {
 	at, known := k.index[id]
 	if !known {
 		return false
@@ -242,9 +244,9 @@
 	return p.Seen == 0 && len(p.Marks) > 0
 }
 
-// Took takes all marks of a store's ledger, read after its interval on the same connection: from now on this router
+// MergeMarks takes all marks of a store's ledger, read after its interval on the same connection: from now on this router
 // knows what the store knew.
-func (k *Keeper) Took(now time.Duration, id routing.NodeID, marks []Mark, whole bool) {
+func (k *Coordinator) MergeMarks(now time.Duration, id routing.EndpointID, marks []PurgeMark, whole bool) {
 	k.now = max(now, k.now)
 	at, known := k.index[id]
 	if !known || !k.nodes[at].synced.taking {
--- a/policy/sharedstore/ledger_test.go
+++ b/policy/sharedstore/ledger_test.go
@@ -11,17 +11,17 @@
 // A model of the ledger: two routers, one store, one object and its purges, explored in every order of events to a stated
 // depth. The routers are Keepers; what the store has is a floor, an end and the last purge, as commands leave them.
 type shelf struct {
-	floor, seen, purged Stamp // of the ledger; seen 0: there is none
-	born, valid         Stamp // of the copy; 0: there is none
+	floor, seen, purged Timestamp // of the ledger; seen 0: there is none
+	born, valid         Timestamp // of the copy; 0: there is none
 }
 
 type model struct {
 	now    time.Duration
-	told   Stamp // when the object was last purged, for the truth
+	told   Timestamp // when the object was last purged, for the truth
 	shelf  shelf
 	saved  shelf
-	router [2]*Keeper
-	read   [2]*Interval // read on the connection that is up, nothing yet written
+	router [2]*Coordinator
+	read   [2]*LedgerRange // read on the connection that is up, nothing yet written
 	path   []string
 }
 
@@ -29,7 +29,7 @@
 
 func modelSet(now time.Duration) Settings {
 	s := plainSet()
-	s.PurgeDone = 0
+	s.PurgeCompleteAfter = 0
 	s.Epoch = epoch
 	return s
 }
@@ -37,7 +37,7 @@
 // up starts router i: it knows nothing of before.
 func (m *model) up(i int) {
 	k := New(modelSet(m.now), 1, storeS)
-	k.ledger.since, k.ledger.asOf = epoch+Stamp(m.now/ms), epoch+Stamp(m.now/ms)
+	k.ledger.since, k.ledger.asOf = epoch+Timestamp(m.now/ms), epoch+Timestamp(m.now/ms)
 	m.router[i], m.read[i] = k, nil
 	m.connect(i)
 }
@@ -47,7 +47,7 @@
 	m.router[i].Handle(m.now, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
 }
 
-func (m *model) wall() Stamp { return epoch + Stamp(m.now/ms) }
+func (m *model) wall() Timestamp { return epoch + Timestamp(m.now/ms) }
 
 // moves are all that may happen; each says whether it applies.
 var moves = []struct {
@@ -59,7 +59,7 @@
 		m.told = m.wall()
 		for _, k := range m.router {
 			if k != nil {
-				k.Purged(m.now, Mark{Object: modelObject, Issued: m.told})
+				k.RecordPurge(m.now, PurgeMark{Object: modelObject, Issued: m.told})
 			}
 		}
 		return true
@@ -97,7 +97,7 @@
 	if m.router[i] == nil || m.read[i] != nil {
 		return false
 	}
-	m.read[i] = &Interval{m.shelf.floor, m.shelf.seen}
+	m.read[i] = &LedgerRange{m.shelf.floor, m.shelf.seen}
 	return true
 }
 
@@ -108,21 +108,21 @@
 		return false
 	}
 	m.read[i] = nil
-	k.Current(m.wall()) // the bulletin has told all by now
-	p := k.Read(m.now, storeS, *is)
+	k.DiscoveryCurrent(m.wall()) // the bulletin has told all by now
+	p := k.ReadInterval(m.now, storeS, *is)
 	if p.Wants {
-		var list []Mark
+		var list []PurgeMark
 		if m.shelf.purged > 0 {
-			list = []Mark{{Object: modelObject, Issued: m.shelf.purged}}
+			list = []PurgeMark{{Object: modelObject, Issued: m.shelf.purged}}
 		}
-		k.Took(m.now, storeS, list, true)
+		k.MergeMarks(m.now, storeS, list, true)
 		return true
 	}
 	for _, x := range p.Marks {
 		m.shelf.purged = max(m.shelf.purged, x.Issued)
 	}
 	m.shelf.floor, m.shelf.seen = max(m.shelf.floor, p.Floor), max(m.shelf.seen, p.Seen)
-	k.Wrote(storeS, p)
+	k.LedgerWritten(storeS, p)
 	return true
 }
 
@@ -195,7 +195,7 @@
 // The model can fail: a router that trusts whatever the store says of itself serves an old copy.
 func TestLedgerModelSees(t *testing.T) {
 	was := touches
-	touches = func(Stamp, Stamp) bool { return true }
+	touches = func(Timestamp, Timestamp) bool { return true }
 	defer func() { touches = was }()
 	if path, err, _ := explore(5, youngFor+time.Second); err == nil {
 		t.Error("a router that joins an interval with a hole is not seen")
@@ -205,21 +205,21 @@
 }
 
 // A router that starts late takes over what the store's interval proves, once an older one has moved its end past its start.
-func ExampleKeeper_Read() {
+func ExampleCoordinator_ReadInterval() {
 	old, young := New(modelSet(0), 1, storeS), New(modelSet(0), 1, storeS)
 	young.ledger.since, young.ledger.asOf = epoch+60_000, epoch+60_000
-	show := func(who string, p Plan) {
+	show := func(who string, p LedgerUpdate) {
 		fmt.Printf("%s: wants all %v, marks %d, floor %d, seen %d\n", who, p.Wants, len(p.Marks), max(0, p.Floor-epoch), max(0, p.Seen-epoch))
 	}
-	old.Purged(30*time.Second, Mark{Object: 7, Issued: epoch + 30_000})
-	old.Current(epoch + 50_000)
-	show("old, the store has nothing", old.Read(50*time.Second, storeS, Interval{}))
-	show("young, too early", young.Read(61*time.Second, storeS, Interval{epoch, epoch + 50_000}))
-	old.Current(epoch + 62_000)
-	show("old moves it on", old.Read(62*time.Second, storeS, Interval{epoch, epoch + 50_000}))
-	show("young", young.Read(63*time.Second, storeS, Interval{epoch, epoch + 62_000}))
+	old.RecordPurge(30*time.Second, PurgeMark{Object: 7, Issued: epoch + 30_000})
+	old.DiscoveryCurrent(epoch + 50_000)
+	show("old, the store has nothing", old.ReadInterval(50*time.Second, storeS, LedgerRange{}))
+	show("young, too early", young.ReadInterval(61*time.Second, storeS, LedgerRange{epoch, epoch + 50_000}))
+	old.DiscoveryCurrent(epoch + 62_000)
+	show("old moves it on", old.ReadInterval(62*time.Second, storeS, LedgerRange{epoch, epoch + 50_000}))
+	show("young", young.ReadInterval(63*time.Second, storeS, LedgerRange{epoch, epoch + 62_000}))
 	fmt.Println("copies of before its start are proved:", young.ledger.proves(8, 0, epoch+40_000, 0))
-	young.Took(63*time.Second, storeS, []Mark{{Object: 7, Issued: epoch + 30_000}}, true)
+	young.MergeMarks(63*time.Second, storeS, []PurgeMark{{Object: 7, Issued: epoch + 30_000}}, true)
 	fmt.Println("then:", young.ledger.proves(8, 0, epoch+40_000, 0), "but not one from before a purge:", young.ledger.proves(7, 0, epoch+20_000, 0))
 	// Output:
 	// old, the store has nothing: wants all false, marks 1, floor 0, seen 50000
@@ -239,22 +239,22 @@
 		k.Handle(0, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
 		now := 10 * time.Minute
 		k.now = now
-		k.Current(epoch + Stamp(now/ms))
-		old := epoch + Stamp((now-time.Minute)/ms)
+		k.DiscoveryCurrent(epoch + Timestamp(now/ms))
+		old := epoch + Timestamp((now-time.Minute)/ms)
 		if !k.ledger.proves(modelObject, 0, old, old) || k.ahead(old, old) {
 			t.Fatal("a copy is not proved without any step")
 		}
-		k.Stepped(now, by)
-		if k.wall() != epoch+Stamp((now+by)/ms) {
+		k.ClockStepped(now, by)
+		if k.wall() != epoch+Timestamp((now+by)/ms) {
 			t.Errorf("step %v: the time is %d", by, k.wall()-epoch)
 		}
-		k.Purged(now, Mark{Object: modelObject, Issued: k.wall()})
-		for _, valid := range []Stamp{0, old} {
+		k.RecordPurge(now, PurgeMark{Object: modelObject, Issued: k.wall()})
+		for _, valid := range []Timestamp{0, old} {
 			if k.ledger.proves(modelObject, 0, old, valid) && !k.ahead(old, valid) {
 				t.Errorf("step %v: a copy from before a purge is proved", by)
 			}
 		}
-		if p := k.Read(now+youngFor+time.Second, storeS, Interval{}); p.Seen > k.wall()+skew {
+		if p := k.ReadInterval(now+youngFor+time.Second, storeS, LedgerRange{}); p.Seen > k.wall()+skew {
 			t.Errorf("step %v: an end is written that lies %d ms ahead", by, p.Seen-k.wall())
 		}
 		k.now = now + time.Hour + time.Minute
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -18,19 +18,19 @@
 	looked   bool // it waited for another's fill
 	filling  bool // a fill is out
 	held     bool
-	source   routing.NodeID
+	source   routing.EndpointID
 	key      key
 	group    routing.GroupID
 	asked    time.Duration
 	due, end time.Duration // of the view and of the leg
-	least    Stamp         // born before this will not do
+	least    Timestamp     // born before this will not do
 	keep     time.Duration
 	filled   time.Duration // when the fill began
 	turn     uint64        // of the timer that counts
 	lead     int32         // the leg that this one joined, or none
 	joined   int32         // the first of those that joined this one
 	next     int32         // the next of those that joined the same
-	born     Stamp
+	born     Timestamp
 	size     int
 	unfit    *Event // what the source said while the get was still out
 }
@@ -42,8 +42,8 @@
 
 const none int32 = -1
 
-// Keeper holds all decisions on shared stores of one router. It is not safe for use by several goroutines.
-type Keeper struct {
+// Coordinator holds all decisions on shared stores of one router. It is not safe for use by several goroutines.
+type Coordinator struct {
 	set    Settings
 	now    time.Duration
 	acts   []Action
@@ -52,10 +52,10 @@
 	byID   map[OpID]int32
 	byKey  map[key]int32 // the leg that others may join
 	nodes  []node
-	index  map[routing.NodeID]int32
-	states map[routing.NodeID]listed // what the list says of all nodes
-	fills  map[routing.NodeID]*bound // by source
-	fillIn average                   // the usual time of a fill
+	index  map[routing.EndpointID]int32
+	states map[routing.EndpointID]listed // what the list says of all nodes
+	fills  map[routing.EndpointID]*bound // by source
+	fillIn average                       // the usual time of a fill
 	ledger ledger
 	giver  OpID // of the copy that is being shared
 	rng    rng
@@ -64,59 +64,59 @@
 }
 
 type listed struct {
-	state routing.State
+	state routing.EndpointState
 	since time.Duration
 }
 
-// Whole returns the settings with what was not told filled in: a store of which nothing is told is taken for one that
+// WithDefaults returns the settings with what was not told filled in: a store of which nothing is told is taken for one that
 // starts like a cache does, and no copy is kept for longer than purges can be remembered in a fixed place.
-func (s Settings) Whole(r *routing.Settings) Settings {
+func (s Settings) WithDefaults(r *routing.Settings) Settings {
 	if s.Routers <= 0 {
 		if s.Routers = r.Routers; int(r.Zone) < len(r.ZoneRouters) {
 			s.Routers = r.ZoneRouters[r.Zone]
 		}
 	}
-	if s.ColdShare <= 0 {
-		s.ColdShare, s.ColdFor = r.ColdShare, r.ColdFor
+	if s.SlowStartShare <= 0 {
+		s.SlowStartShare, s.SlowStartFor = r.SlowStartShare, r.SlowStartFor
 	}
-	if s.Multiple <= 0 {
-		s.Multiple = 1 // nothing is known of how much more one bears
+	if s.OverloadFactor <= 0 {
+		s.OverloadFactor = 1 // nothing is known of how much more one bears
 	}
-	if s.Most <= 0 {
-		s.Most = 128 // a millisecond's work of a store that does a hundred thousand commands a second
+	if s.MaxInFlight <= 0 {
+		s.MaxInFlight = 128 // a millisecond's work of a store that does a hundred thousand commands a second
 	}
-	if s.Life <= 0 {
-		s.Life = 10 * time.Minute // a few purges a second fit the ledger
+	if s.MaxTTL <= 0 {
+		s.MaxTTL = 10 * time.Minute // a few purges a second fit the ledger
 	}
-	s.DrainGrace, s.PurgeDone = r.DrainGrace, r.PurgeDone
+	s.DrainGrace, s.PurgeCompleteAfter = r.DrainGrace, r.PurgeCompleteAfter
 	return s
 }
 
-// Set takes settings that changed while the router runs; what copies and ledgers rest on stays.
-func (k *Keeper) Set(s Settings) {
-	s.Epoch, s.Life = k.set.Epoch, k.set.Life
+// UpdateSettings takes settings that changed while the router runs; what copies and ledgers rest on stays.
+func (k *Coordinator) UpdateSettings(s Settings) {
+	s.Epoch, s.MaxTTL = k.set.Epoch, k.set.MaxTTL
 	s.Routers = max(1, s.Routers)
 	k.set = s
 	for i := range k.nodes {
-		k.nodes[i].room.most = float64(max(1, s.Most))
+		k.nodes[i].room.most = float64(max(1, s.MaxInFlight))
 	}
 }
 
 // New returns decisions on the stores named, of which nothing is known.
-func New(set Settings, seed uint64, stores ...routing.NodeID) *Keeper {
-	k := &Keeper{set: set, byID: map[OpID]int32{}, byKey: map[key]int32{}, index: map[routing.NodeID]int32{},
-		states: map[routing.NodeID]listed{}, fills: map[routing.NodeID]*bound{}, rng: newRNG(seed)}
+func New(set Settings, seed uint64, stores ...routing.EndpointID) *Coordinator {
+	k := &Coordinator{set: set, byID: map[OpID]int32{}, byKey: map[key]int32{}, index: map[routing.EndpointID]int32{},
+		states: map[routing.EndpointID]listed{}, fills: map[routing.EndpointID]*bound{}, rng: newRNG(seed)}
 	k.set.Routers = max(1, set.Routers)
-	k.ledger = newLedger(set.Epoch, set.Life)
+	k.ledger = newLedger(set.Epoch, set.MaxTTL)
 	for _, id := range stores {
 		k.index[id] = int32(len(k.nodes))
-		k.nodes = append(k.nodes, node{id: id, started: routing.LongAgo, room: bound{limit: firstRoom, most: float64(max(1, set.Most))}})
+		k.nodes = append(k.nodes, node{id: id, started: routing.LongAgo, room: bound{limit: firstRoom, most: float64(max(1, set.MaxInFlight))}})
 	}
 	return k
 }
 
 // Handle takes one event and appends what is to be done.
-func (k *Keeper) Handle(now time.Duration, e *Event, acts []Action) []Action {
+func (k *Coordinator) Handle(now time.Duration, e *Event, acts []Action) []Action {
 	k.now, k.acts = max(now, k.now), acts
 	switch e.Kind {
 	case EventAsk:
@@ -152,16 +152,16 @@
 // goneFor is how long a node that is gone is remembered: longer than any leg lasts that may have named it.
 const goneFor = time.Minute
 
-func (k *Keeper) do(a Action) { k.acts = append(k.acts, a) }
+func (k *Coordinator) do(a Action) { k.acts = append(k.acts, a) }
 
-// Open is how many legs and sets are not over.
-func (k *Keeper) Open() int { return len(k.byID) }
+// InFlight is how many legs and sets are not over.
+func (k *Coordinator) InFlight() int { return len(k.byID) }
 
 // arrive takes a new leg.
-func (k *Keeper) arrive(e *Event) {
+func (k *Coordinator) arrive(e *Event) {
 	n, known := k.index[e.Node]
 	if !known {
-		k.do(Action{Kind: ActionEnd, Op: e.Op, Outcome: routing.Unconnected})
+		k.do(Action{Kind: ActionEnd, Op: e.Op, Outcome: routing.ConnectFailed})
 		k.do(Action{Kind: ActionForget, Op: e.Op})
 		return
 	}
@@ -170,7 +170,7 @@
 	*o = op{id: e.Op, node: n, held: e.Held, source: e.Source, key: key{e.Object, e.Part}, group: e.Group, asked: k.now,
 		due: k.now + min(e.Due, e.Left), end: k.now + e.Left, keep: e.Keep, lead: none, joined: none, next: none}
 	if e.Age > 0 {
-		o.least = k.wall() - Stamp(e.Age/ms)
+		o.least = k.wall() - Timestamp(e.Age/ms)
 	}
 	k.byID[e.Op] = i
 	if lead, open := k.byKey[o.key]; open && k.ops[lead].node == n && k.ops[lead].due <= o.due+joinSlack {
@@ -181,7 +181,7 @@
 }
 
 // join has a leg wait for another one of this router that is after the same copy.
-func (k *Keeper) join(i, lead int32) {
+func (k *Coordinator) join(i, lead int32) {
 	k.Counts.Joined++
 	o, l := &k.ops[i], &k.ops[lead]
 	o.stage, o.lead, o.next = stageJoin, lead, l.joined
@@ -194,7 +194,7 @@
 
 // patience is how long a leg may wait for what somebody else does: so long that a fill of its own would still be in time,
 // and no longer than waitMost past the usual time of a fill.
-func (k *Keeper) patience(o *op) time.Duration {
+func (k *Coordinator) patience(o *op) time.Duration {
 	return max(0, min(o.due-k.now-k.fillIn.high(), o.asked+k.fillIn.usual()+waitMost-k.now))
 }
 
@@ -202,7 +202,7 @@
 // source; a fill begun after the wait must end before that. Found when holders were killed: the origin's gate shut.
 const waitMost = 100 * ms
 
-func (k *Keeper) take() int32 {
+func (k *Coordinator) take() int32 {
 	if n := len(k.free); n > 0 {
 		i := k.free[n-1]
 		k.free = k.free[:n-1]
@@ -213,16 +213,16 @@
 }
 
 // wall is the time by the Unix clock.
-func (k *Keeper) wall() Stamp { return k.set.Epoch + Stamp(k.now/ms) }
+func (k *Coordinator) wall() Timestamp { return k.set.Epoch + Timestamp(k.now/ms) }
 
 // await sets the leg's timer; an earlier one does not count any more.
-func (k *Keeper) await(i int32, wait time.Duration) {
+func (k *Coordinator) await(i int32, wait time.Duration) {
 	k.timer++
 	k.ops[i].turn = k.timer
 	k.do(Action{Kind: ActionTimer, Op: k.ops[i].id, Wait: wait, Timer: k.timer})
 }
 
-func (k *Keeper) alarm(e *Event) {
+func (k *Coordinator) alarm(e *Event) {
 	if e.Op == 0 {
 		k.pauseOver(e)
 		return
@@ -237,7 +237,7 @@
 }
 
 // heard takes what came of a command or a fill.
-func (k *Keeper) heard(i int32, e *Event) {
+func (k *Coordinator) heard(i int32, e *Event) {
 	o := &k.ops[i]
 	switch e.Kind {
 	case EventCancel:
@@ -251,7 +251,7 @@
 			if e.Born > 0 && !k.ledger.newer(o.key.object, o.group, e.Born) {
 				// The source had the copy from before a purge: it may not be handed on, and another way is found.
 				k.Counts.Old++
-				k.end(i, OpID(0), routing.Missed, routing.NoteLacks, e.Waited)
+				k.end(i, OpID(0), routing.CacheMiss, routing.NoteSourceMiss, e.Waited)
 				return
 			}
 			k.input(i, inFilled, e)
@@ -294,13 +294,13 @@
 }
 
 // input looks a leg's next step up and does it.
-func (k *Keeper) input(i int32, in input, e ...*Event) {
+func (k *Coordinator) input(i int32, in input, e ...*Event) {
 	if s := steps[k.ops[i].stage][in]; s != (step{}) {
 		k.apply(i, s, e...)
 	}
 }
 
-func (k *Keeper) apply(i int32, s step, e ...*Event) {
+func (k *Coordinator) apply(i int32, s step, e ...*Event) {
 	o := &k.ops[i]
 	o.stage, o.turn = s.next, 0
 	switch s.effect {
@@ -333,7 +333,7 @@
 	case lack:
 		k.lack(i, e[0])
 	case share:
-		k.end(i, k.giver, routing.Succeeded, routing.NoteJoined, k.now-o.asked)
+		k.end(i, k.giver, routing.Succeeded, routing.NoteCoalesced, k.now-o.asked)
 	case again:
 		if lead, open := k.byKey[o.key]; open && lead != i {
 			k.join(i, lead)
@@ -346,7 +346,7 @@
 }
 
 // ask begins with the store, or passes it by.
-func (k *Keeper) ask(i int32) {
+func (k *Coordinator) ask(i int32) {
 	o := &k.ops[i]
 	k.leave(i)
 	if _, open := k.byKey[o.key]; !open {
@@ -367,21 +367,21 @@
 	k.fill(i)
 }
 
-func (k *Keeper) refuse(i int32) {
+func (k *Coordinator) refuse(i int32) {
 	k.Counts.Refused++
 	o := &k.ops[i]
 	switch {
 	case k.nodes[o.node].mode == modeOut:
-		k.end(i, 0, routing.Unconnected, routing.NoteNone, 0)
+		k.end(i, 0, routing.ConnectFailed, routing.NoteNone, 0)
 	case o.source == 0:
 		// Not that there is no place: the views' decisions would name no source for 100 ms, and so it would go on.
-		k.end(i, 0, routing.Missed, routing.NoteLacks, 0)
+		k.end(i, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
 	default:
-		k.end(i, 0, routing.Full, routing.NoteNoPlace, 0)
+		k.end(i, 0, routing.Overloaded, routing.NoteNoFillCapacity, 0)
 	}
 }
 
-func (k *Keeper) get(n *node, i int32) {
+func (k *Coordinator) get(n *node, i int32) {
 	k.Counts.Gets++
 	k.charge(n, 1)
 	n.room.out++
@@ -393,14 +393,14 @@
 
 // lease asks for the right to fill. It is not worth asking where the source gives only what it holds, where another fill
 // would be too late to wait for, or where nothing can be stored.
-func (k *Keeper) lease(i int32) {
+func (k *Coordinator) lease(i int32) {
 	o := &k.ops[i]
 	n := &k.nodes[o.node]
 	switch {
 	case o.unfit != nil:
 		k.lack(i, o.unfit)
 	case o.source == 0:
-		k.end(i, 0, routing.Missed, routing.NoteLacks, 0)
+		k.end(i, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
 	case !k.set.Lease || o.held || k.patience(o) < k.fillIn.high() || n.full || !k.may(n, 2):
 		o.stage = stageFill
 		k.fill(i)
@@ -415,13 +415,13 @@
 
 // A lease lasts half as long again as a fill that is later than nearly all: a slow holder mostly keeps it, and those that
 // wait for a dead one find it free before their patience ends. The bounds are a round trip to a far store, and a view's patience.
-func (k *Keeper) leaseFor() time.Duration {
+func (k *Coordinator) leaseFor() time.Duration {
 	return min(max(3*k.fillIn.high()/2, 50*ms), 3*time.Second)
 }
 
 // wait gives the holder of the lease the time in which nearly all fills are done, then a quarter of a usual one again and
 // again, as long as a fill of the leg's own would be in time after it.
-func (k *Keeper) wait(i int32) {
+func (k *Coordinator) wait(i int32) {
 	o := &k.ops[i]
 	each := k.fillIn.high()
 	if o.looked {
@@ -439,21 +439,21 @@
 }
 
 // fill begins a fill, or ends the leg with no place.
-func (k *Keeper) fill(i int32) {
+func (k *Coordinator) fill(i int32) {
 	o := &k.ops[i]
 	switch {
 	case o.unfit != nil:
 		k.lack(i, o.unfit)
 	case k.begin(i):
 	case o.source == 0:
-		k.end(i, 0, routing.Missed, routing.NoteLacks, 0)
+		k.end(i, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
 	default:
 		k.refuse(i)
 	}
 }
 
 // begin asks the source, where that is still allowed and has room.
-func (k *Keeper) begin(i int32) bool {
+func (k *Coordinator) begin(i int32) bool {
 	o := &k.ops[i]
 	if o.source == 0 || o.filling || k.now >= o.end || !k.mayFill(o) {
 		return o.filling
@@ -476,7 +476,7 @@
 
 // mayFill: a source that was told to leave since the leg was asked for is not begun with; one that was leaving already
 // was named in its grace, which lasts for what begins at once.
-func (k *Keeper) mayFill(o *op) bool {
+func (k *Coordinator) mayFill(o *op) bool {
 	l, known := k.states[o.source]
 	if !known || l.state == routing.Ready {
 		return true
@@ -485,7 +485,7 @@
 }
 
 // hand ends the leg with what the fill brought, and stores it where that is worth it.
-func (k *Keeper) hand(i int32, e *Event) {
+func (k *Coordinator) hand(i int32, e *Event) {
 	o := &k.ops[i]
 	n := &k.nodes[o.node]
 	note := routing.NoteFilled
@@ -493,7 +493,7 @@
 		note = routing.NoteViaOrigin
 	}
 	keep := k.stay(o)
-	stores := o.born > 0 && o.size > 0 && o.size <= k.set.Bytes && keep > 0 && !n.full && n.mode >= modeCold &&
+	stores := o.born > 0 && o.size > 0 && o.size <= k.set.MaxValueBytes && keep > 0 && !n.full && n.mode >= modeCold &&
 		n.room.half() && k.may(n, 1)
 	note, waited := k.waited(o, note, e.Waited)
 	k.end(i, o.id, routing.Succeeded, note, waited)
@@ -513,39 +513,39 @@
 
 // waited is how a success reads. One that waited for another's fill first tells nothing of store or source: what is learned
 // of both must not come to hold the wait.
-func (k *Keeper) waited(o *op, n routing.Note, w time.Duration) (routing.Note, time.Duration) {
+func (k *Coordinator) waited(o *op, n routing.Note, w time.Duration) (routing.Note, time.Duration) {
 	if o.looked {
-		return routing.NoteJoined, k.now - o.asked
+		return routing.NoteCoalesced, k.now - o.asked
 	}
 	return n, w
 }
 
 // valid is the moment before which no purge can have been missed on a copy's way here: its birth, or, for an old copy of a
 // source that had dropped by then what was purged, the time when that was asked.
-func (k *Keeper) valid(o *op) Stamp {
-	if k.set.PurgeDone <= 0 {
+func (k *Coordinator) valid(o *op) Timestamp {
+	if k.set.PurgeCompleteAfter <= 0 {
 		return o.born
 	}
-	return max(o.born, k.set.Epoch+Stamp((o.filled-k.set.PurgeDone)/ms))
+	return max(o.born, k.set.Epoch+Timestamp((o.filled-k.set.PurgeCompleteAfter)/ms))
 }
 
 // stay is how long a copy may stay: its tariff's time from its birth on, and from its validity on no longer than purges
 // are remembered.
-func (k *Keeper) stay(o *op) time.Duration {
-	long := k.set.Life - time.Duration(max(0, k.wall()-k.valid(o)))*ms
+func (k *Coordinator) stay(o *op) time.Duration {
+	long := k.set.MaxTTL - time.Duration(max(0, k.wall()-k.valid(o)))*ms
 	if o.keep > 0 {
 		long = min(long, o.keep-time.Duration(max(0, k.wall()-o.born))*ms)
 	}
 	return long
 }
 
-func (k *Keeper) ready(n int32) bool {
+func (k *Coordinator) ready(n int32) bool {
 	l, known := k.states[k.nodes[n].id]
 	return !known || l.state == routing.Ready
 }
 
 // release gives the lease back, while it is surely still ours.
-func (k *Keeper) release(o *op) {
+func (k *Coordinator) release(o *op) {
 	if o.leased && k.ready(o.node) {
 		k.do(Action{Kind: ActionUnlease, Op: o.id})
 		k.charge(&k.nodes[o.node], 1)
@@ -554,24 +554,24 @@
 }
 
 // lacks says how a source's answer reads as the answer of a cache that filled from it.
-var lacks = map[routing.Outcome]routing.Note{routing.Missed: routing.NoteLacks, routing.Full: routing.NoteRefused,
-	routing.Errored: routing.NoteUnreached, routing.TimedOut: routing.NoteUnreached, routing.Broken: routing.NoteUnreached,
-	routing.Unconnected: routing.NoteUnreached, routing.Moot: routing.NoteUnreached, routing.Cancelled: routing.NoteUnreached}
+var lacks = map[routing.Outcome]routing.Note{routing.CacheMiss: routing.NoteSourceMiss, routing.Overloaded: routing.NoteSourceRefused,
+	routing.Failed: routing.NoteSourceUnreachable, routing.TimedOut: routing.NoteSourceUnreachable, routing.ConnectionBroken: routing.NoteSourceUnreachable,
+	routing.ConnectFailed: routing.NoteSourceUnreachable, routing.NotSent: routing.NoteSourceUnreachable, routing.Cancelled: routing.NoteSourceUnreachable}
 
-func (k *Keeper) lack(i int32, e *Event) {
+func (k *Coordinator) lack(i int32, e *Event) {
 	o := &k.ops[i]
 	note := lacks[e.Outcome]
 	switch e.Note {
-	case routing.NoteRefused, routing.NoteUnreached, routing.NoteOriginFail:
+	case routing.NoteSourceRefused, routing.NoteSourceUnreachable, routing.NoteOriginFailed:
 		// The source is a parent and speaks of the origin behind it.
-		note = routing.NoteOriginFail
+		note = routing.NoteOriginFailed
 	}
 	k.release(o)
-	k.end(i, 0, routing.Missed, note, e.Waited)
+	k.end(i, 0, routing.CacheMiss, note, e.Waited)
 }
 
 // cancel ends a leg that is not wanted any more.
-func (k *Keeper) cancel(i int32) {
+func (k *Coordinator) cancel(i int32) {
 	o := &k.ops[i]
 	if o.over {
 		return
@@ -582,21 +582,21 @@
 }
 
 // end gives the leg's answer; those that joined it get theirs from the same copy, or go on alone.
-func (k *Keeper) end(i int32, from OpID, outcome routing.Outcome, note routing.Note, waited time.Duration) {
+func (k *Coordinator) end(i int32, from OpID, outcome routing.Outcome, note routing.Note, waited time.Duration) {
 	o := &k.ops[i]
 	if o.over {
 		return
 	}
 	o.over = true
 	k.do(Action{Kind: ActionEnd, Op: o.id, From: from, Outcome: outcome, Note: note, Waited: waited})
-	k.pass(i, outcome, note, outcome == routing.Missed || outcome == routing.Errored)
+	k.pass(i, outcome, note, outcome == routing.CacheMiss || outcome == routing.Failed)
 	if k.ops[i].stage != stageKeep {
 		k.close(i)
 	}
 }
 
 // close lets go of what an ended leg still has out.
-func (k *Keeper) close(i int32) {
+func (k *Coordinator) close(i int32) {
 	o := &k.ops[i]
 	if o.filling {
 		k.source(o.source).out--
@@ -608,7 +608,7 @@
 }
 
 // pass tells those that joined a leg of its end. Where its source failed, it failed for those that name the same one.
-func (k *Keeper) pass(i int32, outcome routing.Outcome, note routing.Note, heard bool) {
+func (k *Coordinator) pass(i int32, outcome routing.Outcome, note routing.Note, heard bool) {
 	id, born, source, held, at := k.ops[i].id, k.ops[i].born, k.ops[i].source, k.ops[i].held, k.ops[i].key
 	if k.byKey[at] == i {
 		delete(k.byKey, at)
@@ -630,7 +630,7 @@
 }
 
 // leave takes a leg out of the list of those that joined another.
-func (k *Keeper) leave(i int32) {
+func (k *Coordinator) leave(i int32) {
 	o := &k.ops[i]
 	if o.lead == none {
 		return
@@ -646,7 +646,7 @@
 
 // forget frees a leg's place. An answer to a command that is still out counts for the store all the same: the carrier
 // tells it as EventGot with the node alone.
-func (k *Keeper) forget(i int32) {
+func (k *Coordinator) forget(i int32) {
 	o := &k.ops[i]
 	k.leave(i)
 	if k.byKey[o.key] == i {
--- a/policy/sharedstore/store_test.go
+++ b/policy/sharedstore/store_test.go
@@ -57,7 +57,7 @@
 	w.tell(&Event{Kind: EventUp, Node: storeS, Run: 2, Age: 0})
 	w.cmds = nil
 	begun := w.now
-	for w.now < begun+set.ColdFor {
+	for w.now < begun+set.SlowStartFor {
 		w.ask(srcP, 300*ms, 0)
 		w.pass(ms)
 		for len(w.pending) > 0 {
@@ -73,7 +73,7 @@
 		}
 		bears := 0.0
 		for d := time.Duration(0); d < time.Second; d += 100 * ms {
-			bears += set.Capacity / 10 * min(1, set.ColdShare+(1-set.ColdShare)*(from+d-begun).Seconds()/set.ColdFor.Seconds())
+			bears += set.Capacity / 10 * min(1, set.SlowStartShare+(1-set.SlowStartShare)*(from+d-begun).Seconds()/set.SlowStartFor.Seconds())
 		}
 		if part := bears / float64(set.Routers); float64(n) > part {
 			return fmt.Errorf("%d commands in the second from %v on, the part is %.0f", n, from-begun, part)
@@ -193,7 +193,7 @@
 }
 
 // A miss is filled by whoever has the lease; a second view of this router joins it, and one of another router's waits.
-func ExampleKeeper() {
+func ExampleCoordinator() {
 	set := plainSet()
 	set.Epoch = epoch
 	k := New(set, 1, storeS)
@@ -251,7 +251,7 @@
 }
 
 // A store that falls silent is passed by after a few views, and tried again at a distance.
-func ExampleKeeper_slow() {
+func ExampleCoordinator_slow() {
 	set := plainSet()
 	set.Epoch = epoch
 	k := New(set, 1, storeS)
--- a/policy/sharedstore/trace_test.go
+++ b/policy/sharedstore/trace_test.go
@@ -74,7 +74,7 @@
 		case "filled":
 			e = Event{Kind: EventFilled, Op: op, Outcome: routing.Succeeded, Born: epoch + 3000, Size: 9, Took: 40 * ms}
 		case "unfit":
-			e = Event{Kind: EventFilled, Op: op, Outcome: routing.Missed, Note: routing.NoteLacks, Took: 4 * ms}
+			e = Event{Kind: EventFilled, Op: op, Outcome: routing.CacheMiss, Note: routing.NoteSourceMiss, Took: 4 * ms}
 		case "cancel":
 			e = Event{Kind: EventCancel, Op: op}
 		}
