--- a/policy/sharedstore/world_test.go
+++ b/policy/sharedstore/world_test.go
@@ -11,7 +11,7 @@
 // A world stands round a Keeper: stores that answer anything at any time, sources, purges and a list, moved by draws. It
 // checks after every step what must always hold, and at its end that nothing is left open.
 type world struct {
-	k       *Keeper
+	k       *Coordinator
 	now     time.Duration
 	draw    func(n int) int // 0 to n-1
 	bad     error
@@ -19,13 +19,13 @@
 	pending []*answer
 	timers  []Action
 	values  map[key]*value
-	states  map[routing.NodeID]routing.State
-	told    map[routing.NodeID]time.Duration
-	purges  map[routing.ObjectID]Stamp
+	states  map[routing.EndpointID]routing.EndpointState
+	told    map[routing.EndpointID]time.Duration
+	purges  map[routing.ObjectID]Timestamp
 	leases  map[key]time.Duration
-	room    map[routing.NodeID]int
+	room    map[routing.EndpointID]int
 	last    OpID
-	upRun   map[routing.NodeID]uint64
+	upRun   map[routing.EndpointID]uint64
 	cmds    []time.Duration // to a store in its cold time
 	calm    bool            // nothing fails, for the end
 	kinds   map[string]int
@@ -33,13 +33,13 @@
 
 type wish struct {
 	op              OpID
-	node, source    routing.NodeID
+	node, source    routing.EndpointID
 	object          routing.ObjectID
 	at, due         time.Duration
-	least           Stamp
+	least           Timestamp
 	ends, forgotten int
 	cancelled       bool
-	copy            Stamp // born, of what the leg holds
+	copy            Timestamp // born, of what the leg holds
 	filling         bool
 	fillAt          time.Duration
 }
@@ -47,32 +47,32 @@
 type answer struct {
 	a  Action
 	w  *wish
-	to routing.NodeID
+	to routing.EndpointID
 	at time.Duration
 }
 
-type value struct{ born, valid Stamp }
+type value struct{ born, valid Timestamp }
 
 const (
-	storeS routing.NodeID = 11
-	storeT routing.NodeID = 12
-	srcP   routing.NodeID = 21
-	srcO   routing.NodeID = 22
+	storeS routing.EndpointID = 11
+	storeT routing.EndpointID = 12
+	srcP   routing.EndpointID = 21
+	srcO   routing.EndpointID = 22
 )
 
-const epoch Stamp = 1_700_000_000_000
+const epoch Timestamp = 1_700_000_000_000
 
 func newWorld(set Settings, draw func(int) int) *world {
-	w := &world{draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[routing.NodeID]routing.State{},
-		told: map[routing.NodeID]time.Duration{}, purges: map[routing.ObjectID]Stamp{}, leases: map[key]time.Duration{}, room: map[routing.NodeID]int{},
-		upRun: map[routing.NodeID]uint64{}, kinds: map[string]int{}}
+	w := &world{draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[routing.EndpointID]routing.EndpointState{},
+		told: map[routing.EndpointID]time.Duration{}, purges: map[routing.ObjectID]Timestamp{}, leases: map[key]time.Duration{}, room: map[routing.EndpointID]int{},
+		upRun: map[routing.EndpointID]uint64{}, kinds: map[string]int{}}
 	set.Epoch = epoch
 	w.k = New(set, 7, storeS, storeT)
-	for _, n := range []routing.NodeID{storeS, storeT, srcP, srcO} {
+	for _, n := range []routing.EndpointID{storeS, storeT, srcP, srcO} {
 		w.states[n] = routing.Ready
 		w.tell(&Event{Kind: EventState, Node: n, State: routing.Ready})
 	}
-	for _, n := range []routing.NodeID{storeS, storeT} {
+	for _, n := range []routing.EndpointID{storeS, storeT} {
 		w.upRun[n] = 1
 		w.tell(&Event{Kind: EventUp, Node: n, Run: 1, Age: time.Hour})
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (w *world) wall() Stamp { return epoch + Stamp(w.now/ms) }
+func (w *world) wall() Timestamp { return epoch + Timestamp(w.now/ms) }
 
 func (w *world) tell(e *Event) {
 	acts := slices.Clone(w.k.Handle(w.now, e, nil))
@@ -120,7 +120,7 @@
 	case ActionGet, ActionLease, ActionSet, ActionUnlease:
 		w.command(x, a)
 		if a.Kind == ActionSet {
-			if a.Wait <= 0 || a.Wait > w.k.set.Life {
+			if a.Wait <= 0 || a.Wait > w.k.set.MaxTTL {
 				w.fail("a copy stays for %v", a.Wait)
 			}
 			if a.Valid < x.copy || a.Valid > w.wall() {
@@ -140,7 +140,7 @@
 		if x.source == 0 {
 			w.fail("a fill from nowhere")
 		}
-		if p := w.purges[x.object]; p > 0 && w.wall() > p+1 && (a.Age == 0 || w.wall()-Stamp(a.Age/ms) <= p) {
+		if p := w.purges[x.object]; p > 0 && w.wall() > p+1 && (a.Age == 0 || w.wall()-Timestamp(a.Age/ms) <= p) {
 			w.fail("a fill that may bring a copy from before a purge")
 		}
 		x.filling, x.fillAt = true, w.now
@@ -184,11 +184,11 @@
 	}
 }
 
-func (w *world) ask(source routing.NodeID, due, age time.Duration) *wish {
+func (w *world) ask(source routing.EndpointID, due, age time.Duration) *wish {
 	w.last++
 	x := &wish{op: w.last, node: storeS, source: source, object: routing.ObjectID(1 + w.draw(3)), at: w.now, due: w.now + due}
 	if age > 0 {
-		x.least = w.wall() - Stamp(age/ms)
+		x.least = w.wall() - Timestamp(age/ms)
 	}
 	w.asked[x.op] = x
 	w.tell(&Event{Kind: EventAsk, Op: x.op, Node: x.node, Source: source, Object: x.object, Due: due, Left: due + time.Second, Age: age,
@@ -206,9 +206,9 @@
 		x.filling = false
 		e := Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: routing.Succeeded, Note: routing.NoteHit, Size: 100, Born: w.wall()}
 		if n := w.draw(12); !w.calm && n < 4 {
-			e = Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: []routing.Outcome{routing.Missed, routing.Full, routing.Broken, routing.TimedOut}[n]}
+			e = Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: []routing.Outcome{routing.CacheMiss, routing.Overloaded, routing.ConnectionBroken, routing.TimedOut}[n]}
 		} else if n < 6 {
-			e.Born -= Stamp(w.draw(4000)) // the source had it
+			e.Born -= Timestamp(w.draw(4000)) // the source had it
 		}
 		if e.Outcome == routing.Succeeded && x.ends == 0 {
 			x.copy = e.Born
@@ -274,7 +274,7 @@
 func (w *world) step() {
 	switch n := w.draw(40); {
 	case n < 12:
-		w.ask([]routing.NodeID{srcP, srcP, srcO, 0}[w.draw(4)], time.Duration(20+w.draw(600))*ms, time.Duration(w.draw(3))*time.Second)
+		w.ask([]routing.EndpointID{srcP, srcP, srcO, 0}[w.draw(4)], time.Duration(20+w.draw(600))*ms, time.Duration(w.draw(3))*time.Second)
 	case n < 28 && len(w.pending) > 0:
 		w.reply(w.draw(len(w.pending)))
 	case n < 34:
@@ -284,10 +284,10 @@
 	case n == 35:
 		o := routing.ObjectID(1 + w.draw(3))
 		w.purges[o] = w.wall()
-		w.k.Purged(w.now, Mark{Object: o, Issued: w.wall()})
+		w.k.RecordPurge(w.now, PurgeMark{Object: o, Issued: w.wall()})
 	case n == 36:
-		id := []routing.NodeID{storeS, srcP, srcO}[w.draw(3)]
-		to := routing.State(w.draw(3))
+		id := []routing.EndpointID{storeS, srcP, srcO}[w.draw(3)]
+		to := routing.EndpointState(w.draw(3))
 		if w.states[id] != to {
 			w.states[id], w.told[id] = to, w.now
 			w.tell(&Event{Kind: EventState, Node: id, State: to})
@@ -318,12 +318,12 @@
 // finish answers all that is out, and looks whether anything is left.
 func (w *world) finish() {
 	w.calm = true
-	for _, id := range []routing.NodeID{storeS, srcP, srcO} {
+	for _, id := range []routing.EndpointID{storeS, srcP, srcO} {
 		w.states[id] = routing.Ready
 		w.tell(&Event{Kind: EventState, Node: id, State: routing.Ready})
 	}
 	w.tell(&Event{Kind: EventUp, Node: storeS, Run: w.upRun[storeS], Age: time.Hour})
-	for i := 0; i < 4000 && w.k.Open() > 0; i++ {
+	for i := 0; i < 4000 && w.k.InFlight() > 0; i++ {
 		if len(w.pending) > 0 {
 			w.reply(0)
 		} else {
@@ -366,6 +366,6 @@
 }
 
 func plainSet() Settings {
-	return Settings{Routers: 4, Capacity: 1000, ColdShare: 0.1, ColdFor: 5 * time.Second, Multiple: 1, Most: 64, Bytes: 1 << 18,
-		Life: 10 * time.Minute, DrainGrace: time.Second, PurgeDone: time.Second, Lease: true}
+	return Settings{Routers: 4, Capacity: 1000, SlowStartShare: 0.1, SlowStartFor: 5 * time.Second, OverloadFactor: 1, MaxInFlight: 64, MaxValueBytes: 1 << 18,
+		MaxTTL: 10 * time.Minute, DrainGrace: time.Second, PurgeCompleteAfter: time.Second, Lease: true}
 }
