--- a/cmd/fennelarch/doors.go
+++ b/cmd/fennelarch/doors.go
@@ -8,12 +8,12 @@
 	"fmt"
 	"net/netip"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/frontend"
 	"fennelarch/internal/operatorconfig"
 	"fennelarch/policy/admission"
+
+	"go.uber.org/zap"
 )
 
 // admits is what the operator's file says of connections, for the decisions.
@@ -26,9 +26,11 @@
 	if err != nil {
 		return admission.Settings{}, err
 	}
-	set := admission.Settings{Reserve: a.Reserve, ConnectionsPerPeer: a.PerAddress, NewPerPeerPerSecond: a.NewPerSecond, Burst: a.Burst, RequestsPerPeer: a.RequestsPerAddress,
+	set := admission.Settings{
+		Reserve: a.Reserve, ConnectionsPerPeer: a.PerAddress, NewPerPeerPerSecond: a.NewPerSecond, Burst: a.Burst, RequestsPerPeer: a.RequestsPerAddress,
 		MaxRequests: a.Requests, MaxHandshakes: a.Handshakes, HandshakeCPU: a.HandshakeCPU, MaxRememberedPeers: a.Remember, SendRetryAfter: c.Routing.RetryAfter,
-		MaxRetryAfter: c.Routing.MaxRetryAfter, IsKnown: known}
+		MaxRetryAfter: c.Routing.MaxRetryAfter, IsKnown: known,
+	}
 	return set.WithDefaults(), nil
 }
 
--- a/cmd/fennelarch/keys.go
+++ b/cmd/fennelarch/keys.go
@@ -40,13 +40,17 @@
 		return err
 	}
 	m := &maker{folder: k.Folder, until: time.Now().Add(k.For)}
-	ca := &x509.Certificate{Subject: pkix.Name{CommonName: "fennelarch development authority"}, IsCA: true, BasicConstraintsValid: true,
-		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature}
+	ca := &x509.Certificate{
+		Subject: pkix.Name{CommonName: "fennelarch development authority"}, IsCA: true, BasicConstraintsValid: true,
+		KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageDigitalSignature,
+	}
 	if err := m.make("ca", ca); err != nil {
 		return err
 	}
-	server := &x509.Certificate{Subject: pkix.Name{CommonName: k.Names[0]}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
-		KeyUsage: x509.KeyUsageDigitalSignature}
+	server := &x509.Certificate{
+		Subject: pkix.Name{CommonName: k.Names[0]}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
+		KeyUsage: x509.KeyUsageDigitalSignature,
+	}
 	for _, n := range k.Names {
 		if ip := net.ParseIP(n); ip != nil {
 			server.IPAddresses = append(server.IPAddresses, ip)
@@ -58,8 +62,10 @@
 		return err
 	}
 	for _, n := range k.Clients {
-		c := &x509.Certificate{Subject: pkix.Name{CommonName: n}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
-			KeyUsage: x509.KeyUsageDigitalSignature}
+		c := &x509.Certificate{
+			Subject: pkix.Name{CommonName: n}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
+			KeyUsage: x509.KeyUsageDigitalSignature,
+		}
 		if err := m.make(n, c); err != nil {
 			return err
 		}
--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -8,11 +8,11 @@
 	"runtime/debug"
 	"strings"
 
-	"github.com/alecthomas/kong"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/operatorconfig"
 	"fennelarch/internal/system"
+
+	"github.com/alecthomas/kong"
 )
 
 // version is the release; the revision is added where the build knows it.
--- a/cmd/fennelarch/operator_test.go
+++ b/cmd/fennelarch/operator_test.go
@@ -41,8 +41,10 @@
 		time.Sleep(20 * time.Millisecond)
 		return len(f.parent.got("fetch")) == asked && store.Counts().Given > 0
 	})
-	for _, text := range []string{strings.Replace(good, "true", "false", 1), good[:40], strings.Replace(good, "s-redis", "s-other", 1),
-		strings.Replace(good, "50", "0", 1)} {
+	for _, text := range []string{
+		strings.Replace(good, "true", "false", 1), good[:40], strings.Replace(good, "s-redis", "s-other", 1),
+		strings.Replace(good, "50", "0", 1),
+	} {
 		write(text)
 		_ = f.router.Process.Signal(syscall.SIGHUP)
 		time.Sleep(150 * time.Millisecond)
--- a/cmd/fennelarch/patience.go
+++ b/cmd/fennelarch/patience.go
@@ -11,9 +11,9 @@
 	"os"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/system"
+
+	"go.uber.org/zap"
 )
 
 const (
--- a/cmd/fennelarch/recorder.go
+++ b/cmd/fennelarch/recorder.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/flightrecorder"
 	"fennelarch/internal/invariant"
 	"fennelarch/internal/stalldetect"
+
+	"go.uber.org/zap"
 )
 
 // recordedEvents is how many events the recorder holds: some seconds of a busy router, in a fifth of a megabyte.
--- a/cmd/fennelarch/serve.go
+++ b/cmd/fennelarch/serve.go
@@ -15,8 +15,6 @@
 	"syscall"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/discovery"
 	"fennelarch/internal/engine"
@@ -26,6 +24,8 @@
 	"fennelarch/internal/operatorconfig"
 	"fennelarch/internal/upstream"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 func serve(path, recorderFolder string) error {
@@ -52,8 +52,10 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur >= 32 && files.Cur < uint64(c.Sockets) {
 		c.Sockets = int(files.Cur)
 	}
-	told := limits.Inputs{Cores: c.Cores, MemoryMB: c.MemoryMB, Sockets: c.Sockets, StreamsPerConnection: c.Names.StreamsPerConnection,
-		ConnectTimeout: c.Routing.ConnectTimeout, IdleTimeout: c.Names.IdleTimeout, DrainGrace: c.Routing.DrainGrace, PurgeGrace: c.Routing.PurgeGrace}
+	told := limits.Inputs{
+		Cores: c.Cores, MemoryMB: c.MemoryMB, Sockets: c.Sockets, StreamsPerConnection: c.Names.StreamsPerConnection,
+		ConnectTimeout: c.Routing.ConnectTimeout, IdleTimeout: c.Names.IdleTimeout, DrainGrace: c.Routing.DrainGrace, PurgeGrace: c.Routing.PurgeGrace,
+	}
 	for _, t := range c.Routing.Classes {
 		told.LongestDeadline = max(told.LongestDeadline, t.Deadline)
 	}
--- a/cmd/fennelarch/serve_test.go
+++ b/cmd/fennelarch/serve_test.go
@@ -18,9 +18,9 @@
 	"testing"
 	"time"
 
-	"github.com/tidwall/redcon"
-
 	"fennelarch/internal/fake/site"
+
+	"github.com/tidwall/redcon"
 )
 
 // TestMain is the program itself when the tests start it.
--- a/cmd/fennelarch/stores.go
+++ b/cmd/fennelarch/stores.go
@@ -8,14 +8,15 @@
 	"errors"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/discovery"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/operatorconfig"
 	"fennelarch/internal/sharedstore"
+
+	"go.uber.org/zap"
+
 	decide "fennelarch/policy/sharedstore"
 )
 
@@ -34,20 +35,25 @@
 // shared is what the operator's file says of stores, for the decisions.
 func shared(own *operatorconfig.File, c *config.Config, lim limits.Limits) decide.Settings {
 	s := own.Shared
-	set := decide.Settings{Routers: s.Routers, Capacity: s.Capacity, SlowStartShare: s.SlowStartShare, SlowStartFor: operatorconfig.Milliseconds(s.SlowStartMS),
-		OverloadFactor: s.OverloadFactor, MaxInFlight: s.MaxInFlight, MaxValueBytes: lim.ResponseBodyBytes, MaxTTL: operatorconfig.Milliseconds(s.KeepMS), Lease: s.Lease == nil || *s.Lease}
+	set := decide.Settings{
+		Routers: s.Routers, Capacity: s.Capacity, SlowStartShare: s.SlowStartShare, SlowStartFor: operatorconfig.Milliseconds(s.SlowStartMS),
+		OverloadFactor: s.OverloadFactor, MaxInFlight: s.MaxInFlight, MaxValueBytes: lim.ResponseBodyBytes, MaxTTL: operatorconfig.Milliseconds(s.KeepMS), Lease: s.Lease == nil || *s.Lease,
+	}
 	return set.WithDefaults(&c.Routing)
 }
 
 func newStores(own *operatorconfig.File, c *config.Config, lim limits.Limits, start time.Time, post func(time.Time, engine.Message),
-	log *zap.Logger) stores {
+	log *zap.Logger,
+) stores {
 	if len(own.Stores) == 0 {
 		return stores{}
 	}
 	var list []sharedstore.Store
 	for _, s := range own.Stores {
-		list = append(list, sharedstore.Store{UID: s.UID, Addresses: s.Addresses, Listed: s.Listed, Weight: s.Weight, Prefix: s.Prefix,
-			Login: sharedstore.NewLogin(s.User, s.Password, s.Database), TLS: s.Secure})
+		list = append(list, sharedstore.Store{
+			UID: s.UID, Addresses: s.Addresses, Listed: s.Listed, Weight: s.Weight, Prefix: s.Prefix,
+			Login: sharedstore.NewLogin(s.User, s.Password, s.Database), TLS: s.Secure,
+		})
 	}
 	return stores{sharedstore.New(lim, c.Routing, shared(own, c, lim), c.Seed, list, start, post, log)}
 }
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -6,16 +6,15 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
 
-	"maps"
-
-	"github.com/alecthomas/kong"
-
 	"fennelarch/internal/testbed"
 	"fennelarch/internal/testbed/soak"
+
+	"github.com/alecthomas/kong"
 )
 
 type listCmd struct{}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,8 +64,10 @@
 	if err := json.Unmarshal(text, &f); err != nil {
 		return nil, plain("configuration", text, err)
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, DiscoveryAddress: f.Bulletin, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, FlowBytesPerSecond: f.Flow, LinkBytesPerSecond: f.Link, KnownEvents: f.Known}
+	c := &Config{
+		Name: f.Name, Listen: f.Listen, DiscoveryAddress: f.Bulletin, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
+		Sockets: f.Limits.Sockets, FlowBytesPerSecond: f.Flow, LinkBytesPerSecond: f.Link, KnownEvents: f.Known,
+	}
 	if name != "" {
 		c.Name = name
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,9 +14,20 @@
 func ExampleRead() {
 	c, err := Read([]byte(confText), "n4", "")
 	fmt.Println(c.Name, c.Listen, c.Seed, c.Cores, c.MemoryMB, c.Sockets, c.Names, err)
-	for _, odd := range [][2]string{{`{"name"`, `"name"`}, {"8c1f", "xx"}, {"127.0.0.1:9090", "nowhere"}, {`"memory_mb":192`, `"memory_mb":1`},
-		{"retryable", "odd"}, {`"deadline_ms":5000`, `"deadline_ms":0`}, {`"deadline_ms":5000}`, `"deadline_ms":5000},{"name":"clip","effect":"fragile","deadline_ms":1}`},
-		{`"via":"probe"`, `"via":"probe",`}, {`"sockets":1024`, `"sockets":"many"`}, {`"settings"`, `"settinks"`}, {`{"name":"clip","effect":"retryable","deadline_ms":5000}`, ""}, {`"az":1`, `"az":"x"`}} {
+	for _, odd := range [][2]string{
+		{`{"name"`, `"name"`},
+		{"8c1f", "xx"},
+		{"127.0.0.1:9090", "nowhere"},
+		{`"memory_mb":192`, `"memory_mb":1`},
+		{"retryable", "odd"},
+		{`"deadline_ms":5000`, `"deadline_ms":0`},
+		{`"deadline_ms":5000}`, `"deadline_ms":5000},{"name":"clip","effect":"fragile","deadline_ms":1}`},
+		{`"via":"probe"`, `"via":"probe",`},
+		{`"sockets":1024`, `"sockets":"many"`},
+		{`"settings"`, `"settinks"`},
+		{`{"name":"clip","effect":"retryable","deadline_ms":5000}`, ""},
+		{`"az":1`, `"az":"x"`},
+	} {
 		_, err := Read([]byte(strings.Replace(confText, odd[0], odd[1], 1)), "", "")
 		fmt.Println(err)
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -90,8 +90,10 @@
 	reaches = map[string]routing.PeerFill{"location": routing.PeerFillLocation, "any": routing.PeerFillAny}
 	tells   = map[string]routing.ResponseDetail{"hit": routing.DetailHit, "all": routing.DetailFull}
 	vias    = map[string]routing.ReportChannel{"answers": routing.ReportsWithResponses, "probe": routing.ReportsWithHealthChecks}
-	signals = map[string]routing.Signal{"busy_reqs": routing.SignalInFlight, "pending": routing.SignalQueued,
-		"cpu_share": routing.SignalUtilization, "x0": routing.SignalHits, "x1": routing.SignalLinkUtilization}
+	signals = map[string]routing.Signal{
+		"busy_reqs": routing.SignalInFlight, "pending": routing.SignalQueued,
+		"cpu_share": routing.SignalUtilization, "x0": routing.SignalHits, "x1": routing.SignalLinkUtilization,
+	}
 )
 
 func at[T any](list []T, i int) (v T) {
--- a/internal/discovery/bulletin.go
+++ b/internal/discovery/bulletin.go
@@ -18,14 +18,14 @@
 	"sync"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/stalldetect"
 	"fennelarch/internal/system"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 var (
@@ -202,8 +202,10 @@
 					zap.String("zone", t.Zone))
 				continue
 			}
-			n := engine.Endpoint{UID: t.UID, Address: t.Addr, Endpoint: routing.Endpoint{ID: engine.EndpointID(t.UID), State: state,
-				Kind: routing.KindID(kind), Zone: routing.ZoneID(zone), Cell: routing.CellID(t.Cell), Weight: t.Weight}}
+			n := engine.Endpoint{UID: t.UID, Address: t.Addr, Endpoint: routing.Endpoint{
+				ID: engine.EndpointID(t.UID), State: state,
+				Kind: routing.KindID(kind), Zone: routing.ZoneID(zone), Cell: routing.CellID(t.Cell), Weight: t.Weight,
+			}}
 			if t.Boot > 0 {
 				n.BootTime = time.UnixMilli(int64(t.Boot)).UTC()
 			}
--- a/internal/discovery/bulletin_test.go
+++ b/internal/discovery/bulletin_test.go
@@ -13,12 +13,12 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/stalldetect"
+
+	"go.uber.org/zap"
 )
 
 func testFollower() *Watcher {
--- a/internal/engine/clock_test.go
+++ b/internal/engine/clock_test.go
@@ -64,8 +64,10 @@
 		for _, theirs := range []time.Duration{0, step} {
 			w := stepped(0, own)
 			w.view(1, 0, 2*time.Second)
-			w.tell(AttemptResult{Attempt: w.legs[0], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), ETag: "tag",
-				GeneratedAt: w.start.Add(w.at + theirs).Round(0)})
+			w.tell(AttemptResult{
+				Attempt: w.legs[0], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), ETag: "tag",
+				GeneratedAt: w.start.Add(w.at + theirs).Round(0),
+			})
 			w.setClock(step)
 			w.pass(time.Second)
 			if step == 0 && w.ownCopy(ask, time.Minute) == nil {
@@ -82,8 +84,10 @@
 			}
 			// What was on its way when the purge was told is older than it, whatever its stamp says.
 			w.view(2, 0, 2*time.Second)
-			w.tell(AttemptResult{Attempt: w.legs[len(w.legs)-1], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), ETag: "tag",
-				GeneratedAt: w.start.Add(w.at - time.Second + theirs).Round(0)})
+			w.tell(AttemptResult{
+				Attempt: w.legs[len(w.legs)-1], Outcome: routing.Succeeded, Note: routing.NoteHit, Body: []byte("bytes"), ETag: "tag",
+				GeneratedAt: w.start.Add(w.at - time.Second + theirs).Round(0),
+			})
 			if w.ownCopy(ask, 0) != nil {
 				t.Errorf("step %v, stamp stepped by %v: a copy from before a purge is kept after it", step, theirs)
 			}
--- a/internal/engine/crossing_test.go
+++ b/internal/engine/crossing_test.go
@@ -64,8 +64,14 @@
 		name    string
 		outcome routing.Outcome
 		note    routing.Note
-	}{{"succeeded", routing.Succeeded, routing.NoteHit}, {"broken", routing.ConnectionBroken, 0}, {"refused", routing.ConnectFailed, 0},
-		{"missed", routing.CacheMiss, routing.NoteSourceMiss}, {"error", routing.Failed, 0}, {"full", routing.Overloaded, 0}}
+	}{
+		{"succeeded", routing.Succeeded, routing.NoteHit},
+		{"broken", routing.ConnectionBroken, 0},
+		{"refused", routing.ConnectFailed, 0},
+		{"missed", routing.CacheMiss, routing.NoteSourceMiss},
+		{"error", routing.Failed, 0},
+		{"full", routing.Overloaded, 0},
+	}
 	for tariff := range routing.ClassID(2) {
 		for _, end := range ends {
 			for _, ran := range []bool{true, false} { // what giving up finds
--- a/internal/engine/departure_test.go
+++ b/internal/engine/departure_test.go
@@ -4,18 +4,20 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/invariant"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // guarded is a request with a guard of its own.
 func (w *watcher) guarded(id routing.RequestID, left time.Duration) *Request {
 	at := w.start.Add(w.at)
 	var nobody *invariant.Monitor
-	return &Request{ID: id, Client: w, Tag: Tag(id), Object: 7, SizeKB: 100, Timeout: left, ReceivedAt: at,
-		Invariants: nobody.NewRequest(uint64(id), at.Add(left), invariant.RepeatPolicy{})}
+	return &Request{
+		ID: id, Client: w, Tag: Tag(id), Object: 7, SizeKB: 100, Timeout: left, ReceivedAt: at,
+		Invariants: nobody.NewRequest(uint64(id), at.Add(left), invariant.RepeatPolicy{}),
+	}
 }
 
 // A client leaves while its request waits for the engine, and the event that says so is before it, behind it, or not there yet:
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,11 +11,11 @@
 	"sync/atomic"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/flightrecorder"
 	"fennelarch/internal/invariant"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // Tag is a client's name for a view on its connection, Ident its id everywhere.
@@ -220,10 +220,12 @@
 // New returns an engine whose clock starts at start.
 func New(set routing.Settings, seed uint64, queue int, start time.Time, caches Transport, own LocalCacheSettings, log *zap.Logger) *Engine {
 	set.LocalCacheCapacity = own.Capacity()
-	return &Engine{in: make(chan Event, queue), router: routing.New(set, seed), set: set, caches: caches, copies: newCopies(own), log: log,
+	return &Engine{
+		in: make(chan Event, queue), router: routing.New(set, seed), set: set, caches: caches, copies: newCopies(own), log: log,
 		start: start,
 		stop:  math.MaxInt64, views: map[routing.RequestID]*view{}, departures: departures{told: make(chan struct{}, 1)},
-		stamps: newStamps(start, stampsMatter(&set)), started: map[routing.EndpointID]stampedStart{}}
+		stamps: newStamps(start, stampsMatter(&set)), started: map[routing.EndpointID]stampedStart{},
+	}
 }
 
 // SetMonitor has the engine let readers go first just after a stall of the process, and tell a monitor of what must not be.
@@ -427,8 +429,10 @@
 	e.open.Add(1)
 	e.counts.Requests++
 	heap.Push(&e.timers, timer{at: v.end, view: a.ID})
-	e.tell(&routing.Event{Kind: routing.EventRequest, Request: a.ID, Class: a.Class, Tenant: a.Tenant, Object: a.Object, Group: a.Group, Part: a.Part,
-		SizeKB: a.SizeKB, TimeLeft: v.end - e.now, Repeat: a.Repeat, Write: a.Write})
+	e.tell(&routing.Event{
+		Kind: routing.EventRequest, Request: a.ID, Class: a.Class, Tenant: a.Tenant, Object: a.Object, Group: a.Group, Part: a.Part,
+		SizeKB: a.SizeKB, TimeLeft: v.end - e.now, Repeat: a.Repeat, Write: a.Write,
+	})
 }
 
 func (e *Engine) list(l EndpointList) {
@@ -488,8 +492,10 @@
 		}
 	}
 	e.finish(v, l)
-	e.tell(&routing.Event{Kind: routing.EventAttemptResult, Request: l.Request.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: end.Outcome, Note: end.Note,
-		Final: !v.open, Elapsed: max(0, min(at, e.now)-l.sent), FirstByteWait: end.FirstByteWait, LoadReport: end.LoadReport})
+	e.tell(&routing.Event{
+		Kind: routing.EventAttemptResult, Request: l.Request.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: end.Outcome, Note: end.Note,
+		Final: !v.open, Elapsed: max(0, min(at, e.now)-l.sent), FirstByteWait: end.FirstByteWait, LoadReport: end.LoadReport,
+	})
 	e.forget(v)
 }
 
@@ -533,8 +539,10 @@
 	}
 	v := e.views[l.Request.ID]
 	e.finish(v, l)
-	e.queue = append(e.queue, routing.Event{Kind: routing.EventAttemptResult, Request: l.Request.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: how,
-		Final: !v.open, Elapsed: e.now - l.sent})
+	e.queue = append(e.queue, routing.Event{
+		Kind: routing.EventAttemptResult, Request: l.Request.ID, Attempt: l.Number, Endpoint: l.Endpoint, Outcome: how,
+		Final: !v.open, Elapsed: e.now - l.sent,
+	})
 	e.forget(v)
 }
 
@@ -644,8 +652,10 @@
 }
 
 func (e *Engine) send(v *view, a *routing.Action) {
-	l := &Attempt{Request: v.ask, Number: routing.AttemptNumber(len(v.legs)), Endpoint: a.Endpoint, Deadline: e.start.Add(v.end), MaxAge: a.MaxAge, CacheRank: a.CacheRank,
-		FillOptions: a.FillOptions, SentAt: e.start.Add(e.now), sent: e.now}
+	l := &Attempt{
+		Request: v.ask, Number: routing.AttemptNumber(len(v.legs)), Endpoint: a.Endpoint, Deadline: e.start.Add(v.end), MaxAge: a.MaxAge, CacheRank: a.CacheRank,
+		FillOptions: a.FillOptions, SentAt: e.start.Add(e.now), sent: e.now,
+	}
 	if a.StartWithin > 0 {
 		l.NotAfter = e.start.Add(e.now + a.StartWithin)
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // A rig drives an engine by hand, with a clock of its own, and prints what reaches clients and nodes. Its fleet is one
@@ -24,12 +24,15 @@
 const cache, parent, origin routing.EndpointID = 1, 2, 3
 
 func newRig(own ...LocalCacheSettings) *rig {
-	set := routing.Settings{Routers: 1, ZoneRouters: []int{1}, ParentKind: 1, OriginKind: 2, Cancel: true, HedgedRequests: true,
+	set := routing.Settings{
+		Routers: 1, ZoneRouters: []int{1}, ParentKind: 1, OriginKind: 2, Cancel: true, HedgedRequests: true,
 		RetryAfter: true, MaxAttempts: 6, MaxRetryAfter: time.Second, DrainGrace: time.Second, SlowStartShare: 1, ParentSlowStartShare: 1,
 		PurgeGrace: time.Second, PurgeCompleteAfter: 6 * time.Second, AllowDirect: true, ResponseDetail: routing.DetailFull, FlowKBPerSecond: 1000,
 		Classes: []routing.Class{
 			{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second, Value: 2},
-			{LatencyObjective: 700 * time.Millisecond, Deadline: 3 * time.Second, Value: 3, Idempotency: routing.NonIdempotent, Write: true}}}
+			{LatencyObjective: 700 * time.Millisecond, Deadline: 3 * time.Second, Value: 3, Idempotency: routing.NonIdempotent, Write: true},
+		},
+	}
 	r := &rig{start: time.Now(), tried: true}
 	r.Engine = New(set, 1, 16, r.start, r, append(own, LocalCacheSettings{})[0], zap.NewNop())
 	r.stamps.read = func() (time.Duration, time.Time) { return r.at, r.start.Add(r.at).Round(0) }
@@ -52,8 +55,10 @@
 }
 
 func (r *rig) view(id routing.RequestID, tariff routing.ClassID, left time.Duration) {
-	r.tell(&Request{ID: id, Client: r, Tag: Tag(id), Class: tariff, Write: tariff == 1, Object: 7, SizeKB: 100, Timeout: left,
-		ReceivedAt: r.start.Add(r.at)})
+	r.tell(&Request{
+		ID: id, Client: r, Tag: Tag(id), Class: tariff, Write: tariff == 1, Object: 7, SizeKB: 100, Timeout: left,
+		ReceivedAt: r.start.Add(r.at),
+	})
 }
 
 func (r *rig) end(leg int, o routing.Outcome, note routing.Note) {
@@ -266,8 +271,10 @@
 	r := newRig()
 	r.mute = true
 	r.at = 400 * time.Millisecond
-	r.Handle(r.at, Event{Time: r.start.Add(100 * time.Millisecond), Message: &Request{ID: 1, Client: r, SizeKB: 1, Timeout: time.Second,
-		ReceivedAt: r.start.Add(100 * time.Millisecond)}})
+	r.Handle(r.at, Event{Time: r.start.Add(100 * time.Millisecond), Message: &Request{
+		ID: 1, Client: r, SizeKB: 1, Timeout: time.Second,
+		ReceivedAt: r.start.Add(100 * time.Millisecond),
+	}})
 	if len(r.legs) != 1 || r.legs[0].Deadline.Sub(r.start) != 1100*time.Millisecond || r.counts.EventQueueDelay != 300*time.Millisecond {
 		t.Errorf("%d legs, lag %v", len(r.legs), r.counts.EventQueueDelay)
 	}
--- a/internal/fake/site/depot.go
+++ b/internal/fake/site/depot.go
@@ -124,8 +124,10 @@
 
 // AddAt starts a node at an address.
 func (s *Site) AddAt(address, uid string, kind Kind, weight float64, t Times, seed uint64) (*Node, error) {
-	n := &Node{UID: uid, Kind: kind, Weight: weight, times: t, site: s, held: map[Object]copied{}, conns: map[net.Conn]bool{},
-		rng: rand.New(rand.NewPCG(seed, 2))}
+	n := &Node{
+		UID: uid, Kind: kind, Weight: weight, times: t, site: s, held: map[Object]copied{}, conns: map[net.Conn]bool{},
+		rng: rand.New(rand.NewPCG(seed, 2)),
+	}
 	var err error
 	if n.ln, err = net.Listen("tcp", address); err != nil {
 		return nil, err
--- a/internal/flightrecorder/flightrec.go
+++ b/internal/flightrecorder/flightrec.go
@@ -40,10 +40,12 @@
 	Violation                         // ID: the request or connection, Reason: a guard.Violation
 )
 
-var names = [...]string{"connection accepted", "connection closed", "request arrived", "request refused",
+var names = [...]string{
+	"connection accepted", "connection closed", "request arrived", "request refused",
 	"attempt queued", "attempt refused", "attempt sent", "attempt whole", "attempt ended", "attempt aborted",
 	"request ended", "server dialled", "server closed", "list received", "purge received", "server state",
-	"poll failed", "reloaded", "stalled", "clock stepped", "stopping", "VIOLATION"}
+	"poll failed", "reloaded", "stalled", "clock stepped", "stopping", "VIOLATION",
+}
 
 // String is the name under which an event is written out.
 func (e Event) String() string { return names[e] }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -2,10 +2,6 @@
 
 import (
 	"errors"
-	"fennelarch/internal/engine"
-	"fennelarch/internal/invariant"
-	"fennelarch/internal/system"
-	"fennelarch/policy/admission"
 	"io"
 	"net"
 	"os"
@@ -14,6 +10,11 @@
 	"syscall"
 	"time"
 
+	"fennelarch/internal/engine"
+	"fennelarch/internal/invariant"
+	"fennelarch/internal/system"
+	"fennelarch/policy/admission"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -13,12 +13,12 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // house is a server whose views come by a channel.
--- a/internal/frontend/door_test.go
+++ b/internal/frontend/door_test.go
@@ -17,13 +17,13 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/admission"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 func serve(t *testing.T, d Options) (address string, s *Server) {
@@ -146,8 +146,12 @@
 	if got := ask(before); got != up || name != "one" {
 		t.Fatalf("%q of %s", got, name)
 	}
-	for _, bad := range []TLSFiles{{Cert: at("none.crt"), Key: at("one.key")}, {Cert: at("one.crt"), Key: at("two.key")},
-		{Cert: at("old.crt"), Key: at("old.key")}, {Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("one.key")}} {
+	for _, bad := range []TLSFiles{
+		{Cert: at("none.crt"), Key: at("one.key")},
+		{Cert: at("one.crt"), Key: at("two.key")},
+		{Cert: at("old.crt"), Key: at("old.key")},
+		{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("one.key")},
+	} {
 		if err := keys.Load(bad); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v", err)
 		}
--- a/internal/frontend/keys.go
+++ b/internal/frontend/keys.go
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/system"
 	"fennelarch/policy/admission"
+
+	"go.uber.org/zap"
 )
 
 // TLSFiles name what a front needs for TLS.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -12,15 +12,15 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/tidwall/redcon"
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/admission"
 	"fennelarch/policy/routing"
+
+	"github.com/tidwall/redcon"
+	"go.uber.org/zap"
 )
 
 // Server takes clients.
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // Clients that only sit there make room for those that come; where all are busy, the new one is closed. What is in
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -106,9 +106,11 @@
 
 func newSession(s *shared, client engine.Client, admits func(admission.Event) (time.Duration, bool), now time.Time) *session {
 	l := &s.limits
-	return &session{shared: s, client: client, admits: admits, begun: now, in: resp.Ring{Bound: l.ClientReadBuffer}, out: resp.Writer{Ring: resp.Ring{Bound: l.ClientWriteBuffer}},
+	return &session{
+		shared: s, client: client, admits: admits, begun: now, in: resp.Ring{Bound: l.ClientReadBuffer}, out: resp.Writer{Ring: resp.Ring{Bound: l.ClientWriteBuffer}},
 		dec:  resp.Decoder{Args: l.FrameStrings, Size: l.ClientReadBuffer - 2*l.FieldBytes, Most: l.ClientReadBuffer},
-		open: map[engine.Tag]*engine.Request{}}
+		open: map[engine.Tag]*engine.Request{},
+	}
 }
 
 // space is where what comes next is to be read into.
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -19,8 +19,10 @@
 func open(admission.Event) (time.Duration, bool) { return 0, true }
 
 func testSession() *session {
-	s := &shared{limits: limits.From(limits.Inputs{MemoryMB: 6, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second}),
-		tariffs: map[string]routing.ClassID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]invariant.RepeatPolicy, 2), open: map[engine.ClientRequestID]claim{}}
+	s := &shared{
+		limits:  limits.From(limits.Inputs{MemoryMB: 6, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second}),
+		tariffs: map[string]routing.ClassID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]invariant.RepeatPolicy, 2), open: map[engine.ClientRequestID]claim{},
+	}
 	s.due, s.growth = make([]time.Duration, len(s.writes)), make([]float64, len(s.writes))
 	return newSession(s, nil, open, time.Time{})
 }
--- a/internal/invariant/guard.go
+++ b/internal/invariant/guard.go
@@ -15,10 +15,10 @@
 	"sync/atomic"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/flightrecorder"
 	"fennelarch/internal/stalldetect"
+
+	"go.uber.org/zap"
 )
 
 const (
--- a/internal/invariant/guard_test.go
+++ b/internal/invariant/guard_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/flightrecorder"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 var (
--- a/internal/invariant/reasons.go
+++ b/internal/invariant/reasons.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/flightrecorder"
 	"fennelarch/internal/system"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // Violation is a kind of broken invariant.
@@ -29,9 +29,11 @@
 	violationKinds
 )
 
-var violationNames = [violationKinds]string{"attempt_after_end", "attempt_after_deadline", "attempt_after_bound",
+var violationNames = [violationKinds]string{
+	"attempt_after_end", "attempt_after_deadline", "attempt_after_bound",
 	"deadline_too_long", "repeat_unsafe", "answered_twice", "answered_late", "refused_though_ran", "request_unanswered",
-	"attempt_cut_off", "stale_copy_served"}
+	"attempt_cut_off", "stale_copy_served",
+}
 
 // String is the name under which a kind is counted and logged.
 func (v Violation) String() string { return violationNames[v] }
@@ -50,8 +52,10 @@
 	sendRefusals
 )
 
-var sendRefusalNames = [sendRefusals]string{"allowed", "request_ended", "deadline_passed", "bound_passed",
-	"repeat_unsafe", "no_connection"}
+var sendRefusalNames = [sendRefusals]string{
+	"allowed", "request_ended", "deadline_passed", "bound_passed",
+	"repeat_unsafe", "no_connection",
+}
 
 // String is the name under which a reason is recorded.
 func (r SendDenial) String() string { return sendRefusalNames[r] }
@@ -105,9 +109,11 @@
 	closeReasons
 )
 
-var closeReasonNames = [closeReasons]string{"client_left", "read_failed", "write_failed", "unreadable", "incomplete",
+var closeReasonNames = [closeReasons]string{
+	"client_left", "read_failed", "write_failed", "unreadable", "incomplete",
 	"rested", "for_room", "stopping", "handshake", "turned_away", "server_idle", "server_for_room", "server_unsure",
-	"server_ended", "server_write", "server_spoilt", "server_half_written", "server_moved", "server_dial_failed"}
+	"server_ended", "server_write", "server_spoilt", "server_half_written", "server_moved", "server_dial_failed",
+}
 
 // String is the name under which a reason is counted and recorded.
 func (r CloseReason) String() string { return closeReasonNames[r] }
@@ -123,14 +129,18 @@
 }
 
 // outcomes name how attempts end.
-var outcomes = map[routing.Outcome]string{routing.Succeeded: "succeeded", routing.Failed: "errored", routing.Overloaded: "full",
+var outcomes = map[routing.Outcome]string{
+	routing.Succeeded: "succeeded", routing.Failed: "errored", routing.Overloaded: "full",
 	routing.TimedOut: "timed_out", routing.ConnectFailed: "unconnected", routing.ConnectionBroken: "broken", routing.Cancelled: "cancelled",
-	routing.NotSent: "never_sent", routing.CacheMiss: "missed"}
+	routing.NotSent: "never_sent", routing.CacheMiss: "missed",
+}
 
 var memberStates = map[routing.EndpointState]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
 
-var localFaults = map[system.Fault]string{system.FaultNone: "up", system.FaultLocal: "local", system.FaultRefused: "refused",
-	system.FaultSilent: "silent", system.FaultBroken: "broken"}
+var localFaults = map[system.Fault]string{
+	system.FaultNone: "up", system.FaultLocal: "local", system.FaultRefused: "refused",
+	system.FaultSilent: "silent", system.FaultBroken: "broken",
+}
 
 // ReasonName names the reason of a recorded event, or nothing where the event has none.
 func ReasonName(event flightrecorder.Event, reason uint8) string {
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -4,10 +4,10 @@
 	"sync"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/flightrecorder"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // RepeatPolicy says what repeats of a request may do, as its class has it.
@@ -83,8 +83,10 @@
 		return false
 	}
 	r.end, r.ended = reason, now
-	r.monitor.Record(flightrecorder.Entry{Event: flightrecorder.RequestEnded, ID: r.id, Reason: uint8(reason),
-		Value: r.deadline.Sub(now).Milliseconds()})
+	r.monitor.Record(flightrecorder.Entry{
+		Event: flightrecorder.RequestEnded, ID: r.id, Reason: uint8(reason),
+		Value: r.deadline.Sub(now).Milliseconds(),
+	})
 	if reason == EndRejected && r.repeat.Idempotency == routing.NonIdempotent && r.mayHaveRun() {
 		r.monitor.Violate(RejectedThoughRan, r.id)
 	}
@@ -232,6 +234,8 @@
 }
 
 func (r *Request) record(event flightrecorder.Event, a Attempt, reason uint8, value int64) {
-	r.monitor.Record(flightrecorder.Entry{Event: event, ID: r.id, Endpoint: uint64(a.Server.Endpoint), Attempt: uint8(a.Number),
-		Reason: reason, Value: value})
+	r.monitor.Record(flightrecorder.Entry{
+		Event: event, ID: r.id, Endpoint: uint64(a.Server.Endpoint), Attempt: uint8(a.Number),
+		Reason: reason, Value: value,
+	})
 }
--- a/internal/operatorconfig/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -9,7 +9,6 @@
 	_ "embed"
 	"encoding/json"
 	"errors"
-	"fennelarch/internal/system"
 	"fmt"
 	"path/filepath"
 	"reflect"
@@ -18,6 +17,8 @@
 	"strings"
 	"time"
 
+	"fennelarch/internal/system"
+
 	"github.com/santhosh-tekuri/jsonschema/v6"
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 	"golang.org/x/text/language"
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -12,8 +12,10 @@
 
 // Replies come whole however their bytes come, and a length out of bounds ends it when it is announced.
 func ExampleReplies() {
-	for _, text := range []string{"+OK\r\n", "-OOM no memory\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$-1\r\n", "*2\r\n$1\r\na\r\n*1\r\n:3\r\n+PONG\r\n",
-		"$65\r\n", "*9\r\n", "$1\r\nab\r\n", "!\r\n", "+" + strings.Repeat("x", 41), "$x\r\n", "*3\r\n*3\r\n*3\r\n"} {
+	for _, text := range []string{
+		"+OK\r\n", "-OOM no memory\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$-1\r\n", "*2\r\n$1\r\na\r\n*1\r\n:3\r\n+PONG\r\n",
+		"$65\r\n", "*9\r\n", "$1\r\nab\r\n", "!\r\n", "+" + strings.Repeat("x", 41), "$x\r\n", "*3\r\n*3\r\n*3\r\n",
+	} {
 		d, r := newReplies()
 		for i := range len(text) {
 			r.Append([]byte{text[i]})
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -61,8 +61,10 @@
 
 // What breaks the framing is told when it is announced: no bound waits for the bytes.
 func Example_wrong() {
-	for _, s := range []string{"PING\r\n", "*0\r\n", "*-1\r\n", "*5\r\n", "*1\r\n$-1\r\n", "*1\r\n$41\r\n", "*1\r\n$99999999999999\r\n",
-		"*3\r\n$40\r\n" + strings.Repeat("x", 40) + "\r\n$30\r\n", "*\r\n", "*1\n", "*1\r\r", "*1\r\n$1x\r\n", "*1\r\n$1\r\nab\r\n", "*1\r\n:1\r\n"} {
+	for _, s := range []string{
+		"PING\r\n", "*0\r\n", "*-1\r\n", "*5\r\n", "*1\r\n$-1\r\n", "*1\r\n$41\r\n", "*1\r\n$99999999999999\r\n",
+		"*3\r\n$40\r\n" + strings.Repeat("x", 40) + "\r\n$30\r\n", "*\r\n", "*1\n", "*1\r\r", "*1\r\n$1x\r\n", "*1\r\n$1\r\nab\r\n", "*1\r\n:1\r\n",
+	} {
 		got, err := decode(s, 64)
 		fmt.Printf("%.12q %s%v\n", s, got, err == ErrFraming)
 	}
--- a/internal/sharedstore/carrier.go
+++ b/internal/sharedstore/carrier.go
@@ -12,11 +12,12 @@
 	"sync"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+
 	decide "fennelarch/policy/sharedstore"
 )
 
@@ -77,10 +78,13 @@
 
 // New returns a carrier for the stores given. What is for the engine goes to deliver, from goroutines of its own only.
 func New(l limits.Limits, set routing.Settings, decisions decide.Settings, seed uint64, stores []Store, start time.Time,
-	deliver func(at time.Time, message engine.Message), log *zap.Logger) *Transport {
-	c := &Transport{limits: l, set: set, log: log, start: start, deliver: deliver, wake: make(chan struct{}, 1),
+	deliver func(at time.Time, message engine.Message), log *zap.Logger,
+) *Transport {
+	c := &Transport{
+		limits: l, set: set, log: log, start: start, deliver: deliver, wake: make(chan struct{}, 1),
 		stores: map[routing.EndpointID]*server{}, members: map[routing.EndpointID]engine.Endpoint{}, kinds: map[routing.EndpointID]routing.KindID{},
-		ops: map[decide.OpID]*op{}, legs: map[*engine.Attempt]decide.OpID{}}
+		ops: map[decide.OpID]*op{}, legs: map[*engine.Attempt]decide.OpID{},
+	}
 	var ids []routing.EndpointID
 	for _, s := range stores {
 		id := engine.EndpointID(s.UID)
@@ -274,8 +278,10 @@
 	c.ops[c.last] = &op{leg: l, store: c.stores[id], relay: relay}
 	c.legs[l] = c.last
 	t := &c.set.Classes[a.Class]
-	e := decide.Event{Kind: decide.EventAsk, Op: c.last, Node: id, Object: a.Object, Part: a.Part, Group: a.Group,
-		Held: l.FillOptions&routing.OnlyIfCached != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.MaxAge}
+	e := decide.Event{
+		Kind: decide.EventAsk, Op: c.last, Node: id, Object: a.Object, Part: a.Part, Group: a.Group,
+		Held: l.FillOptions&routing.OnlyIfCached != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.MaxAge,
+	}
 	if !relay {
 		e.Source = l.Source
 	}
@@ -347,8 +353,10 @@
 	}
 	o.fill = nil
 	a := o.leg.Request
-	e := decide.Event{Kind: decide.EventFilled, Op: id, Outcome: end.Outcome, Note: end.Note, Waited: end.FirstByteWait,
-		Took: at.Sub(o.begun), Size: len(end.Body)}
+	e := decide.Event{
+		Kind: decide.EventFilled, Op: id, Outcome: end.Outcome, Note: end.Note, Waited: end.FirstByteWait,
+		Took: at.Sub(o.begun), Size: len(end.Body),
+	}
 	if end.Outcome == routing.Succeeded {
 		o.born = end.GeneratedAt
 		o.copy = Copy{Object: a.Object, Part: a.Part, Group: a.Group, Sum: end.ETag, Body: end.Body}
@@ -445,16 +453,20 @@
 		p.Marks = p.Marks[:len(p.Marks):len(p.Marks)]
 		s.reading = s.send(command{verb: verbWrite, args: args, plan: p})
 		if p.Old > 0 {
-			s.send(command{verb: verbIgnore, args: [][]byte{[]byte("ZREMRANGEBYSCORE"), s.keys.ledger(), []byte("-inf"),
-				strconv.AppendInt([]byte{'('}, int64(p.Old), 10)}})
+			s.send(command{verb: verbIgnore, args: [][]byte{
+				[]byte("ZREMRANGEBYSCORE"), s.keys.ledger(), []byte("-inf"),
+				strconv.AppendInt([]byte{'('}, int64(p.Old), 10),
+			}})
 		}
 	}
 }
 
 func (s *server) page(from float64) command {
-	return command{verb: verbMarks, from: from, args: [][]byte{[]byte("ZRANGEBYSCORE"), s.keys.ledger(),
+	return command{verb: verbMarks, from: from, args: [][]byte{
+		[]byte("ZRANGEBYSCORE"), s.keys.ledger(),
 		strconv.AppendFloat(nil, from, 'f', -1, 64), []byte("+inf"), []byte("WITHSCORES"), []byte("LIMIT"), []byte("0"),
-		strconv.AppendInt(nil, marksPage, 10)}}
+		strconv.AppendInt(nil, marksPage, 10),
+	}}
 }
 
 // marked takes a page of a store's marks. A page that holds one moment only can't be passed: then the marks are not whole.
@@ -517,14 +529,18 @@
 	case decide.ActionGet:
 		c.send(o, command{verb: verbGet, op: a.Op, key: k, args: [][]byte{[]byte("GET"), o.store.keys.value(k.object, k.part)}})
 	case decide.ActionLease:
-		c.send(o, command{verb: verbLease, op: a.Op, key: k, args: [][]byte{[]byte("SET"), o.store.keys.lease(k.object, k.part),
-			[]byte("1"), []byte("NX"), []byte("PX"), millis(a.Wait)}})
+		c.send(o, command{verb: verbLease, op: a.Op, key: k, args: [][]byte{
+			[]byte("SET"), o.store.keys.lease(k.object, k.part),
+			[]byte("1"), []byte("NX"), []byte("PX"), millis(a.Wait),
+		}})
 	case decide.ActionUnlease:
 		o.store.send(command{verb: verbIgnore, args: [][]byte{[]byte("DEL"), o.store.keys.lease(k.object, k.part)}})
 	case decide.ActionSet:
 		o.copy.Valid = a.Valid
-		c.send(o, command{verb: verbSet, op: a.Op, key: k, args: [][]byte{[]byte("PSETEX"), o.store.keys.value(k.object, k.part),
-			millis(a.Wait), o.copy.Encode(make([]byte, 0, overhead+len(o.copy.Sum)+len(o.copy.Body)))}})
+		c.send(o, command{verb: verbSet, op: a.Op, key: k, args: [][]byte{
+			[]byte("PSETEX"), o.store.keys.value(k.object, k.part),
+			millis(a.Wait), o.copy.Encode(make([]byte, 0, overhead+len(o.copy.Sum)+len(o.copy.Body))),
+		}})
 	case decide.ActionFill:
 		c.fill(a, o)
 	case decide.ActionDropFill:
@@ -556,8 +572,10 @@
 func (c *Transport) fill(a *decide.Action, o *op) {
 	ask := *o.leg.Request
 	ask.HeldETag = "" // the store needs the bytes
-	l := &engine.Attempt{Request: &ask, Number: o.leg.Number, Endpoint: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, MaxAge: a.Age,
-		FillOptions: o.leg.FillOptions &^ (routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached)}
+	l := &engine.Attempt{
+		Request: &ask, Number: o.leg.Number, Endpoint: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, MaxAge: a.Age,
+		FillOptions: o.leg.FillOptions &^ (routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached),
+	}
 	if c.kinds[l.Endpoint] == c.set.ParentKind && o.leg.FillOptions&routing.OnlyIfCached == 0 {
 		l.Source = c.origin
 	}
--- a/internal/sharedstore/link.go
+++ b/internal/sharedstore/link.go
@@ -9,11 +9,12 @@
 	"strconv"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
 	"fennelarch/policy/routing"
+
+	"github.com/cespare/xxhash/v2"
+
 	decide "fennelarch/policy/sharedstore"
 )
 
@@ -120,8 +121,10 @@
 		k.waiting = append(k.waiting, command{verb: verbGreet, args: args})
 	}
 	if as.database > 0 {
-		k.waiting = append(k.waiting, command{verb: verbGreet, args: [][]byte{[]byte("SELECT"),
-			strconv.AppendInt(nil, int64(as.database), 10)}})
+		k.waiting = append(k.waiting, command{verb: verbGreet, args: [][]byte{
+			[]byte("SELECT"),
+			strconv.AppendInt(nil, int64(as.database), 10),
+		}})
 	}
 	k.waiting = append(k.waiting, command{verb: verbInfo, args: [][]byte{[]byte("INFO"), []byte("server")}})
 	return k
@@ -192,10 +195,12 @@
 }
 
 // refusals gives the first word of a store's error its meaning.
-var refusals = map[string]decide.Reply{"LOADING": decide.ReplyLoading, "OOM": decide.ReplyFull, "READONLY": decide.ReplyReadOnly,
+var refusals = map[string]decide.Reply{
+	"LOADING": decide.ReplyLoading, "OOM": decide.ReplyFull, "READONLY": decide.ReplyReadOnly,
 	"MISCONF": decide.ReplyReadOnly, "NOREPLICAS": decide.ReplyReadOnly, "NOAUTH": decide.ReplyDenied, "WRONGPASS": decide.ReplyDenied,
 	"NOPERM": decide.ReplyDenied, "BUSY": decide.ReplyBusy, "MASTERDOWN": decide.ReplyBusy, "TRYAGAIN": decide.ReplyBusy,
-	"MOVED": decide.ReplyMoved, "ASK": decide.ReplyMoved, "CLUSTERDOWN": decide.ReplyMoved}
+	"MOVED": decide.ReplyMoved, "ASK": decide.ReplyMoved, "CLUSTERDOWN": decide.ReplyMoved,
+}
 
 // refused says what an error reply means.
 func refused(text []byte) (decide.Reply, error) {
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/server.go
@@ -14,6 +14,7 @@
 
 	"fennelarch/internal/system"
 	"fennelarch/policy/routing"
+
 	decide "fennelarch/policy/sharedstore"
 )
 
@@ -197,7 +198,9 @@
 	s.carrier.mu.Lock()
 	defer s.carrier.mu.Unlock()
 	if !s.reading && !s.lost {
-		s.reading = s.send(command{verb: verbInterval,
-			args: [][]byte{[]byte("ZMSCORE"), s.keys.ledger(), []byte(memberSeen), []byte(memberFloor)}})
+		s.reading = s.send(command{
+			verb: verbInterval,
+			args: [][]byte{[]byte("ZMSCORE"), s.keys.ledger(), []byte(memberSeen), []byte(memberFloor)},
+		})
 	}
 }
--- a/internal/sharedstore/store_test.go
+++ b/internal/sharedstore/store_test.go
@@ -8,13 +8,14 @@
 	"testing"
 	"time"
 
-	goredis "github.com/redis/go-redis/v9"
-	"go.uber.org/zap"
-
 	"fennelarch/internal/engine"
 	"fennelarch/internal/fake/redis"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/routing"
+
+	goredis "github.com/redis/go-redis/v9"
+	"go.uber.org/zap"
+
 	decide "fennelarch/policy/sharedstore"
 )
 
@@ -153,8 +154,10 @@
 	ctx, end := context.WithCancel(context.Background())
 	t.Cleanup(func() { end(); s.Close() })
 	go r.Run(ctx)
-	list := r.Told(engine.EndpointList{Complete: true, Endpoints: []engine.Endpoint{{UID: parentNode, Endpoint: routing.Endpoint{ID: engine.EndpointID(parentNode),
-		State: routing.Ready, Kind: 1}}}}).(engine.EndpointList)
+	list := r.Told(engine.EndpointList{Complete: true, Endpoints: []engine.Endpoint{{UID: parentNode, Endpoint: routing.Endpoint{
+		ID:    engine.EndpointID(parentNode),
+		State: routing.Ready, Kind: 1,
+	}}}}).(engine.EndpointList)
 	r.UpdateEndpoints(list.Endpoints, true)
 	for until := time.Now().Add(5 * time.Second); s.Counts().Commands < 3 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
@@ -165,8 +168,10 @@
 
 func (r *rig) ask(object routing.ObjectID) *engine.Attempt {
 	now := time.Now()
-	l := &engine.Attempt{Request: &engine.Request{Object: object, Group: 1, SizeKB: 10, Timeout: time.Second, ReceivedAt: now}, Endpoint: engine.EndpointID(storeNode),
-		Source: engine.EndpointID(parentNode), Deadline: now.Add(time.Second), SentAt: now}
+	l := &engine.Attempt{
+		Request: &engine.Request{Object: object, Group: 1, SizeKB: 10, Timeout: time.Second, ReceivedAt: now}, Endpoint: engine.EndpointID(storeNode),
+		Source: engine.EndpointID(parentNode), Deadline: now.Add(time.Second), SentAt: now,
+	}
 	r.Send(l)
 	return l
 }
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -9,11 +9,11 @@
 	"errors"
 	"strconv"
 
+	"fennelarch/policy/routing"
+
 	"github.com/cespare/xxhash/v2"
 
 	decide "fennelarch/policy/sharedstore"
-
-	"fennelarch/policy/routing"
 )
 
 // Copy is what a value holds.
@@ -72,8 +72,10 @@
 		return c, ErrCorrupt
 	}
 	at := binary.BigEndian.Uint64(b[12:])
-	c = Copy{Object: routing.ObjectID(binary.BigEndian.Uint64(b[4:])), Part: int(at >> 32), Group: routing.GroupID(at),
-		Born: decide.Timestamp(binary.BigEndian.Uint64(b[20:])), Valid: decide.Timestamp(binary.BigEndian.Uint64(b[28:]))}
+	c = Copy{
+		Object: routing.ObjectID(binary.BigEndian.Uint64(b[4:])), Part: int(at >> 32), Group: routing.GroupID(at),
+		Born: decide.Timestamp(binary.BigEndian.Uint64(b[20:])), Valid: decide.Timestamp(binary.BigEndian.Uint64(b[28:])),
+	}
 	tag := headSize + int(b[3])
 	c.Sum, c.Body = string(b[headSize:tag]), b[tag:end]
 	return c, nil
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -75,10 +75,12 @@
 	le.PutUint32(long[8:], 0xfffffff0)
 	many := append([]byte{}, good...)
 	le.PutUint32(many[4:], 1000)
-	for _, in := range [][]byte{good[:5], good[:40], long, many, frame(1, "", "63 07000000"),
+	for _, in := range [][]byte{
+		good[:5], good[:40], long, many, frame(1, "", "63 07000000"),
 		frame(1, "", "02 03 ff000000 02000000"), frame(1, "", "02 10"), frame(1, "", "01 07000000 03 09"),
 		frame(1, "", "07 07000000 0000000000000000 0000 000000000000 6300"),
-		frame(1, "{", "03 07000000 0100000000000000 00000000 01000000")} {
+		frame(1, "{", "03 07000000 0100000000000000 00000000 01000000"),
+	} {
 		fmt.Println(NewHost().Serve(bytes.NewReader(in), &bytes.Buffer{}))
 	}
 	// Output:
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -83,8 +83,10 @@
 
 var (
 	exhaustion = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
-	passing    = []error{syscall.EINTR, syscall.EAGAIN, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ESTALE,
-		syscall.EBUSY, syscall.ETXTBSY, syscall.EIO}
+	passing    = []error{
+		syscall.EINTR, syscall.EAGAIN, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ESTALE,
+		syscall.EBUSY, syscall.ETXTBSY, syscall.EIO,
+	}
 )
 
 func isOneOf(err error, list []error) bool {
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -57,8 +57,10 @@
 func parsePlan(text string) (*faultPlan, error) {
 	p := &faultPlan{began: time.Now()}
 	seed := uint64(1)
-	rates := map[string]*float64{"accept": &p.accept, "dial": &p.dial, "read": &p.read, "write": &p.write, "reset": &p.reset,
-		"file": &p.file}
+	rates := map[string]*float64{
+		"accept": &p.accept, "dial": &p.dial, "read": &p.read, "write": &p.write, "reset": &p.reset,
+		"file": &p.file,
+	}
 	for i, word := range strings.Fields(text) {
 		name, value, _ := strings.Cut(word, "=")
 		var err error
--- a/internal/testbed/admission.go
+++ b/internal/testbed/admission.go
@@ -274,7 +274,8 @@
 
 // besieged plays one arm: a crew works, a flood comes, and what became of both is told.
 func besieged(r *Result, name string, o Options, operator map[string]any, keys *tls.Config, fl func(address string) *flood, n int, rate float64,
-	during func(s *Scene)) (calm, hard crewSeen, f *flood, err error) {
+	during func(s *Scene),
+) (calm, hard crewSeen, f *flood, err error) {
 	set := storeSetup(1, false)
 	set.SizeKB, set.Objects = 30, 30
 	set.Extra = operator
@@ -475,8 +476,10 @@
 
 // part is the operator's part for a router with these keys.
 func (k *keyring) part() map[string]any {
-	return map[string]any{"cert_file": filepath.Join(k.folder, "server.crt"), "key_file": filepath.Join(k.folder, "server.key"),
-		"client_ca_file": filepath.Join(k.folder, "ca.crt"), "client": "optional"}
+	return map[string]any{
+		"cert_file": filepath.Join(k.folder, "server.crt"), "key_file": filepath.Join(k.folder, "server.key"),
+		"client_ca_file": filepath.Join(k.folder, "ca.crt"), "client": "optional",
+	}
 }
 
 var _ = Register(Experiment{"admission-shared", "behind one address, one bad and fifty good clients are told apart by certificate", func(o Options, r *Result) error {
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"github.com/tidwall/redcon"
-
 	"fennelarch/internal/fake/site"
+
+	"github.com/tidwall/redcon"
 )
 
 func frame(words ...string) []byte {
--- a/internal/testbed/judge_test.go
+++ b/internal/testbed/judge_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"fennelarch/internal/fake/site"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 // The judge sees each kind of breach: a claim that cannot fail shows nothing.
@@ -19,8 +19,10 @@
 	o := site.Object{ID: 1}
 	s.purges = []purge{{object: 1, at: at.Add(-3 * time.Second)}}
 	view := func(change func(*View)) *View {
-		v := &View{Tariff: "clip", Object: o, Meant: at, Sent: at, Timeout: time.Second, Due: 400 * time.Millisecond, Answers: 1,
-			Answered: at.Add(50 * time.Millisecond), Word: "OK", Body: site.Body(o, at.Add(-time.Second), 100)}
+		v := &View{
+			Tariff: "clip", Object: o, Meant: at, Sent: at, Timeout: time.Second, Due: 400 * time.Millisecond, Answers: 1,
+			Answered: at.Add(50 * time.Millisecond), Word: "OK", Body: site.Body(o, at.Add(-time.Second), 100),
+		}
 		change(v)
 		return v
 	}
--- a/internal/testbed/router.go
+++ b/internal/testbed/router.go
@@ -38,8 +38,10 @@
 
 // Usual are settings of a middling site.
 func Usual(routers int) Settings {
-	return Settings{Routers: routers, Direct: true, Grace: time.Second, FlowKB: 5000, MemoryMB: 192, Sockets: 1024, DueMS: 400,
-		HardMS: 5000, ColdMS: 10000, ColdShare: 0.3}
+	return Settings{
+		Routers: routers, Direct: true, Grace: time.Second, FlowKB: 5000, MemoryMB: 192, Sockets: 1024, DueMS: 400,
+		HardMS: 5000, ColdMS: 10000, ColdShare: 0.3,
+	}
 }
 
 func (s Settings) text() map[string]any {
@@ -55,18 +57,27 @@
 		"az": 0, "dcs": []string{"west"}, "shapes": []string{"box", "parent", "origin"}, "n_instances": s.Routers,
 		"registry_mode": "automatic", "weight_source": "rough",
 		"classes": []map[string]any{
-			{"name": "clip", "target_ms": s.DueMS, "aim_stretch": 1.6, "deadline_ms": s.HardMS, "importance": 2, "late_worth": 0.15,
-				"effect": "retryable"},
-			{"name": "signoff", "target_ms": 700, "deadline_ms": 3000, "importance": 3, "effect": "fragile"}},
-		"caps": map[string]any{"cancelling": true, "conn_idle_ms": 30000, "connect_timeout_ms": 400, "max_retry_after_ms": 1000,
-			"most_tries": 6, "multiplex": 100, "probes": true, "retry_after": true, "second_copies": true},
+			{
+				"name": "clip", "target_ms": s.DueMS, "aim_stretch": 1.6, "deadline_ms": s.HardMS, "importance": 2, "late_worth": 0.15,
+				"effect": "retryable",
+			},
+			{"name": "signoff", "target_ms": 700, "deadline_ms": 3000, "importance": 3, "effect": "fragile"},
+		},
+		"caps": map[string]any{
+			"cancelling": true, "conn_idle_ms": 30000, "connect_timeout_ms": 400, "max_retry_after_ms": 1000,
+			"most_tries": 6, "multiplex": 100, "probes": true, "retry_after": true, "second_copies": true,
+		},
 		"report": map[string]any{"columns": []string{"cpu_share"}, "via": "probe"},
-		"rules": map[string]any{"drain_grace_ms": s.Grace.Milliseconds(), "start_capacity": s.ColdShare, "cold_ms": s.ColdMS,
-			"fall_multiple": 2.5, "overload_for_ms": 3000},
-		"specifics": map[string]any{"class_write": []bool{false, true}, "flow_kb_per_s": s.FlowKB, "gone_everywhere_ms": 1000,
+		"rules": map[string]any{
+			"drain_grace_ms": s.Grace.Milliseconds(), "start_capacity": s.ColdShare, "cold_ms": s.ColdMS,
+			"fall_multiple": 2.5, "overload_for_ms": 3000,
+		},
+		"specifics": map[string]any{
+			"class_write": []bool{false, true}, "flow_kb_per_s": s.FlowKB, "gone_everywhere_ms": 1000,
 			"lifetime_by_class_ms": []float64{s.FreshMS, 0}, "may_pass_by": s.Direct, "neighbours": "any", "parent_floor": 1,
 			"parent_ramp_ms": 1, "upper_fall_multiple": 2, "purge_grace_ms": s.Grace.Milliseconds(), "root_kind": 2,
-			"second_tier_kind": 1, "says": "all", "seats_by_zone": []int{s.Routers}, "origin_limit_factor": 2.5, "origin_bears_ms": 3000},
+			"second_tier_kind": 1, "says": "all", "seats_by_zone": []int{s.Routers}, "origin_limit_factor": 2.5, "origin_bears_ms": 3000,
+		},
 	}
 }
 
@@ -134,9 +145,11 @@
 
 // Configure writes the configuration anew.
 func (r *Router) Configure(seed uint64, s Settings, bulletin, known string) error {
-	text, err := json.Marshal(map[string]any{"name": r.Name, "listen": r.Address, "seed": fmt.Sprintf("%016x", seed),
+	text, err := json.Marshal(map[string]any{
+		"name": r.Name, "listen": r.Address, "seed": fmt.Sprintf("%016x", seed),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": s.MemoryMB, "sockets": s.Sockets},
-		"bulletin": bulletin, "known": json.RawMessage(known), "settings": s.text()})
+		"bulletin": bulletin, "known": json.RawMessage(known), "settings": s.text(),
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/scene.go
+++ b/internal/testbed/scene.go
@@ -16,11 +16,11 @@
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-	"gonum.org/v1/gonum/stat/distuv"
-
 	"fennelarch/internal/fake/redis"
 	"fennelarch/internal/fake/site"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+	"gonum.org/v1/gonum/stat/distuv"
 )
 
 // Setup says what a scene is made of.
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -5,7 +5,6 @@
 
 import (
 	"errors"
-	"fennelarch/internal/fake/site"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -17,6 +16,8 @@
 	"syscall"
 	"time"
 
+	"fennelarch/internal/fake/site"
+
 	"github.com/tidwall/redcon"
 )
 
@@ -137,8 +138,10 @@
 		class = classes[4]
 	}
 	spread := k.rng.Float64()
-	r := &Request{ID: fmt.Sprintf("%016x", k.rng.Uint64()|1), Router: k.router, Class: class,
-		Object: 1 + uint64(spread*spread*float64(k.objects)), Timeout: class.Timeout}
+	r := &Request{
+		ID: fmt.Sprintf("%016x", k.rng.Uint64()|1), Router: k.router, Class: class,
+		Object: 1 + uint64(spread*spread*float64(k.objects)), Timeout: class.Timeout,
+	}
 	if k.rng.Float64() < 0.1 { // little time is left for it
 		r.Timeout = time.Duration(20+k.rng.IntN(200)) * time.Millisecond
 	}
@@ -400,8 +403,10 @@
 	}
 	defer up.Close()
 	_ = up.SetDeadline(time.Now().Add(7 * time.Second))
-	texts := []string{"GET / HTTP/1.1\r\n\r\n", "*3\r\n$99999999\r\n", "*5\r\n$2\r\nDO\r\n$1\r\n7\r\n", "*2\r\n$4\r\nPING\r\n$1", "",
-		strings.Repeat("*1\r\n", 20000), string(words("DO", "1", "film", "req=1")) + strings.Repeat("x", 200_000)}
+	texts := []string{
+		"GET / HTTP/1.1\r\n\r\n", "*3\r\n$99999999\r\n", "*5\r\n$2\r\nDO\r\n$1\r\n7\r\n", "*2\r\n$4\r\nPING\r\n$1", "",
+		strings.Repeat("*1\r\n", 20000), string(words("DO", "1", "film", "req=1")) + strings.Repeat("x", 200_000),
+	}
 	_, _ = io.WriteString(up, texts[k.intn(len(texts))])
 	_, _ = io.Copy(io.Discard, up)
 }
--- a/internal/testbed/soak/judge_test.go
+++ b/internal/testbed/soak/judge_test.go
@@ -19,11 +19,15 @@
 	r := newRecord(1)
 	r.began = start
 	born := start.Add(-time.Second).Truncate(time.Millisecond)
-	q := &Request{ID: "00000000000000a7", Class: classOf("clip"), Object: 7, Begun: start, Sent: start, Timeout: 2 * time.Second, Answers: 1,
-		Answered: start.Add(100 * time.Millisecond), Word: "OK", Body: site.Body(site.Object{ID: 7}, born, 900)}
+	q := &Request{
+		ID: "00000000000000a7", Class: classOf("clip"), Object: 7, Begun: start, Sent: start, Timeout: 2 * time.Second, Answers: 1,
+		Answered: start.Add(100 * time.Millisecond), Word: "OK", Body: site.Body(site.Object{ID: 7}, born, 900),
+	}
 	r.requests[q.ID] = q
-	r.attempts = []Attempt{{ID: q.ID, Server: "s-1", Source: "s-2", First: start.Add(time.Millisecond), Whole: start.Add(time.Millisecond),
-		Deadline: 1999 * time.Millisecond}}
+	r.attempts = []Attempt{{
+		ID: q.ID, Server: "s-1", Source: "s-2", First: start.Add(time.Millisecond), Whole: start.Add(time.Millisecond),
+		Deadline: 1999 * time.Millisecond,
+	}}
 	return &day{r, q, &r.attempts[0]}
 }
 
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -105,8 +105,10 @@
 			i++
 		}
 		k := kinds[i]
-		plan = append(plan, Trouble{At: at.Round(time.Millisecond), Kind: k.kind, Target: rng.IntN(1000),
-			For: time.Duration((0.3 + 0.7*rng.Float64()) * float64(k.most)).Round(time.Millisecond)})
+		plan = append(plan, Trouble{
+			At: at.Round(time.Millisecond), Kind: k.kind, Target: rng.IntN(1000),
+			For: time.Duration((0.3 + 0.7*rng.Float64()) * float64(k.most)).Round(time.Millisecond),
+		})
 	}
 	return plan
 }
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -194,8 +194,10 @@
 	}
 	fields := fieldsOf(string(args[2]))
 	ms, _ := strconv.Atoi(fields["wait"])
-	a := Attempt{ID: string(args[1]), Server: p.uid, Source: fields["next"], First: first, Whole: whole,
-		Deadline: time.Duration(ms) * time.Millisecond}
+	a := Attempt{
+		ID: string(args[1]), Server: p.uid, Source: fields["next"], First: first, Whole: whole,
+		Deadline: time.Duration(ms) * time.Millisecond,
+	}
 	p.record.with(func() { p.record.attempts = append(p.record.attempts, a) })
 	p.called(a.ID)
 }
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -124,8 +124,10 @@
 }
 
 func newRecord(routers int) *Record {
-	r := &Record{began: time.Now(), requests: map[string]*Request{}, runs: map[string]int{}, processes: make([]process, routers),
-		told: make([]map[int]time.Time, routers)}
+	r := &Record{
+		began: time.Now(), requests: map[string]*Request{}, runs: map[string]int{}, processes: make([]process, routers),
+		told: make([]map[int]time.Time, routers),
+	}
 	for i := range r.told {
 		r.told[i] = map[int]time.Time{}
 	}
--- a/internal/testbed/soak/server.go
+++ b/internal/testbed/soak/server.go
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"github.com/tidwall/redcon"
-
 	"fennelarch/internal/fake/site"
+
+	"github.com/tidwall/redcon"
 )
 
 // Class is one kind of request.
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -16,10 +16,10 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"fennelarch/internal/fake/site"
 	"fennelarch/internal/testbed"
+
+	"golang.org/x/sys/unix"
 )
 
 // Sizes of a run at scale 1.
@@ -33,8 +33,10 @@
 	weight       = 4.0
 )
 
-var _ = testbed.Register(testbed.Experiment{Name: "soak", Run: run,
-	Shows: "dozens of routers under overlapping troubles and failing system calls break no rule"})
+var _ = testbed.Register(testbed.Experiment{
+	Name: "soak", Run: run,
+	Shows: "dozens of routers under overlapping troubles and failing system calls break no rule",
+})
 
 // PlanError is a plan that can't be used.
 type PlanError struct{ error }
@@ -111,8 +113,10 @@
 }
 
 func newWorld(o testbed.Options, program string, routers int) (*world, error) {
-	w := &world{options: o, record: newRecord(routers), done: make(chan struct{}), rng: rand.New(rand.NewPCG(o.Seed, 31)),
-		weather: &weather{rng: rand.New(rand.NewPCG(o.Seed, 32))}}
+	w := &world{
+		options: o, record: newRecord(routers), done: make(chan struct{}), rng: rand.New(rand.NewPCG(o.Seed, 31)),
+		weather: &weather{rng: rand.New(rand.NewPCG(o.Seed, 32))},
+	}
 	var err error
 	if w.folder, err = os.MkdirTemp("", "soak"); err != nil {
 		return nil, err
@@ -153,8 +157,10 @@
 }
 
 func (w *world) newServer(uid string, kind site.Kind, cell int, address string) (*server, error) {
-	s := &server{site: w.site, uid: uid, kind: kind, cell: cell, weight: weight, held: map[uint64]copied{}, conns: map[net.Conn]bool{},
-		rng: rand.New(rand.NewPCG(w.options.Seed, uint64(len(uid))+uint64(w.made)))}
+	s := &server{
+		site: w.site, uid: uid, kind: kind, cell: cell, weight: weight, held: map[uint64]copied{}, conns: map[net.Conn]bool{},
+		rng: rand.New(rand.NewPCG(w.options.Seed, uint64(len(uid))+uint64(w.made))),
+	}
 	var err error
 	if s.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return nil, err
@@ -232,8 +238,10 @@
 	var fresh []float64
 	effects := map[Effect]string{Repeatable: "retryable", Keyed: "dedup", OneShot: "fragile"}
 	for _, c := range classes {
-		list = append(list, map[string]any{"name": c.Name, "target_ms": 600, "aim_stretch": 1.6, "deadline_ms": c.Timeout.Milliseconds(),
-			"importance": 2, "late_worth": 0.15, "effect": effects[c.Effect], "group": "cell", "window_ms": c.Window.Milliseconds()})
+		list = append(list, map[string]any{
+			"name": c.Name, "target_ms": 600, "aim_stretch": 1.6, "deadline_ms": c.Timeout.Milliseconds(),
+			"importance": 2, "late_worth": 0.15, "effect": effects[c.Effect], "group": "cell", "window_ms": c.Window.Milliseconds(),
+		})
 		writes, fresh = append(writes, c.Write), append(fresh, float64(c.Fresh.Milliseconds()))
 	}
 	settings["classes"] = list
@@ -321,8 +329,10 @@
 // conclude judges the run, and claims what must hold.
 func (w *world) conclude(r *testbed.Result, plan []Trouble) {
 	breaches, excused := w.record.judge()
-	report := Report{Seed: w.options.Seed, Faults: map[string]string{}, Requests: len(w.record.requests), Answered: map[string]int{},
-		Excused: excused, Breaches: breaches, Counted: map[string]int{}}
+	report := Report{
+		Seed: w.options.Seed, Faults: map[string]string{}, Requests: len(w.record.requests), Answered: map[string]int{},
+		Excused: excused, Breaches: breaches, Counted: map[string]int{},
+	}
 	for _, t := range plan {
 		report.Plan = append(report.Plan, t.String())
 	}
--- a/internal/testbed/store.go
+++ b/internal/testbed/store.go
@@ -14,8 +14,10 @@
 
 // storeSetup is what the experiments on stores start from: the store is the only cache of its location.
 func storeSetup(routers int, with bool) Setup {
-	s := Setup{Settings: Usual(routers), Objects: 400, Groups: 40, Skew: 1.2, SizeKB: 150,
-		Origin: site.Times{Answer: 30 * time.Millisecond, Spread: 20 * time.Millisecond}, Parents: site.Times{Answer: 4 * time.Millisecond, Spread: 2 * time.Millisecond}}
+	s := Setup{
+		Settings: Usual(routers), Objects: 400, Groups: 40, Skew: 1.2, SizeKB: 150,
+		Origin: site.Times{Answer: 30 * time.Millisecond, Spread: 20 * time.Millisecond}, Parents: site.Times{Answer: 4 * time.Millisecond, Spread: 2 * time.Millisecond},
+	}
 	if with {
 		s.Store = &redis.Config{Capacity: 4000, ColdShare: 0.1, ColdFor: 6 * time.Second}
 		s.Shared = map[string]any{"capacity_per_s": 4000, "cold_share": 0.1, "cold_ms": 6000, "multiple": 1}
--- a/internal/upstream/link.go
+++ b/internal/upstream/link.go
@@ -75,9 +75,11 @@
 
 func newLink(l *limits.Limits, n *names) *link {
 	most := l.ResponseBodyBytes + 8*l.FieldBytes
-	return &link{limits: l, names: n, in: resp.Ring{Bound: l.UpstreamReadBuffer}, out: resp.Writer{Ring: resp.Ring{Bound: l.UpstreamWriteBuffer}},
+	return &link{
+		limits: l, names: n, in: resp.Ring{Bound: l.UpstreamReadBuffer}, out: resp.Writer{Ring: resp.Ring{Bound: l.UpstreamWriteBuffer}},
 		dec:  resp.Decoder{Args: l.FrameStrings, Size: l.ResponseBodyBytes, Most: min(most, l.UpstreamReadBuffer)},
-		open: map[engine.ClientRequestID]order{}, past: map[engine.ClientRequestID]time.Time{}, probes: map[uint64]asked{}}
+		open: map[engine.ClientRequestID]order{}, past: map[engine.ClientRequestID]time.Time{}, probes: map[uint64]asked{},
+	}
 }
 
 // busy is how many legs the connection has.
@@ -287,16 +289,20 @@
 }
 
 // outcomes gives each word of an answer its meaning.
-var outcomes = map[string]routing.Outcome{"200": routing.Succeeded, "304": routing.Succeeded, "404": routing.CacheMiss, "503": routing.Overloaded,
-	"500": routing.Failed, "504": routing.NotSent}
+var outcomes = map[string]routing.Outcome{
+	"200": routing.Succeeded, "304": routing.Succeeded, "404": routing.CacheMiss, "503": routing.Overloaded,
+	"500": routing.Failed, "504": routing.NotSent,
+}
 
 // lives does so for the answer to a probe.
 var lives = map[string]routing.Outcome{"alive": routing.Succeeded, "dead": routing.Failed}
 
 // notes are in the order of the rules' own.
-var notes = map[string]routing.Note{"local": routing.NoteHit, "pulled": routing.NoteFilled, "pulled_far": routing.NoteViaOrigin,
+var notes = map[string]routing.Note{
+	"local": routing.NoteHit, "pulled": routing.NoteFilled, "pulled_far": routing.NoteViaOrigin,
 	"rode": routing.NoteCoalesced, "expired": routing.NoteStale, "turned_away": routing.NoteSourceRefused, "cut_off": routing.NoteSourceUnreachable,
-	"not_there": routing.NoteSourceMiss, "no_place": routing.NoteNoFillCapacity, "far_fault": routing.NoteOriginFailed}
+	"not_there": routing.NoteSourceMiss, "no_place": routing.NoteNoFillCapacity, "far_fault": routing.NoteOriginFailed,
+}
 
 // answer takes one answer. A leg's id has 16 digits, a probe's tag fewer. One that lacks what belongs to it, or holds a word
 // that nobody knows, is spoilt: nothing more can be believed of the connection.
--- a/internal/upstream/link_test.go
+++ b/internal/upstream/link_test.go
@@ -252,8 +252,10 @@
 			got = append(got, fmt.Sprint(p.Endpoint, p.Outcome, p.LoadReport.Values[:p.LoadReport.Count]))
 		}
 	}
-	want := []string{fmt.Sprint(7, routing.Succeeded, []float64{0.5}), fmt.Sprint(8, routing.Failed, []float64{}),
-		fmt.Sprint(9, routing.ConnectFailed, []float64{})}
+	want := []string{
+		fmt.Sprint(7, routing.Succeeded, []float64{0.5}), fmt.Sprint(8, routing.Failed, []float64{}),
+		fmt.Sprint(9, routing.ConnectFailed, []float64{}),
+	}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%v, not %v", got, want)
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,8 +12,6 @@
 	"sync"
 	"time"
 
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/flightrecorder"
@@ -21,6 +19,8 @@
 	"fennelarch/internal/limits"
 	"fennelarch/internal/system"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // Pool carries legs to nodes. Where both are held, its lock is taken before that of a connection.
@@ -69,8 +69,10 @@
 
 // New returns a pool that knows no node. Ends of legs and probes go to post.
 func New(l limits.Limits, n config.Names, reports bool, post func(at time.Time, message engine.Message), log *zap.Logger) *Pool {
-	p := &Pool{limits: l, names: names{tariffs: n.Classes, columns: n.Columns}, verb: "alive", post: post, log: log, dial: system.DialTimeout,
-		nodes: map[routing.EndpointID]*node{}}
+	p := &Pool{
+		limits: l, names: names{tariffs: n.Classes, columns: n.Columns}, verb: "alive", post: post, log: log, dial: system.DialTimeout,
+		nodes: map[routing.EndpointID]*node{},
+	}
 	if reports {
 		p.verb = "stats"
 	}
@@ -462,8 +464,10 @@
 	if fault == system.FaultSilent && c.pool.Monitor.Watch().Since(begun, now) {
 		fault = system.FaultLocal // this process stood still meanwhile: nobody knows what came
 	}
-	c.pool.Monitor.Record(flightrecorder.Entry{Event: flightrecorder.ServerDialled, Endpoint: uint64(c.node), Reason: uint8(fault),
-		Value: now.Sub(begun).Milliseconds()})
+	c.pool.Monitor.Record(flightrecorder.Entry{
+		Event: flightrecorder.ServerDialled, Endpoint: uint64(c.node), Reason: uint8(fault),
+		Value: now.Sub(begun).Milliseconds(),
+	})
 	if err != nil {
 		c.mu.Lock()
 		c.link.short = fault == system.FaultLocal
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"github.com/tidwall/redcon"
-	"go.uber.org/zap"
-
 	"fennelarch/internal/config"
 	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 	"fennelarch/policy/routing"
+
+	"github.com/tidwall/redcon"
+	"go.uber.org/zap"
 )
 
 // stand is a node that answers only while it is told to, and counts its connections.
--- a/policy/admission/admission.go
+++ b/policy/admission/admission.go
@@ -61,8 +61,10 @@
 func New(set Settings) *Controller {
 	set.MaxRememberedPeers = max(1, set.MaxRememberedPeers)
 	set.Reserve = min(set.Reserve, set.MaxConnections/2) // somebody must be able to become known
-	a := &Controller{set: set, byConn: map[ConnID]int32{}, byPeer: map[Peer]int32{}, idle: newChain(),
-		allow: float64(set.MaxRequests)}
+	a := &Controller{
+		set: set, byConn: map[ConnID]int32{}, byPeer: map[Peer]int32{}, idle: newChain(),
+		allow: float64(set.MaxRequests),
+	}
 	for i := range a.rest {
 		a.rest[i] = newChain()
 	}
--- a/policy/admission/admission_test.go
+++ b/policy/admission/admission_test.go
@@ -16,8 +16,10 @@
 const crew, crew2 = 200_000, 200_001 // listed by the operator
 
 func plain() Settings {
-	s := Settings{MaxConnections: 40, Reserve: 12, ConnectionsPerPeer: 10, NewPerPeerPerSecond: 20, RequestsPerPeer: 16, MaxRequests: 60, MaxRememberedPeers: 50, FirstRequestGrace: time.Second, SendRetryAfter: true,
-		MaxRetryAfter: time.Second, MaxHandshakes: 4, HandshakeCPU: 0.1, IsKnown: func(p Peer) bool { return p == ip(crew) || p == ip(crew2) }}
+	s := Settings{
+		MaxConnections: 40, Reserve: 12, ConnectionsPerPeer: 10, NewPerPeerPerSecond: 20, RequestsPerPeer: 16, MaxRequests: 60, MaxRememberedPeers: 50, FirstRequestGrace: time.Second, SendRetryAfter: true,
+		MaxRetryAfter: time.Second, MaxHandshakes: 4, HandshakeCPU: 0.1, IsKnown: func(p Peer) bool { return p == ip(crew) || p == ip(crew2) },
+	}
 	return s.WithDefaults()
 }
 
--- a/policy/admission/peers.go
+++ b/policy/admission/peers.go
@@ -45,8 +45,10 @@
 		a.peers = append(a.peers, peer{})
 		i = int32(len(a.peers) - 1)
 	}
-	a.peers[i] = peer{id: id, level: float64(a.set.Burst), filled: a.now, scored: a.now,
-		listed: a.set.IsKnown != nil && a.set.IsKnown(id)}
+	a.peers[i] = peer{
+		id: id, level: float64(a.set.Burst), filled: a.now, scored: a.now,
+		listed: a.set.IsKnown != nil && a.set.IsKnown(id),
+	}
 	a.byPeer[id] = i
 	a.idle.put(i, a.peerLinks)
 	return i
--- a/policy/routing/bench_test.go
+++ b/policy/routing/bench_test.go
@@ -29,8 +29,10 @@
 				if len(acts) == 0 {
 					b.Fatal("no leg")
 				}
-				acts = r.Handle(now, &Event{Kind: EventAttemptResult, Request: id, Endpoint: acts[len(acts)-1].Endpoint, Outcome: Succeeded, Note: NoteHit,
-					Final: true, Elapsed: 30 * time.Millisecond}, acts[:0])
+				acts = r.Handle(now, &Event{
+					Kind: EventAttemptResult, Request: id, Endpoint: acts[len(acts)-1].Endpoint, Outcome: Succeeded, Note: NoteHit,
+					Final: true, Elapsed: 30 * time.Millisecond,
+				}, acts[:0])
 			}
 		})
 	}
--- a/policy/routing/fleet_test.go
+++ b/policy/routing/fleet_test.go
@@ -234,8 +234,10 @@
 				}{{500 * ms, 7, 1}, {time.Second, 10, 1}, {3 * time.Second, 10, 1}, {6 * time.Second, 7, 0.1}} {
 					set := plain()
 					set.WeightIsLinkCapacity, set.AllowDirect = true, false
-					f := coldFleet{routers: routers, link: link, parent: parent, lostAt: c.at + 2*time.Second, quiet: c.quiet,
-						seed: uint64(seed + 1), restartAt: c.at, restarted: c.restarted}
+					f := coldFleet{
+						routers: routers, link: link, parent: parent, lostAt: c.at + 2*time.Second, quiet: c.quiet,
+						seed: uint64(seed + 1), restartAt: c.at, restarted: c.restarted,
+					}
 					got, served := f.play(set, start)
 					ratio := f.worst(set, start, got)
 					worst = max(worst, ratio)
--- a/policy/routing/helper_test.go
+++ b/policy/routing/helper_test.go
@@ -21,14 +21,17 @@
 	cacheC
 	cacheD
 )
+
 const (
 	parentP EndpointID = 201 + iota
 	parentQ
 )
 const origin EndpointID = 301
 
-var names = map[EndpointID]string{cacheA: "A", cacheB: "B", cacheC: "C", cacheD: "D", parentP: "P", parentQ: "Q",
-	origin: "origin", LocalCache: "own"}
+var names = map[EndpointID]string{
+	cacheA: "A", cacheB: "B", cacheC: "C", cacheD: "D", parentP: "P", parentQ: "Q",
+	origin: "origin", LocalCache: "own",
+}
 
 // plain are the settings that the traces start from: one harmless tariff, one write, everything told and allowed.
 func plain() Settings {
@@ -121,15 +124,19 @@
 // view brings a view of 100 KB: a tenth of a second at full pace.
 func (b *bench) view(id RequestID, tariff ClassID, o ObjectID) {
 	b.legs[id] = 0
-	b.do(&Event{Kind: EventRequest, Request: id, Class: tariff, Object: o, Group: GroupID(o % 8), SizeKB: 100, TimeLeft: 3 * time.Second,
-		Write: tariff == 1})
+	b.do(&Event{
+		Kind: EventRequest, Request: id, Class: tariff, Object: o, Group: GroupID(o % 8), SizeKB: 100, TimeLeft: 3 * time.Second,
+		Write: tariff == 1,
+	})
 }
 
 // end ends a view's next leg after a time.
 func (b *bench) end(id RequestID, n EndpointID, after time.Duration, o Outcome, note Note) {
 	b.pass(after)
-	b.do(&Event{Kind: EventAttemptResult, Request: id, Attempt: b.legs[id], Endpoint: n, Outcome: o, Note: note, Elapsed: after,
-		FirstByteWait: max(0, after-110*ms), Final: o == Succeeded})
+	b.do(&Event{
+		Kind: EventAttemptResult, Request: id, Attempt: b.legs[id], Endpoint: n, Outcome: o, Note: note, Elapsed: after,
+		FirstByteWait: max(0, after-110*ms), Final: o == Succeeded,
+	})
 	b.legs[id]++
 }
 
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -6,9 +6,11 @@
 
 // New returns a router with empty hands.
 func New(set Settings, seed uint64) *Router {
-	r := &Router{set: set, rng: newPCG(seed), index: map[EndpointID]int32{}, byID: map[RequestID]int32{}, origin: none, own: none,
+	r := &Router{
+		set: set, rng: newPCG(seed), index: map[EndpointID]int32{}, byID: map[RequestID]int32{}, origin: none, own: none,
 		rows: make([]row, len(set.Classes)), tenants: make([]allowance, len(set.Tenants)),
-		memory: make([]memo, memorySize), gate: gate{window: gateStart}, share: 1, retries: retriesMost}
+		memory: make([]memo, memorySize), gate: gate{window: gateStart}, share: 1, retries: retriesMost,
+	}
 	z := int(set.Zone)
 	if z < len(set.ZoneRouters) && set.ZoneRouters[z] > 1 {
 		r.share = 1 / float64(set.ZoneRouters[z])
--- a/policy/routing/rules.go
+++ b/policy/routing/rules.go
@@ -113,8 +113,10 @@
 	i := r.take()
 	v := &r.views[i]
 	r.arrived++
-	*v = view{id: e.Request, tariff: e.Class, object: e.Object, group: e.Group, open: true, end: r.now + e.TimeLeft,
-		cache: none, erred: none, sending: usual.get(), hash: e.hash()}
+	*v = view{
+		id: e.Request, tariff: e.Class, object: e.Object, group: e.Group, open: true, end: r.now + e.TimeLeft,
+		cache: none, erred: none, sending: usual.get(), hash: e.hash(),
+	}
 	r.byID[e.Request] = i
 	m := r.recall(v)
 	v.sized = e.SizeKB > 0 && r.set.FlowKBPerSecond > 0 && !t.Write
--- a/policy/routing/rules_test.go
+++ b/policy/routing/rules_test.go
@@ -571,8 +571,10 @@
 	for id := RequestID(1); id <= 6; id++ {
 		b.view(id, 0, 7+ObjectID(id)*1000)
 		b.pass(2 * time.Second)
-		b.do(&Event{Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled, Elapsed: 2 * time.Second,
-			FirstByteWait: 20 * ms, Final: true})
+		b.do(&Event{
+			Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled, Elapsed: 2 * time.Second,
+			FirstByteWait: 20 * ms, Final: true,
+		})
 	}
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -602,8 +604,10 @@
 		}
 		b.now += 110 * ms
 		for k := id; k < id+12; k++ {
-			b.acts = b.r.Handle(b.now, &Event{Kind: EventAttemptResult, Request: k, Outcome: Succeeded, Note: NoteFilled, Elapsed: 110 * ms,
-				FirstByteWait: 10 * ms, Final: true, LoadReport: LoadReport{Count: 1, Values: [4]float64{50}}}, b.acts[:0])
+			b.acts = b.r.Handle(b.now, &Event{
+				Kind: EventAttemptResult, Request: k, Outcome: Succeeded, Note: NoteFilled, Elapsed: 110 * ms,
+				FirstByteWait: 10 * ms, Final: true, LoadReport: LoadReport{Count: 1, Values: [4]float64{50}},
+			}, b.acts[:0])
 		}
 	}
 	b.do(&Event{Kind: EventRequest, Request: 2000, Object: b.first(cacheA, parentP), TimeLeft: time.Second})
@@ -679,8 +683,10 @@
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	b := newBench(plain(), cacheA, cacheB)
 	id := RequestID(0)
-	view, end := Event{Kind: EventRequest, SizeKB: 100, TimeLeft: time.Second}, Event{Kind: EventAttemptResult, Outcome: Succeeded,
-		Note: NoteHit, Elapsed: 100 * ms, Final: true}
+	view, end := Event{Kind: EventRequest, SizeKB: 100, TimeLeft: time.Second}, Event{
+		Kind: EventAttemptResult, Outcome: Succeeded,
+		Note: NoteHit, Elapsed: 100 * ms, Final: true,
+	}
 	got := testing.AllocsPerRun(1000, func() {
 		id++
 		view.Request, view.Object, end.Request = id, ObjectID(id%50), id
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -104,8 +104,10 @@
 
 // New returns decisions on the stores named, of which nothing is known.
 func New(set Settings, seed uint64, stores ...routing.EndpointID) *Coordinator {
-	k := &Coordinator{set: set, byID: map[OpID]int32{}, byKey: map[key]int32{}, index: map[routing.EndpointID]int32{},
-		states: map[routing.EndpointID]listed{}, fills: map[routing.EndpointID]*bound{}, rng: newRNG(seed)}
+	k := &Coordinator{
+		set: set, byID: map[OpID]int32{}, byKey: map[key]int32{}, index: map[routing.EndpointID]int32{},
+		states: map[routing.EndpointID]listed{}, fills: map[routing.EndpointID]*bound{}, rng: newRNG(seed),
+	}
 	k.set.Routers = max(1, set.Routers)
 	k.ledger = newLedger(set.Epoch, set.MaxTTL)
 	for _, id := range stores {
@@ -167,8 +169,10 @@
 	}
 	i := k.take()
 	o := &k.ops[i]
-	*o = op{id: e.Op, node: n, held: e.Held, source: e.Source, key: key{e.Object, e.Part}, group: e.Group, asked: k.now,
-		due: k.now + min(e.Due, e.Left), end: k.now + e.Left, keep: e.Keep, lead: none, joined: none, next: none}
+	*o = op{
+		id: e.Op, node: n, held: e.Held, source: e.Source, key: key{e.Object, e.Part}, group: e.Group, asked: k.now,
+		due: k.now + min(e.Due, e.Left), end: k.now + e.Left, keep: e.Keep, lead: none, joined: none, next: none,
+	}
 	if e.Age > 0 {
 		o.least = k.wall() - Timestamp(e.Age/ms)
 	}
@@ -554,9 +558,11 @@
 }
 
 // lacks says how a source's answer reads as the answer of a cache that filled from it.
-var lacks = map[routing.Outcome]routing.Note{routing.CacheMiss: routing.NoteSourceMiss, routing.Overloaded: routing.NoteSourceRefused,
+var lacks = map[routing.Outcome]routing.Note{
+	routing.CacheMiss: routing.NoteSourceMiss, routing.Overloaded: routing.NoteSourceRefused,
 	routing.Failed: routing.NoteSourceUnreachable, routing.TimedOut: routing.NoteSourceUnreachable, routing.ConnectionBroken: routing.NoteSourceUnreachable,
-	routing.ConnectFailed: routing.NoteSourceUnreachable, routing.NotSent: routing.NoteSourceUnreachable, routing.Cancelled: routing.NoteSourceUnreachable}
+	routing.ConnectFailed: routing.NoteSourceUnreachable, routing.NotSent: routing.NoteSourceUnreachable, routing.Cancelled: routing.NoteSourceUnreachable,
+}
 
 func (k *Coordinator) lack(i int32, e *Event) {
 	o := &k.ops[i]
--- a/policy/sharedstore/store_test.go
+++ b/policy/sharedstore/store_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"fennelarch/policy/routing"
+
+	"pgregory.net/rapid"
 )
 
 func play(draw func(int) int, steps int) *world {
@@ -174,8 +174,10 @@
 
 // say prints what is done.
 func say(acts []Action) {
-	words := [...]string{ActionGet: "get", ActionLease: "lease", ActionUnlease: "unlease", ActionFill: "fill", ActionDropFill: "drop fill",
-		ActionSet: "set", ActionEnd: "end", ActionForget: "forget", ActionTimer: "timer", ActionCold: "cold", ActionLog: "log"}
+	words := [...]string{
+		ActionGet: "get", ActionLease: "lease", ActionUnlease: "unlease", ActionFill: "fill", ActionDropFill: "drop fill",
+		ActionSet: "set", ActionEnd: "end", ActionForget: "forget", ActionTimer: "timer", ActionCold: "cold", ActionLog: "log",
+	}
 	for _, a := range acts {
 		switch a.Kind {
 		case ActionEnd:
--- a/policy/sharedstore/table.go
+++ b/policy/sharedstore/table.go
@@ -64,8 +64,10 @@
 var steps = [stages][inputs]step{
 	stageJoin: {inShared: {stageJoin, share}, inAlone: {stageGet, again}, inLate: {stageGet, ask}},
 	stageGet:  {inHit: {stageGet, serve}, inMiss: {stageTake, lease}, inFailed: {stageFill, fill}, inLate: {stageBoth, hedge}},
-	stageBoth: {inHit: {stageBoth, serve}, inMiss: {stageFill, nothing}, inFailed: {stageFill, nothing},
-		inFilled: {stageKeep, hand}, inUnfit: {stageGet, await}},
+	stageBoth: {
+		inHit: {stageBoth, serve}, inMiss: {stageFill, nothing}, inFailed: {stageFill, nothing},
+		inFilled: {stageKeep, hand}, inUnfit: {stageGet, await},
+	},
 	stageTake: {inTook: {stageFill, fill}, inTaken: {stageHold, wait}, inFailed: {stageFill, fill}, inLate: {stageFill, fill}},
 	stageHold: {inLate: {stageLook, look}},
 	stageLook: {inHit: {stageLook, serve}, inMiss: {stageTake, lease}, inFailed: {stageFill, fill}, inLate: {stageBoth, hedge}},
--- a/policy/sharedstore/trace_test.go
+++ b/policy/sharedstore/trace_test.go
@@ -89,9 +89,11 @@
 			case ActionLog:
 				continue
 			}
-			what := [...]string{ActionGet: "get", ActionLease: "lease", ActionUnlease: "unlease", ActionFill: "fill",
+			what := [...]string{
+				ActionGet: "get", ActionLease: "lease", ActionUnlease: "unlease", ActionFill: "fill",
 				ActionDropFill: "drop", ActionSet: "set", ActionForget: "forget", ActionCold: "cold",
-				ActionEnd: fmt.Sprintf("end(%d,%d)", a.Outcome, a.Note)}[a.Kind]
+				ActionEnd: fmt.Sprintf("end(%d,%d)", a.Outcome, a.Note),
+			}[a.Kind]
 			if a.Op != 1 {
 				what += fmt.Sprint(a.Op)
 			}
--- a/policy/sharedstore/world_test.go
+++ b/policy/sharedstore/world_test.go
@@ -63,9 +63,11 @@
 const epoch Timestamp = 1_700_000_000_000
 
 func newWorld(set Settings, draw func(int) int) *world {
-	w := &world{draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[routing.EndpointID]routing.EndpointState{},
+	w := &world{
+		draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[routing.EndpointID]routing.EndpointState{},
 		told: map[routing.EndpointID]time.Duration{}, purges: map[routing.ObjectID]Timestamp{}, leases: map[key]time.Duration{}, room: map[routing.EndpointID]int{},
-		upRun: map[routing.EndpointID]uint64{}, kinds: map[string]int{}}
+		upRun: map[routing.EndpointID]uint64{}, kinds: map[string]int{},
+	}
 	set.Epoch = epoch
 	w.k = New(set, 7, storeS, storeT)
 	for _, n := range []routing.EndpointID{storeS, storeT, srcP, srcO} {
@@ -191,8 +193,10 @@
 		x.least = w.wall() - Timestamp(age/ms)
 	}
 	w.asked[x.op] = x
-	w.tell(&Event{Kind: EventAsk, Op: x.op, Node: x.node, Source: source, Object: x.object, Due: due, Left: due + time.Second, Age: age,
-		Held: source == srcO && w.draw(4) == 0})
+	w.tell(&Event{
+		Kind: EventAsk, Op: x.op, Node: x.node, Source: source, Object: x.object, Due: due, Left: due + time.Second, Age: age,
+		Held: source == srcO && w.draw(4) == 0,
+	})
 	return x
 }
 
@@ -366,6 +370,8 @@
 }
 
 func plainSet() Settings {
-	return Settings{Routers: 4, Capacity: 1000, SlowStartShare: 0.1, SlowStartFor: 5 * time.Second, OverloadFactor: 1, MaxInFlight: 64, MaxValueBytes: 1 << 18,
-		MaxTTL: 10 * time.Minute, DrainGrace: time.Second, PurgeCompleteAfter: time.Second, Lease: true}
+	return Settings{
+		Routers: 4, Capacity: 1000, SlowStartShare: 0.1, SlowStartFor: 5 * time.Second, OverloadFactor: 1, MaxInFlight: 64, MaxValueBytes: 1 << 18,
+		MaxTTL: 10 * time.Minute, DrainGrace: time.Second, PurgeCompleteAfter: time.Second, Lease: true,
+	}
 }
