--- a/test/golden/fleet_test.go
+++ b/test/golden/fleet_test.go
@@ -145,6 +145,13 @@
 	return len(s.fetches), len(s.aborts), len(s.checks)
 }
 
+// firstCheck is the first health check.
+func (s *cacheServer) firstCheck() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.checks[0]
+}
+
 // target is the server's line in the bulletin.
 func (s *cacheServer) target() string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"west","model":%q,"state":%q,"capacity_hint":4,"boot_ms":0}`,
--- a/test/golden/protocol_test.go
+++ b/test/golden/protocol_test.go
@@ -99,7 +99,8 @@
 	f := newFleet(t, cache).start()
 	f.origin.set(respond("200", "sum=0000000000000005,t0=1", "done"))
 	c, w := f.client(), &transcript{}
-	w.exchange("all fields", f, c, "DO", "1", "clip", requestFields(1, 1)+",resent=1,owner=other,ver=00000000000000bc,odd=1")
+	w.exchange("all fields", f, c, "DO", "1", "clip",
+		requestFields(1, 1)+",resent=1,owner=other,ver=00000000000000bc,odd=1")
 	w.exchange("with a body", f, c, "DO", "2", "clip", requestFields(2, 2), "a body")
 	w.exchange("least fields", f, c, "DO", "3", "clip", "req=0000000000000003,timeout=5000,subject=0000000000000003")
 	for i := range 4 {
@@ -223,7 +224,7 @@
 		_, _, checks := cache.counts()
 		return checks > 0
 	})
-	w.line("s-1", "<", cache.checks[0])
+	w.line("s-1", "<", cache.firstCheck())
 	expectGolden(t, "protocol_health_check.txt", []byte(w.String()))
 }
 
