--- a/test/golden/store_test.go
+++ b/test/golden/store_test.go
@@ -16,13 +16,19 @@
 
 // newStoreFleet is a router whose only cache is a shared store.
 func newStoreFleet(t *testing.T, store *redisServer) *fleet {
+	t.Helper()
+	return newStoreFleetWith(t, store, `"lease": true, "keep_ms": 600000`)
+}
+
+// newStoreFleetWith is one with other settings for its store.
+func newStoreFleetWith(t *testing.T, store *redisServer, shared string) *fleet {
 	t.Helper()
 	f := newFleet(t)
 	path := filepath.Join(f.folder, "operator.json")
 	f.write(filepath.Join(f.folder, "password"), "secret\n")
 	f.write(path, fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q], "weight": 4, "prefix": "fa:",
  "user": "router", "password_file": "password", "database": 3}],
- "shared": {"lease": true, "keep_ms": 600000}}`, store.address))
+ "shared": {%s}}`, store.address, shared))
 	f.start("RELAY_OPERATOR=" + path)
 	await(t, "the ledger is written", func() bool { return len(store.asked("ZADD")) > 0 })
 	return f
@@ -156,6 +162,21 @@
 	expectGolden(t, "store_lease_taken.txt", []byte(w.String()))
 }
 
+func TestStoreWithoutLeases(t *testing.T) {
+	store, _ := newStoreWithLedger(t)
+	f := newStoreFleetWith(t, store, `"lease": false, "keep_ms": 5000`)
+	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", now()), "stored"))
+	store.forget()
+	ask(f.client(), 1, "clip", 0xa1, "")
+	await(t, "the value is stored", func() bool { return len(store.asked("PSETEX")) > 0 })
+	if leases := store.asked("SET"); len(leases) > 0 {
+		t.Errorf("leases: %q", leases)
+	}
+	if lives, _ := strconv.Atoi(store.asked("PSETEX")[0][2]); lives <= 0 || lives > 5000 {
+		t.Errorf("stored for %d ms", lives)
+	}
+}
+
 func TestStoreHealthCheck(t *testing.T) {
 	store := newRedisServer(t)
 	f := newStoreFleet(t, store)
