--- /dev/null
+++ b/test/golden/operator_effects_test.go
@@ -0,0 +1,87 @@
+package golden_test
+
+// These tests show by their effect that keys of the operator's file are read for which no mistake tells it.
+
+import (
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"net"
+	"path/filepath"
+	"testing"
+	"time"
+)
+
+// startWithOperator starts a router with an operator's file.
+func startWithOperator(f *fleet, operator string) *fleet {
+	f.t.Helper()
+	path := filepath.Join(f.folder, "operator.json")
+	f.write(path, operator)
+	return f.start("RELAY_OPERATOR=" + path)
+}
+
+// A store that has just started is asked for next to nothing where its part of the capacity, or the multiple of it that
+// routers may use, is next to nothing.
+func TestColdStoreIsSpared(t *testing.T) {
+	for _, test := range []struct {
+		shared string
+		spared bool
+	}{
+		{`"capacity_per_s": 100000, "cold_ms": 86400000, "cold_share": 0.5, "multiple": 100`, false},
+		{`"capacity_per_s": 100000, "cold_ms": 86400000, "cold_share": 1e-9, "multiple": 1`, true},
+		{`"capacity_per_s": 100000, "cold_ms": 86400000, "cold_share": 0.5, "multiple": 1e-9`, true},
+		{`"capacity_per_s": 100000, "cold_ms": 0.001, "cold_share": 1e-9, "multiple": 1`, false},
+		{`"capacity_per_s": 1e-9, "cold_ms": 86400000, "cold_share": 0.5, "multiple": 1`, true},
+	} {
+		store := newRedisServer(t)
+		store.uptime = 1
+		f := startWithOperator(newFleet(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q], "weight": 4}],
+ "shared": {%s}}`, store.address, test.shared))
+		f.parent.set(respond("200", "sum=0000000000000005,how=local", "hit"))
+		await(t, "the ledger is written", func() bool { return len(store.asked("ZADD")) > 0 })
+		c := f.client()
+		for object := range 20 {
+			ask(c, object+1, "clip", object+1, "")
+		}
+		if gets := len(store.asked("GET")); test.spared && gets > 2 || !test.spared && gets < 10 {
+			t.Errorf("%s: %d of 20 requests asked the store", test.shared, gets)
+		}
+	}
+}
+
+// The name that a store's certificate must hold is told in the greeting of TLS.
+func TestServerNameOfAStore(t *testing.T) {
+	listener, names := listen(t), make(chan string, 100)
+	config := &tls.Config{GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
+		names <- hello.ServerName
+		return nil, errors.New("no more is wanted")
+	}}
+	go acceptEach(listener, func(conn net.Conn) {
+		_ = tls.Server(conn, config).Handshake()
+		_ = conn.Close()
+	})
+	startWithOperator(newFleet(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q],
+ "tls": {"server_name": "store.example"}}]}`, listener.Addr().String()))
+	select {
+	case name := <-names:
+		if name != "store.example" {
+			t.Error(name)
+		}
+	case <-time.After(limit):
+		t.Error("in vain: a greeting")
+	}
+}
+
+// A client that has more requests open than one address may is refused, on whichever connection.
+func TestAdmissionRefusals(t *testing.T) {
+	cache, w := newCacheServer(t, "s-1", "std", silent), &transcript{}
+	f := startWithOperator(newFleet(t, cache), `{"admission": {"views_per_address": 1}}`)
+	first, second := f.client(), f.client()
+	first.send("DO", "1", "clip", requestFields(1, 1))
+	await(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches > 0 })
+	for i, c := range []*client{first, second} {
+		c.send("DO", "2", "clip", requestFields(i+2, i+2))
+		w.line(fmt.Sprintf("client %d", i+1), "<", c.receive())
+	}
+	expectGolden(t, "operator_admission.txt", []byte(w.String()))
+}
--- a/test/golden/redis_test.go
+++ b/test/golden/redis_test.go
@@ -24,11 +24,13 @@
 	values   map[string]string
 	scores   map[string]float64 // of the one sorted set
 	leased   func(key string)   // if set, leases are refused after it was called
+	uptime   int                // seconds since it started
 }
 
 func newRedisServer(t *testing.T) *redisServer {
 	listener := listen(t)
-	s := &redisServer{t: t, address: listener.Addr().String(), values: map[string]string{}, scores: map[string]float64{}}
+	s := &redisServer{t: t, address: listener.Addr().String(), values: map[string]string{},
+		scores: map[string]float64{}, uptime: 3600}
 	go acceptEach(listener, s.serve)
 	return s
 }
@@ -58,7 +60,8 @@
 	case "AUTH", "SELECT":
 		return redcon.AppendString(nil, "OK")
 	case "INFO":
-		return redcon.AppendBulkString(nil, "# Server\r\nrun_id:0123456789abcdef\r\nuptime_in_seconds:3600\r\n")
+		info := fmt.Sprintf("# Server\r\nrun_id:0123456789abcdef\r\nuptime_in_seconds:%d\r\n", s.uptime)
+		return redcon.AppendBulkString(nil, info)
 	case "GET":
 		if value, known := s.values[command[1]]; known {
 			return redcon.AppendBulkString(nil, value)
--- a/test/golden/schema_test.go
+++ b/test/golden/schema_test.go
@@ -132,7 +132,8 @@
 	"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true, \"tls\": {\"cert_file\": \"a\"}}]}",
 	"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true, \"tls\": {\"ca_file\": \"none.pem\"}}]}",
 	"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true, \"tls\": {\"ca_file\": \"operator.json\"}}]}",
-	"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true,\n   \"tls\": {\"cert_file\": \"a\", \"key_file\": \"b\"}}]}",
+	"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true,\n   " +
+		"\"tls\": {\"cert_file\": \"a\", \"key_file\": \"b\"}}]}",
 	"{\n \"tls\": {\"cert_file\": \"a\", \"key_file\": \"b\",\n  \"client\": \"required\"}}",
 	"{\n \"tls\": {\"cert_file\": \"a\"}}",
 	"{\n \"tls\": {\"cert_file\": \"a\", \"key_file\": \"b\",\n  \"client\": \"perhaps\"}}",
