--- /dev/null
+++ b/internal/engine/cancellation_test.go
@@ -0,0 +1,92 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/internal/invariant"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+)
+
+// newRecordedRequest is a request with a record of its invariants.
+func (e *checkedEngine) newRecordedRequest(id routing.RequestID, timeout time.Duration) *Request {
+	request := e.newRequest(id, idempotentClass, timeout)
+	request.Invariants = e.monitor.NewRequest(uint64(id), request.ReceivedAt.Add(timeout), invariant.RepeatPolicy{})
+	return request
+}
+
+// A client leaves while its request waits for the engine: nothing is sent, and nothing is left.
+func TestClientGoneBeforeItsRequest(t *testing.T) {
+	for _, testCase := range []struct {
+		name string
+		play func(engine *checkedEngine, request *Request)
+	}{
+		{"the event is before the request", func(engine *checkedEngine, request *Request) {
+			engine.send(ClientGone{request.ID})
+			engine.send(request)
+		}},
+		{"the event is behind the request", func(engine *checkedEngine, request *Request) {
+			engine.send(request)
+			engine.send(ClientGone{request.ID})
+		}},
+		{"the event is not there yet", func(engine *checkedEngine, request *Request) { engine.send(request) }},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			engine := newCheckedEngine(t, testCase.name)
+			request := engine.newRecordedRequest(1, 2*time.Second)
+			request.Invariants.End(invariant.EndClientLeft, engine.start)
+			engine.isClosed = true
+			testCase.play(engine, request)
+			engine.pass(3 * time.Second)
+			if len(engine.attempts) > 0 || len(engine.statuses) > 0 {
+				t.Errorf("%d attempts, %d responses", len(engine.attempts), len(engine.statuses))
+			}
+			engine.checkEmpty()
+		})
+	}
+}
+
+// A client leaves between two attempts: the next one is not sent, though the router of decisions asks for it.
+func TestClientGoneBetweenAttempts(t *testing.T) {
+	engine := newCheckedEngine(t, "between attempts")
+	request := engine.newRecordedRequest(1, 2*time.Second)
+	engine.send(request)
+	if len(engine.attempts) != 1 {
+		t.Fatalf("%d attempts", len(engine.attempts))
+	}
+	request.Invariants.End(invariant.EndCancelled, engine.start)
+	engine.isClosed = true
+	engine.end(0, routing.CacheMiss, routing.NoteSourceMiss)
+	engine.send(ClientGone{1})
+	engine.pass(3 * time.Second)
+	if len(engine.attempts) != 1 {
+		t.Errorf("%d attempts", len(engine.attempts))
+	}
+	engine.checkEmpty()
+}
+
+// A full queue refuses requests without waiting; that a client has gone is always accepted.
+func TestFullQueue(t *testing.T) {
+	engine := NewEngine(Options{Seed: 1, QueueLength: 2, StartTime: time.Now(), Log: zap.NewNop()})
+	now := time.Now()
+	for i := range 2 {
+		if !engine.Post(now, &Request{ID: routing.RequestID(i + 1)}) {
+			t.Fatal("a request is refused though the queue has room")
+		}
+	}
+	if engine.Post(now, &Request{ID: 3}) {
+		t.Error("a request is accepted though the queue is full")
+	}
+	done := make(chan bool)
+	go func() { done <- engine.Post(now, ClientGone{1}) && engine.Post(now, ClientGone{2}) }()
+	select {
+	case accepted := <-done:
+		if gone := engine.cancellations.take(); !accepted || len(gone) != 2 || gone[0].Request != 1 {
+			t.Errorf("%v", gone)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("a cancellation waits")
+	}
+}
--- /dev/null
+++ b/internal/engine/endpoints.go
@@ -0,0 +1,50 @@
+package engine
+
+import (
+	"time"
+
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/policy/routing"
+)
+
+func (e *Engine) handleEndpointList(list *EndpointList) {
+	e.transport.UpdateEndpoints(list.Endpoints, list.Complete)
+	e.endpoints = e.endpoints[:0]
+	for i := range list.Endpoints {
+		endpoint := list.Endpoints[i].Endpoint
+		endpoint.StartedAt = e.bootTimes.startedAt(&list.Endpoints[i], &e.ages, e.now)
+		e.endpoints = append(e.endpoints, endpoint)
+	}
+	e.monitor.Record(flightrecorder.Entry{
+		Event: flightrecorder.EndpointListReceived, Value: int64(len(list.Endpoints)),
+	})
+	event := routing.Event{
+		Kind: routing.EventEndpoints, EndpointListKind: routing.EndpointListDelta, Endpoints: e.endpoints, Age: list.Age,
+	}
+	if list.Complete {
+		event.EndpointListKind = routing.EndpointListFull
+	}
+	e.dispatch(&event)
+}
+
+// bootTimes are when endpoints started, as estimated when their boot time was received first.
+type bootTimes map[routing.EndpointID]bootTime
+
+type bootTime struct {
+	timestamp time.Time     // as published
+	at        time.Duration // on the engine's clock
+}
+
+// startedAt is when an endpoint started, never later than now. The same timestamp received again means the same time.
+func (b bootTimes) startedAt(endpoint *Endpoint, ages *ageEstimator, now time.Duration) time.Duration {
+	if endpoint.BootTime.IsZero() || endpoint.State == routing.Gone {
+		delete(b, endpoint.ID)
+		return routing.LongAgo
+	}
+	if known, found := b[endpoint.ID]; found && known.timestamp.Equal(endpoint.BootTime) {
+		return known.at
+	}
+	at := now - ages.estimate(endpoint.BootTime, now).atLeast
+	b[endpoint.ID] = bootTime{endpoint.BootTime, at}
+	return at
+}
--- /dev/null
+++ b/internal/engine/example_test.go
@@ -0,0 +1,146 @@
+package engine
+
+import (
+	"fmt"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// A miss whose source lacks the object is filled from the next source.
+func Example_retryAfterMiss() {
+	engine := newTestEngine()
+	engine.request(1, idempotentClass, 2*time.Second)
+	engine.pass(50 * time.Millisecond)
+	engine.end(0, routing.CacheMiss, routing.NoteSourceMiss)
+	engine.pass(50 * time.Millisecond)
+	engine.end(1, routing.Succeeded, routing.NoteFilled)
+	engine.end(1, routing.Succeeded, routing.NoteFilled) // a second result is ignored
+	fmt.Println(len(engine.requests), engine.InFlight())
+	// Output:
+	//      0s request 1: attempt at A, fill from P, for 2s
+	//    50ms request 1: attempt at A, fill from O, for 1.95s
+	//   100ms request 1: succeeded, 5 bytes
+	// 0 0
+}
+
+// At its deadline the attempts of a request are aborted, and it gets its one response.
+func Example_deadline() {
+	engine := newTestEngine()
+	engine.request(1, idempotentClass, 300*time.Millisecond)
+	engine.request(2, nonIdempotentClass, 300*time.Millisecond)
+	engine.pass(time.Second)
+	engine.end(0, routing.Succeeded, routing.NoteHit)
+	fmt.Println(len(engine.requests), engine.InFlight())
+	// Output:
+	//      0s request 1: attempt at A, fill from P, for 300ms
+	//      0s request 2: attempt at O, fill from none, for 300ms
+	//   300ms request 1: attempt 0 aborted
+	//   300ms request 1: rejected, 0 bytes
+	//   300ms request 2: attempt 0 aborted
+	//   300ms request 2: failed, 0 bytes
+	// 0 0
+}
+
+// A client that no longer waits gets no response, and its attempts are aborted.
+func Example_clientGone() {
+	engine := newTestEngine()
+	engine.request(1, idempotentClass, 2*time.Second)
+	engine.pass(10 * time.Millisecond)
+	engine.send(ClientGone{Request: 1})
+	engine.send(ClientGone{Request: 1})
+	engine.end(0, routing.Succeeded, routing.NoteHit)
+	engine.pass(3 * time.Second)
+	fmt.Println(len(engine.requests), engine.InFlight())
+	// Output:
+	//      0s request 1: attempt at A, fill from P, for 2s
+	//    10ms request 1: attempt 0 aborted
+	// 0 0
+}
+
+// A request that is not idempotent is retried only if it provably did not run; otherwise it fails and is not rejected.
+func Example_nonIdempotent() {
+	engine := newTestEngine()
+	engine.request(1, nonIdempotentClass, 2*time.Second)
+	engine.end(0, routing.ConnectFailed, 0)
+	engine.pass(200 * time.Millisecond)
+	engine.end(1, routing.ConnectionBroken, 0)
+	engine.request(2, nonIdempotentClass, 100*time.Millisecond)
+	engine.abortWritten = false // at its deadline nothing of the next attempt is written
+	engine.pass(time.Second)
+	fmt.Println(len(engine.requests), engine.InFlight())
+	// Output:
+	//      0s request 1: attempt at O, fill from none, for 2s
+	//   120ms request 1: attempt at O, fill from none, for 1.88s
+	//   200ms request 1: failed, 0 bytes
+	//   200ms request 2: attempt at O, fill from none, for 100ms
+	//   300ms request 2: attempt 0 aborted
+	//   300ms request 2: rejected, 0 bytes
+	// 0 0
+}
+
+// At a shutdown every request has its response within the grace, those that arrive later too.
+func Example_shutdown() {
+	engine := newTestEngine()
+	engine.request(1, idempotentClass, 5*time.Second)
+	engine.pass(100 * time.Millisecond)
+	engine.send(Shutdown{Grace: time.Second})
+	engine.pass(500 * time.Millisecond)
+	engine.request(2, idempotentClass, 5*time.Second)
+	engine.request(3, idempotentClass, 5*time.Second)
+	engine.pass(100 * time.Millisecond)
+	engine.end(2, routing.Succeeded, routing.NoteHit)
+	engine.pass(time.Second)
+	fmt.Println(len(engine.requests), engine.InFlight())
+	// Output:
+	//      0s request 1: attempt at A, fill from P, for 5s
+	//   600ms request 2: attempt at A, fill from P, for 500ms
+	//   600ms request 3: attempt at A, fill from P, for 500ms
+	//   700ms request 3: succeeded, 5 bytes
+	//   960ms request 2: attempt at A, fill from O, for 140ms
+	//    1.1s request 1: attempt 0 aborted
+	//    1.1s request 1: rejected, 0 bytes
+	//    1.1s request 2: attempt 0 aborted
+	//    1.1s request 2: attempt 1 aborted
+	//    1.1s request 2: rejected, 0 bytes
+	// 0 0
+}
+
+// A response that passed through the router is stored, and served where the request would be rejected; but not once it
+// was purged, and without its body to a client that holds the same copy. The attempt ends when the link has carried the
+// body.
+func Example_localCache() {
+	engine := newTestEngine(LocalCacheSettings{
+		Bytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxInFlight: 10 * time.Second,
+	})
+	engine.request(1, idempotentClass, 2*time.Second)
+	engine.end(0, routing.Succeeded, routing.NoteHit)
+	engine.send(EndpointList{Complete: true}) // no endpoint is left
+	engine.request(2, idempotentClass, 2*time.Second)
+	fmt.Println(len(engine.requests), engine.InFlight())
+	engine.request(3, idempotentClass, 2*time.Second) // after the other on the link, and still in time
+	engine.pass(100 * time.Millisecond)
+	fmt.Println(len(engine.requests), engine.InFlight())
+	conditional := engine.newRequest(4, idempotentClass, time.Second)
+	conditional.HeldETag = "tag"
+	engine.send(conditional)
+	engine.pass(100 * time.Millisecond)
+	engine.send(Purge{Group: 1, Issued: engine.start.Add(engine.at)})
+	engine.request(5, idempotentClass, 2*time.Second)
+	engine.pass(100 * time.Millisecond)
+	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at)})
+	engine.request(6, idempotentClass, 2*time.Second)
+	engine.pass(time.Second)
+	fmt.Println(len(engine.requests), engine.InFlight(), engine.counts.LocalCacheHits)
+	// Output:
+	//      0s request 1: attempt at A, fill from P, for 2s
+	//      0s request 1: succeeded, 5 bytes
+	//      0s request 2: succeeded, 5 bytes
+	// 1 0
+	//      0s request 3: succeeded, 5 bytes
+	// 1 0
+	//   100ms request 4: not modified
+	//   200ms request 5: succeeded, 5 bytes
+	//   300ms request 6: rejected, 0 bytes
+	// 0 0 4
+}
--- /dev/null
+++ b/internal/engine/localcache.go
@@ -0,0 +1,219 @@
+package engine
+
+import (
+	"container/heap"
+	"container/list"
+	"slices"
+	"time"
+
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/invariant"
+	"fennelarch/policy/routing"
+)
+
+// LocalCacheSettings bound the copies that the router keeps in its own memory.
+type LocalCacheSettings struct {
+	Bytes              int           // for all copies
+	FlowBytesPerSecond float64       // of one transfer
+	LinkBytesPerSecond float64       // of all transfers together
+	MaxInFlight        time.Duration // a response older than this is no longer on its way
+}
+
+// Capacity is how many transfers fit on the link, 0 where no copies can be kept.
+func (s LocalCacheSettings) Capacity() float64 {
+	if s.Bytes <= 0 || s.FlowBytesPerSecond <= 0 {
+		return 0
+	}
+	return s.LinkBytesPerSecond / s.FlowBytesPerSecond
+}
+
+const (
+	// entryOverheadBytes is what a copy takes beside its body, as measured: two map entries and a list element.
+	entryOverheadBytes = 256
+	// notModifiedCostDivisor is the part of a body's transfer time that a not-modified response takes, a twentieth by
+	// the protocol.
+	notModifiedCostDivisor = 20
+)
+
+type cacheKey struct {
+	object routing.ObjectID
+	part   int
+}
+
+// cacheEntry is one copy.
+type cacheEntry struct {
+	key         cacheKey
+	group       routing.GroupID
+	body        []byte
+	etag        string
+	generatedAt time.Time     // by its timestamp
+	notBefore   time.Duration // the earliest time on the engine's clock at which it may have been generated
+}
+
+func (c *cacheEntry) bytes() int { return len(c.body) + entryOverheadBytes }
+
+// matches reports whether a purge is of the object or the group of the copy.
+func (c *cacheEntry) matches(purge *receivedPurge) bool {
+	return purge.Object == c.key.object || purge.Object == 0 && purge.Group == c.group
+}
+
+// isPurgedBy reports whether the copy may be older than a purge of it, by its timestamp or by the time that has passed.
+func (c *cacheEntry) isPurgedBy(purge *receivedPurge) bool {
+	return c.matches(purge) && (!c.generatedAt.After(purge.Issued) || c.notBefore <= purge.issuedBy)
+}
+
+// receivedPurge is a purge with its times on the engine's clock.
+type receivedPurge struct {
+	Purge
+	receivedAt time.Duration
+	issuedBy   time.Duration // the latest time at which it may have been issued
+}
+
+// localCache holds copies of responses that passed through the router, and models the link by which they reach clients.
+// The router treats it as an endpoint: the decisions say when it is asked and what it stores. It never exceeds its
+// bound, and never serves a copy that was purged.
+type localCache struct {
+	settings     LocalCacheSettings
+	bytes        int
+	entries      map[cacheKey]*list.Element
+	recentlyUsed list.List // the most recently used in front
+	purges       []receivedPurge
+	slotFreeAt   []time.Duration // by slot of the link: when its last transfer ends
+}
+
+func newLocalCache(settings LocalCacheSettings) *localCache {
+	return &localCache{
+		settings:   settings,
+		entries:    map[cacheKey]*list.Element{},
+		slotFreeAt: make([]time.Duration, max(1, int(settings.Capacity()))),
+	}
+}
+
+// store stores a response that may have been generated at notBefore or later, unless it may be older than a purge. The
+// least recently used copies make room for it.
+func (c *localCache) store(request *Request, result *AttemptResult, now, notBefore time.Duration) {
+	entry := cacheEntry{
+		key: cacheKey{request.Object, request.Part}, group: request.Group, body: result.Body, etag: result.ETag,
+		generatedAt: result.GeneratedAt, notBefore: notBefore,
+	}
+	c.forgetOldPurges(now)
+	if !c.isStorable(&entry) || c.isPurged(&entry) {
+		return
+	}
+	c.remove(c.entries[entry.key])
+	for c.bytes+entry.bytes() > c.settings.Bytes {
+		c.remove(c.recentlyUsed.Back())
+	}
+	c.bytes += entry.bytes()
+	c.entries[entry.key] = c.recentlyUsed.PushFront(&entry)
+}
+
+func (c *localCache) isStorable(entry *cacheEntry) bool {
+	return len(entry.body) > 0 && !entry.generatedAt.IsZero() && entry.bytes() <= c.settings.Bytes
+}
+
+func (c *localCache) remove(element *list.Element) {
+	if element != nil {
+		entry := c.recentlyUsed.Remove(element).(*cacheEntry)
+		c.bytes -= entry.bytes()
+		delete(c.entries, entry.key)
+	}
+}
+
+// forgetOldPurges drops purges that no response on its way can be older than.
+func (c *localCache) forgetOldPurges(now time.Duration) {
+	c.purges = slices.DeleteFunc(c.purges, func(purge receivedPurge) bool {
+		return now-purge.receivedAt > c.settings.MaxInFlight
+	})
+}
+
+// isPurged reports whether a copy may be older than one of the last purges.
+func (c *localCache) isPurged(entry *cacheEntry) bool {
+	return slices.ContainsFunc(c.purges, func(purge receivedPurge) bool { return entry.isPurgedBy(&purge) })
+}
+
+// purge removes what may have been generated before a purge that is received now.
+func (c *localCache) purge(purge Purge, now, issuedBy time.Duration) {
+	received := receivedPurge{purge, now, issuedBy}
+	c.purges = append(c.purges, received)
+	for element := c.recentlyUsed.Front(); element != nil; {
+		next := element.Next()
+		if element.Value.(*cacheEntry).isPurgedBy(&received) {
+			c.remove(element)
+		}
+		element = next
+	}
+}
+
+// find returns the copy of what a request is for, no older than maxAge; 0 is any age.
+func (c *localCache) find(request *Request, maxAge, now time.Duration) *cacheEntry {
+	element := c.entries[cacheKey{request.Object, request.Part}]
+	if element == nil {
+		return nil
+	}
+	entry := element.Value.(*cacheEntry)
+	if maxAge > 0 && now-entry.notBefore > maxAge {
+		return nil
+	}
+	c.recentlyUsed.MoveToFront(element)
+	return entry
+}
+
+// transfer puts bytes on the link and returns when they have been sent.
+func (c *localCache) transfer(now time.Duration, bytes int) (sentAt time.Duration) {
+	slot := slices.Index(c.slotFreeAt, slices.Min(c.slotFreeAt))
+	duration := time.Duration(float64(bytes) / c.settings.FlowBytesPerSecond * float64(time.Second))
+	c.slotFreeAt[slot] = max(now, c.slotFreeAt[slot]) + duration
+	return c.slotFreeAt[slot]
+}
+
+// storeLocally stores a response if its timestamp is plausible.
+func (e *Engine) storeLocally(result *AttemptResult) {
+	if age := e.ages.estimate(result.GeneratedAt, e.now); age.isPlausible {
+		e.localCache.store(result.Attempt.Request, result, e.now, e.now-age.atMost)
+	}
+}
+
+// serveFromLocalCache answers from the local cache. The attempt ends when the link has carried the body.
+func (e *Engine) serveFromLocalCache(request *activeRequest, attempt *Attempt) {
+	maxAge := attempt.MaxAge
+	if maxAge == 0 {
+		maxAge = e.settings.Classes[request.Class].FreshFor
+	}
+	entry := e.localCache.find(request.Request, maxAge, e.now)
+	if entry == nil {
+		e.endAttempt(request, attempt, attemptCompleted)
+		e.pending = append(e.pending, attemptResultEvent(attempt, routing.CacheMiss))
+		return
+	}
+	response := Response{
+		Status: StatusOK, NotModified: request.HeldETag != "" && request.HeldETag == entry.etag, Body: entry.body,
+	}
+	size := len(entry.body)
+	if response.NotModified {
+		size /= notModifiedCostDivisor
+	}
+	e.counts.LocalCacheHits++
+	if e.localCache.isPurged(entry) {
+		e.monitor.Violate(invariant.StaleCopyServed, uint64(request.ClientRequestID))
+	}
+	e.respond(request, response)
+	e.pending = append(e.pending, routing.Event{
+		Kind: routing.EventStreamStarted, Request: request.ID, Attempt: attempt.Number, Endpoint: attempt.Endpoint,
+	})
+	sentAt := e.localCache.transfer(e.now, size)
+	heap.Push(&e.timers, timer{at: sentAt, request: request.ID, attempt: attempt})
+}
+
+// handlePurge applies a purge. One without a timestamp was issued a moment ago.
+func (e *Engine) handlePurge(purge Purge) {
+	e.monitor.Record(flightrecorder.Entry{
+		Event: flightrecorder.PurgeReceived, ID: uint64(purge.Object), Value: int64(purge.Group),
+	})
+	issuedAgo := time.Duration(0)
+	if purge.Issued.Unix() > 0 {
+		issuedAgo = e.ages.estimate(purge.Issued, e.now).atLeast
+	}
+	e.localCache.purge(purge, e.now, e.now-issuedAgo)
+	e.dispatch(&routing.Event{Kind: routing.EventPurge, Object: purge.Object, Group: purge.Group, Age: issuedAgo})
+}
--- /dev/null
+++ b/internal/engine/localcache_test.go
@@ -0,0 +1,125 @@
+package engine
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// cacheTest is a local cache with requests by object.
+type cacheTest struct {
+	*localCache
+	now   time.Duration
+	epoch time.Time
+}
+
+func newCacheTest() *cacheTest {
+	return &cacheTest{
+		localCache: newLocalCache(LocalCacheSettings{
+			Bytes:              3 * (1000 + entryOverheadBytes),
+			FlowBytesPerSecond: 1000, LinkBytesPerSecond: 2500, MaxInFlight: 10 * time.Second,
+		}),
+		now: time.Hour, epoch: time.Now(),
+	}
+}
+
+func requestFor(object routing.ObjectID) *Request {
+	return &Request{Object: object, Group: routing.GroupID(object % 2)}
+}
+
+func (c *cacheTest) storeObject(object routing.ObjectID, generatedAt time.Duration) {
+	result := &AttemptResult{Body: make([]byte, 1000), GeneratedAt: c.epoch.Add(generatedAt)}
+	c.store(requestFor(object), result, c.now, generatedAt)
+}
+
+func (c *cacheTest) holds(object routing.ObjectID) bool {
+	return c.find(requestFor(object), 0, c.now) != nil
+}
+
+func TestLocalCacheEvictsLeastRecentlyUsed(t *testing.T) {
+	c := newCacheTest()
+	for object := range routing.ObjectID(3) {
+		c.storeObject(object+1, c.now)
+	}
+	c.find(requestFor(1), 0, c.now)
+	c.storeObject(4, c.now)
+	c.storeObject(4, c.now)
+	if !c.holds(1) || c.holds(2) || c.bytes > c.settings.Bytes || c.recentlyUsed.Len() != 3 {
+		t.Errorf("%d copies, %d bytes", c.recentlyUsed.Len(), c.bytes)
+	}
+	if c.find(requestFor(1), time.Second, c.now+2*time.Second) != nil {
+		t.Error("a copy too old was served")
+	}
+}
+
+func TestLocalCachePurgesGroup(t *testing.T) {
+	c := newCacheTest()
+	for _, object := range []routing.ObjectID{1, 3, 4} {
+		c.storeObject(object, c.now)
+	}
+	c.purge(Purge{Group: 1, Issued: c.epoch.Add(c.now)}, c.now+time.Minute, c.now)
+	c.storeObject(1, c.now-time.Second)
+	if c.holds(1) || c.holds(3) || !c.holds(4) {
+		t.Error("a purge of a group removed others, or not all")
+	}
+	if c.storeObject(1, c.now+time.Millisecond); !c.holds(1) {
+		t.Error("a copy from after the purge was not stored")
+	}
+}
+
+func TestLocalCacheStoresNothingOfUnknownAge(t *testing.T) {
+	c := newCacheTest()
+	if c.store(requestFor(5), &AttemptResult{Body: make([]byte, 1000)}, c.now, c.now); c.holds(5) {
+		t.Error("a copy of unknown age was stored")
+	}
+}
+
+func TestLocalCacheTransfersShareLink(t *testing.T) {
+	c := newCacheTest()
+	for i, want := range []time.Duration{2, 2, 3} { // two slots on the link
+		if got := c.transfer(time.Second, 1000); got != want*time.Second {
+			t.Errorf("transfer %d ends at %v", i, got)
+		}
+	}
+}
+
+// A local copy is removed for another, or purged, or its client leaves while its bytes are on their way: they arrive
+// complete, and the attempt ends once.
+func TestLocalCopyRemovedDuringTransfer(t *testing.T) {
+	for _, testCase := range []struct {
+		name   string
+		remove func(engine *checkedEngine)
+	}{
+		{"purged", func(engine *checkedEngine) { engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at)}) }},
+		{"evicted", func(engine *checkedEngine) {
+			other := &Request{Object: 8, Timeout: time.Second}
+			result := &AttemptResult{Body: make([]byte, 900), ETag: "other", GeneratedAt: engine.start.Add(engine.at)}
+			engine.localCache.store(other, result, engine.at, engine.at)
+		}},
+		{"client left", func(engine *checkedEngine) { engine.send(ClientGone{2}) }},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			engine := newCheckedEngine(t, testCase.name, LocalCacheSettings{
+				Bytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxInFlight: time.Second,
+			})
+			engine.send(engine.newRequest(1, idempotentClass, 3*time.Second))
+			engine.end(0, routing.Succeeded, routing.NoteHit)
+			engine.isClosed = false
+			engine.send(engine.newRequest(2, idempotentClass, 3*time.Second))
+			// All endpoints are overloaded: the local copy is left.
+			for i := 1; i < len(engine.attempts) && len(engine.statuses) < 2; i++ {
+				engine.end(i, routing.Overloaded, 0)
+			}
+			if len(engine.statuses) != 2 || engine.statuses[1] != StatusOK {
+				t.Fatalf("responses %v", engine.statuses)
+			}
+			testCase.remove(engine)
+			engine.pass(time.Second)
+			if len(engine.statuses) != 2 {
+				t.Errorf("%d responses", len(engine.statuses))
+			}
+			engine.checkEmpty()
+		})
+	}
+}
--- /dev/null
+++ b/internal/engine/request.go
@@ -0,0 +1,133 @@
+package engine
+
+import (
+	"container/heap"
+	"time"
+
+	"fennelarch/internal/invariant"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+)
+
+// requestState is how far a request has come.
+type requestState uint8
+
+const (
+	requestOpen      requestState = iota // its client waits
+	requestResponded                     // its client has the final response
+	requestCancelled                     // its client no longer waits
+	requestStates
+)
+
+var requestStateNames = [requestStates]string{"open", "responded", "cancelled"}
+
+// String is the name under which a state is logged.
+func (s requestState) String() string { return requestStateNames[s] }
+
+// requestTransitions are the transitions that may happen. A request that is no longer open stays as it is, and is
+// removed once none of its attempts is in flight.
+var requestTransitions = [requestStates][requestStates]bool{
+	requestOpen: {requestResponded: true, requestCancelled: true},
+}
+
+// activeRequest is a request in flight, or one with attempts in flight.
+type activeRequest struct {
+	*Request
+	deadline         time.Duration
+	state            requestState
+	attempts         []*Attempt // by number
+	attemptsInFlight int
+}
+
+func (r *activeRequest) isOpen() bool { return r.state == requestOpen }
+
+// closeRequest moves an open request to a closed state. Any other transition is a violation and changes nothing.
+func (e *Engine) closeRequest(request *activeRequest, state requestState) (closed bool) {
+	if !requestTransitions[request.state][state] {
+		e.violateTransition(request.Request, "request", request.state, state)
+		return false
+	}
+	request.state = state
+	e.inFlight.Add(-1)
+	return true
+}
+
+func (e *Engine) violateTransition(request *Request, of string, from, to interface{ String() string }) {
+	e.monitor.Violate(invariant.InvalidTransition, uint64(request.ClientRequestID),
+		zap.String("of", of), zap.Stringer("from", from), zap.Stringer("to", to))
+}
+
+func (e *Engine) handleRequest(request *Request) {
+	if !request.Invariants.Open() { // its client has gone while it waited in the queue
+		e.counts.Requests++
+		e.counts.ClientCancelled++
+		return
+	}
+	deadline := min(e.shutdownDeadline, request.ReceivedAt.Sub(e.startTime)+request.Timeout)
+	e.requests[request.ID] = &activeRequest{Request: request, deadline: deadline}
+	e.inFlight.Add(1)
+	e.counts.Requests++
+	heap.Push(&e.timers, timer{at: deadline, request: request.ID})
+	e.dispatch(&routing.Event{
+		Kind: routing.EventRequest, Request: request.ID, Class: request.Class, Tenant: request.Tenant,
+		Object: request.Object, Group: request.Group, Part: request.Part, SizeKB: request.SizeKB,
+		TimeLeft: deadline - e.now, Repeat: request.Repeat, Write: request.Write,
+	})
+}
+
+// respond gives a client its final response.
+func (e *Engine) respond(request *activeRequest, response Response) {
+	if !e.closeRequest(request, requestResponded) {
+		return
+	}
+	switch response.Status {
+	case StatusOK:
+		e.counts.Succeeded++
+	case StatusRejected:
+		e.counts.Rejected++
+	default:
+		e.counts.Failed++
+	}
+	request.Client.Respond(request.Tag, response)
+}
+
+// expireRequest ends a request whose deadline has passed: its attempts have timed out, and it fails unless the router
+// responds to that.
+func (e *Engine) expireRequest(id routing.RequestID) {
+	request := e.requests[id]
+	if request == nil || !request.isOpen() {
+		return
+	}
+	for _, attempt := range request.attempts {
+		e.abort(attempt, routing.TimedOut)
+	}
+	e.dispatchPending()
+	if request.isOpen() {
+		e.respond(request, Response{Status: StatusFailed})
+		e.dispatchClientGone(request)
+	}
+}
+
+func (e *Engine) handleClientGone(message ClientGone) {
+	request := e.requests[message.Request]
+	if request == nil || !request.isOpen() {
+		return
+	}
+	e.counts.ClientCancelled++
+	e.closeRequest(request, requestCancelled)
+	e.dispatchClientGone(request)
+}
+
+// dispatchClientGone tells the router that a closed request needs nothing more.
+func (e *Engine) dispatchClientGone(request *activeRequest) {
+	e.dispatch(&routing.Event{Kind: routing.EventClientGone, Request: request.ID})
+	e.removeIfDone(request)
+}
+
+// removeIfDone removes a request that is closed and has no attempt in flight.
+func (e *Engine) removeIfDone(request *activeRequest) {
+	if !request.isOpen() && request.attemptsInFlight == 0 {
+		delete(e.requests, request.ID)
+	}
+}
--- /dev/null
+++ b/internal/engine/simultaneous_test.go
@@ -0,0 +1,140 @@
+package engine
+
+// What happens in one turn of the engine: the result of an attempt, a second result, the client's leaving, the deadline
+// and the shutdown, in every order. One clock reading serves all of them.
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// permutations are all orders of n things.
+func permutations(n int) (all [][]int) {
+	if n == 0 {
+		return [][]int{nil}
+	}
+	for _, shorter := range permutations(n - 1) {
+		for at := range n {
+			longer := append([]int(nil), shorter[:at]...)
+			all = append(all, append(append(longer, n-1), shorter[at:]...))
+		}
+	}
+	return all
+}
+
+// simultaneousCase is what happens in one turn.
+type simultaneousCase struct {
+	name         string
+	class        routing.ClassID
+	outcome      routing.Outcome // of the first attempt
+	note         routing.Note
+	abortWritten bool
+	timeout      time.Duration
+	order        []int
+}
+
+func (c *simultaneousCase) String() string {
+	return fmt.Sprintf("class %d, %s, abort finds it written %v, timeout %v, order %v",
+		c.class, c.name, c.abortWritten, c.timeout, c.order)
+}
+
+// Whatever coincides with the result of an attempt, and in which order: a client that stays has one response, one that
+// left before it has none, nothing is sent for a closed request, a request that is not idempotent and may have run is
+// not sent again, and nothing is left in the engine. Played in the turn in which the deadline passes, and long before.
+func TestSimultaneousEventsInEveryOrder(t *testing.T) {
+	for _, result := range []simultaneousCase{
+		{name: "succeeded", outcome: routing.Succeeded, note: routing.NoteHit},
+		{name: "connection broken", outcome: routing.ConnectionBroken},
+		{name: "connect failed", outcome: routing.ConnectFailed},
+		{name: "cache miss", outcome: routing.CacheMiss, note: routing.NoteSourceMiss},
+		{name: "failed", outcome: routing.Failed},
+		{name: "overloaded", outcome: routing.Overloaded},
+	} {
+		t.Run(result.name, func(t *testing.T) {
+			for _, class := range []routing.ClassID{idempotentClass, nonIdempotentClass} {
+				for _, abortWritten := range []bool{true, false} {
+					for _, timeout := range []time.Duration{300 * time.Millisecond, 3 * time.Second} {
+						for _, order := range permutations(5) {
+							testCase := result
+							testCase.class, testCase.abortWritten, testCase.timeout, testCase.order = class, abortWritten, timeout, order
+							checkSimultaneousEvents(t, &testCase)
+						}
+					}
+				}
+			}
+		})
+	}
+}
+
+// turn is what is known of a turn once it is over.
+type turn struct {
+	clientGone          bool
+	responsesBeforeGone int
+	mayHaveRun          bool // by the result of the first attempt
+}
+
+func checkSimultaneousEvents(t *testing.T, testCase *simultaneousCase) {
+	t.Helper()
+	engine := newCheckedEngine(t, testCase.String())
+	engine.abortWritten = testCase.abortWritten
+	engine.send(engine.newRequest(1, testCase.class, testCase.timeout))
+	if len(engine.attempts) != 1 {
+		t.Fatalf("%v: %d attempts", testCase, len(engine.attempts))
+	}
+	engine.pass(299 * time.Millisecond)
+	attemptsBefore := len(engine.attempts)
+	engine.at += time.Millisecond
+	after := engine.playTurn(testCase)
+	engine.pass(4 * time.Second)
+	for i := range engine.attempts { // what is still in flight ends now
+		engine.end(i, routing.ConnectionBroken, 0)
+	}
+	engine.pass(time.Second)
+	mustNotRepeat := testCase.class == nonIdempotentClass && after.mayHaveRun
+	switch n := len(engine.statuses); {
+	case n > 1 || n == 0 && !after.clientGone:
+		t.Fatalf("%v: %d responses", testCase, n)
+	case after.clientGone && n > after.responsesBeforeGone:
+		t.Fatalf("%v: a response to a client that had gone", testCase)
+	case mustNotRepeat && len(engine.attempts) > attemptsBefore:
+		t.Fatalf("%v: a request that is not idempotent and may have run was sent again", testCase)
+	case mustNotRepeat && n == 1 && engine.statuses[0] == StatusRejected:
+		t.Fatalf("%v: rejected though it may have run", testCase)
+	}
+	engine.checkEmpty()
+}
+
+func (e *checkedEngine) playTurn(c *simultaneousCase) (after turn) {
+	for _, step := range c.order {
+		switch step {
+		case 0:
+			mayRun := c.outcome == routing.ConnectionBroken || c.outcome == routing.Failed
+			after.mayHaveRun = after.mayHaveRun || !e.attempts[0].hasEnded() && mayRun
+			e.end(0, c.outcome, c.note)
+		case 1:
+			if !after.clientGone {
+				after.responsesBeforeGone = len(e.statuses)
+			}
+			after.clientGone, e.isClosed = true, true
+			e.send(ClientGone{1})
+		case 2:
+			e.Tick(e.at)
+		case 3:
+			e.end(0, routing.Succeeded, routing.NoteHit) // a second result
+		case 4:
+			e.send(Shutdown{Grace: time.Second})
+		}
+	}
+	return after
+}
+
+// checkEmpty fails the test where the engine still holds a request.
+func (e *checkedEngine) checkEmpty() {
+	e.t.Helper()
+	if len(e.requests) != 0 || e.InFlight() != 0 {
+		e.t.Fatalf("%s: %d requests left, %d in flight", e.scenario, len(e.requests), e.InFlight())
+	}
+}
--- /dev/null
+++ b/internal/engine/timers.go
@@ -0,0 +1,83 @@
+package engine
+
+import (
+	"container/heap"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// timer is one of the router's, or the deadline of a request or an attempt. Its kind follows from what is set: a field
+// for it would make each timer's allocation larger.
+type timer struct {
+	at          time.Duration
+	request     routing.RequestID // 0: the router's
+	attempt     *Attempt
+	routerTimer uint64
+}
+
+type timerKind uint8
+
+const (
+	routerTimer            timerKind = iota
+	requestDeadline                  // the client's time is over
+	attemptDeadline                  // the endpoint has not given a result in time
+	localTransferCompleted           // the bytes of a local copy have been sent
+)
+
+func (t *timer) kind() timerKind {
+	switch {
+	case t.request == 0:
+		return routerTimer
+	case t.attempt == nil:
+		return requestDeadline
+	case t.attempt.Endpoint == routing.LocalCache:
+		return localTransferCompleted
+	}
+	return attemptDeadline
+}
+
+// Tick fires the timers that are due.
+func (e *Engine) Tick(now time.Duration) {
+	e.now = max(now, e.now)
+	e.ages.clock.compareIfDue(e.now)
+	for len(e.timers) > 0 && e.timers[0].at <= e.now {
+		due := heap.Pop(&e.timers).(timer)
+		switch due.kind() {
+		case routerTimer:
+			e.dispatch(&routing.Event{Kind: routing.EventTimer, Timer: due.routerTimer})
+		case requestDeadline:
+			e.expireRequest(due.request)
+		case attemptDeadline:
+			e.abort(due.attempt, routing.TimedOut)
+			e.dispatchPending()
+		case localTransferCompleted:
+			e.handleAttemptResult(&AttemptResult{Attempt: due.attempt, Outcome: routing.Succeeded}, e.now)
+		}
+	}
+}
+
+// timerHeap holds the timers, the next one first.
+type timerHeap []timer
+
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Swap implements heap.Interface.
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+// Less implements heap.Interface: by time, then by request.
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].request < h[j].request
+}
+
+// Push implements heap.Interface.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+
+// Pop implements heap.Interface.
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
--- /dev/null
+++ b/internal/engine/transport.go
@@ -0,0 +1,42 @@
+package engine
+
+import (
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// Client receives the one final response to a request. It must not block.
+type Client interface {
+	Respond(tag Tag, response Response)
+}
+
+// Status is the kind of a final response.
+type Status uint8
+
+// The kinds of final responses.
+const (
+	StatusOK Status = iota
+	StatusRejected
+	StatusFailed
+)
+
+// Response is a final response.
+type Response struct {
+	Status      Status
+	NotModified bool // the copy that the client holds is current
+	RetryAfter  time.Duration
+	Body        []byte
+}
+
+// Transport carries attempts to endpoints. None of its methods may block.
+type Transport interface {
+	// UpdateEndpoints applies an endpoint list; complete says that endpoints which are not in it are gone.
+	UpdateEndpoints(endpoints []Endpoint, complete bool)
+	// Send starts an attempt; its result is posted to the engine.
+	Send(attempt *Attempt)
+	// Abort gives up an attempt, of which no result follows, and reports whether any of it may have been written.
+	Abort(attempt *Attempt) (written bool)
+	// CheckHealth starts a health check; its result is posted to the engine.
+	CheckHealth(endpoint routing.EndpointID)
+}
--- a/internal/invariant/guard_test.go
+++ b/internal/invariant/guard_test.go
@@ -82,6 +82,7 @@
 		{RequestUnanswered, func(m *Monitor) { m.CloseClient(7, CloseClientIdle, 1) }},
 		{AttemptCutOff, func(m *Monitor) { m.CloseServer(7, CloseIdle, 1) }},
 		{StaleCopyServed, func(m *Monitor) { m.Violate(StaleCopyServed, 7) }},
+		{InvalidTransition, func(m *Monitor) { m.Violate(InvalidTransition, 7) }},
 	} {
 		m := newMonitor()
 		c.plant(m)
--- a/internal/invariant/reasons.go
+++ b/internal/invariant/reasons.go
@@ -25,14 +25,15 @@
 	RejectedThoughRan                     // a request was refused as harmless to repeat, though it may have run
 	RequestUnanswered                     // a connection was closed by this side with requests open
 	AttemptCutOff                         // a connection to a server was closed for resting, with attempts open
-	StaleCopyServed                       // an own copy was served that a purge had hit
+	StaleCopyServed                       // a copy of the local cache was served that had been purged
+	InvalidTransition                     // a request or an attempt was to change to a state that cannot follow
 	violationKinds
 )
 
 var violationNames = [violationKinds]string{
 	"attempt_after_end", "attempt_after_deadline", "attempt_after_bound",
 	"deadline_too_long", "repeat_unsafe", "answered_twice", "answered_late", "refused_though_ran", "request_unanswered",
-	"attempt_cut_off", "stale_copy_served",
+	"attempt_cut_off", "stale_copy_served", "invalid_transition",
 }
 
 // String is the name under which a kind is counted and logged.
