--- /dev/null
+++ b/internal/invariant/monitor_test.go
@@ -0,0 +1,68 @@
+package invariant
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"fennelarch/internal/flightrecorder"
+
+	"go.uber.org/zap"
+)
+
+var (
+	here      = Server{Endpoint: 1, Zone: 1, Cell: 1}
+	sameCell  = Server{Endpoint: 2, Zone: 1, Cell: 1}
+	sameZone  = Server{Endpoint: 3, Zone: 1, Cell: 2}
+	otherZone = Server{Endpoint: 4, Zone: 2, Cell: 1}
+)
+
+func newMonitor() *Monitor {
+	return NewMonitor(zap.NewNop(), flightrecorder.New(64, ReasonName), nil, nil)
+}
+
+// Ends of connections that cross requests are no violations; each is counted by its reason.
+func TestClosesAreCounted(t *testing.T) {
+	monitor := newMonitor()
+	monitor.CloseClient(1, CloseClientLeft, 3)
+	monitor.CloseClient(1, CloseClientIdle, 0)
+	monitor.CloseServer(1, CloseServerEnded, 3)
+	violations, closes := monitor.Counts()
+	if len(violations) != 0 || monitor.Violations() != 0 {
+		t.Error(violations)
+	}
+	if len(closes) != 3 || closes["client_left"] != 1 || closes["idle"] != 1 || closes["server_ended"] != 1 {
+		t.Error(closes)
+	}
+}
+
+// A violation writes the recorder out, but not one after the other.
+func TestViolationDumpsRecorder(t *testing.T) {
+	var dumped []string
+	dump := func(reason string) { dumped = append(dumped, reason) }
+	monitor := NewMonitor(zap.NewNop(), flightrecorder.New(8, ReasonName), nil, dump)
+	monitor.Violate(AnsweredTwice, 7)
+	monitor.Violate(AnsweredLate, 7)
+	if strings.Join(dumped, " ") != "answered_twice" {
+		t.Error(dumped)
+	}
+	entries := monitor.Recorder().Entries()
+	if len(entries) != 2 || !strings.Contains(monitor.Recorder().Text(entries[1]), "reason=answered_late") {
+		t.Error(entries)
+	}
+}
+
+// A monitor that is nil counts nothing.
+func TestNilMonitorCountsNothing(t *testing.T) {
+	var monitor *Monitor
+	now := time.Now()
+	monitor.Violate(AnsweredLate, 1)
+	monitor.CloseClient(1, CloseClientIdle, 1)
+	monitor.CloseServer(1, CloseIdle, 1)
+	if monitor.Violations() != 0 || monitor.Watch() != nil || monitor.Recorder() != nil {
+		t.Error("a nil monitor counts something")
+	}
+	if request := monitor.NewRequest(1, now.Add(time.Second), RepeatPolicy{}); !request.End(EndServed, now) {
+		t.Error("a request without a monitor cannot end")
+	}
+}
--- /dev/null
+++ b/internal/invariant/repeat_test.go
@@ -0,0 +1,48 @@
+package invariant
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// Which repeats may begin, by idempotency, scope, window, and what was proved of the attempt before.
+func TestRepeats(t *testing.T) {
+	withKey := func(scope routing.DedupScope) RepeatPolicy {
+		return RepeatPolicy{routing.IdempotentWithKey, scope, time.Second}
+	}
+	idempotent := RepeatPolicy{Idempotency: routing.Idempotent}
+	nonIdempotent := RepeatPolicy{Idempotency: routing.NonIdempotent}
+	now := time.Now()
+	for _, testCase := range []struct {
+		name   string
+		policy RepeatPolicy
+		to     Server
+		later  time.Duration
+		notRun bool
+		want   SendDenial
+	}{
+		{"idempotent", idempotent, otherZone, time.Second, false, SendAllowed},
+		{"not idempotent", nonIdempotent, here, 0, false, SendRepeatUnsafe},
+		{"not idempotent, did not run", nonIdempotent, otherZone, 0, true, SendAllowed},
+		{"with key, in its cell", withKey(routing.ScopeCell), sameCell, 0, false, SendAllowed},
+		{"with key, out of its cell", withKey(routing.ScopeCell), sameZone, 0, false, SendRepeatUnsafe},
+		{"with key, in its zone", withKey(routing.ScopeZone), sameZone, 0, false, SendAllowed},
+		{"with key, out of its zone", withKey(routing.ScopeZone), otherZone, 0, false, SendRepeatUnsafe},
+		{"with key, anywhere", withKey(routing.ScopeAll), otherZone, 0, false, SendAllowed},
+		{"with key, after its window", withKey(routing.ScopeAll), here, time.Second, false, SendRepeatUnsafe},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			request := newMonitor().NewRequest(7, now.Add(time.Minute), testCase.policy)
+			request.Begin(Attempt{Server: here}, now)
+			if testCase.notRun {
+				request.MarkNotRun(0, here.Endpoint)
+			}
+			got := request.Begin(Attempt{Number: 1, Server: testCase.to}, now.Add(testCase.later))
+			if got != testCase.want {
+				t.Errorf("%v, not %v", got, testCase.want)
+			}
+		})
+	}
+}
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -10,56 +10,32 @@
 	"go.uber.org/zap"
 )
 
-// RepeatPolicy says what repeats of a request may do, as its class has it.
-type RepeatPolicy struct {
-	Idempotency routing.Idempotency
-	DedupScope  routing.DedupScope // the group of servers that drops repeats of a keyed request
-	DedupWindow time.Duration      // for how long it does
-}
-
-// Server is a server as the guard needs it: who it is, and in which group it drops repeats.
-type Server struct {
-	Endpoint routing.EndpointID
-	Zone     routing.ZoneID
-	Cell     routing.CellID
-}
-
-// Attempt is one try of a request at a server.
-type Attempt struct {
-	Number   routing.AttemptNumber
-	Server   Server
-	NotAfter time.Time     // it begins by then or never; zero: no bound of its own
-	Deadline time.Duration // that the server is told
-}
+// AnswerSlack is how long after the client's deadline a final response may come without counting as a violation.
+const AnswerSlack = 50 * time.Millisecond
 
-// attempt is what became of one that began.
-type attempt struct {
-	Attempt
-	begun  time.Time
-	notRun bool // proved
-}
-
-// Request is the guard's record of one request. The client's connection, the engine and the connections to servers
-// share it. All methods also do on nil: a request that nobody guards may do anything.
+// Request is the record of one request. The client's connection, the engine and the connections to servers share it.
+// All methods work on nil, where nothing is checked.
 type Request struct {
 	monitor  *Monitor
 	id       uint64
 	deadline time.Time
-	repeat   RepeatPolicy
+	policy   RepeatPolicy
 
 	mu       sync.Mutex
 	end      EndReason
-	ended    time.Time
-	attempts []attempt
+	endedAt  time.Time
+	attempts []sentAttempt
 }
 
 // NewRequest begins the record of a request whose client waits until the deadline.
-func (m *Monitor) NewRequest(id uint64, deadline time.Time, repeat RepeatPolicy) *Request {
-	m.Record(flightrecorder.Entry{Event: flightrecorder.RequestArrived, ID: id, Value: time.Until(deadline).Milliseconds()})
-	return &Request{monitor: m, id: id, deadline: deadline, repeat: repeat}
+func (m *Monitor) NewRequest(id uint64, deadline time.Time, policy RepeatPolicy) *Request {
+	m.Record(flightrecorder.Entry{
+		Event: flightrecorder.RequestArrived, ID: id, Value: time.Until(deadline).Milliseconds(),
+	})
+	return &Request{monitor: m, id: id, deadline: deadline, policy: policy}
 }
 
-// Open says whether the request has neither an answer nor lost its client.
+// Open reports whether the request has no final response and its client still waits.
 func (r *Request) Open() bool {
 	if r == nil {
 		return true
@@ -69,7 +45,7 @@
 	return r.end == EndOpen
 }
 
-// End ends the request, and says whether it was open until now: only then may an answer be written.
+// End ends the request, and reports whether it was open until now: only then may a response be written.
 func (r *Request) End(reason EndReason, now time.Time) bool {
 	if r == nil {
 		return true
@@ -77,165 +53,132 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.end != EndOpen {
-		if r.end.answered() && reason.answered() {
+		if r.end.isResponse() && reason.isResponse() {
 			r.monitor.Violate(AnsweredTwice, r.id, zap.Stringer("first", r.end), zap.Stringer("second", reason))
 		}
 		return false
 	}
-	r.end, r.ended = reason, now
+	r.end, r.endedAt = reason, now
 	r.monitor.Record(flightrecorder.Entry{
 		Event: flightrecorder.RequestEnded, ID: r.id, Reason: uint8(reason),
 		Value: r.deadline.Sub(now).Milliseconds(),
 	})
-	if reason == EndRejected && r.repeat.Idempotency == routing.NonIdempotent && r.mayHaveRun() {
+	r.checkEnd(reason, now)
+	return true
+}
+
+func (r *Request) checkEnd(reason EndReason, now time.Time) {
+	if reason == EndRejected && r.policy.Idempotency == routing.NonIdempotent && r.mayHaveRun() {
 		r.monitor.Violate(RejectedThoughRan, r.id)
 	}
-	if late := now.Sub(r.deadline); reason.answered() && late > AnswerSlack && !r.monitor.Watch().Since(r.deadline, now) {
+	late := now.Sub(r.deadline)
+	if reason.isResponse() && late > AnswerSlack && !r.monitor.Watch().Since(r.deadline, now) {
 		r.monitor.Violate(AnsweredLate, r.id, zap.Duration("late", late))
 	}
-	return true
 }
 
 func (r *Request) mayHaveRun() bool {
 	for i := range r.attempts {
-		if !r.attempts[i].notRun {
+		if !r.attempts[i].isProvedNotRun {
 			return true
 		}
 	}
 	return false
 }
 
-// Begin is asked in the moment in which an attempt would begin to be written. Unless it is refused, the attempt may
+// Begin is called at the moment in which an attempt would begin to be written. Unless it is denied, the attempt may
 // have run from here on, until MarkNotRun proves that it has not.
-func (r *Request) Begin(a Attempt, now time.Time) SendDenial {
+func (r *Request) Begin(attempt Attempt, now time.Time) SendDenial {
 	if r == nil {
-		return boundOf(a, now)
+		if attempt.isStartBoundPassed(now) {
+			return SendBoundPassed
+		}
+		return SendAllowed
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	refusal := r.refusal(a, now)
-	if refusal != SendAllowed {
-		r.record(flightrecorder.AttemptDenied, a, uint8(refusal), 0)
-		return refusal
+	denial := r.denial(attempt, now)
+	if denial != SendAllowed {
+		r.record(flightrecorder.AttemptDenied, attempt, uint8(denial), 0)
+		return denial
 	}
-	r.record(flightrecorder.AttemptSent, a, 0, a.Deadline.Milliseconds())
-	r.attempts = append(r.attempts, attempt{Attempt: a, begun: now})
+	r.record(flightrecorder.AttemptSent, attempt, 0, attempt.Deadline.Milliseconds())
+	r.attempts = append(r.attempts, sentAttempt{Attempt: attempt, startedAt: now})
 	return SendAllowed
 }
 
-func boundOf(a Attempt, now time.Time) SendDenial {
-	if !a.NotAfter.IsZero() && now.After(a.NotAfter) {
-		return SendBoundPassed
-	}
-	return SendAllowed
-}
-
-func (r *Request) refusal(a Attempt, now time.Time) SendDenial {
+func (r *Request) denial(attempt Attempt, now time.Time) SendDenial {
 	switch {
 	case r.end != EndOpen:
 		return SendRequestEnded
 	case !now.Before(r.deadline):
 		return SendDeadlinePassed
-	case boundOf(a, now) != SendAllowed:
+	case attempt.isStartBoundPassed(now):
 		return SendBoundPassed
-	case !r.mayRepeat(a.Server, now):
-		r.monitor.Violate(RepeatUnsafe, r.id, zap.Int("attempt", int(a.Number)), zap.Int("earlier", len(r.attempts)))
+	case !r.mayRepeat(attempt.Server, now):
+		r.monitor.Violate(RepeatUnsafe, r.id,
+			zap.Int("attempt", int(attempt.Number)), zap.Int("earlier", len(r.attempts)))
 		return SendRepeatUnsafe
 	}
 	return SendAllowed
 }
 
-// mayRepeat checks, apart from the decisions, that an earlier attempt which may have run does not forbid this one.
+// mayRepeat checks, apart from the decisions, that no earlier attempt which may have run forbids this one.
 func (r *Request) mayRepeat(to Server, now time.Time) bool {
-	if r.repeat.Idempotency == routing.Idempotent {
-		return true
-	}
 	for i := range r.attempts {
 		earlier := &r.attempts[i]
-		if earlier.notRun {
-			continue
-		}
-		if r.repeat.Idempotency == routing.NonIdempotent || !r.repeat.together(earlier.Server, to) ||
-			now.Sub(earlier.begun) >= r.repeat.DedupWindow {
+		if !earlier.isProvedNotRun && !r.policy.allowsRepeat(earlier, to, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// together says whether two servers drop each other's repeats.
-func (p RepeatPolicy) together(a, b Server) bool {
-	switch p.DedupScope {
-	case routing.ScopeAll:
-		return true
-	case routing.ScopeZone:
-		return a.Zone == b.Zone
-	}
-	return a.Zone == b.Zone && a.Cell == b.Cell
-}
-
-// Complete says that the system has taken the last byte of an attempt, and checks that it was in time.
-func (r *Request) Complete(number routing.AttemptNumber, node routing.EndpointID, now time.Time) {
+// Complete reports that the system has taken the last byte of an attempt, and checks that it was in time.
+func (r *Request) Complete(number routing.AttemptNumber, endpoint routing.EndpointID, now time.Time) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		if a.Number != number || a.Server.Endpoint != node {
+		attempt := &r.attempts[i]
+		if attempt.Number != number || attempt.Server.Endpoint != endpoint {
 			continue
 		}
-		r.record(flightrecorder.AttemptWritten, a.Attempt, 0, now.Sub(a.begun).Milliseconds())
-		r.check(a, now)
+		r.record(flightrecorder.AttemptWritten, attempt.Attempt, 0, now.Sub(attempt.startedAt).Milliseconds())
+		r.checkWritten(attempt, now)
 		return
 	}
 }
 
-func (r *Request) check(a *attempt, now time.Time) {
-	detail := []zap.Field{zap.Int("attempt", int(a.Number)), zap.Duration("written_for", now.Sub(a.begun))}
-	if r.monitor.Watch().Since(a.begun, now) {
-		return // the process stood still in the middle of a write
-	}
-	if r.end != EndOpen && now.Sub(r.ended) > EndSlack {
-		r.monitor.Violate(AttemptAfterEnd, r.id, append(detail, zap.Stringer("ended", r.end))...)
-	}
-	if now.Sub(r.deadline) > EndSlack {
-		r.monitor.Violate(AttemptAfterDeadline, r.id, detail...)
-	}
-	if !a.NotAfter.IsZero() && now.Sub(a.NotAfter) > GraceSlack {
-		r.monitor.Violate(AttemptAfterBound, r.id, detail...)
-	}
-	if a.Deadline > r.deadline.Sub(now)+DeadlineSlack {
-		r.monitor.Violate(DeadlineTooLong, r.id, append(detail, zap.Duration("told", a.Deadline))...)
-	}
-}
-
-// MarkNotRun says that an attempt has been proved not to have run.
-func (r *Request) MarkNotRun(number routing.AttemptNumber, node routing.EndpointID) {
+// MarkNotRun reports that an attempt has been proved not to have run.
+func (r *Request) MarkNotRun(number routing.AttemptNumber, endpoint routing.EndpointID) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.Number == number && a.Server.Endpoint == node {
-			a.notRun = true
+		if attempt := &r.attempts[i]; attempt.Number == number && attempt.Server.Endpoint == endpoint {
+			attempt.isProvedNotRun = true
 		}
 	}
 }
 
 // Record adds an event about an attempt to the flight recorder.
-func (r *Request) Record(event flightrecorder.Event, number routing.AttemptNumber, node routing.EndpointID, reason uint8, value int64) {
+func (r *Request) Record(
+	event flightrecorder.Event, number routing.AttemptNumber, endpoint routing.EndpointID, reason uint8, value int64,
+) {
 	if r == nil {
 		return
 	}
-	r.record(event, Attempt{Number: number, Server: Server{Endpoint: node}}, reason, value)
+	r.record(event, Attempt{Number: number, Server: Server{Endpoint: endpoint}}, reason, value)
 }
 
-func (r *Request) record(event flightrecorder.Event, a Attempt, reason uint8, value int64) {
+func (r *Request) record(event flightrecorder.Event, attempt Attempt, reason uint8, value int64) {
 	r.monitor.Record(flightrecorder.Entry{
-		Event: event, ID: r.id, Endpoint: uint64(a.Server.Endpoint), Attempt: uint8(a.Number),
+		Event: event, ID: r.id, Endpoint: uint64(attempt.Server.Endpoint), Attempt: uint8(attempt.Number),
 		Reason: reason, Value: value,
 	})
 }
--- /dev/null
+++ b/internal/invariant/request_test.go
@@ -0,0 +1,75 @@
+package invariant
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/internal/flightrecorder"
+)
+
+// A request ends once; what crosses its end is ignored.
+func TestRequestEndsOnce(t *testing.T) {
+	now := time.Now()
+	monitor := newMonitor()
+	request := monitor.NewRequest(7, now.Add(time.Second), RepeatPolicy{})
+	if denial := request.Begin(Attempt{Server: here, Deadline: time.Second}, now); denial != SendAllowed {
+		t.Error(denial)
+	}
+	request.Complete(0, here.Endpoint, now.Add(time.Millisecond))
+	if !request.End(EndServed, now) || request.Open() {
+		t.Error("the request did not end")
+	}
+	if request.End(EndClientLeft, now) || request.End(EndCancelled, now) {
+		t.Error("the request ended more than once")
+	}
+	if violations, _ := monitor.Counts(); len(violations) != 0 {
+		t.Error(violations)
+	}
+}
+
+// An attempt that comes too late is denied, which is no violation.
+func TestLateAttemptsAreDenied(t *testing.T) {
+	now := time.Now()
+	for _, testCase := range []struct {
+		name    string
+		timeout time.Duration
+		ended   bool
+		attempt Attempt
+		want    SendDenial
+	}{
+		{"after the end", time.Second, true, Attempt{Number: 1, Server: here}, SendRequestEnded},
+		{"at the deadline", time.Millisecond, false, Attempt{Server: here}, SendDeadlinePassed},
+		{"after its start bound", time.Second, false, Attempt{Server: here, NotAfter: now}, SendBoundPassed},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			monitor := newMonitor()
+			request := monitor.NewRequest(8, now.Add(testCase.timeout), RepeatPolicy{})
+			if testCase.ended {
+				request.End(EndServed, now)
+			}
+			if denial := request.Begin(testCase.attempt, now.Add(time.Millisecond)); denial != testCase.want {
+				t.Errorf("%v, not %v", denial, testCase.want)
+			}
+			if violations, _ := monitor.Counts(); len(violations) != 0 {
+				t.Error(violations)
+			}
+		})
+	}
+}
+
+// A request that nobody checks may do anything.
+func TestNilRequestAllowsAll(t *testing.T) {
+	var request *Request
+	now := time.Now()
+	if !request.Open() || request.Begin(Attempt{}, now) != SendAllowed {
+		t.Error("an attempt is denied")
+	}
+	for range 2 {
+		if !request.End(EndServed, now) {
+			t.Error("it cannot end")
+		}
+	}
+	request.Complete(0, 0, now)
+	request.MarkNotRun(0, 0)
+	request.Record(flightrecorder.AttemptEnded, 0, 0, 0, 0)
+}
--- /dev/null
+++ b/internal/invariant/violation_test.go
@@ -0,0 +1,88 @@
+package invariant
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// Each kind of violation counts when it is planted, and nothing else does.
+func TestPlantedViolationsAreCounted(t *testing.T) {
+	for kind := range violationKinds {
+		t.Run(kind.String(), func(t *testing.T) {
+			monitor := newMonitor()
+			plantedViolations[kind](monitor)
+			counts, _ := monitor.Counts()
+			if monitor.Violations() != 1 || counts[kind.String()] != 1 {
+				t.Errorf("counted %v", counts)
+			}
+		})
+	}
+}
+
+// arrival is when planted requests arrive.
+var arrival = time.Now()
+
+func after(d time.Duration) time.Time { return arrival.Add(d) }
+
+func plantedAttempt(number routing.AttemptNumber) Attempt {
+	return Attempt{Number: number, Server: here, NotAfter: after(time.Second), Deadline: 2 * time.Second}
+}
+
+func plantedRequest(m *Monitor, idempotency routing.Idempotency) *Request {
+	return m.NewRequest(7, after(2*time.Second), RepeatPolicy{
+		Idempotency: idempotency, DedupScope: routing.ScopeCell, DedupWindow: time.Second,
+	})
+}
+
+// plantedViolations causes one violation of each kind.
+var plantedViolations = [violationKinds]func(m *Monitor){
+	AttemptAfterEnd: func(m *Monitor) {
+		request := plantedRequest(m, routing.Idempotent)
+		request.Begin(plantedAttempt(0), arrival)
+		request.End(EndCancelled, arrival)
+		request.Complete(0, here.Endpoint, after(EndSlack+time.Millisecond))
+	},
+	AttemptAfterDeadline: func(m *Monitor) {
+		request := m.NewRequest(7, after(10*time.Millisecond), RepeatPolicy{})
+		request.Begin(Attempt{Server: here}, arrival)
+		request.Complete(0, here.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
+	},
+	AttemptAfterBound: func(m *Monitor) {
+		request := plantedRequest(m, routing.Idempotent)
+		attempt := plantedAttempt(0)
+		attempt.NotAfter, attempt.Deadline = arrival, time.Second
+		request.Begin(attempt, arrival)
+		request.Complete(0, here.Endpoint, after(GraceSlack+time.Millisecond))
+	},
+	DeadlineTooLong: func(m *Monitor) {
+		request := plantedRequest(m, routing.Idempotent)
+		attempt := plantedAttempt(0)
+		attempt.Deadline = 2*time.Second + DeadlineSlack + time.Millisecond
+		request.Begin(attempt, arrival)
+		request.Complete(0, here.Endpoint, arrival)
+	},
+	RepeatUnsafe: func(m *Monitor) {
+		request := plantedRequest(m, routing.NonIdempotent)
+		request.Begin(plantedAttempt(0), arrival)
+		request.Begin(plantedAttempt(1), arrival)
+	},
+	AnsweredTwice: func(m *Monitor) {
+		request := plantedRequest(m, routing.Idempotent)
+		request.End(EndServed, arrival)
+		request.End(EndFailed, arrival)
+	},
+	AnsweredLate: func(m *Monitor) {
+		plantedRequest(m, routing.Idempotent).End(EndServed, after(2*time.Second+AnswerSlack+time.Millisecond))
+	},
+	RejectedThoughRan: func(m *Monitor) {
+		request := plantedRequest(m, routing.NonIdempotent)
+		request.Begin(plantedAttempt(0), arrival)
+		request.End(EndRejected, arrival)
+	},
+	RequestUnanswered: func(m *Monitor) { m.CloseClient(7, CloseClientIdle, 1) },
+	AttemptCutOff:     func(m *Monitor) { m.CloseServer(7, CloseIdle, 1) },
+	StaleCopyServed:   func(m *Monitor) { m.Violate(StaleCopyServed, 7) },
+	InvalidTransition: func(m *Monitor) { m.Violate(InvalidTransition, 7) },
+}
