--- a/policy/routing/bench_test.go
+++ b/policy/routing/bench_test.go
@@ -10,7 +10,7 @@
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{4, 130, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := New(plain(), 1)
+			r := New(testSettings(), 1)
 			now := time.Minute
 			acts := r.Start(now, nil)
 			e := Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Endpoints: []Endpoint{member(parentP), member(origin)}}
--- a/policy/routing/fleet_test.go
+++ b/policy/routing/fleet_test.go
@@ -41,13 +41,13 @@
 	if f.parent {
 		cold = parentP
 	}
-	var fleet []*bench
+	var fleet []*harness
 	var share []float64
 	total := 0.0
 	// A process has a clock of its own, which stands at 0 when it starts; since is that moment on the test's clock.
-	process := func(i int, since, now time.Duration) *bench {
-		b := &bench{r: New(set, f.seed*1000+uint64(i)+uint64(since)), now: now - since, legs: map[RequestID]AttemptNumber{}, mute: true}
-		b.acts = b.r.Start(b.now, nil)
+	process := func(i int, since, now time.Duration) *harness {
+		b := &harness{router: New(set, f.seed*1000+uint64(i)+uint64(since)), now: now - since, nextAttempt: map[RequestID]AttemptNumber{}, isMuted: true}
+		b.actions = b.router.Start(b.now, nil)
 		e := Event{Kind: EventEndpoints, EndpointListKind: EndpointListCached, Age: time.Hour}
 		for _, n := range []EndpointID{cacheA, cacheB, cacheC, cacheD, parentP, parentQ, origin} {
 			m := member(n)
@@ -57,7 +57,7 @@
 			}
 			e.Endpoints = append(e.Endpoints, m)
 		}
-		b.do(&e)
+		b.handle(&e)
 		return b
 	}
 	begun := make([]time.Duration, f.routers)
@@ -118,8 +118,8 @@
 				if a.Kind != ActionSend {
 					continue
 				}
-				v := fleet[i].r.find(a.Request)
-				work := float64(v.sending) / float64(100*ms)
+				v := fleet[i].router.findRequest(a.Request)
+				work := float64(v.transferTime) / float64(100*ms)
 				filled := a.Source != a.Endpoint && !holds[a.Endpoint][v.object]
 				if a.Endpoint == cold || a.Source == cold && filled {
 					got = append(got, arrival{now, work})
@@ -129,15 +129,15 @@
 				if filled && !fails {
 					note, holds[a.Endpoint][v.object] = NoteFilled, true
 				}
-				took := time.Duration(float64(v.sending) * 1.1)
-				dues = append(dues, due{now + took, i, a.Request, AttemptNumber(v.n - 1), a.Endpoint, note, fails})
+				took := time.Duration(float64(v.transferTime) * 1.1)
+				dues = append(dues, due{now + took, i, a.Request, AttemptNumber(v.attemptCount - 1), a.Endpoint, note, fails})
 			}
 		}
 		for i, b := range fleet {
 			b.now = now - begun[i]
 			if (now/(20*ms))*(20*ms) == now {
-				b.do(&Event{Kind: EventTimer, Timer: timerTick})
-				take(i, b.acts)
+				b.handle(&Event{Kind: EventTimer, Timer: timerTick})
+				take(i, b.actions)
 			}
 			rate := share[i] * 60 * f.link * turn.Seconds()
 			if f.lostAt > now-start {
@@ -146,8 +146,8 @@
 			for n := rng.float(); n < rate; n++ {
 				id++
 				views++
-				b.do(&Event{Kind: EventRequest, Request: id, Object: ObjectID(rng.float() * 30000 * f.link), SizeKB: 20 + 160*rng.float(), TimeLeft: 3 * time.Second})
-				take(i, b.acts)
+				b.handle(&Event{Kind: EventRequest, Request: id, Object: ObjectID(rng.float() * 30000 * f.link), SizeKB: 20 + 160*rng.float(), TimeLeft: 3 * time.Second})
+				take(i, b.actions)
 			}
 		}
 		dues = slices.DeleteFunc(dues, func(d due) bool {
@@ -158,11 +158,11 @@
 			e := Event{Kind: EventAttemptResult, Request: d.view, Attempt: d.leg, Endpoint: d.node, Outcome: Succeeded, Note: d.note, Final: true, Elapsed: 100 * ms}
 			if d.fails {
 				e.Outcome, e.Note, e.Final = Failed, NoteSourceUnreachable, false
-			} else if v := b.r.find(d.view); v != nil && v.open {
+			} else if v := b.router.findRequest(d.view); v != nil && v.open {
 				good++
 			}
-			b.do(&e)
-			take(d.router, b.acts)
+			b.handle(&e)
+			take(d.router, b.actions)
 			return true
 		})
 	}
@@ -200,7 +200,7 @@
 				for _, failing := range []bool{false, true} {
 					text, worst := "", 0.0
 					for seed, lost := range []time.Duration{0, 3 * time.Second, 9 * time.Second, 13 * time.Second} {
-						set := plain()
+						set := testSettings()
 						set.WeightIsLinkCapacity, set.AllowDirect = true, false
 						f := coldFleet{routers: routers, link: link, parent: parent, lostAt: lost, quiet: 0.1, failing: failing, seed: uint64(seed + 1)}
 						got, served := f.play(set, start)
@@ -232,7 +232,7 @@
 					restarted int
 					quiet     float64
 				}{{500 * ms, 7, 1}, {time.Second, 10, 1}, {3 * time.Second, 10, 1}, {6 * time.Second, 7, 0.1}} {
-					set := plain()
+					set := testSettings()
 					set.WeightIsLinkCapacity, set.AllowDirect = true, false
 					f := coldFleet{
 						routers: routers, link: link, parent: parent, lostAt: c.at + 2*time.Second, quiet: c.quiet,
--- a/policy/routing/helper_test.go
+++ b/policy/routing/helper_test.go
@@ -6,12 +6,12 @@
 )
 
 // A bench drives one router by hand and prints what it does, in words that a person can read.
-type bench struct {
-	r    *Router
-	now  time.Duration
-	acts []Action
-	legs map[RequestID]AttemptNumber
-	mute bool // prints nothing
+type harness struct {
+	router      *Router
+	now         time.Duration
+	actions     []Action
+	nextAttempt map[RequestID]AttemptNumber
+	isMuted     bool // prints nothing
 }
 
 // Nodes of the small fleet that the traces use: caches of the router's location, parents and the origin.
@@ -28,13 +28,13 @@
 )
 const origin EndpointID = 301
 
-var names = map[EndpointID]string{
+var endpointNames = map[EndpointID]string{
 	cacheA: "A", cacheB: "B", cacheC: "C", cacheD: "D", parentP: "P", parentQ: "Q",
 	origin: "origin", LocalCache: "own",
 }
 
-// plain are the settings that the traces start from: one harmless tariff, one write, everything told and allowed.
-func plain() Settings {
+// testSettings are the settings that the traces start from: one harmless tariff, one write, everything told and allowed.
+func testSettings() Settings {
 	return Settings{
 		Routers: 1, Zone: 2, ZoneRouters: []int{0, 0, 1}, ParentKind: 1, OriginKind: 2,
 		Classes: []Class{
@@ -49,9 +49,9 @@
 	}
 }
 
-func newBench(set Settings, caches ...EndpointID) *bench {
-	b := &bench{r: New(set, 1), now: time.Minute, legs: map[RequestID]AttemptNumber{}}
-	b.acts = b.r.Start(b.now, nil)
+func newHarness(set Settings, caches ...EndpointID) *harness {
+	b := &harness{router: New(set, 1), now: time.Minute, nextAttempt: map[RequestID]AttemptNumber{}}
+	b.actions = b.router.Start(b.now, nil)
 	b.list(EndpointListCached, append(caches, parentP, parentQ, origin)...)
 	return b
 }
@@ -67,33 +67,33 @@
 	return m
 }
 
-func (b *bench) list(k EndpointListKind, nodes ...EndpointID) {
+func (b *harness) list(k EndpointListKind, nodes ...EndpointID) {
 	e := Event{Kind: EventEndpoints, EndpointListKind: k}
 	for _, n := range nodes {
 		e.Endpoints = append(e.Endpoints, member(n))
 	}
-	b.do(&e)
+	b.handle(&e)
 }
 
 // change tells of one node: its state, and when it started (LongAgo: unchanged).
-func (b *bench) change(n EndpointID, s EndpointState, started time.Duration) {
+func (b *harness) change(n EndpointID, s EndpointState, started time.Duration) {
 	m := member(n)
 	m.State, m.StartedAt = s, started
-	b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
+	b.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
 }
 
-func (b *bench) do(e *Event) {
-	b.acts = b.r.Handle(b.now, e, b.acts[:0])
-	for _, a := range b.acts {
+func (b *harness) handle(e *Event) {
+	b.actions = b.router.Handle(b.now, e, b.actions[:0])
+	for _, a := range b.actions {
 		b.print(&a)
 		if a.Kind == ActionCancel { // it ends at once
-			b.r.Handle(b.now, &Event{Kind: EventAttemptResult, Request: a.Request, Attempt: a.Attempt, Outcome: Cancelled, Final: true}, nil)
+			b.router.Handle(b.now, &Event{Kind: EventAttemptResult, Request: a.Request, Attempt: a.Attempt, Outcome: Cancelled, Final: true}, nil)
 		}
 	}
 }
 
-func (b *bench) print(a *Action) {
-	if b.mute {
+func (b *harness) print(a *Action) {
+	if b.isMuted {
 		return
 	}
 	at := fmt.Sprintf("%6.2fs view %d", (b.now - time.Minute).Seconds(), a.Request)
@@ -109,7 +109,7 @@
 		if a.StartWithin > 0 {
 			how += fmt.Sprintf(", on its way within %v", a.StartWithin)
 		}
-		fmt.Printf("%s: leg to %s, fill from %s%s\n", at, names[a.Endpoint], names[a.Source], how)
+		fmt.Printf("%s: leg to %s, fill from %s%s\n", at, endpointNames[a.Endpoint], endpointNames[a.Source], how)
 	case ActionReject:
 		fmt.Printf("%s: turned back\n", at)
 	case ActionFail:
@@ -121,39 +121,39 @@
 	}
 }
 
-// view brings a view of 100 KB: a tenth of a second at full pace.
-func (b *bench) view(id RequestID, tariff ClassID, o ObjectID) {
-	b.legs[id] = 0
-	b.do(&Event{
+// request brings a view of 100 KB: a tenth of a second at full pace.
+func (b *harness) request(id RequestID, tariff ClassID, o ObjectID) {
+	b.nextAttempt[id] = 0
+	b.handle(&Event{
 		Kind: EventRequest, Request: id, Class: tariff, Object: o, Group: GroupID(o % 8), SizeKB: 100, TimeLeft: 3 * time.Second,
 		Write: tariff == 1,
 	})
 }
 
-// end ends a view's next leg after a time.
-func (b *bench) end(id RequestID, n EndpointID, after time.Duration, o Outcome, note Note) {
-	b.pass(after)
-	b.do(&Event{
-		Kind: EventAttemptResult, Request: id, Attempt: b.legs[id], Endpoint: n, Outcome: o, Note: note, Elapsed: after,
+// result ends a view's next leg after a time.
+func (b *harness) result(id RequestID, n EndpointID, after time.Duration, o Outcome, note Note) {
+	b.advance(after)
+	b.handle(&Event{
+		Kind: EventAttemptResult, Request: id, Attempt: b.nextAttempt[id], Endpoint: n, Outcome: o, Note: note, Elapsed: after,
 		FirstByteWait: max(0, after-110*ms), Final: o == Succeeded,
 	})
-	b.legs[id]++
+	b.nextAttempt[id]++
 }
 
-// pass lets time go by with the router's ticks.
-func (b *bench) pass(d time.Duration) {
+// advance lets time go by with the router's ticks.
+func (b *harness) advance(d time.Duration) {
 	for end := b.now + d; b.now < end; {
 		b.now = min(end, b.now+20*ms)
-		b.do(&Event{Kind: EventTimer, Timer: timerTick})
+		b.handle(&Event{Kind: EventTimer, Timer: timerTick})
 	}
 }
 
-func (b *bench) owner(o ObjectID) EndpointID {
-	n := b.r.walk(&b.r.caches, mix(uint64(o)), func(int32) bool { return true })
-	return b.r.nodes[n].id
+func (b *harness) ownerOf(o ObjectID) EndpointID {
+	n := b.router.walk(&b.router.caches, mix(uint64(o)), func(int32) bool { return true })
+	return b.router.endpoints[n].id
 }
 
-func (b *bench) home(o ObjectID) EndpointID {
-	n := b.r.walk(&b.r.parents, mix(uint64(o)), func(int32) bool { return true })
-	return b.r.nodes[n].id
+func (b *harness) parentOf(o ObjectID) EndpointID {
+	n := b.router.walk(&b.router.parents, mix(uint64(o)), func(int32) bool { return true })
+	return b.router.endpoints[n].id
 }
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -7,73 +7,73 @@
 // New returns a router with empty hands.
 func New(set Settings, seed uint64) *Router {
 	r := &Router{
-		set: set, rng: newPCG(seed), index: map[EndpointID]int32{}, byID: map[RequestID]int32{}, origin: none, own: none,
-		rows: make([]row, len(set.Classes)), tenants: make([]allowance, len(set.Tenants)),
-		memory: make([]memo, memorySize), gate: gate{window: gateStart}, share: 1, retries: retriesMost,
+		settings: set, random: newPCG(seed), endpointByID: map[EndpointID]int32{}, requestByID: map[RequestID]int32{}, origin: noEndpoint, localCache: noEndpoint,
+		classes: make([]classStats, len(set.Classes)), tenantQuotas: make([]tokenBucket, len(set.Tenants)),
+		history: make([]objectRecord, historySize), origins: originLimiter{limit: initialOriginLimit}, trafficShare: 1, retryTokens: maxRetryTokens,
 	}
 	z := int(set.Zone)
 	if z < len(set.ZoneRouters) && set.ZoneRouters[z] > 1 {
-		r.share = 1 / float64(set.ZoneRouters[z])
+		r.trafficShare = 1 / float64(set.ZoneRouters[z])
 	}
-	r.inlet.room = set.inlet()
+	r.ingress.capacity = set.ingressTransfers()
 	if set.LocalCacheCapacity > 0 {
-		r.own = r.place()
-		r.nodes[r.own] = node{id: LocalCache, role: roleOwn, state: Ready, started: LongAgo, pipe: pipe{room: set.LocalCacheCapacity}}
+		r.localCache = r.allocateEndpoint()
+		r.endpoints[r.localCache] = endpoint{id: LocalCache, role: roleLocalCache, state: Ready, startedAt: LongAgo, link: link{capacity: set.LocalCacheCapacity}}
 	}
-	if r.set.MaxAttempts <= 0 || r.set.MaxAttempts > maxLegs {
-		r.set.MaxAttempts = maxLegs
+	if r.settings.MaxAttempts <= 0 || r.settings.MaxAttempts > maxAttempts {
+		r.settings.MaxAttempts = maxAttempts
 	}
 	return r
 }
 
 // Start begins the router's life.
 func (r *Router) Start(now time.Duration, acts []Action) []Action {
-	r.now, r.acts = now, acts
-	r.timer(tick, timerTick)
-	if r.set.PollEndpoints {
-		r.act(Action{Kind: ActionWatchEndpoints})
+	r.now, r.actions = now, acts
+	r.setTimer(tickInterval, timerTick)
+	if r.settings.PollEndpoints {
+		r.emit(Action{Kind: ActionWatchEndpoints})
 	}
-	return r.acts
+	return r.actions
 }
 
 // Handle takes one event and returns the actions that it calls for, appended to acts.
 func (r *Router) Handle(now time.Duration, e *Event, acts []Action) []Action {
-	r.now, r.acts = now, acts
-	v := r.find(e.Request)
+	r.now, r.actions = now, acts
+	v := r.findRequest(e.Request)
 	switch e.Kind {
 	case EventRequest:
-		r.arrive(e)
+		r.handleRequest(e)
 	case EventAttemptResult:
-		r.legEnd(v, e)
+		r.handleAttemptResult(v, e)
 	case EventStreamStarted:
 		if v != nil {
 			v.streaming = true
 		}
 	case EventClientGone:
 		if v != nil {
-			r.close(v)
+			r.closeRequest(v)
 		}
 	case EventEndpoints:
 		if e.EndpointListKind == EndpointListFailed {
-			r.timer(followWait+time.Duration(r.rng.float()*float64(followWait)), timerList)
+			r.setTimer(endpointListRetryWait+time.Duration(r.random.float()*float64(endpointListRetryWait)), timerEndpointList)
 		} else {
-			r.enlist(e)
-			r.rebuild()
+			r.applyEndpointList(e)
+			r.rebuildRings()
 		}
 	case EventPurge:
-		r.purged(e)
+		r.handlePurge(e)
 	case EventHealthCheck:
-		if n, known := r.index[e.Endpoint]; known {
-			r.report(n, &e.LoadReport)
+		if n, known := r.endpointByID[e.Endpoint]; known {
+			r.applyLoadReport(n, &e.LoadReport)
 		}
 	case EventTimer:
 		switch e.Timer {
 		case timerTick:
-			r.timer(tick, timerTick)
-			r.lookOver()
-		case timerList:
-			r.act(Action{Kind: ActionWatchEndpoints})
+			r.setTimer(tickInterval, timerTick)
+			r.checkOverdueAttempts()
+		case timerEndpointList:
+			r.emit(Action{Kind: ActionWatchEndpoints})
 		}
 	}
-	return r.acts
+	return r.actions
 }
--- a/policy/routing/rules_test.go
+++ b/policy/routing/rules_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// first returns the first object from 1 on whose cache and parent are the ones named.
-func (b *bench) first(cache, parent EndpointID) ObjectID {
+// firstObject returns the first object from 1 on whose cache and parent are the ones named.
+func (b *harness) firstObject(cache, parent EndpointID) ObjectID {
 	for o := ObjectID(1); ; o++ {
-		if b.owner(o) == cache && b.home(o) == parent {
+		if b.ownerOf(o) == cache && b.parentOf(o) == parent {
 			return o
 		}
 	}
 }
 
 func Example_ordinaryPath() {
-	b := newBench(plain(), cacheA, cacheB)
-	o := b.first(cacheA, parentP)
-	b.view(1, 0, o)
-	b.end(1, cacheA, 150*ms, Succeeded, NoteFilled)
-	b.view(2, 0, o) // the same object: the same cache and source
-	b.end(2, cacheA, 110*ms, Succeeded, NoteHit)
-	b.view(3, 0, b.first(cacheB, parentQ))
-	b.end(3, cacheB, 150*ms, Succeeded, NoteFilled)
+	b := newHarness(testSettings(), cacheA, cacheB)
+	o := b.firstObject(cacheA, parentP)
+	b.request(1, 0, o)
+	b.result(1, cacheA, 150*ms, Succeeded, NoteFilled)
+	b.request(2, 0, o) // the same object: the same cache and source
+	b.result(2, cacheA, 110*ms, Succeeded, NoteHit)
+	b.request(3, 0, b.firstObject(cacheB, parentQ))
+	b.result(3, cacheB, 150*ms, Succeeded, NoteFilled)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.15s view 2: leg to A, fill from P
@@ -32,18 +32,18 @@
 
 // A slot that moved is filled from its former owner for 30 s, holds-only, then the parent is named.
 func Example_relay() {
-	b := newBench(plain(), cacheA, cacheB)
-	o := b.first(cacheA, parentP)
+	b := newHarness(testSettings(), cacheA, cacheB)
+	o := b.firstObject(cacheA, parentP)
 	b.change(cacheA, Draining, LongAgo)
-	b.view(1, 0, o)
-	b.end(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
-	b.end(1, cacheB, 150*ms, Succeeded, NoteFilled)
+	b.request(1, 0, o)
+	b.result(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
+	b.result(1, cacheB, 150*ms, Succeeded, NoteFilled)
 	b.change(cacheA, Ready, LongAgo) // back before its grace ran out: the slot moves again
-	b.view(2, 0, o)
-	b.end(2, cacheA, 120*ms, Succeeded, NoteFilled)
-	b.pass(31 * time.Second)
-	b.view(3, 0, o)
-	b.end(3, cacheA, 110*ms, Succeeded, NoteHit)
+	b.request(2, 0, o)
+	b.result(2, cacheA, 120*ms, Succeeded, NoteFilled)
+	b.advance(31 * time.Second)
+	b.request(3, 0, o)
+	b.result(3, cacheA, 110*ms, Succeeded, NoteHit)
 	// Output:
 	//   0.00s view 1: leg to B, fill from A, holds-only
 	//   0.02s view 1: leg to B, fill from P
@@ -54,21 +54,21 @@
 // A parent that is not reached: origin fills at first, after 10 s its arc is the next parent's, with trials between;
 // once listed gone and back ready it has its arc again.
 func Example_parentLoss() {
-	b := newBench(plain(), cacheA)
-	o := b.first(cacheA, parentP)
+	b := newHarness(testSettings(), cacheA)
+	o := b.firstObject(cacheA, parentP)
 	for id := RequestID(1); id <= 3; id++ {
-		b.view(id, 0, o)
+		b.request(id, 0, o)
 		if id < 3 {
-			b.end(id, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
+			b.result(id, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
 		}
-		b.end(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
+		b.result(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	}
-	b.pass(10 * time.Second)
-	b.view(4, 0, o) // due for a trial
-	b.end(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
-	b.end(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
-	b.view(5, 0, o)
-	b.end(5, cacheA, 150*ms, Succeeded, NoteFilled)
+	b.advance(10 * time.Second)
+	b.request(4, 0, o) // due for a trial
+	b.result(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
+	b.result(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
+	b.request(5, 0, o)
+	b.result(5, cacheA, 150*ms, Succeeded, NoteFilled)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.02s view 1: leg to A, fill from origin
@@ -82,14 +82,14 @@
 
 // Rule 1: one final answer, at once when the last leg has failed, and nothing after it.
 func Example_oneAnswer() {
-	b := newBench(plain(), cacheA)
-	b.view(1, 0, 7)
-	b.end(1, cacheA, 200*ms, TimedOut, NoteNone)
-	b.do(&Event{Kind: EventClientGone, Request: 1}) // an id no longer held
-	b.pass(time.Second)
-	b.view(2, 0, b.first(cacheA, parentQ))
-	b.do(&Event{Kind: EventClientGone, Request: 2}) // the client left: nothing more is owed
-	b.end(2, cacheA, 10*ms, Cancelled, NoteNone)
+	b := newHarness(testSettings(), cacheA)
+	b.request(1, 0, 7)
+	b.result(1, cacheA, 200*ms, TimedOut, NoteNone)
+	b.handle(&Event{Kind: EventClientGone, Request: 1}) // an id no longer held
+	b.advance(time.Second)
+	b.request(2, 0, b.firstObject(cacheA, parentQ))
+	b.handle(&Event{Kind: EventClientGone, Request: 2}) // the client left: nothing more is owed
+	b.result(2, cacheA, 10*ms, Cancelled, NoteNone)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.20s view 1: turned back
@@ -99,14 +99,14 @@
 
 // Rule 2: a one-shot write goes again, after a wait, only if it provably did not run.
 func Example_oneShot() {
-	b := newBench(plain(), cacheA)
-	b.view(1, 1, 7)
-	b.end(1, origin, 20*ms, Overloaded, NoteNone)
-	b.pass(200 * ms)
-	b.end(1, origin, 20*ms, Succeeded, NoteNone)
-	b.view(2, 1, 8)
-	b.end(2, origin, 20*ms, ConnectionBroken, NoteNone)
-	b.pass(200 * ms)
+	b := newHarness(testSettings(), cacheA)
+	b.request(1, 1, 7)
+	b.result(1, origin, 20*ms, Overloaded, NoteNone)
+	b.advance(200 * ms)
+	b.result(1, origin, 20*ms, Succeeded, NoteNone)
+	b.request(2, 1, 8)
+	b.result(2, origin, 20*ms, ConnectionBroken, NoteNone)
+	b.advance(200 * ms)
 	// Output:
 	//   0.00s view 1: leg to origin, fill from origin
 	//   0.14s view 1: leg to origin, fill from origin
@@ -116,17 +116,17 @@
 
 // Rule 2: a stamped view that may have run goes again inside its cell only, and is not turned back.
 func Example_stamped() {
-	set := plain()
+	set := testSettings()
 	set.Classes[0].Idempotency, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentWithKey, ScopeCell, 5*time.Second
-	b := newBench(set, cacheA, cacheB)
+	b := newHarness(set, cacheA, cacheB)
 	m := member(cacheB)
 	m.Cell = 1 // B is in another cell than A
-	b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
-	b.r.nodes[b.r.index[cacheB]].cell = 1
-	b.view(1, 0, b.first(cacheA, parentP))
-	b.end(1, cacheA, 20*ms, Failed, NoteNone)
-	b.view(2, 0, b.first(cacheA, parentP))
-	b.end(2, cacheA, 20*ms, ConnectFailed, NoteNone)
+	b.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
+	b.router.endpoints[b.router.endpointByID[cacheB]].cell = 1
+	b.request(1, 0, b.firstObject(cacheA, parentP))
+	b.result(1, cacheA, 20*ms, Failed, NoteNone)
+	b.request(2, 0, b.firstObject(cacheA, parentP))
+	b.result(2, cacheA, 20*ms, ConnectFailed, NoteNone)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.02s view 1: terminated
@@ -136,13 +136,13 @@
 
 // Rule 2: a repeat of what may have run must be on its way while repeats are dropped, whenever its connection comes up.
 func Example_stampedWindow() {
-	set := plain()
+	set := testSettings()
 	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotentWithKey, 300*ms
-	b := newBench(set, cacheA, cacheB, cacheC)
-	b.view(1, 0, b.first(cacheA, parentP))
-	b.end(1, cacheA, 20*ms, ConnectFailed, NoteNone)     // it did not run
-	b.end(1, cacheB, 100*ms, ConnectionBroken, NoteNone) // it may have
-	b.end(1, cacheC, 210*ms, ConnectFailed, NoteNone)
+	b := newHarness(set, cacheA, cacheB, cacheC)
+	b.request(1, 0, b.firstObject(cacheA, parentP))
+	b.result(1, cacheA, 20*ms, ConnectFailed, NoteNone)     // it did not run
+	b.result(1, cacheB, 100*ms, ConnectionBroken, NoteNone) // it may have
+	b.result(1, cacheC, 210*ms, ConnectFailed, NoteNone)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.02s view 1: leg to B, fill from P
@@ -154,16 +154,16 @@
 // with nothing to do always gets one, so that a slow moment is not believed for ever. Found on a deployment that tells nothing: all
 // was taken until all was late.
 func Example_nothingTold() {
-	set := plain()
+	set := testSettings()
 	set.ResponseDetail, set.FlowKBPerSecond, set.AllowDirect = DetailNone, 0, false
 	set.Classes[0].ObjectiveStretch = 0
-	b := newBench(set, cacheA)
+	b := newHarness(set, cacheA)
 	ask := func(id RequestID) {
-		b.do(&Event{Kind: EventRequest, Request: id, Object: 7, TimeLeft: 3 * time.Second})
+		b.handle(&Event{Kind: EventRequest, Request: id, Object: 7, TimeLeft: 3 * time.Second})
 	}
 	answer := func(id RequestID, took time.Duration) {
-		b.pass(took)
-		b.do(&Event{Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Elapsed: took, Final: true})
+		b.advance(took)
+		b.handle(&Event{Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Elapsed: took, Final: true})
 	}
 	ask(1)
 	answer(1, 900*ms)
@@ -172,7 +172,7 @@
 	ask(3)
 	answer(3, 900*ms) // thrice as long as it needs: others are sent there too
 	ask(4)
-	b.pass(2100 * ms) // and then it may have room again
+	b.advance(2100 * ms) // and then it may have room again
 	ask(5)
 	ask(6)
 	// Output:
@@ -186,13 +186,13 @@
 
 // Rule 3: a cache told to drain gets no view at once, and is no source once its grace is over.
 func Example_drain() {
-	b := newBench(plain(), cacheA, cacheB)
-	o := b.first(cacheA, parentP)
+	b := newHarness(testSettings(), cacheA, cacheB)
+	o := b.firstObject(cacheA, parentP)
 	b.change(cacheA, Draining, LongAgo)
-	b.pass(890 * ms)
-	b.view(1, 0, o)
-	b.end(1, cacheB, 100*ms, Succeeded, NoteFilled)
-	b.view(2, 0, o+1000)
+	b.advance(890 * ms)
+	b.request(1, 0, o)
+	b.result(1, cacheB, 100*ms, Succeeded, NoteFilled)
+	b.request(2, 0, o+1000)
 	// Output:
 	//   0.89s view 1: leg to B, fill from A, holds-only
 	//   0.99s view 2: leg to B, fill from P
@@ -200,21 +200,21 @@
 
 // Rule 4: a cache that just started has a fifth of its slots, and a budget besides; the rest goes to its neighbour.
 func Example_coldCache() {
-	b := newBench(plain(), cacheA, cacheB)
+	b := newHarness(testSettings(), cacheA, cacheB)
 	b.change(cacheA, Ready, b.now)
 	toA, sent := 0, 0
 	for o := ObjectID(1); sent < 20; o++ {
-		if b.owner(o) != cacheA {
+		if b.ownerOf(o) != cacheA {
 			continue
 		}
 		sent++
-		b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, SizeKB: 100, TimeLeft: time.Second}, b.acts[:0])
-		if b.acts[0].Endpoint == cacheA {
+		b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, SizeKB: 100, TimeLeft: time.Second}, b.actions[:0])
+		if b.actions[0].Endpoint == cacheA {
 			toA++
 		}
 	}
 	b.now += 17 * time.Second
-	b.view(1000, 0, b.first(cacheA, parentP))
+	b.request(1000, 0, b.firstObject(cacheA, parentP))
 	fmt.Printf("%d of 20 went to A while it was cold\n", toA)
 	// Output:
 	//  17.00s view 1000: leg to A, fill from B, holds-only
@@ -224,12 +224,12 @@
 // Rule 4, found by a hunt on counter-net: a fresh router that knows no sizes, and a location that is all cold. Until
 // sizes are known a view weighs its due time, so that few go before anything is learned.
 func Example_coldAndUnknowing() {
-	b := newBench(plain(), cacheA)
+	b := newHarness(testSettings(), cacheA)
 	b.change(cacheA, Ready, b.now)
 	sent := 0
 	for o := ObjectID(1); o <= 200; o++ {
-		b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.acts[:0])
-		if b.acts[0].Endpoint == cacheA {
+		b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.actions[:0])
+		if b.actions[0].Endpoint == cacheA {
 			sent++
 		}
 	}
@@ -241,13 +241,13 @@
 // Found on branch-library grown: a second copy finds no cache left while the first leg is still out; its late end must not
 // be taken for one at that cache.
 func Example_noCacheLeft() {
-	set := plain()
+	set := testSettings()
 	set.AllowDirect = false
-	b := newBench(set, cacheA, cacheB)
-	b.view(1, 0, b.first(cacheA, parentP))
-	b.pass(400 * ms) // overdue and silent: a second copy
-	b.do(&Event{Kind: EventAttemptResult, Request: 1, Attempt: 1, Endpoint: cacheB, Outcome: Overloaded, Note: NoteNoFillCapacity})
-	b.do(&Event{Kind: EventAttemptResult, Request: 1, Attempt: 0, Endpoint: cacheA, Outcome: CacheMiss, Note: NoteSourceMiss})
+	b := newHarness(set, cacheA, cacheB)
+	b.request(1, 0, b.firstObject(cacheA, parentP))
+	b.advance(400 * ms) // overdue and silent: a second copy
+	b.handle(&Event{Kind: EventAttemptResult, Request: 1, Attempt: 1, Endpoint: cacheB, Outcome: Overloaded, Note: NoteNoFillCapacity})
+	b.handle(&Event{Kind: EventAttemptResult, Request: 1, Attempt: 0, Endpoint: cacheA, Outcome: CacheMiss, Note: NoteSourceMiss})
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.36s view 1: leg to B, fill from P
@@ -257,16 +257,16 @@
 // Rule 4, found on branch-library grown: twenty routers share a location, and each is less than one view of a cold
 // cache's budget. They take turns, from a start by chance, in place of one view each at once.
 func Example_coldAmongMany() {
-	set := plain()
+	set := testSettings()
 	set.Routers, set.ZoneRouters = 20, []int{0, 0, 20}
 	sent := 0
 	for seed := range 20 {
-		b := newBench(set, cacheA)
-		b.r.rng, b.mute = newPCG(uint64(seed)), true
+		b := newHarness(set, cacheA)
+		b.router.random, b.isMuted = newPCG(uint64(seed)), true
 		b.change(cacheA, Ready, b.now)
 		for o := ObjectID(1); o <= 300; o++ {
-			b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.acts[:0])
-			if b.acts[0].Endpoint == cacheA {
+			b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.actions[:0])
+			if b.actions[0].Endpoint == cacheA {
 				sent++
 			}
 			b.now += 20 * ms
@@ -279,15 +279,15 @@
 
 // Settings without the figures of cold nodes: nothing is known to be borne, so a cold cache gets no herd.
 func Example_coldFiguresMissing() {
-	set := plain()
+	set := testSettings()
 	set.SlowStartShare, set.OverloadFactor = 0, 0
-	b := newBench(set, cacheA)
-	b.mute = true
+	b := newHarness(set, cacheA)
+	b.isMuted = true
 	b.change(cacheA, Ready, b.now)
 	sent := 0
 	for id := RequestID(1); id <= 50; id++ {
-		b.view(id, 0, ObjectID(id))
-		if b.acts[0].Endpoint == cacheA {
+		b.request(id, 0, ObjectID(id))
+		if b.actions[0].Endpoint == cacheA {
 			sent++
 		}
 	}
@@ -300,17 +300,17 @@
 // it full once its own fills tell what the others have there, and asks the caches only.
 func Example_sharedLink() {
 	for _, routers := range []int{1, 20} {
-		set, fills := plain(), 0
+		set, fills := testSettings(), 0
 		set.Routers, set.ZoneRouters, set.ZoneIngressKBPerSecond = routers, []int{0, 0, routers}, []float64{0, 0, 1000}
-		b := newBench(set, cacheA, cacheB)
-		b.mute = true
+		b := newHarness(set, cacheA, cacheB)
+		b.isMuted = true
 		for id := RequestID(1); id <= 30; id++ {
-			b.view(id, 0, ObjectID(id)*1000)
-			if b.acts[0].Source != b.acts[0].Endpoint {
+			b.request(id, 0, ObjectID(id)*1000)
+			if b.actions[0].Source != b.actions[0].Endpoint {
 				fills++
 			}
 			b.now += 400 * ms
-			b.do(&Event{Kind: EventAttemptResult, Request: id, Outcome: Succeeded, Note: NoteFilled, Elapsed: 400 * ms, FirstByteWait: ms, Final: true})
+			b.handle(&Event{Kind: EventAttemptResult, Request: id, Outcome: Succeeded, Note: NoteFilled, Elapsed: 400 * ms, FirstByteWait: ms, Final: true})
 		}
 		fmt.Printf("%d routers: %d of 30 views are filled\n", routers, fills)
 	}
@@ -323,13 +323,13 @@
 // carries in time, not all that comes.
 func Example_toldLink() {
 	for _, told := range []bool{false, true} {
-		set, sent := plain(), 0
+		set, sent := testSettings(), 0
 		set.WeightIsLinkCapacity = told
-		b := newBench(set, cacheA) // of weight 1
-		b.mute = true
+		b := newHarness(set, cacheA) // of weight 1
+		b.isMuted = true
 		for id := RequestID(1); id <= 20; id++ {
-			b.view(id, 0, ObjectID(id))
-			if b.acts[0].Kind == ActionSend {
+			b.request(id, 0, ObjectID(id))
+			if b.actions[0].Kind == ActionSend {
 				sent++
 			}
 		}
@@ -342,16 +342,16 @@
 
 // Rule 5: after a purge only younger copies will do, until all old ones are dropped.
 func Example_purge() {
-	b := newBench(plain(), cacheA)
-	b.do(&Event{Kind: EventPurge, Object: 9, Group: 1, Age: 200 * ms})
-	b.view(1, 0, 9)
-	b.view(2, 0, 17) // same group, not purged
-	b.pass(time.Second)
-	b.do(&Event{Kind: EventPurge, Group: 1, Age: 300 * ms})
-	b.view(3, 0, 17)
-	b.view(4, 0, 9)
-	b.pass(7 * time.Second)
-	b.view(5, 0, 9)
+	b := newHarness(testSettings(), cacheA)
+	b.handle(&Event{Kind: EventPurge, Object: 9, Group: 1, Age: 200 * ms})
+	b.request(1, 0, 9)
+	b.request(2, 0, 17) // same group, not purged
+	b.advance(time.Second)
+	b.handle(&Event{Kind: EventPurge, Group: 1, Age: 300 * ms})
+	b.request(3, 0, 17)
+	b.request(4, 0, 9)
+	b.advance(7 * time.Second)
+	b.request(5, 0, 9)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P, no older than 199ms
 	//   0.00s view 2: leg to A, fill from P
@@ -363,15 +363,15 @@
 // Found on depot-records: a silent cache. A leg that is overdue at a node not heard of since gets a second copy, and
 // three good answers end the outage; one to a leg sent before it shows that there was no restart.
 func Example_silence() {
-	b := newBench(plain(), cacheA, cacheB)
-	o := b.first(cacheA, parentP)
-	b.pass(20 * ms)
-	b.view(1, 0, o)
-	b.view(2, 0, o)
-	b.pass(500 * ms)
-	b.view(3, 0, o) // A is out by now
-	b.end(1, cacheA, 100*ms, Succeeded, NoteHit)
-	b.view(4, 0, o)
+	b := newHarness(testSettings(), cacheA, cacheB)
+	o := b.firstObject(cacheA, parentP)
+	b.advance(20 * ms)
+	b.request(1, 0, o)
+	b.request(2, 0, o)
+	b.advance(500 * ms)
+	b.request(3, 0, o) // A is out by now
+	b.result(1, cacheA, 100*ms, Succeeded, NoteHit)
+	b.request(4, 0, o)
 	// Output:
 	//   0.02s view 1: leg to A, fill from P
 	//   0.02s view 2: leg to A, fill from P
@@ -385,12 +385,12 @@
 // Found on depot-records at tight due times: the usual wait for the origin is a little too long, so half of all fills would
 // come in time. They go while the gate is wide, and with a narrow one the parent is asked for what it holds.
 func Example_hopeWhileWide() {
-	b := newBench(plain(), cacheA)
+	b := newHarness(testSettings(), cacheA)
 	for i, window := range []float64{24, 4} {
-		b.r.gate.wait, b.r.gate.window = 650*ms, window
-		b.r.gate.out.add(1, b.now) // the one trial is out
-		b.view(RequestID(i+1), 0, b.first(cacheA, parentP)+ObjectID(100*i))
-		b.end(RequestID(i+1), cacheA, 150*ms, Succeeded, NoteFilled)
+		b.router.origins.wait, b.router.origins.limit = 650*ms, window
+		b.router.origins.inFlight.add(1, b.now) // the one trial is out
+		b.request(RequestID(i+1), 0, b.firstObject(cacheA, parentP)+ObjectID(100*i))
+		b.result(RequestID(i+1), cacheA, 150*ms, Succeeded, NoteFilled)
 	}
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -400,16 +400,16 @@
 // Found on depot-records at five times its usual rate: the gate is as wide as what is out with answers in good time asks for,
 // and as narrow as ever once they are late.
 func Example_gateWidens() {
-	g := gate{window: gateStart, part: 0.5}
+	g := originLimiter{limit: initialOriginLimit, share: 0.5}
 	for _, c := range []struct {
 		busy float64
 		late bool
 	}{{5, false}, {20, false}, {5, false}, {5, true}} {
-		g.out.busy = c.busy
+		g.inFlight.current = c.busy
 		for range 60 {
-			g.learn(50*ms, c.late, g.heard+100*ms)
+			g.observe(50*ms, c.late, g.observedAt+100*ms)
 		}
-		fmt.Printf("%g out, late %v: %g\n", c.busy, c.late, g.window)
+		fmt.Printf("%g out, late %v: %g\n", c.busy, c.late, g.limit)
 	}
 	// Output:
 	// 5 out, late false: 24
@@ -421,24 +421,24 @@
 // Found on depot-records: a parent falls silent, and clients send writes by the hundred and give them up at once. Neither
 // says much of the origin: what lacks its parent is filled from there at once.
 func Example_gateBelieves() {
-	b := newBench(plain(), cacheA, cacheB)
-	b.mute = true
+	b := newHarness(testSettings(), cacheA, cacheB)
+	b.isMuted = true
 	for id := RequestID(1); id <= 80; id++ {
-		b.view(id, 1, ObjectID(id))
-		b.pass(20 * ms)
-		b.do(&Event{Kind: EventClientGone, Request: id})
+		b.request(id, 1, ObjectID(id))
+		b.advance(20 * ms)
+		b.handle(&Event{Kind: EventClientGone, Request: id})
 	}
-	o := b.first(cacheA, parentP)
+	o := b.firstObject(cacheA, parentP)
 	for id := RequestID(101); id <= 105; id++ {
-		b.view(id, 0, o)
+		b.request(id, 0, o)
 		for hit, c := range []EndpointID{cacheA, cacheB} { // the caches are well
-			b.view(id*10+RequestID(hit), 0, b.first(c, parentQ))
-			b.end(id*10+RequestID(hit), c, 60*ms, Succeeded, NoteHit)
+			b.request(id*10+RequestID(hit), 0, b.firstObject(c, parentQ))
+			b.result(id*10+RequestID(hit), c, 60*ms, Succeeded, NoteHit)
 		}
 	}
-	b.mute = false
+	b.isMuted = false
 	for id := RequestID(201); id <= 203; id++ {
-		b.view(id, 0, o)
+		b.request(id, 0, o)
 	}
 	// Output:
 	//   2.20s view 201: leg to A, fill from origin
@@ -449,33 +449,33 @@
 // Found on depot-records: clients ask for what no node can do, and all nodes say so. Each view is turned back once two have,
 // and no node goes out; one that errs where another does not goes out, and what ends many legs at once counts once.
 func Example_viewsOwnFault() {
-	b := newBench(plain(), cacheA, cacheB)
-	o := b.first(cacheA, parentP)
-	b.mute = true
+	b := newHarness(testSettings(), cacheA, cacheB)
+	o := b.firstObject(cacheA, parentP)
+	b.isMuted = true
 	for id := RequestID(1); id <= 8; id++ {
-		b.view(id, 0, o)
-		b.end(id, cacheA, ms, Failed, NoteNone)
-		b.end(id, cacheB, ms, Failed, NoteNone)
+		b.request(id, 0, o)
+		b.result(id, cacheA, ms, Failed, NoteNone)
+		b.result(id, cacheB, ms, Failed, NoteNone)
 	}
-	b.mute = false
-	b.view(9, 0, o)
-	b.end(9, cacheA, ms, Failed, NoteNone)
-	b.end(9, cacheB, ms, Failed, NoteNone)
-	b.mute = true
+	b.isMuted = false
+	b.request(9, 0, o)
+	b.result(9, cacheA, ms, Failed, NoteNone)
+	b.result(9, cacheB, ms, Failed, NoteNone)
+	b.isMuted = true
 	for id := RequestID(10); id <= 16; id++ {
-		b.view(id, 0, o)
+		b.request(id, 0, o)
 	}
 	for id := RequestID(10); id <= 16; id++ {
-		b.end(id, cacheA, 0, ConnectionBroken, NoteNone)
-		b.end(id, cacheB, 0, Succeeded, NoteHit)
+		b.result(id, cacheA, 0, ConnectionBroken, NoteNone)
+		b.result(id, cacheB, 0, Succeeded, NoteHit)
 	}
-	b.mute = false
+	b.isMuted = false
 	for id := RequestID(17); id <= 21; id++ {
-		b.view(id, 0, o)
+		b.request(id, 0, o)
 		if id < 20 {
-			b.end(id, cacheA, ms, Failed, NoteNone)
+			b.result(id, cacheA, ms, Failed, NoteNone)
 		}
-		b.end(id, cacheB, 100*ms, Succeeded, NoteHit)
+		b.result(id, cacheB, 100*ms, Succeeded, NoteHit)
 	}
 	// Output:
 	//   0.02s view 9: leg to A, fill from P
@@ -494,20 +494,20 @@
 // Found on branch-library grown: all caches break some connections, none is lost. They go out one by one, and then health
 // is not asked; one that answers from a kept copy is not taken for restarted.
 func Example_brokenEverywhere() {
-	set := plain()
+	set := testSettings()
 	set.AllowDirect = false
-	b := newBench(set, cacheA, cacheB)
-	b.mute = true
-	o := b.first(cacheA, parentP)
+	b := newHarness(set, cacheA, cacheB)
+	b.isMuted = true
+	o := b.firstObject(cacheA, parentP)
 	for id := RequestID(1); id <= 4; id++ {
-		b.view(id, 0, o)
-		b.end(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
-		b.end(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
+		b.request(id, 0, o)
+		b.result(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
+		b.result(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
 	}
-	b.mute = false
+	b.isMuted = false
 	for id := RequestID(5); id <= 8; id++ {
-		b.view(id, 0, o)
-		b.end(id, cacheA, 300*ms, Succeeded, NoteHit)
+		b.request(id, 0, o)
+		b.result(id, cacheA, 300*ms, Succeeded, NoteHit)
 	}
 	// Output:
 	//   0.08s view 5: leg to A, fill from P
@@ -519,18 +519,18 @@
 // Found on branch-library: a slow origin. Late fills close the gate; then the parent is asked holds-only, and a view
 // that would have to wait for the origin is turned back.
 func Example_slowOrigin() {
-	b := newBench(plain(), cacheA)
-	b.mute = true
+	b := newHarness(testSettings(), cacheA)
+	b.isMuted = true
 	for id := RequestID(1); id <= 40; id++ {
-		b.view(id, 0, ObjectID(id))
-		b.end(id, cacheA, 1500*ms, Succeeded, NoteViaOrigin)
+		b.request(id, 0, ObjectID(id))
+		b.result(id, cacheA, 1500*ms, Succeeded, NoteViaOrigin)
 	}
-	b.pass(10 * time.Second) // trials keep a distance
-	b.mute = false
-	b.view(42, 0, 1000)
-	b.view(43, 0, 1001)
-	b.view(44, 0, 1002)
-	b.end(44, cacheA, 20*ms, CacheMiss, NoteSourceMiss)
+	b.advance(10 * time.Second) // trials keep a distance
+	b.isMuted = false
+	b.request(42, 0, 1000)
+	b.request(43, 0, 1001)
+	b.request(44, 0, 1002)
+	b.result(44, cacheA, 20*ms, CacheMiss, NoteSourceMiss)
 	// Output:
 	//  70.00s view 42: leg to A, fill from P
 	//  70.00s view 43: leg to A, fill from Q, holds-only
@@ -541,16 +541,16 @@
 // Found on depot-records and counter-net: all caches lost. Views go straight to a parent, by way of the origin, and
 // count on the location's link: once that is full, they are turned back.
 func Example_pastTheCaches() {
-	set := plain()
+	set := testSettings()
 	set.ZoneIngressKBPerSecond = []float64{0, 0, 1000} // one transfer at full pace
-	b := newBench(set, cacheA)
+	b := newHarness(set, cacheA)
 	for id := RequestID(1); id <= 2; id++ {
-		b.view(id, 0, b.first(cacheA, parentP))
-		b.end(id, cacheA, 20*ms, ConnectFailed, NoteNone)
-		b.end(id, parentP, 110*ms, Succeeded, NoteFilled)
+		b.request(id, 0, b.firstObject(cacheA, parentP))
+		b.result(id, cacheA, 20*ms, ConnectFailed, NoteNone)
+		b.result(id, parentP, 110*ms, Succeeded, NoteFilled)
 	}
 	for id := RequestID(3); id <= 8; id++ {
-		b.view(id, 0, b.first(cacheA, parentQ))
+		b.request(id, 0, b.firstObject(cacheA, parentQ))
 	}
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
@@ -567,11 +567,11 @@
 
 // Found on branch-library: a parent that begins its fills in good time, and then drags, counts as failing.
 func Example_draggingParent() {
-	b := newBench(plain(), cacheA)
+	b := newHarness(testSettings(), cacheA)
 	for id := RequestID(1); id <= 6; id++ {
-		b.view(id, 0, 7+ObjectID(id)*1000)
-		b.pass(2 * time.Second)
-		b.do(&Event{
+		b.request(id, 0, 7+ObjectID(id)*1000)
+		b.advance(2 * time.Second)
+		b.handle(&Event{
 			Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled, Elapsed: 2 * time.Second,
 			FirstByteWait: 20 * ms, Final: true,
 		})
@@ -589,28 +589,28 @@
 
 // On no list: load reports frozen at a full link, sizes untold. The link may not be shut for good: one fill always goes.
 func Example_frozenReports() {
-	set := plain()
+	set := testSettings()
 	set.ReportChannel, set.ReportColumns, set.ZoneIngressKBPerSecond = ReportsWithResponses, []Signal{SignalLinkUtilization}, []float64{0, 0, 20000}
-	b := newBench(set, cacheA, cacheB)
-	b.mute = true
+	b := newHarness(set, cacheA, cacheB)
+	b.isMuted = true
 	for id := RequestID(5000); id < 5030; id++ { // hits tell the usual size
-		b.do(&Event{Kind: EventRequest, Request: id, Object: ObjectID(id), TimeLeft: time.Second})
-		b.end(id, b.owner(ObjectID(id)), 100*ms, Succeeded, NoteHit)
+		b.handle(&Event{Kind: EventRequest, Request: id, Object: ObjectID(id), TimeLeft: time.Second})
+		b.result(id, b.ownerOf(ObjectID(id)), 100*ms, Succeeded, NoteHit)
 	}
-	b.mute = false
+	b.isMuted = false
 	for id := RequestID(1); id <= 1200; id += 12 {
 		for k := id; k < id+12; k++ {
-			b.acts = b.r.Handle(b.now, &Event{Kind: EventRequest, Request: k, Object: ObjectID(k), TimeLeft: time.Second}, b.acts[:0])
+			b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: k, Object: ObjectID(k), TimeLeft: time.Second}, b.actions[:0])
 		}
 		b.now += 110 * ms
 		for k := id; k < id+12; k++ {
-			b.acts = b.r.Handle(b.now, &Event{
+			b.actions = b.router.Handle(b.now, &Event{
 				Kind: EventAttemptResult, Request: k, Outcome: Succeeded, Note: NoteFilled, Elapsed: 110 * ms,
 				FirstByteWait: 10 * ms, Final: true, LoadReport: LoadReport{Count: 1, Values: [4]float64{50}},
-			}, b.acts[:0])
+			}, b.actions[:0])
 		}
 	}
-	b.do(&Event{Kind: EventRequest, Request: 2000, Object: b.first(cacheA, parentP), TimeLeft: time.Second})
+	b.handle(&Event{Kind: EventRequest, Request: 2000, Object: b.firstObject(cacheA, parentP), TimeLeft: time.Second})
 	// Output:
 	// 14.00s view 2000: leg to A, fill from P
 }
@@ -618,21 +618,21 @@
 // What the caches cannot give in time, a copy of the router's own may: it is asked last, and not for a
 // view that may not run twice; after a purge no copy from before it will do.
 func Example_ownCopies() {
-	set := plain()
+	set := testSettings()
 	set.LocalCacheCapacity, set.AllowDirect = 1, false
-	b := newBench(set, cacheA)
-	b.view(1, 0, 7)
-	b.end(1, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
-	b.do(&Event{Kind: EventStreamStarted, Request: 1, Attempt: 1})
-	b.do(&Event{Kind: EventPurge, Object: 8, Age: 100 * ms})
-	b.view(2, 0, 8)
-	b.end(2, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
-	b.end(2, LocalCache, 0, CacheMiss, NoteNone)
-	b.end(1, LocalCache, 100*ms, Succeeded, NoteNone)
-	b.view(3, 1, 9)
-	b.end(3, cacheA, 20*ms, Failed, NoteNone)
+	b := newHarness(set, cacheA)
+	b.request(1, 0, 7)
+	b.result(1, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
+	b.handle(&Event{Kind: EventStreamStarted, Request: 1, Attempt: 1})
+	b.handle(&Event{Kind: EventPurge, Object: 8, Age: 100 * ms})
+	b.request(2, 0, 8)
+	b.result(2, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
+	b.result(2, LocalCache, 0, CacheMiss, NoteNone)
+	b.result(1, LocalCache, 100*ms, Succeeded, NoteNone)
+	b.request(3, 1, 9)
+	b.result(3, cacheA, 20*ms, Failed, NoteNone)
 	b.list(EndpointListFull)
-	b.view(4, 0, 7)
+	b.request(4, 0, 7)
 	// Output:
 	//   0.00s view 1: leg to A, fill from P
 	//   0.02s view 1: leg to own, fill from own
@@ -646,14 +646,14 @@
 
 // The list by asking: asked for at the start, and again after a failure.
 func Example_askForList() {
-	set := plain()
+	set := testSettings()
 	set.PollEndpoints = true
-	b := newBench(set, cacheA)
-	b.do(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFailed})
-	for i := range b.acts {
-		if a := &b.acts[i]; a.Kind == ActionTimer && a.Timer == timerList {
+	b := newHarness(set, cacheA)
+	b.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFailed})
+	for i := range b.actions {
+		if a := &b.actions[i]; a.Kind == ActionTimer && a.Timer == timerEndpointList {
 			b.now += a.Wait
-			b.do(&Event{Kind: EventTimer, Timer: timerList})
+			b.handle(&Event{Kind: EventTimer, Timer: timerEndpointList})
 		}
 	}
 	// Output:
@@ -662,26 +662,26 @@
 
 // Many list changes, purges, objects and views leave the state bounded: places are used again.
 func Example_boundedState() {
-	b := newBench(plain(), cacheA)
-	b.mute = true
+	b := newHarness(testSettings(), cacheA)
+	b.isMuted = true
 	for i := range 5000 {
 		n := EndpointID(10000 + i)
 		b.change(n, Ready, LongAgo)
-		b.do(&Event{Kind: EventPurge, Object: ObjectID(i + 1)})
-		b.do(&Event{Kind: EventRequest, Request: RequestID(i + 1), Object: ObjectID(i), SizeKB: 10, TimeLeft: time.Second})
-		b.do(&Event{Kind: EventAttemptResult, Request: RequestID(i + 1), Outcome: Succeeded, Note: NoteHit, Elapsed: 10 * ms, Final: true})
+		b.handle(&Event{Kind: EventPurge, Object: ObjectID(i + 1)})
+		b.handle(&Event{Kind: EventRequest, Request: RequestID(i + 1), Object: ObjectID(i), SizeKB: 10, TimeLeft: time.Second})
+		b.handle(&Event{Kind: EventAttemptResult, Request: RequestID(i + 1), Outcome: Succeeded, Note: NoteHit, Elapsed: 10 * ms, Final: true})
 		b.change(n, Gone, LongAgo)
 		b.now += 2 * time.Second
 	}
-	r := b.r
-	fmt.Println(len(r.nodes), len(r.index), len(r.purges), len(r.views), len(r.byID), len(r.past), len(r.memory))
+	r := b.router
+	fmt.Println(len(r.endpoints), len(r.endpointByID), len(r.purges), len(r.requests), len(r.requestByID), len(r.previousRings), len(r.history))
 	// Output:
 	// 35 35 4 1 0 3 16384
 }
 
 // The ordinary path allocates nothing once the slab has grown.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	b := newBench(plain(), cacheA, cacheB)
+	b := newHarness(testSettings(), cacheA, cacheB)
 	id := RequestID(0)
 	view, end := Event{Kind: EventRequest, SizeKB: 100, TimeLeft: time.Second}, Event{
 		Kind: EventAttemptResult, Outcome: Succeeded,
@@ -690,12 +690,12 @@
 	got := testing.AllocsPerRun(1000, func() {
 		id++
 		view.Request, view.Object, end.Request = id, ObjectID(id%50), id
-		b.acts = b.r.Handle(b.now, &view, b.acts[:0])
-		if len(b.acts) != 1 || b.acts[0].Kind != ActionSend {
+		b.actions = b.router.Handle(b.now, &view, b.actions[:0])
+		if len(b.actions) != 1 || b.actions[0].Kind != ActionSend {
 			t.Fatal("the view was not sent")
 		}
 		b.now += 100 * ms
-		b.acts = b.r.Handle(b.now, &end, b.acts[:0])
+		b.actions = b.router.Handle(b.now, &end, b.actions[:0])
 	})
 	if got != 0 {
 		t.Errorf("the ordinary path allocates %v times a view", got)
