--- /dev/null
+++ b/internal/upstream/connection.go
@@ -0,0 +1,227 @@
+package upstream
+
+import (
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/internal/invariant"
+	"fennelarch/policy/routing"
+)
+
+// dialPurpose says why a connection is dialled.
+type dialPurpose uint8
+
+const (
+	dialForAttempt  dialPurpose = iota
+	dialReplacement             // another dial is overdue; what waits for this one is not moved once more
+)
+
+// connection is a connection to a server, being dialled or up. Its goroutines are run, which dials and then writes, and
+// read.
+type connection struct {
+	pool        *Pool
+	endpoint    routing.EndpointID
+	purpose     dialPurpose
+	dialStarted time.Time
+	wake        chan struct{} // has the writer look for what is to be written
+
+	mu           sync.Mutex
+	state        connectionState
+	session      *session
+	socket       net.Conn // nil until the dial has succeeded
+	lastResponse time.Time
+	lastUsed     time.Time
+}
+
+func newConnection(p *Pool, id routing.EndpointID, purpose dialPurpose) *connection {
+	now := time.Now()
+	return &connection{
+		pool:        p,
+		endpoint:    id,
+		purpose:     purpose,
+		dialStarted: now,
+		wake:        make(chan struct{}, 1),
+		session:     newSession(&p.limits, &p.names),
+		lastUsed:    now,
+	}
+}
+
+// run dials, starts the reader, and writes until the connection is closed.
+func (c *connection) run(address string) {
+	reason := invariant.CloseServerEnded
+	defer func() { c.close(reason) }()
+	socket := c.connect(address)
+	if socket == nil {
+		reason = invariant.CloseDialFailed
+		return
+	}
+	go c.read(socket)
+	reason = c.write(socket)
+}
+
+// enqueue queues an attempt, and says whether the connection still took it.
+func (c *connection) enqueue(e exchange) bool {
+	c.mu.Lock()
+	defer c.wakeWriter()
+	defer c.mu.Unlock()
+	if !c.state.acceptsAttempts() {
+		return false
+	}
+	e.attempt.TransportState = c
+	c.session.enqueue(e)
+	return true
+}
+
+// abort gives an attempt up and says whether it may have run. Where a part of it is in the stream, the connection is
+// closed.
+func (c *connection) abort(attempt *engine.Attempt) (mayHaveRun bool) {
+	c.mu.Lock()
+	defer c.wakeWriter()
+	defer c.mu.Unlock()
+	mayHaveRun = c.session.abort(attempt, time.Now())
+	if c.session.hasPartialAbort {
+		c.advance(eventClose)
+		go c.close(invariant.CloseHalfWritten)
+	}
+	return mayHaveRun
+}
+
+// checkHealth queues a health check.
+func (c *connection) checkHealth() {
+	c.mu.Lock()
+	c.session.checkHealth(c.endpoint, c.pool.verb, time.Now())
+	c.mu.Unlock()
+	c.wakeWriter()
+}
+
+// wakeWriter has the writer look for what is to be written.
+func (c *connection) wakeWriter() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// load is what the choice of a connection for an attempt, or for a health check where it is nil, looks at.
+func (c *connection) load(attempt *engine.Attempt) connectionLoad {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return connectionLoad{
+		pending:   c.session.pending(),
+		isSuspect: c.session.isSuspect(),
+		canCarry:  c.state.acceptsAttempts() && (attempt == nil || c.session.canCarry(attempt)),
+		lastUsed:  c.lastUsed,
+	}
+}
+
+// canCarry says whether an attempt can go by this connection.
+func (c *connection) canCarry(attempt *engine.Attempt) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.state.isClosed() && c.session.canCarry(attempt)
+}
+
+// retire has the connection take nothing more, and says whether it can be closed at once.
+func (c *connection) retire() (isUnused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.advance(eventRetire)
+	return c.session.pending() == 0 || c.socket == nil
+}
+
+// markDialOverdue notes that the dial is slow, and says whether what waits for it is to be moved.
+func (c *connection) markDialOverdue() (mustReassign bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.advance(eventDialOverdue)
+	return c.state.isDialOverdue() && c.purpose != dialReplacement && len(c.session.waiting) > 0
+}
+
+func (c *connection) isDialOverdue() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.isDialOverdue()
+}
+
+func (c *connection) hasWaiting() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.session.waiting) > 0
+}
+
+// takeFirstWaiting takes the attempt off that has waited longest for an overdue dial.
+func (c *connection) takeFirstWaiting() (e exchange, isTaken bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.state.isDialOverdue() || len(c.session.waiting) == 0 {
+		return exchange{}, false
+	}
+	return c.session.takeFirstWaiting(), true
+}
+
+// isProvenSince says whether the connection is up, idle, beyond doubt, and has had a response since a time.
+func (c *connection) isProvenSince(since time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.state.isUp() && c.state.acceptsAttempts() && c.session.pending() == 0 && !c.session.isSuspect() &&
+		c.lastResponse.After(since)
+}
+
+// markClosedIfIdle says whether nothing has been on the connection for so long; if so, it takes nothing more, and the
+// caller is to close it.
+func (c *connection) markClosedIfIdle(minIdle time.Duration) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.state.isUp() || c.session.pending() > 0 || time.Since(c.lastUsed) < minIdle {
+		return false
+	}
+	c.advance(eventClose)
+	return true
+}
+
+// close takes the connection out of the pool and reports what was pending on it: there is no other way to close one. It
+// may be called more than once; the first reason counts. While something is being written, only the writer knows how
+// much of it went: the socket is closed then, and the writer's own close reports.
+func (c *connection) close(reason invariant.CloseReason) {
+	now := time.Now()
+	isFirst := c.pool.remove(c)
+	c.mu.Lock()
+	if isFirst {
+		c.pool.Monitor.CloseServer(uint64(c.endpoint), reason, c.session.pending())
+	}
+	c.advance(eventClose)
+	var results []engine.Message
+	if !c.state.isWriting() {
+		c.session.failAll()
+		results = c.session.takeResults()
+	}
+	socket := c.socket
+	c.mu.Unlock()
+	if socket != nil {
+		_ = socket.Close()
+	}
+	c.wakeWriter()
+	for _, result := range results {
+		c.pool.post(now, result)
+	}
+}
+
+// remove takes a connection out of the pool, and says whether it was still there.
+func (p *Pool) remove(c *connection) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	e := p.endpoints[c.endpoint]
+	if e == nil {
+		return false
+	}
+	i := slices.Index(e.connections, c)
+	if i < 0 {
+		return false
+	}
+	e.connections = slices.Delete(e.connections, i, i+1)
+	p.connectionCount--
+	return true
+}
--- a/internal/upstream/crossing_test.go
+++ b/internal/upstream/crossing_test.go
@@ -1,7 +1,7 @@
 package upstream
 
-// Crossings on the way to nodes: what is being written while its connection ends, its client leaves, or its time runs out.
-// The peer is a scripted connection, so that the order is forced.
+// Crossings on the way to nodes: what is being written while its connection ends, its client leaves, or its time
+// runs out. The peer is a scripted connection, so that the order is forced.
 
 import (
 	"errors"
@@ -19,8 +19,8 @@
 	"go.uber.org/zap"
 )
 
-// wire is a connection of which each write is held up: after it took most bytes it says so on took, and goes on once it is
-// told how the write ends, or is closed.
+// wire is a connection of which each write is held up: after it took most bytes it says so on took, and goes on once
+// it is told how the write ends, or is closed.
 type wire struct {
 	net.Conn
 	most   int
@@ -75,10 +75,10 @@
 }
 
 // conn is the pool's only connection.
-func (r *rig) conn() *conn {
+func (r *rig) conn() *connection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.nodes[1].conns[0]
+	return r.endpoints[1].connections[0]
 }
 
 func (r *rig) noEnd() {
@@ -90,8 +90,8 @@
 	}
 }
 
-// A connection ends while the system has taken a leg whole and the writer does not know it yet: the leg may have run. While it
-// has taken a part, the leg did not.
+// A connection ends while the system has taken a leg whole and the writer does not know it yet: the leg may have
+// run. While it has taken a part, the leg did not.
 func TestEndWhileWriting(t *testing.T) {
 	for _, c := range []struct {
 		most int
@@ -101,7 +101,7 @@
 		r := newWired(t, nil, w)
 		l := r.send(1, 1)
 		next(t, w.took)
-		r.conn().end(invariant.CloseServerEnded) // as the reader does at a reset
+		r.conn().close(invariant.CloseServerEnded) // as the reader does at a reset
 		r.end(c.want, l)
 		if r.ConnectionCount() != 0 {
 			t.Errorf("%d connections", r.ConnectionCount())
@@ -109,8 +109,8 @@
 	}
 }
 
-// A leg that is given up while it is half written never becomes whole: its connection ends at once, whoever reads or not. One
-// that waits behind it is taken back, and did not run.
+// A leg that is given up while it is half written never becomes whole: its connection ends at once, whoever reads or
+// not. One that waits behind it is taken back, and did not run.
 func TestGivenUpHalfWritten(t *testing.T) {
 	w, other := newWire(10), newWire(1<<20)
 	r := newWired(t, func(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }, w, other)
@@ -155,7 +155,7 @@
 		t.Error("a leg of which nothing was given to the system may have run")
 	}
 	w.goesOn <- nil
-	r.conn().end(invariant.CloseServerEnded)
+	r.conn().close(invariant.CloseServerEnded)
 	r.end(routing.ConnectionBroken, first)
 	r.noEnd()
 	if len(w.took) > 0 {
@@ -163,8 +163,8 @@
 	}
 }
 
-// A repeat that must be on its way within a window is not when its connection comes up late; nor is one to a node that is told
-// to leave.
+// A repeat that must be on its way within a window is not when its connection comes up late; nor is one to a node
+// that is told to leave.
 func TestConnectionLateForWindow(t *testing.T) {
 	for _, state := range []routing.EndpointState{routing.Ready, routing.Draining} {
 		w, up := newWire(1<<20), make(chan struct{})
@@ -210,7 +210,7 @@
 
 func containsID(text string, id engine.ClientRequestID) bool {
 	for i := 0; i+16 <= len(text); i++ {
-		if text[i:i+16] == hex(uint64(id)) {
+		if text[i:i+16] == hexadecimal(uint64(id)) {
 			return true
 		}
 	}
@@ -237,8 +237,8 @@
 	return ends
 }
 
-// One connection comes up late, though its node lives: what waits for it goes by another, and is given up there; nothing of it
-// goes by the late one, which serves the next.
+// One connection comes up late, though its node lives: what waits for it goes by another, and is given up there;
+// nothing of it goes by the late one, which serves the next.
 func TestLateConnection(t *testing.T) {
 	for _, up := range []error{nil, errCut} {
 		s := newStand(t)
@@ -271,7 +271,8 @@
 	}
 }
 
-// Two are late at once, and a third has an answer: the first that waits goes by it then. What is late for good ends as such.
+// Two are late at once, and a third has an answer: the first that waits goes by it then. What is late for good ends
+// as such.
 func TestLateConnectionWaitsForOther(t *testing.T) {
 	s := newStand(t)
 	r := newRig(t, func(l *limits.Limits) { l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2 })
@@ -295,8 +296,8 @@
 	r.end(routing.Succeeded, busy)
 }
 
-// A client has its answer, has gone, or its time is up, while its attempt waits: nothing of the attempt is written, and its server is not
-// blamed. One that begins is known to the guard, and its last byte too.
+// A client has its answer, has gone, or its time is up, while its attempt waits: nothing of the attempt is written,
+// and its server is not blamed. One that begins is known to the guard, and its last byte too.
 func TestNothingBegunOnceOver(t *testing.T) {
 	for name, over := range map[string]func(r *invariant.Request){
 		"answered":  func(r *invariant.Request) { r.End(invariant.EndServed, time.Now()) },
@@ -324,7 +325,8 @@
 	}
 }
 
-// A server takes no bytes: a request that is half written when its first tenth of a second is over never becomes whole, and did not run.
+// A server takes no bytes: a request that is half written when its first tenth of a second is over never becomes
+// whole, and did not run.
 func TestFrameThatIsNotTaken(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -89,8 +89,8 @@
 	}, zap.NewNop())
 	t.Cleanup(func() {
 		r.mu.Lock()
-		for _, n := range r.nodes {
-			r.drop(n)
+		for _, n := range r.endpoints {
+			n.closeConnections()
 		}
 		r.mu.Unlock()
 		for end := time.Now().Add(10 * time.Second); r.ConnectionCount() > 0; time.Sleep(time.Millisecond) {
@@ -171,7 +171,8 @@
 	r.end(routing.ConnectFailed, deaf)
 }
 
-// A connection on which a leg was given up in silence is not trusted with the next; the same one is, once it is heard of.
+// A connection on which a leg was given up in silence is not trusted with the next; the same one is, once it is
+// heard of.
 func TestSilentConnection(t *testing.T) {
 	s := newStand(t)
 	r := newRig(t, nil)
@@ -263,13 +264,14 @@
 		r.list(routing.EndpointID(id+1), routing.Gone, s.Addr().String())
 	}
 	r.list(9, routing.Gone, "")
-	if len(r.nodes) > 1 {
-		t.Errorf("%d nodes are kept", len(r.nodes))
+	if len(r.endpoints) > 1 {
+		t.Errorf("%d nodes are kept", len(r.endpoints))
 	}
 	r.end(routing.ConnectFailed, r.send(9, 1))
 }
 
-// A server moves: what is open on its old connection ends there, what waits for one goes elsewhere, and nothing new goes by the old.
+// A server moves: what is open on its old connection ends there, what waits for one goes elsewhere, and nothing new
+// goes by the old.
 func TestServerMoves(t *testing.T) {
 	old, to := newStand(t), newStand(t)
 	r := newRig(t, nil)
@@ -307,8 +309,8 @@
 	close(held)
 }
 
-// What concerns this machine alone is tried again, and tells nothing of the server; so does a way that is gone for a moment. A server
-// that refuses is asked no second time.
+// What concerns this machine alone is tried again, and tells nothing of the server; so does a way that is gone for a
+// moment. A server that refuses is asked no second time.
 func TestDialFailures(t *testing.T) {
 	for _, c := range []struct {
 		err   error
--- /dev/null
+++ b/internal/upstream/response.go
@@ -0,0 +1,172 @@
+package upstream
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"slices"
+	"strconv"
+	"time"
+
+	"fennelarch/internal/config"
+	"fennelarch/internal/engine"
+	"fennelarch/internal/resp"
+	"fennelarch/policy/routing"
+)
+
+// The strings of a response, in their order.
+const (
+	responseID = iota
+	responseStatus
+	responseFields
+	responseBody
+)
+
+// readBuffer is where the next bytes are to be read into; received says how many came.
+func (s *session) readBuffer() []byte { return s.input.Tail() }
+
+// received takes n bytes that were put into readBuffer. After an error nothing more can be believed of the connection.
+func (s *session) received(n int, now time.Time) error {
+	if n == 0 {
+		return nil
+	}
+	s.input.Commit(n)
+	for {
+		response, err := s.decoder.Next(&s.input)
+		if err != nil {
+			s.input.Shrink()
+			return fmt.Errorf("read a response: %w", err)
+		}
+		if response == nil {
+			s.input.Shrink()
+			return nil
+		}
+		s.responses++
+		s.hasSilentAbort = false
+		if err := s.takeResponse(response, now); err != nil {
+			return err
+		}
+	}
+}
+
+// takeResponse takes one whole response. A request's id has 16 digits, the tag of a health check fewer.
+func (s *session) takeResponse(response [][]byte, now time.Time) error {
+	if len(response) <= responseStatus {
+		return &responseError{problem: problemNoStatus}
+	}
+	id, status := string(response[responseID]), string(response[responseStatus])
+	result := engine.AttemptResult{}
+	if len(response) > responseFields {
+		s.parseFields(response[responseFields], &result)
+	}
+	if len(id) < requestIDDigits {
+		return s.takeHealth(id, status, result.LoadReport, now)
+	}
+	number, err := strconv.ParseUint(id, 16, 64)
+	requestID := engine.ClientRequestID(number)
+	sent, isInFlight := s.inFlight[requestID]
+	if !isInFlight {
+		delete(s.aborted, requestID)
+		if err != nil {
+			return newResponseError(id, problemBadID, err)
+		}
+		return nil
+	}
+	var isKnown bool
+	if result.Outcome, isKnown = outcomesByStatus[status]; !isKnown {
+		return newResponseError(id, problemUnknownStatus, nil)
+	}
+	result.Attempt, result.NotModified = sent.attempt, status == statusNotModified
+	if heldETag := sent.attempt.Request.HeldETag; result.NotModified && (heldETag == "" || result.ETag != heldETag) {
+		return newResponseError(id, problemOtherETag, nil) // the server must name just the client's copy
+	}
+	if status == statusOK {
+		if len(response) <= responseBody {
+			return newResponseError(id, problemNoBody, nil)
+		}
+		result.Body = bytes.Clone(response[responseBody])
+	}
+	delete(s.inFlight, requestID)
+	s.rememberAnswered(requestID, now)
+	s.finish(result, sent.server.Endpoint)
+	return nil
+}
+
+// takeHealth takes the answer to a health check.
+func (s *session) takeHealth(id, status string, report routing.LoadReport, now time.Time) error {
+	tag, err := strconv.ParseUint(id, 10, 64)
+	if err != nil {
+		return newResponseError(id, problemBadID, err)
+	}
+	check, isInFlight := s.checks[tag]
+	if !isInFlight {
+		return nil
+	}
+	outcome, isKnown := outcomesByHealth[status]
+	if !isKnown {
+		return newResponseError(id, problemUnknownStatus, nil)
+	}
+	delete(s.checks, tag)
+	s.results = append(s.results, engine.HealthCheckResult{
+		Endpoint:   check.endpoint,
+		Outcome:    outcome,
+		Elapsed:    now.Sub(check.sentAt),
+		LoadReport: report,
+	})
+	return nil
+}
+
+// rememberAnswered keeps a request's id from being used again here, and drops the ids that have been kept long enough.
+func (s *session) rememberAnswered(id engine.ClientRequestID, now time.Time) {
+	expired := 0
+	for expired < len(s.answered) && now.Sub(s.answered[expired].at) > s.limits.ForgetAfter {
+		expired++
+	}
+	s.answered = append(slices.Delete(s.answered, 0, expired), answeredRequest{id: id, at: now})
+}
+
+// parseFields reads the fields of a response into a result; those that nobody knows are passed over.
+func (s *session) parseFields(fields []byte, result *engine.AttemptResult) {
+	for len(fields) > 0 {
+		var name, value []byte
+		name, value, fields = resp.Field(fields)
+		switch string(name) {
+		case fieldNote:
+			result.Note = notesByWord[string(value)]
+		case fieldETag:
+			result.ETag = string(value)
+		case fieldGeneratedAt:
+			if ms := int64(parseNumber(value)); ms > 0 {
+				result.GeneratedAt = time.UnixMilli(ms)
+			}
+		case fieldFirstByteWait:
+			result.FirstByteWait = config.Milliseconds(parseNumber(value))
+		case fieldLoadReport:
+			result.LoadReport = s.parseLoadReport(value)
+		}
+	}
+}
+
+// parseLoadReport reads the columns of a load report, up to the first that is missing.
+func (s *session) parseLoadReport(text []byte) (report routing.LoadReport) {
+	columns := s.names.reportColumns
+	for _, column := range columns[:min(len(columns), len(report.Values))] {
+		_, rest, isFound := bytes.Cut(append([]byte{';'}, text...), []byte(";"+column+":"))
+		if !isFound {
+			break
+		}
+		value, _, _ := bytes.Cut(rest, []byte{';'})
+		report.Values[report.Count] = parseNumber(value)
+		report.Count++
+	}
+	return report
+}
+
+// parseNumber is the number in a text, 0 where there is none.
+func parseNumber(text []byte) float64 {
+	number, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || math.IsNaN(number) {
+		return 0
+	}
+	return number
+}
