--- a/internal/upstream/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -13,70 +13,79 @@
 	"fennelarch/policy/routing"
 )
 
-// deadlineSlack is how far a deadline that is passed on may exceed what the client has left.
-const deadlineSlack = 150 * time.Millisecond
+const (
+	// deadlineSlack is how far a deadline that is passed on may exceed what the client has left.
+	deadlineSlack = 150 * time.Millisecond
 
-// passedOn reads the deadline out of a request on the wire.
-func passedOn(t *testing.T, text string) time.Duration {
+	// waitBeforeWrite is how long a request waits in these tests.
+	waitBeforeWrite = 400 * time.Millisecond
+)
+
+// deadlineIn reads the deadline out of a request on the wire.
+func deadlineIn(t *testing.T, text string) time.Duration {
 	t.Helper()
-	_, rest, found := strings.Cut(text, ",wait=")
-	if !found {
+	_, rest, isFound := strings.Cut(text, fieldDeadline)
+	if !isFound {
 		t.Fatalf("no deadline in %q", text)
 	}
-	digits := rest[:strings.IndexAny(rest, ",\r")]
-	ms, err := strconv.Atoi(digits)
+	millis, err := strconv.Atoi(rest[:strings.IndexAny(rest, ",\r")])
 	if err != nil {
 		t.Fatal(err)
 	}
-	return time.Duration(ms) * time.Millisecond
+	return time.Duration(millis) * time.Millisecond
 }
 
-// A request waits for its connection to come up, for the frame before it, or for a connection that is late and is taken
-// to another: each time the deadline shrinks by the wait.
+// A request waits for its connection to come up, for the frame before it, or for a dial that is overdue and is taken to
+// another connection: each time the deadline shrinks by the wait.
 func TestDeadlineShrinksWhileWaiting(t *testing.T) {
-	const wait = 400 * time.Millisecond
-	left := time.Until(leg(1).Deadline) - wait
-	check := func(name, text string) {
+	left := time.Until(newAttempt(1).Deadline) - waitBeforeWrite
+	check := func(t *testing.T, deadline time.Duration) {
 		t.Helper()
-		if told := passedOn(t, text); told > left+deadlineSlack {
-			t.Errorf("%s: the server is told %v, the client has %v left", name, told, left)
+		if deadline > left+deadlineSlack {
+			t.Errorf("the server is told %v, the client has %v left", deadline, left)
 		}
 	}
 
-	connection := newWire(1 << 20)
-	r := newWired(t, nil, connection)
-	dial := r.dial
-	r.dial = func(n, a string, d time.Duration) (net.Conn, error) {
-		time.Sleep(wait)
-		return dial(n, a, d)
-	}
-	r.send(1, 1)
-	check("a late connection", next(t, connection.took))
+	t.Run("slow dial", func(t *testing.T) {
+		socket := newHeldSocket(takesAll)
+		pool := newPoolWithSockets(t, nil, socket)
+		dial := pool.dial
+		pool.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
+			time.Sleep(waitBeforeWrite)
+			return dial(network, address, timeout)
+		}
+		pool.sendAttempt(1, 1)
+		check(t, deadlineIn(t, receive(t, socket.taken)))
+	})
 
-	connection = newWire(1 << 20)
-	r = newWired(t, func(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }, connection)
-	r.send(1, 1)
-	next(t, connection.took)
-	r.send(2, 1)
-	time.Sleep(wait)
-	connection.goesOn <- nil
-	check("a frame before it", next(t, connection.took))
+	t.Run("frame before it", func(t *testing.T) {
+		socket := newHeldSocket(takesAll)
+		pool := newPoolWithSockets(t, oneConnection, socket)
+		pool.sendAttempt(1, 1)
+		receive(t, socket.taken)
+		pool.sendAttempt(2, 1)
+		time.Sleep(waitBeforeWrite)
+		socket.writeResult <- nil
+		check(t, deadlineIn(t, receive(t, socket.taken)))
+	})
 
-	s := newStand(t)
-	rescued := newRig(t, func(l *limits.Limits) { l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2 })
-	rescued.list(1, routing.Ready, s.Addr().String())
-	busy := rescued.send(1, 1)
-	next(t, s.asked)
-	ends := rescued.late()
-	moved := rescued.send(2, 1)
-	time.Sleep(wait)
-	s.answer <- true
-	rescued.end(routing.Succeeded, busy)
-	next(t, s.asked)
-	if told := time.Duration(s.wait.Load()) * time.Millisecond; told > left+deadlineSlack {
-		t.Errorf("moved to another connection: the server is told %v, the client has %v left", told, left)
-	}
-	s.answer <- true
-	rescued.end(routing.Succeeded, moved)
-	ends <- errCut
+	t.Run("moved to another connection", func(t *testing.T) {
+		server := newScriptedServer(t)
+		pool := newTestPool(t, func(l *limits.Limits) {
+			l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2
+		})
+		pool.listEndpoint(1, routing.Ready, server.Addr().String())
+		busy := pool.sendAttempt(1, 1)
+		receive(t, server.verbs)
+		ends := pool.holdFirstDial()
+		moved := pool.sendAttempt(2, 1)
+		time.Sleep(waitBeforeWrite)
+		server.answers <- true
+		pool.wantResult(routing.Succeeded, busy)
+		receive(t, server.verbs)
+		check(t, time.Duration(server.deadlineMillis.Load())*time.Millisecond)
+		server.answers <- true
+		pool.wantResult(routing.Succeeded, moved)
+		ends <- errScripted
+	})
 }
--- /dev/null
+++ b/internal/upstream/endpoint_test.go
@@ -0,0 +1,63 @@
+package upstream
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// What is in flight on a connection to an endpoint whose address another has now ends, and may have run.
+func TestReusedAddressClosesConnections(t *testing.T) {
+	server := newScriptedServer(t)
+	pool := newTestPool(t, nil)
+	pool.listEndpoint(1, routing.Ready, server.Addr().String())
+	attempt := pool.sendAttempt(1, 1)
+	receive(t, server.verbs)
+	pool.listEndpoint(1, routing.Gone, server.Addr().String())
+	pool.listEndpoint(2, routing.Ready, server.Addr().String())
+	pool.wantResult(routing.ConnectionBroken, attempt)
+	server.answers <- false
+	attempt = pool.sendAttempt(2, 2)
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, attempt)
+	if receive(t, server.accepted) == receive(t, server.accepted) {
+		t.Error("the old connection was used")
+	}
+}
+
+// A server moves: what is in flight on its old connection ends there, what waits for one that is dialled fails, and
+// nothing new goes by the old.
+func TestMovedEndpointRetiresConnections(t *testing.T) {
+	old, current := newScriptedServer(t), newScriptedServer(t)
+	pool := newTestPool(t, nil)
+	pool.listEndpoint(1, routing.Ready, old.Addr().String())
+	inFlight := pool.sendAttempt(1, 1)
+	receive(t, old.verbs)
+	pool.listEndpoint(1, routing.Ready, current.Addr().String())
+	moved := pool.sendAttempt(2, 1)
+	receive(t, current.verbs)
+	current.answers <- true
+	pool.wantResult(routing.Succeeded, moved)
+	old.answers <- true
+	pool.wantResult(routing.Succeeded, inFlight)
+	pool.waitForConnectionCount(1)
+	if len(old.verbs) > 0 {
+		t.Error("the old connection was used again")
+	}
+
+	released := make(chan struct{})
+	dial := pool.dial
+	pool.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
+		if address == old.Addr().String() {
+			<-released
+		}
+		return dial(network, address, timeout)
+	}
+	pool.listEndpoint(1, routing.Ready, old.Addr().String())
+	waiting := pool.sendAttempt(3, 1)
+	pool.listEndpoint(1, routing.Ready, current.Addr().String())
+	pool.wantResult(routing.ConnectFailed, waiting)
+	close(released)
+}
--- /dev/null
+++ b/internal/upstream/reassign_test.go
@@ -0,0 +1,67 @@
+package upstream
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/internal/limits"
+	"fennelarch/policy/routing"
+)
+
+// One connection comes up late, though its server lives: what waits for it goes by another, and is aborted there;
+// nothing of it goes by the late one, which serves the next.
+func TestOverdueDialIsReplaced(t *testing.T) {
+	for name, dialEnd := range map[string]error{"comes up late": nil, "fails late": errScripted} {
+		t.Run(name, func(t *testing.T) {
+			server := newScriptedServer(t)
+			pool := newTestPool(t, func(l *limits.Limits) { l.SlowConnect = 5 * time.Millisecond })
+			ends := pool.holdFirstDial()
+			pool.listEndpoint(1, routing.Ready, server.Addr().String())
+			attempt := pool.sendAttempt(1, 1)
+			server.answers <- true
+			pool.wantResult(routing.Succeeded, attempt) // by a second dial
+			attempt = pool.sendAttempt(2, 1)
+			receive(t, server.verbs)
+			receive(t, server.verbs)
+			if !pool.Abort(attempt) {
+				t.Error("it may have run")
+			}
+			server.answers <- false
+			ends <- dialEnd
+			pool.wantNoResult()
+			left := 1
+			if dialEnd == nil {
+				left = 2 // one that is suspect, one that came late
+			}
+			pool.waitForConnectionCount(left)
+			attempt = pool.sendAttempt(3, 1)
+			server.answers <- true
+			pool.wantResult(routing.Succeeded, attempt)
+		})
+	}
+}
+
+// Two dials are overdue at once, and a third connection has a response: the first attempt that waits goes by it then.
+// What is overdue for good fails as such.
+func TestWaitingAttemptMovesToIdleConnection(t *testing.T) {
+	server := newScriptedServer(t)
+	pool := newTestPool(t, func(l *limits.Limits) { l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2 })
+	pool.listEndpoint(1, routing.Ready, server.Addr().String())
+	busy := pool.sendAttempt(1, 1)
+	receive(t, server.verbs)
+	ends := pool.holdFirstDial()
+	waiting := pool.sendAttempt(2, 1)
+	time.Sleep(30 * time.Millisecond) // overdue by now, and no capacity for another dial
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, busy)
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, waiting)
+	busy = pool.sendAttempt(3, 1)
+	receive(t, server.verbs) // of 2
+	receive(t, server.verbs)
+	waiting = pool.sendAttempt(4, 1) // for the overdue one again
+	ends <- errScripted
+	pool.wantResult(routing.ConnectFailed, waiting)
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, busy)
+}
--- /dev/null
+++ b/internal/upstream/selection_test.go
@@ -0,0 +1,88 @@
+package upstream
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/internal/limits"
+	"fennelarch/policy/routing"
+)
+
+// A connection on which an attempt was aborted in silence is not trusted with the next; it is again once a response has
+// come on it.
+func TestSuspectConnectionIsAvoided(t *testing.T) {
+	server := newScriptedServer(t)
+	pool := newTestPool(t, nil)
+	pool.listEndpoint(1, routing.Ready, server.Addr().String())
+	first := pool.sendAttempt(1, 1)
+	receive(t, server.verbs)
+	if !pool.Abort(first) {
+		t.Error("it may have run")
+	}
+	second := pool.sendAttempt(2, 1)
+	if receive(t, server.accepted) == receive(t, server.accepted) {
+		t.Error("the silent connection was used again")
+	}
+	server.answers <- false // to the first
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, second)
+	third := pool.sendAttempt(3, 1)
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, third)
+	if pool.ConnectionCount() > 2 || len(server.accepted) > 0 {
+		t.Errorf("%d connections, %d more", pool.ConnectionCount(), len(server.accepted))
+	}
+}
+
+// What ends a connection fails one attempt, as long as there is capacity; an attempt without any connection was never
+// sent.
+func TestConnectionEndFailsOneAttempt(t *testing.T) {
+	server := newScriptedServer(t)
+	pool := newTestPool(t, func(l *limits.Limits) {
+		l.UpstreamConnections, l.ConnectionsPerEndpoint, l.StreamsPerConnection = 2, 2, 2
+	})
+	pool.listEndpoint(1, routing.Ready, server.Addr().String())
+	first := pool.sendAttempt(1, 1)
+	socket := receive(t, server.accepted)
+	receive(t, server.verbs)
+	second := pool.sendAttempt(2, 1)
+	receive(t, server.verbs)
+	_ = socket.Close()
+	pool.wantResult(routing.ConnectionBroken, first)
+	server.answers <- false // to the first
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, second)
+	for id := range engine.ClientRequestID(4) {
+		pool.sendAttempt(10+id, 1)
+	}
+	pool.wantResult(routing.NotSent, pool.sendAttempt(20, 1))
+	if pool.ConnectionCount() != 2 {
+		t.Errorf("%d connections", pool.ConnectionCount())
+	}
+}
+
+// Idle connections are closed, after a while or when others need their place; nothing is kept of endpoints long gone.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	const servers = 4
+	pool := newTestPool(t, func(l *limits.Limits) {
+		l.UpstreamConnections, l.UpstreamIdleTimeout, l.ForgetAfter = 2, 100*time.Millisecond, 0
+	})
+	addresses := map[routing.EndpointID]string{}
+	for id := routing.EndpointID(1); id <= servers; id++ {
+		server := newScriptedServer(t)
+		server.answers <- true
+		addresses[id] = server.Addr().String()
+		pool.listEndpoint(id, routing.Ready, addresses[id])
+		pool.wantResult(routing.Succeeded, pool.sendAttempt(engine.ClientRequestID(id), id))
+	}
+	pool.waitForConnectionCount(0)
+	for id, address := range addresses {
+		pool.listEndpoint(id, routing.Gone, address)
+	}
+	pool.listEndpoint(9, routing.Gone, "")
+	if len(pool.endpoints) > 1 {
+		t.Errorf("%d endpoints are kept", len(pool.endpoints))
+	}
+	pool.wantResult(routing.ConnectFailed, pool.sendAttempt(9, 1))
+}
