--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -25,9 +25,9 @@
 	FaultBroken
 )
 
-// faults is the one table of what errors mean; an error that is not in it counts as a broken connection. The first row
-// that matches decides.
-var faults = []struct {
+// faultsByError is the one table of what errors mean; an error that is not in it counts as a broken connection. The
+// first row that matches decides.
+var faultsByError = []struct {
 	err   error
 	fault Fault
 }{
@@ -60,7 +60,7 @@
 	if err == nil {
 		return FaultNone
 	}
-	for _, row := range faults {
+	for _, row := range faultsByError {
 		if errors.Is(err, row.err) {
 			return row.fault
 		}
@@ -73,25 +73,25 @@
 }
 
 // Exhausted says whether a call failed because the process or the system has no descriptor, or no memory for one.
-func Exhausted(err error) bool { return isOneOf(err, exhaustion) }
+func Exhausted(err error) bool { return isAnyOf(err, exhaustionErrors) }
 
 // Temporary says whether the same call may well succeed a moment later: resources that come back, an interrupted call,
-// an address that its last owner is about to leave, a file that is being replaced.
+// an address that its last owner is about to release, a file that is being replaced.
 func Temporary(err error) bool {
-	return isOneOf(err, exhaustion) || isOneOf(err, passing)
+	return isAnyOf(err, exhaustionErrors) || isAnyOf(err, passingErrors)
 }
 
 var (
-	exhaustion = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
-	passing    = []error{
+	exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
+	passingErrors    = []error{
 		syscall.EINTR, syscall.EAGAIN, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ESTALE,
 		syscall.EBUSY, syscall.ETXTBSY, syscall.EIO,
 	}
 )
 
-func isOneOf(err error, list []error) bool {
-	for _, one := range list {
-		if errors.Is(err, one) {
+func isAnyOf(err error, targets []error) bool {
+	for _, target := range targets {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
--- a/internal/system/errors_test.go
+++ b/internal/system/errors_test.go
@@ -46,53 +46,55 @@
 	}
 }
 
-// script is a connection whose calls end as they are told to.
-type script struct {
+// scriptedSocket is a connection whose calls end as they are told to.
+type scriptedSocket struct {
 	net.Conn
-	ends []struct {
-		n   int
-		err error
-	}
-	took int
+	calls []callResult
+	moved int // bytes of all calls
 }
 
-func (s *script) call(b []byte) (int, error) {
-	end := s.ends[0]
-	s.ends = s.ends[1:]
-	n := min(end.n, len(b))
-	s.took += n
-	return n, end.err
+type callResult struct {
+	n   int // at most
+	err error
 }
 
-func (s *script) Read(b []byte) (int, error)  { return s.call(b) }
-func (s *script) Write(b []byte) (int, error) { return s.call(b) }
-
-type ends = []struct {
-	n   int
-	err error
+func (s *scriptedSocket) call(buffer []byte) (int, error) {
+	result := s.calls[0]
+	s.calls = s.calls[1:]
+	n := min(result.n, len(buffer))
+	s.moved += n
+	return n, result.err
 }
 
-// Short and failing calls are made good, as long as they fail for the moment.
+func (s *scriptedSocket) Read(buffer []byte) (int, error) { return s.call(buffer) }
+func (s *scriptedSocket) Write(data []byte) (int, error)  { return s.call(data) }
+
+// Short and failing calls are made again, as long as their errors are temporary.
 func TestShortAndFailingCalls(t *testing.T) {
-	s := &script{ends: ends{{0, syscall.ENOMEM}, {0, syscall.EINTR}, {3, nil}}}
-	if n, err := Read(s, make([]byte, 10)); n != 3 || err != nil {
-		t.Errorf("%d bytes, %v", n, err)
-	}
-	s = &script{ends: ends{{0, syscall.ECONNRESET}}}
-	if n, err := Read(s, make([]byte, 10)); n != 0 || !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%d bytes, %v", n, err)
-	}
-	s = &script{ends: ends{{4, nil}, {2, syscall.ENOBUFS}, {0, syscall.EINTR}, {100, nil}}}
-	if n, err := Write(s, make([]byte, 10)); n != 10 || s.took != 10 || err != nil {
-		t.Errorf("%d bytes, %v", n, err)
-	}
-	s = &script{ends: ends{{4, nil}, {1, syscall.EPIPE}}}
-	if n, err := Write(s, make([]byte, 10)); n != 5 || !errors.Is(err, syscall.EPIPE) {
-		t.Errorf("%d bytes, %v", n, err)
-	}
-	s = &script{ends: ends{{4, os.ErrDeadlineExceeded}}}
-	if n, err := Write(s, make([]byte, 10)); n != 4 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d bytes, %v", n, err)
+	type transfer = func(net.Conn, []byte) (int, error)
+	for _, test := range []struct {
+		name    string
+		call    transfer
+		results []callResult
+		bytes   int
+		err     error
+	}{
+		{"read after failures", Read, []callResult{{0, syscall.ENOMEM}, {0, syscall.EINTR}, {3, nil}}, 3, nil},
+		{"read of a reset connection", Read, []callResult{{0, syscall.ECONNRESET}}, 0, syscall.ECONNRESET},
+		{"write in pieces", Write, []callResult{{4, nil}, {2, syscall.ENOBUFS}, {0, syscall.EINTR}, {100, nil}}, 10, nil},
+		{"write to a closed peer", Write, []callResult{{4, nil}, {1, syscall.EPIPE}}, 5, syscall.EPIPE},
+		{"write past its deadline", Write, []callResult{{4, os.ErrDeadlineExceeded}}, 4, os.ErrDeadlineExceeded},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			socket := &scriptedSocket{calls: test.results}
+			n, err := test.call(socket, make([]byte, 10))
+			if n != test.bytes || socket.moved != test.bytes || !errors.Is(err, test.err) {
+				t.Errorf("%d bytes, %d of them moved, %v", n, socket.moved, err)
+			}
+			if len(socket.calls) > 0 {
+				t.Errorf("%d calls were not made", len(socket.calls))
+			}
+		})
 	}
 }
 
@@ -101,19 +103,19 @@
 	if Faulty {
 		t.Skip("this build injects faults")
 	}
-	ln, err := Listen("tcp", "127.0.0.1:0")
+	listener, err := Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	c, err := DialTimeout("tcp", ln.Addr().String(), time.Second)
+	defer func() { _ = listener.Close() }()
+	socket, err := DialTimeout("tcp", listener.Addr().String(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, plain := c.(*net.TCPConn); !plain {
-		t.Errorf("a connection is a %T", c)
+	if _, isPlain := socket.(*net.TCPConn); !isPlain {
+		t.Errorf("a connection is a %T", socket)
 	}
-	_ = c.Close()
+	_ = socket.Close()
 	if wall := WallClock(); time.Since(wall) > time.Second || wall != wall.Round(0) {
 		t.Error("the wall clock is not the system's")
 	}
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -2,15 +2,20 @@
 
 package system
 
-// This file is the fault-injecting build of the package. Calls fail in the ways that Linux documents, by a plan that the
-// environment gives, drawn from a seed: the same plan and the same order of calls fail alike. It serves the soak test alone.
+// This file is the fault-injecting build of the package. Calls fail in the ways that Linux documents, by a plan that
+// the environment gives, drawn from a seed: the same plan and the same order of calls fail alike. It serves the soak
+// test alone.
 //
-// FENNELARCH_FAULTS holds words: "seed=7 accept=0.01 dial=0.02 read=0.005 write=0.005 reset=0.001 file=0.1 listen=2
-// clock=3s:+1h,8s:-5s". Rates are per call; listen is how many calls fail at first; clock steps the wall clock by so much, so long
-// after the start.
+// FENNELARCH_FAULTS holds words:
+//
+//	seed=7 accept=0.01 dial=0.02 read=0.005 write=0.005 reset=0.001 file=0.1 listen=2 clock=3s:+1h,8s:-5s
+//
+// Rates are per call; listen is how many calls fail at first; clock steps the wall clock, as often as it has pairs: so
+// long after the start, by so much.
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -22,188 +27,233 @@
 	"time"
 )
 
+const (
+	planVariable    = "FENNELARCH_FAULTS"
+	exitBadPlan     = 2
+	randomStream    = 11 // of the generator that the seed begins
+	defaultPlanSeed = 1
+)
+
 // Faulty says whether this build injects faults.
 const Faulty = true
 
-// clockStep sets the wall clock by so much, so long after the start.
+// The errors with which calls fail. Their order and number belong to what a seed stands for.
+var (
+	acceptErrors = []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED,
+		syscall.EINTR, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+	}
+	dialErrors = []syscall.Errno{
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+		syscall.EINTR, syscall.EAGAIN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ETIMEDOUT,
+	}
+	transferErrors = []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR}
+	readFileErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.EIO, syscall.ENOMEM}
+	openErrors     = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.EINTR}
+)
+
+// clockStep is a step of the wall clock.
 type clockStep struct {
-	after, by time.Duration
+	after time.Duration // the start
+	by    time.Duration
 }
 
 // faultPlan is what fails, and how often.
 type faultPlan struct {
-	accept, dial, read, write, reset, file float64 // rates per call
+	acceptRate, dialRate, readRate, writeRate, resetRate, fileRate float64 // per call
 
-	steps []clockStep
-	began time.Time
+	clockSteps []clockStep
+	startedAt  time.Time
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	listen int // calls that still fail
+	mu             sync.Mutex
+	random         *rand.Rand
+	listenFailures int // still to come
 }
 
-var plan = mustPlan(os.Getenv("FENNELARCH_FAULTS"))
+var plan = mustPlan(os.Getenv(planVariable))
 
 // mustPlan ends the program on a plan that can't be used, with one line that names the word.
 func mustPlan(text string) *faultPlan {
-	p, err := parsePlan(text)
+	parsed, err := parsePlan(text)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "FENNELARCH_FAULTS:", err)
-		os.Exit(2)
+		fmt.Fprintf(os.Stderr, "%s: %v\n", planVariable, err)
+		os.Exit(exitBadPlan)
 	}
-	return p
+	return parsed
 }
 
+var (
+	errBadRate      = errors.New("a rate is between 0 and 1")
+	errUnknownFault = errors.New("there is no such fault")
+)
+
 func parsePlan(text string) (*faultPlan, error) {
-	p := &faultPlan{began: time.Now()}
-	seed := uint64(1)
-	rates := map[string]*float64{
-		"accept": &p.accept, "dial": &p.dial, "read": &p.read, "write": &p.write, "reset": &p.reset,
-		"file": &p.file,
-	}
-	for i, word := range strings.Fields(text) {
+	parsed := &faultPlan{startedAt: time.Now()}
+	seed := uint64(defaultPlanSeed)
+	for index, word := range strings.Fields(text) {
 		name, value, _ := strings.Cut(word, "=")
 		var err error
-		switch rate := rates[name]; {
-		case rate != nil:
-			*rate, err = strconv.ParseFloat(value, 64)
-			if err == nil && (*rate < 0 || *rate > 1) {
-				err = fmt.Errorf("a rate is between 0 and 1")
-			}
-		case name == "seed":
+		switch name {
+		case "seed":
 			seed, err = strconv.ParseUint(value, 10, 64)
-		case name == "listen":
-			p.listen, err = strconv.Atoi(value)
-		case name == "clock":
-			p.steps, err = parseSteps(value)
+		case "listen":
+			parsed.listenFailures, err = strconv.Atoi(value)
+		case "clock":
+			parsed.clockSteps, err = parseClockSteps(value)
 		default:
-			err = fmt.Errorf("there is no such fault")
+			err = parsed.setRate(name, value)
 		}
 		if err != nil {
-			return nil, fmt.Errorf("word %d, %q: %w", i+1, word, err)
+			return nil, fmt.Errorf("word %d, %q: %w", index+1, word, err)
 		}
 	}
-	p.rng = rand.New(rand.NewPCG(seed, 11))
-	return p, nil
+	parsed.random = rand.New(rand.NewPCG(seed, randomStream))
+	return parsed, nil
+}
+
+func (p *faultPlan) setRate(name, value string) (err error) {
+	rate := map[string]*float64{
+		"accept": &p.acceptRate,
+		"dial":   &p.dialRate,
+		"read":   &p.readRate,
+		"write":  &p.writeRate,
+		"reset":  &p.resetRate,
+		"file":   &p.fileRate,
+	}[name]
+	if rate == nil {
+		return errUnknownFault
+	}
+	if *rate, err = strconv.ParseFloat(value, 64); err != nil {
+		return err
+	}
+	if *rate < 0 || *rate > 1 {
+		return errBadRate
+	}
+	return nil
 }
 
-func parseSteps(text string) (steps []clockStep, err error) {
+func parseClockSteps(text string) (steps []clockStep, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		after, by, _ := strings.Cut(part, ":")
-		var s clockStep
-		if s.after, err = time.ParseDuration(after); err != nil {
+		var step clockStep
+		if step.after, err = time.ParseDuration(after); err != nil {
 			return nil, err
 		}
-		if s.by, err = time.ParseDuration(by); err != nil {
+		if step.by, err = time.ParseDuration(by); err != nil {
 			return nil, err
 		}
-		steps = append(steps, s)
+		steps = append(steps, step)
 	}
 	return steps, nil
 }
 
-// fails draws whether a call fails, and with which of the errors.
-func (p *faultPlan) fails(rate float64, errs ...syscall.Errno) error {
+// draw draws whether a call fails, and with which of the errors.
+func (p *faultPlan) draw(rate float64, errs ...syscall.Errno) error {
 	if rate <= 0 {
 		return nil
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.rng.Float64() >= rate {
+	if p.random.Float64() >= rate {
 		return nil
 	}
-	return errs[p.rng.IntN(len(errs))]
+	return errs[p.random.IntN(len(errs))]
+}
+
+// drawLength draws how many bytes of a call go through.
+func (p *faultPlan) drawLength(bytes int) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return 1 + p.random.IntN(bytes)
 }
 
-// cut draws how much of a call of so many bytes goes through.
-func (p *faultPlan) cut(n int) int {
+// drawListenFailure says whether a call of listen fails, and counts it.
+func (p *faultPlan) drawListenFailure() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return 1 + p.rng.IntN(n)
+	if p.listenFailures <= 0 {
+		return false
+	}
+	p.listenFailures--
+	return true
 }
 
-func operation(name string, err error) error {
-	return &net.OpError{Op: name, Net: "tcp", Err: os.NewSyscallError(name, err)}
+// systemError is an error as package net makes it of a failed system call.
+func systemError(call string, err error) error {
+	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
 
 func listen(network, address string) (net.Listener, error) {
-	plan.mu.Lock()
-	fails := plan.listen > 0
-	if fails {
-		plan.listen--
-	}
-	plan.mu.Unlock()
-	if fails {
-		return nil, operation("listen", syscall.EADDRINUSE)
+	if plan.drawListenFailure() {
+		return nil, systemError("listen", syscall.EADDRINUSE)
 	}
-	l, err := net.Listen(network, address)
+	listener, err := net.Listen(network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &faultyListener{l.(*net.TCPListener)}, nil
+	return &faultyListener{listener.(*net.TCPListener)}, nil
 }
 
 // faultyListener accepts with failures.
 type faultyListener struct{ *net.TCPListener }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
-	if err := plan.fails(plan.accept, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED,
-		syscall.EINTR, syscall.EPROTO, syscall.EHOSTUNREACH, syscall.ENETUNREACH); err != nil {
-		return nil, operation("accept", err)
+	if err := plan.draw(plan.acceptRate, acceptErrors...); err != nil {
+		return nil, systemError("accept", err)
 	}
-	c, err := l.AcceptTCP()
+	socket, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	return &faultyConn{TCPConn: c}, nil
+	return &faultyConn{TCPConn: socket}, nil
 }
 
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if err := plan.fails(plan.dial, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
-		syscall.EINTR, syscall.EAGAIN, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ETIMEDOUT); err != nil {
-		return nil, operation("connect", err)
+	if err := plan.draw(plan.dialRate, dialErrors...); err != nil {
+		return nil, systemError("connect", err)
 	}
 	var dialer net.Dialer
-	c, err := dialer.DialContext(ctx, network, address)
+	socket, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &faultyConn{TCPConn: c.(*net.TCPConn)}, nil
+	return &faultyConn{TCPConn: socket.(*net.TCPConn)}, nil
 }
 
-// faultyConn reads and writes in pieces, and fails for the moment, or for good by a reset that the peer sees too.
+// faultyConn reads and writes in pieces, and fails temporarily, or for good by a reset that the peer sees too.
 type faultyConn struct{ *net.TCPConn }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
-	if c.breaks() {
-		return 0, operation("read", syscall.ECONNRESET)
+	if c.isReset() {
+		return 0, systemError("read", syscall.ECONNRESET)
 	}
-	if err := plan.fails(plan.read, syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR); err != nil {
-		return 0, operation("read", err)
+	if err := plan.draw(plan.readRate, transferErrors...); err != nil {
+		return 0, systemError("read", err)
 	}
-	if plan.fails(plan.read, syscall.EAGAIN) != nil && len(b) > 0 {
-		b = b[:plan.cut(len(b))] // a short read
+	if plan.draw(plan.readRate, syscall.EAGAIN) != nil && len(b) > 0 {
+		b = b[:plan.drawLength(len(b))] // a short read
 	}
 	return c.TCPConn.Read(b)
 }
 
 func (c *faultyConn) Write(b []byte) (int, error) {
-	if c.breaks() {
-		return 0, operation("write", syscall.EPIPE)
+	if c.isReset() {
+		return 0, systemError("write", syscall.EPIPE)
 	}
-	err := plan.fails(plan.write, syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR)
+	err := plan.draw(plan.writeRate, transferErrors...)
 	if err == nil || len(b) == 0 {
 		return c.TCPConn.Write(b)
 	}
-	n, failed := c.TCPConn.Write(b[:plan.cut(len(b))])
+	n, failed := c.TCPConn.Write(b[:plan.drawLength(len(b))])
 	if failed != nil || n == len(b) {
 		return n, failed
 	}
-	return n, operation("write", err)
+	return n, systemError("write", err)
 }
 
-func (c *faultyConn) breaks() bool {
-	if plan.fails(plan.reset, syscall.ECONNRESET) == nil {
+// isReset draws whether the connection breaks now; if so, the peer sees a reset.
+func (c *faultyConn) isReset() bool {
+	if plan.draw(plan.resetRate, syscall.ECONNRESET) == nil {
 		return false
 	}
 	_ = c.SetLinger(0)
@@ -212,14 +262,14 @@
 }
 
 func readFile(name string) ([]byte, error) {
-	if err := plan.fails(plan.file, syscall.EMFILE, syscall.ENFILE, syscall.EINTR, syscall.EIO, syscall.ENOMEM); err != nil {
+	if err := plan.draw(plan.fileRate, readFileErrors...); err != nil {
 		return nil, &os.PathError{Op: "open", Path: name, Err: err}
 	}
 	return os.ReadFile(name)
 }
 
 func open(name string) (*os.File, error) {
-	if err := plan.fails(plan.file, syscall.EMFILE, syscall.ENFILE, syscall.EINTR); err != nil {
+	if err := plan.draw(plan.fileRate, openErrors...); err != nil {
 		return nil, &os.PathError{Op: "open", Path: name, Err: err}
 	}
 	return os.Open(name)
@@ -228,9 +278,9 @@
 func wallClock() time.Time {
 	now := time.Now()
 	wall := now.Round(0)
-	for _, s := range plan.steps {
-		if now.Sub(plan.began) >= s.after {
-			wall = wall.Add(s.by)
+	for _, step := range plan.clockSteps {
+		if now.Sub(plan.startedAt) >= step.after {
+			wall = wall.Add(step.by)
 		}
 	}
 	return wall
--- a/internal/system/passthrough.go
+++ b/internal/system/passthrough.go
@@ -2,6 +2,8 @@
 
 package system
 
+// This file is the ordinary build of the package: each call goes straight to the system.
+
 import (
 	"context"
 	"net"
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -1,7 +1,7 @@
-// Package system is the one place where the service makes calls of the operating system that can fail for reasons
-// outside the program: listening, dialling, reading files, reading the wall clock. The ordinary build passes every
-// call straight through; a build with the tag "faults" fails some of them by a plan drawn from a seed (see faults.go),
-// which the soak test uses. A deploy build must never carry that tag; .ci/run checks it.
+// Package system is the one place where the service makes system calls that can fail for reasons outside the program:
+// listening, dialling, reading files, reading the wall clock. The ordinary build passes every call straight through; a
+// build with the tag "faults" fails some of them by a plan drawn from a seed (see faults.go), which the soak test uses.
+// A deploy build must never carry that tag; .ci/run checks it.
 //
 // The package also classifies the errors of such calls: which are temporary, which concern this machine only, and
 // which tell something of the peer.
@@ -21,7 +21,7 @@
 // Listen opens a listening socket.
 func Listen(network, address string) (net.Listener, error) { return listen(network, address) }
 
-// DialTimeout opens a connection, and gives up after a time.
+// DialTimeout opens a connection, and gives up after the timeout.
 func DialTimeout(network, address string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -36,7 +36,7 @@
 // ReadFile reads a whole file.
 func ReadFile(name string) ([]byte, error) { return readFile(name) }
 
-// LoadKeyPair reads a certificate and its key.
+// LoadKeyPair reads a certificate and its key, both as PEM.
 func LoadKeyPair(certFile, keyFile string) (tls.Certificate, error) {
 	certificate, err := readFile(certFile)
 	if err != nil {
@@ -53,52 +53,55 @@
 func Open(name string) (*os.File, error) { return open(name) }
 
 // WallClock is the time of day. It may step at any moment and carries no monotonic reading: it serves to compare with
-// stamps that others made, never to measure a span.
+// timestamps of other machines, never to measure a duration.
 func WallClock() time.Time { return wallClock().Round(0) }
 
-// tries bounds how often a read or write is tried again that failed for want of memory; retryPause is the time between.
 const (
-	tries      = 20
-	retryPause = time.Millisecond
+	// maxTries bounds how often a read or write is made that fails for want of memory.
+	maxTries = 20
+	// retryInterval is the time between them.
+	retryInterval = time.Millisecond
 )
 
-// Read reads what has come. A call that failed for the moment, on this machine, is tried again.
-func Read(c net.Conn, b []byte) (n int, err error) {
-	for range tries {
-		n, err = c.Read(b)
-		if n > 0 || !retryable(err) {
+// Read reads the bytes that have come. A call that failed with a temporary error of this machine is made again.
+func Read(connection net.Conn, buffer []byte) (n int, err error) {
+	for range maxTries {
+		n, err = connection.Read(buffer)
+		if n > 0 || !isRetryable(err) {
 			break
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 	return n, err
 }
 
-// Write writes the whole of b, unless it fails for good: what a short write, or one that failed for the moment, has left is
-// written again.
-func Write(c net.Conn, b []byte) (written int, err error) {
-	for try := 0; written < len(b) && try < tries; {
-		n, failed := c.Write(b[written:])
+// Write writes all of data, unless it fails for good: after a short write, or one with a temporary error of this
+// machine, it goes on with the rest.
+func Write(connection net.Conn, data []byte) (written int, err error) {
+	for failures := 0; written < len(data) && failures < maxTries; {
+		var n int
+		n, err = connection.Write(data[written:])
 		written += n
-		err = failed
 		switch {
-		case failed == nil && n > 0:
-		case failed == nil || retryable(failed):
-			try++
-			time.Sleep(retryPause)
+		case err == nil && n > 0:
+		case err == nil || isRetryable(err):
+			failures++
+			time.Sleep(retryInterval)
 		default:
-			return written, failed
+			return written, err
 		}
 	}
-	if written < len(b) && err == nil {
+	if written < len(data) && err == nil {
 		err = io.ErrShortWrite
 	}
 	return written, err
 }
 
-// retryable says whether a call on an open connection may succeed when it is made again at once. One that timed out may
-// not: its time is up.
-func retryable(err error) bool {
-	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded) &&
-		(Exhausted(err) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EAGAIN))
+// isRetryable says whether a call on an open connection may succeed when it is made again at once. One whose deadline
+// has passed may not.
+func isRetryable(err error) bool {
+	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		return false
+	}
+	return Exhausted(err) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EAGAIN)
 }
