--- a/internal/sharedstore/carrier.go
+++ b/internal/sharedstore/carrier.go
@@ -56,9 +56,9 @@
 	members map[routing.EndpointID]engine.Endpoint // as last told, stores only
 	kinds   map[routing.EndpointID]routing.KindID
 	origin  routing.EndpointID
-	last    decide.OpID
-	ops     map[decide.OpID]*op
-	legs    map[*engine.Attempt]decide.OpID // legs and fills
+	last    decide.OperationID
+	ops     map[decide.OperationID]*op
+	legs    map[*engine.Attempt]decide.OperationID // legs and fills
 	timers  timers
 	outbox  []engine.Event
 	acts    []decide.Action
@@ -83,7 +83,7 @@
 	c := &Transport{
 		limits: l, set: set, log: log, start: start, deliver: deliver, wake: make(chan struct{}, 1),
 		stores: map[routing.EndpointID]*server{}, members: map[routing.EndpointID]engine.Endpoint{}, kinds: map[routing.EndpointID]routing.KindID{},
-		ops: map[decide.OpID]*op{}, legs: map[*engine.Attempt]decide.OpID{},
+		ops: map[decide.OperationID]*op{}, legs: map[*engine.Attempt]decide.OperationID{},
 	}
 	var ids []routing.EndpointID
 	for _, s := range stores {
@@ -110,7 +110,7 @@
 		now := c.now()
 		for len(c.timers) > 0 && c.timers[0].at <= now {
 			t := heap.Pop(&c.timers).(timer)
-			c.tell(&decide.Event{Kind: decide.EventTimer, Op: t.op, Node: t.node, Timer: t.name})
+			c.tell(&decide.Event{Kind: decide.EventTimer, Operation: t.op, Endpoint: t.node, TimerID: t.name})
 		}
 		if len(c.timers) > 0 {
 			alarm.Reset(max(0, c.timers[0].at-c.now()))
@@ -164,7 +164,7 @@
 	defer c.mu.Unlock()
 	switch e := message.(type) {
 	case engine.Purge:
-		if c.keep.RecordPurge(c.now(), decide.PurgeMark{Object: e.Object, Group: e.Group, Issued: decide.Timestamp(e.Issued.UnixMilli())}) {
+		if c.keep.RecordInvalidation(c.now(), decide.Invalidation{Object: e.Object, Group: e.Group, IssuedAt: decide.Timestamp(e.Issued.UnixMilli())}) {
 			for _, s := range c.stores {
 				go s.beat()
 			}
@@ -234,7 +234,7 @@
 		if n.Kind == c.set.OriginKind && n.State == routing.Ready {
 			c.origin = n.ID
 		}
-		c.tell(&decide.Event{Kind: decide.EventState, Node: n.ID, State: n.State})
+		c.tell(&decide.Event{Kind: decide.EventEndpointState, Endpoint: n.ID, State: n.State})
 		if s := c.stores[n.ID]; s != nil {
 			c.members[n.ID] = n
 			s.at(n.Address)
@@ -249,7 +249,7 @@
 		for id := range c.kinds {
 			if !listed[id] {
 				delete(c.kinds, id)
-				c.tell(&decide.Event{Kind: decide.EventState, Node: id, State: routing.Gone})
+				c.tell(&decide.Event{Kind: decide.EventEndpointState, Endpoint: id, State: routing.Gone})
 			}
 		}
 	}
@@ -279,8 +279,8 @@
 	c.legs[l] = c.last
 	t := &c.set.Classes[a.Class]
 	e := decide.Event{
-		Kind: decide.EventAsk, Op: c.last, Node: id, Object: a.Object, Part: a.Part, Group: a.Group,
-		Held: l.FillOptions&routing.OnlyIfCached != 0, Due: c.due(a, t), Left: time.Until(l.Deadline), Age: l.MaxAge,
+		Kind: decide.EventRequest, Operation: c.last, Endpoint: id, Object: a.Object, Part: a.Part, Group: a.Group,
+		OnlyIfCached: l.FillOptions&routing.OnlyIfCached != 0, UntilObjective: c.due(a, t), UntilDeadline: time.Until(l.Deadline), Age: l.MaxAge,
 	}
 	if !relay {
 		e.Source = l.Source
@@ -289,7 +289,7 @@
 		e.Age = t.FreshFor
 	}
 	if t.FreshFor > 0 {
-		e.Keep = t.FreshFor + t.MaxStale
+		e.TTL = t.FreshFor + t.MaxStale
 	}
 	c.tell(&e)
 }
@@ -312,7 +312,7 @@
 		return c.inner.Abort(l)
 	}
 	c.ops[id].over = true
-	c.tell(&decide.Event{Kind: decide.EventCancel, Op: id})
+	c.tell(&decide.Event{Kind: decide.EventCancel, Operation: id})
 	return true
 }
 
@@ -354,15 +354,15 @@
 	o.fill = nil
 	a := o.leg.Request
 	e := decide.Event{
-		Kind: decide.EventFilled, Op: id, Outcome: end.Outcome, Note: end.Note, Waited: end.FirstByteWait,
-		Took: at.Sub(o.begun), Size: len(end.Body),
+		Kind: decide.EventFillDone, Operation: id, Outcome: end.Outcome, Note: end.Note, FirstByteWait: end.FirstByteWait,
+		Elapsed: at.Sub(o.begun), BodyBytes: len(end.Body),
 	}
 	if end.Outcome == routing.Succeeded {
 		o.born = end.GeneratedAt
 		o.copy = Copy{Object: a.Object, Part: a.Part, Group: a.Group, Sum: end.ETag, Body: end.Body}
 		if !end.GeneratedAt.IsZero() {
-			e.Born = decide.Timestamp(end.GeneratedAt.UnixMilli())
-			o.copy.Born = e.Born
+			e.GeneratedAt = decide.Timestamp(end.GeneratedAt.UnixMilli())
+			o.copy.Born = e.GeneratedAt
 		}
 	}
 	c.tell(&e)
@@ -382,7 +382,7 @@
 		case greeted:
 			s.reading, s.lost = false, false
 			c.log.Info("store connected", zap.String("uid", s.conf.UID), zap.Duration("runs_for", e.age))
-			c.tell(&decide.Event{Kind: decide.EventUp, Node: s.id, Run: e.run, Age: e.age})
+			c.tell(&decide.Event{Kind: decide.EventConnected, Endpoint: s.id, RunID: e.run, Age: e.age})
 			go s.beat()
 		case replied:
 			c.replied(s, &e)
@@ -395,67 +395,67 @@
 		case interval:
 			s.reading = false
 			if e.good {
-				c.write(s, c.keep.ReadInterval(c.now(), s.id, e.is))
+				c.write(s, c.keep.PlanLogUpdate(c.now(), s.id, e.is))
 			}
 		case marks:
 			c.marked(s, &e)
 		case wrote:
 			s.reading = false
-			if e.good && c.keep.LedgerWritten(s.id, e.plan) {
+			if e.good && c.keep.LogUpdateWritten(s.id, e.plan) {
 				go s.beat()
 			}
 		}
 	}
 }
 
-var kindOf = map[verb]decide.EventKind{verbGet: decide.EventGot, verbLease: decide.EventLeased, verbSet: decide.EventSet}
+var kindOf = map[verb]decide.EventKind{verbGet: decide.EventGetDone, verbLease: decide.EventLeaseDone, verbSet: decide.EventSetDone}
 
 func (c *Transport) replied(s *server, r *replied) {
-	e := decide.Event{Kind: kindOf[r.command.verb], Op: r.command.op, Node: s.id, Reply: r.reply, Took: r.took}
+	e := decide.Event{Kind: kindOf[r.command.verb], Operation: r.command.op, Endpoint: s.id, Reply: r.reply, Elapsed: r.took}
 	told := time.Since(s.complained) < c.limits.BackoffMax // a line for each would drown the others
-	if !told && (r.reply == decide.ReplySpoilt || r.reply == decide.ReplyOdd) {
+	if !told && (r.reply == decide.ReplyCorrupt || r.reply == decide.ReplyUnknownError) {
 		s.complained = time.Now()
 	}
-	if r.reply == decide.ReplySpoilt && !told {
+	if r.reply == decide.ReplyCorrupt && !told {
 		c.log.Warn("store value cannot be used", zap.String("uid", s.conf.UID), zap.Error(r.err),
 			zap.String("object", strconv.FormatUint(uint64(r.command.key.object), 16)), zap.Int("part", r.command.key.part))
 	}
-	if r.reply == decide.ReplyOdd && !told {
+	if r.reply == decide.ReplyUnknownError && !told {
 		c.log.Warn("store refuses", zap.String("uid", s.conf.UID), zap.Error(r.err))
 	}
-	if o := c.ops[e.Op]; o != nil && !o.over && r.reply == decide.ReplyHit && e.Kind == decide.EventGot {
-		e.Born, e.Valid = r.copy.Born, r.copy.Valid
+	if o := c.ops[e.Operation]; o != nil && !o.over && r.reply == decide.ReplyHit && e.Kind == decide.EventGetDone {
+		e.GeneratedAt, e.ValidFrom = r.copy.Born, r.copy.Valid
 		o.copy, o.born = r.copy, time.UnixMilli(int64(r.copy.Born))
 	}
 	c.tell(&e)
 }
 
 // write carries a plan for the ledger out.
-func (c *Transport) write(s *server, p decide.LedgerUpdate) {
+func (c *Transport) write(s *server, p decide.LogUpdate) {
 	switch {
-	case p.Wants:
+	case p.NeedsAll:
 		s.taken = nil
 		s.reading = s.send(s.page(0))
-	case p.Seen > 0 || len(p.Marks) > 0:
+	case p.CompleteTo > 0 || len(p.Invalidations) > 0:
 		args := [][]byte{[]byte("ZADD"), s.keys.ledger(), []byte("GT")}
 		add := func(at decide.Timestamp, name []byte) {
 			args = append(args, strconv.AppendInt(nil, int64(at), 10), name)
 		}
-		for _, m := range p.Marks {
-			add(m.Issued, member(nil, m))
+		for _, m := range p.Invalidations {
+			add(m.IssuedAt, member(nil, m))
 		}
-		if p.Floor > 0 {
-			add(p.Floor, []byte(memberFloor))
+		if p.CompleteFrom > 0 {
+			add(p.CompleteFrom, []byte(memberFloor))
 		}
-		if p.Seen > 0 {
-			add(p.Seen, []byte(memberSeen))
+		if p.CompleteTo > 0 {
+			add(p.CompleteTo, []byte(memberSeen))
 		}
-		p.Marks = p.Marks[:len(p.Marks):len(p.Marks)]
+		p.Invalidations = p.Invalidations[:len(p.Invalidations):len(p.Invalidations)]
 		s.reading = s.send(command{verb: verbWrite, args: args, plan: p})
-		if p.Old > 0 {
+		if p.TrimBefore > 0 {
 			s.send(command{verb: verbIgnore, args: [][]byte{
 				[]byte("ZREMRANGEBYSCORE"), s.keys.ledger(), []byte("-inf"),
-				strconv.AppendInt([]byte{'('}, int64(p.Old), 10),
+				strconv.AppendInt([]byte{'('}, int64(p.TrimBefore), 10),
 			}})
 		}
 	}
@@ -477,7 +477,7 @@
 		return
 	}
 	s.reading = false
-	c.keep.MergeMarks(c.now(), s.id, s.taken, e.good && e.whole)
+	c.keep.MergeInvalidations(c.now(), s.id, s.taken, e.good && e.whole)
 	s.taken = nil
 }
 
@@ -488,7 +488,7 @@
 		c.log.Warn("store not connected", zap.String("uid", s.conf.UID), zap.Error(err))
 	}
 	s.lost = true
-	c.tell(&decide.Event{Kind: decide.EventDown, Node: s.id})
+	c.tell(&decide.Event{Kind: decide.EventDisconnected, Endpoint: s.id})
 }
 
 // tell hands the decisions an event and does what they want done.
@@ -502,23 +502,23 @@
 }
 
 func (c *Transport) obey(a *decide.Action) {
-	o := c.ops[a.Op]
+	o := c.ops[a.Operation]
 	switch a.Kind {
-	case decide.ActionTimer:
-		heap.Push(&c.timers, timer{at: c.now() + a.Wait, op: a.Op, node: a.Node, name: a.Timer})
-		if c.timers[0].name == a.Timer {
+	case decide.ActionSetTimer:
+		heap.Push(&c.timers, timer{at: c.now() + a.Wait, op: a.Operation, node: a.Endpoint, name: a.TimerID})
+		if c.timers[0].name == a.TimerID {
 			c.stir()
 		}
 		return
-	case decide.ActionCold:
-		if n, known := c.members[a.Node]; known && n.State == routing.Ready {
+	case decide.ActionAnnounceStart:
+		if n, known := c.members[a.Endpoint]; known && n.State == routing.Ready {
 			n.BootTime = time.Now().Add(-a.Wait)
-			c.members[a.Node] = n
+			c.members[a.Endpoint] = n
 			c.out(engine.EndpointList{Endpoints: []engine.Endpoint{n}})
 		}
 		return
 	case decide.ActionLog:
-		c.log.Info(a.Text, zap.String("uid", c.stores[a.Node].conf.UID))
+		c.log.Info(a.Message, zap.String("uid", c.stores[a.Endpoint].conf.UID))
 		return
 	}
 	if o == nil {
@@ -527,32 +527,32 @@
 	k := copyKey{o.leg.Request.Object, o.leg.Request.Part}
 	switch a.Kind {
 	case decide.ActionGet:
-		c.send(o, command{verb: verbGet, op: a.Op, key: k, args: [][]byte{[]byte("GET"), o.store.keys.value(k.object, k.part)}})
-	case decide.ActionLease:
-		c.send(o, command{verb: verbLease, op: a.Op, key: k, args: [][]byte{
+		c.send(o, command{verb: verbGet, op: a.Operation, key: k, args: [][]byte{[]byte("GET"), o.store.keys.value(k.object, k.part)}})
+	case decide.ActionAcquireLease:
+		c.send(o, command{verb: verbLease, op: a.Operation, key: k, args: [][]byte{
 			[]byte("SET"), o.store.keys.lease(k.object, k.part),
 			[]byte("1"), []byte("NX"), []byte("PX"), millis(a.Wait),
 		}})
-	case decide.ActionUnlease:
+	case decide.ActionReleaseLease:
 		o.store.send(command{verb: verbIgnore, args: [][]byte{[]byte("DEL"), o.store.keys.lease(k.object, k.part)}})
 	case decide.ActionSet:
-		o.copy.Valid = a.Valid
-		c.send(o, command{verb: verbSet, op: a.Op, key: k, args: [][]byte{
+		o.copy.Valid = a.ValidFrom
+		c.send(o, command{verb: verbSet, op: a.Operation, key: k, args: [][]byte{
 			[]byte("PSETEX"), o.store.keys.value(k.object, k.part),
 			millis(a.Wait), o.copy.Encode(make([]byte, 0, overhead+len(o.copy.Sum)+len(o.copy.Body))),
 		}})
-	case decide.ActionFill:
+	case decide.ActionStartFill:
 		c.fill(a, o)
-	case decide.ActionDropFill:
+	case decide.ActionAbortFill:
 		if o.fill != nil {
 			c.inner.Abort(o.fill)
 			delete(c.legs, o.fill)
 			o.fill = nil
 		}
-	case decide.ActionEnd:
+	case decide.ActionComplete:
 		c.end(a, o)
 	case decide.ActionForget:
-		delete(c.ops, a.Op)
+		delete(c.ops, a.Operation)
 		delete(c.legs, o.leg)
 	}
 }
@@ -564,7 +564,7 @@
 	if o.store.send(cmd) {
 		return
 	}
-	go c.took(o.store, []any{replied{command: cmd, reply: decide.ReplyBroken}})
+	go c.took(o.store, []any{replied{command: cmd, reply: decide.ReplyDisconnected}})
 }
 
 // fill asks the leg's source in the store's stead: a parent fetches from the origin what it lacks, unless it is to give
@@ -573,14 +573,14 @@
 	ask := *o.leg.Request
 	ask.HeldETag = "" // the store needs the bytes
 	l := &engine.Attempt{
-		Request: &ask, Number: o.leg.Number, Endpoint: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, MaxAge: a.Age,
+		Request: &ask, Number: o.leg.Number, Endpoint: o.leg.Source, Deadline: o.leg.Deadline, NotAfter: o.leg.NotAfter, MaxAge: a.MaxAge,
 		FillOptions: o.leg.FillOptions &^ (routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached),
 	}
 	if c.kinds[l.Endpoint] == c.set.ParentKind && o.leg.FillOptions&routing.OnlyIfCached == 0 {
 		l.Source = c.origin
 	}
 	o.fill, o.begun = l, time.Now()
-	c.legs[l] = a.Op
+	c.legs[l] = a.Operation
 	c.inner.Send(l)
 }
 
@@ -590,8 +590,8 @@
 func (c *Transport) end(a *decide.Action, o *op) {
 	o.over = true
 	delete(c.legs, o.leg)
-	end := engine.AttemptResult{Attempt: o.leg, Outcome: a.Outcome, Note: a.Note, FirstByteWait: a.Waited}
-	switch from := c.ops[a.From]; {
+	end := engine.AttemptResult{Attempt: o.leg, Outcome: a.Outcome, Note: a.Note, FirstByteWait: a.FirstByteWait}
+	switch from := c.ops[a.CopyFrom]; {
 	case a.Outcome == routing.Succeeded && from != nil:
 		end.ETag, end.GeneratedAt, end.Body = from.copy.Sum, from.born, from.copy.Body
 		if end.NotModified = o.leg.Request.HeldETag != "" && o.leg.Request.HeldETag == end.ETag; end.NotModified {
@@ -608,7 +608,7 @@
 
 type timer struct {
 	at   time.Duration
-	op   decide.OpID
+	op   decide.OperationID
 	node routing.EndpointID
 	name uint64
 }
--- a/internal/sharedstore/link.go
+++ b/internal/sharedstore/link.go
@@ -37,12 +37,12 @@
 // command is one command on its way.
 type command struct {
 	verb verb
-	op   decide.OpID
+	op   decide.OperationID
 	node routing.EndpointID
 	key  copyKey
 	args [][]byte // the last may be long; all are lent until they are in the stream
 	sent time.Time
-	plan decide.LedgerUpdate
+	plan decide.LogUpdate
 	from float64
 }
 
@@ -71,18 +71,18 @@
 		took time.Duration
 	}
 	interval struct {
-		is   decide.LedgerRange
+		is   decide.LogRange
 		good bool
 	}
 	marks struct {
-		list  []decide.PurgeMark
+		list  []decide.Invalidation
 		from  float64 // the first score asked for
 		last  float64 // the last score of the page
 		whole bool    // there are no more
 		good  bool
 	}
 	wrote struct {
-		plan decide.LedgerUpdate
+		plan decide.LogUpdate
 		good bool
 	}
 )
@@ -196,7 +196,7 @@
 
 // refusals gives the first word of a store's error its meaning.
 var refusals = map[string]decide.Reply{
-	"LOADING": decide.ReplyLoading, "OOM": decide.ReplyFull, "READONLY": decide.ReplyReadOnly,
+	"LOADING": decide.ReplyLoading, "OOM": decide.ReplyOutOfMemory, "READONLY": decide.ReplyReadOnly,
 	"MISCONF": decide.ReplyReadOnly, "NOREPLICAS": decide.ReplyReadOnly, "NOAUTH": decide.ReplyDenied, "WRONGPASS": decide.ReplyDenied,
 	"NOPERM": decide.ReplyDenied, "BUSY": decide.ReplyBusy, "MASTERDOWN": decide.ReplyBusy, "TRYAGAIN": decide.ReplyBusy,
 	"MOVED": decide.ReplyMoved, "ASK": decide.ReplyMoved, "CLUSTERDOWN": decide.ReplyMoved,
@@ -207,7 +207,7 @@
 	word, _, _ := bytes.Cut(text, []byte{' '})
 	r, known := refusals[string(word)]
 	if !known {
-		r = decide.ReplyOdd
+		r = decide.ReplyUnknownError
 	}
 	return r, storeError(string(text[:min(len(text), 120)]))
 }
@@ -250,15 +250,15 @@
 				end.err = ErrOther
 			}
 			if end.reply = decide.ReplyHit; end.err != nil {
-				end.reply = decide.ReplySpoilt
+				end.reply = decide.ReplyCorrupt
 			}
 			end.copy.Body = bytes.Clone(end.copy.Body)
 		}
 		k.ends = append(k.ends, end)
 	case verbLease, verbSet:
 		if good {
-			if end.reply = decide.ReplyDone; first.Null {
-				end.reply = decide.ReplyTaken
+			if end.reply = decide.ReplyOK; first.Null {
+				end.reply = decide.ReplyLeaseHeld
 			}
 		}
 		k.ends = append(k.ends, end)
@@ -267,7 +267,7 @@
 	case verbInterval:
 		e := interval{good: good && first.Kind == resp.Array && len(parts) == 3}
 		if e.good {
-			e.is.Seen, e.is.Floor = stamp(parts[1].Text), stamp(parts[2].Text)
+			e.is.CompleteTo, e.is.CompleteFrom = stamp(parts[1].Text), stamp(parts[2].Text)
 		}
 		k.ends = append(k.ends, e)
 	case verbMarks:
@@ -326,7 +326,7 @@
 			if !c.sent.IsZero() {
 				took = now.Sub(c.sent)
 			}
-			k.ends = append(k.ends, replied{command: c, reply: decide.ReplyBroken, took: took})
+			k.ends = append(k.ends, replied{command: c, reply: decide.ReplyDisconnected, took: took})
 		case verbProbe:
 			k.ends = append(k.ends, probed{})
 		}
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/server.go
@@ -34,7 +34,7 @@
 	// Under the carrier's lock.
 	reading    bool // the ledger is being read or written
 	lost       bool // the last attempt to connect failed, or the connection ended
-	taken      []decide.PurgeMark
+	taken      []decide.Invalidation
 	complained time.Time // when its answers were last logged
 }
 
@@ -138,7 +138,7 @@
 	l := &s.carrier.limits
 	look := time.NewTicker(l.PollTimeout / 8)
 	defer look.Stop()
-	beat := time.NewTimer(rand.N(decide.LedgerInterval))
+	beat := time.NewTimer(rand.N(decide.LogSyncInterval))
 	defer beat.Stop()
 	for {
 		now := time.Now()
@@ -163,7 +163,7 @@
 		case <-s.wake:
 		case <-look.C:
 		case <-beat.C:
-			beat.Reset(decide.LedgerInterval*3/4 + rand.N(decide.LedgerInterval/2))
+			beat.Reset(decide.LogSyncInterval*3/4 + rand.N(decide.LogSyncInterval/2))
 			s.beat()
 		case err := <-ended:
 			return err
--- a/internal/sharedstore/store_test.go
+++ b/internal/sharedstore/store_test.go
@@ -85,7 +85,7 @@
 	show()
 	feed("$34\r\nrun_id:abc\r\nuptime_in_seconds:90\r\n\r\n")
 	show()
-	for op := decide.OpID(2); op < 8; op++ {
+	for op := decide.OperationID(2); op < 8; op++ {
 		k.send(command{verb: verbLease, op: op, args: [][]byte{[]byte("SET")}})
 	}
 	show()
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -101,7 +101,7 @@
 	memberSeen  = "seen"
 )
 
-func member(b []byte, m decide.PurgeMark) []byte {
+func member(b []byte, m decide.Invalidation) []byte {
 	if m.Object != 0 {
 		return strconv.AppendUint(append(b, "o:"...), uint64(m.Object), 16)
 	}
@@ -109,12 +109,12 @@
 }
 
 // readMember reads a member and its score; a foreign one is passed over.
-func readMember(name, score []byte) (m decide.PurgeMark, known bool) {
+func readMember(name, score []byte) (m decide.Invalidation, known bool) {
 	at, err := strconv.ParseFloat(string(score), 64)
 	if err != nil || len(name) < 3 || name[1] != ':' {
 		return m, false
 	}
-	m.Issued = decide.Timestamp(at)
+	m.IssuedAt = decide.Timestamp(at)
 	switch name[0] {
 	case 'o':
 		n, err := strconv.ParseUint(string(name[2:]), 16, 64)
--- a/policy/sharedstore/iface.go
+++ b/policy/sharedstore/iface.go
@@ -11,8 +11,8 @@
 	"fennelarch/policy/routing"
 )
 
-// OpID is one leg to a store: the carrier numbers them from 1.
-type OpID uint64
+// OperationID is one leg to a store: the carrier numbers them from 1.
+type OperationID uint64
 
 // Timestamp is a time by the Unix clock, in milliseconds; 0 is none.
 type Timestamp int64
@@ -37,97 +37,97 @@
 type Reply uint8
 
 const (
-	ReplyNone     Reply = iota
-	ReplyHit            // a whole value of ours; Born
-	ReplyMiss           // no value
-	ReplySpoilt         // a value that is cut, foreign, corrupt or of a newer form
-	ReplyDone           // a lease or a set was taken
-	ReplyTaken          // another has the lease
-	ReplyLoading        // the store reads its data in
-	ReplyFull           // no memory for a value
-	ReplyReadOnly       // it takes no values
-	ReplyDenied         // it wants another user or word
-	ReplyBusy           // it runs something long
-	ReplyMoved          // the key belongs to another store
-	ReplyOdd            // any other refusal
-	ReplyBroken         // the connection ended first, or there was none
+	ReplyNone         Reply = iota
+	ReplyHit                // a whole value of ours; Born
+	ReplyMiss               // no value
+	ReplyCorrupt            // a value that is cut, foreign, corrupt or of a newer form
+	ReplyOK                 // a lease or a set was taken
+	ReplyLeaseHeld          // another has the lease
+	ReplyLoading            // the store reads its data in
+	ReplyOutOfMemory        // no memory for a value
+	ReplyReadOnly           // it takes no values
+	ReplyDenied             // it wants another user or word
+	ReplyBusy               // it runs something long
+	ReplyMoved              // the key belongs to another store
+	ReplyUnknownError       // any other refusal
+	ReplyDisconnected       // the connection ended first, or there was none
 )
 
 // EventKind says what happened; the comment names the fields that are set.
 type EventKind uint8
 
 const (
-	EventAsk    EventKind = iota // Op Node Object Part Group Source Held Due Left Age
-	EventGot                     // Op Node Reply Born Valid Took
-	EventLeased                  // Op Node Reply Took
-	EventFilled                  // Op Outcome Note Waited Took Born Size
-	EventSet                     // Op Node Reply Took
-	EventCancel                  // Op: the leg was given up
-	EventTimer                   // Op Timer
-	EventUp                      // Node Run Age: a connection is up; the store's run, and how long it has run
-	EventDown                    // Node: no connection can be had
-	EventState                   // Node State: what the list says of any node
-	EventLost                    // Node: the store lost its data without a new run
+	EventRequest       EventKind = iota // Op Node Object Part Group Source Held Due Left Age
+	EventGetDone                        // Op Node Reply Born Valid Took
+	EventLeaseDone                      // Op Node Reply Took
+	EventFillDone                       // Op Outcome Note Waited Took Born Size
+	EventSetDone                        // Op Node Reply Took
+	EventCancel                         // Op: the leg was given up
+	EventTimer                          // Op Timer
+	EventConnected                      // Node Run Age: a connection is up; the store's run, and how long it has run
+	EventDisconnected                   // Node: no connection can be had
+	EventEndpointState                  // Node State: what the list says of any node
+	EventDataLost                       // Node: the store lost its data without a new run
 )
 
 // Event is what the decisions are told.
 type Event struct {
-	Kind    EventKind
-	Op      OpID
-	Node    routing.EndpointID
-	Source  routing.EndpointID
-	Held    bool // the source gives only what it holds
-	Object  routing.ObjectID
-	Part    int
-	Group   routing.GroupID
-	Due     time.Duration // until the view's due time
-	Left    time.Duration // until the leg is given up
-	Age     time.Duration // the oldest copy that will do, 0: any
-	Keep    time.Duration // how long a copy of this tariff is good, 0: until purged
-	Reply   Reply
-	Outcome routing.Outcome
-	Note    routing.Note
-	Waited  time.Duration
-	Took    time.Duration
-	Born    Timestamp
-	Valid   Timestamp
-	Size    int // of the body
-	Run     uint64
-	State   routing.EndpointState
-	Timer   uint64
+	Kind           EventKind
+	Operation      OperationID
+	Endpoint       routing.EndpointID
+	Source         routing.EndpointID
+	OnlyIfCached   bool // the source gives only what it holds
+	Object         routing.ObjectID
+	Part           int
+	Group          routing.GroupID
+	UntilObjective time.Duration // until the view's due time
+	UntilDeadline  time.Duration // until the leg is given up
+	Age            time.Duration // the oldest copy that will do, 0: any
+	TTL            time.Duration // how long a copy of this tariff is good, 0: until purged
+	Reply          Reply
+	Outcome        routing.Outcome
+	Note           routing.Note
+	FirstByteWait  time.Duration
+	Elapsed        time.Duration
+	GeneratedAt    Timestamp
+	ValidFrom      Timestamp
+	BodyBytes      int // of the body
+	RunID          uint64
+	State          routing.EndpointState
+	TimerID        uint64
 }
 
 // ActionKind says what is to be done; the comment names the fields that are set.
 type ActionKind uint8
 
 const (
-	ActionGet      ActionKind = iota // Op
-	ActionLease                      // Op Wait: for how long
-	ActionUnlease                    // Op
-	ActionFill                       // Op Age: from the leg's source
-	ActionDropFill                   // Op: give it up
-	ActionSet                        // Op Valid Wait: how long it stays
-	ActionEnd                        // Op From Outcome Note Waited: the leg is over; From has the copy
-	ActionForget                     // Op: nothing of it comes any more
-	ActionTimer                      // Op Wait Timer
-	ActionCold                       // Node Wait: it started so long ago
-	ActionLog                        // Node Text
+	ActionGet           ActionKind = iota // Op
+	ActionAcquireLease                    // Op Wait: for how long
+	ActionReleaseLease                    // Op
+	ActionStartFill                       // Op Age: from the leg's source
+	ActionAbortFill                       // Op: give it up
+	ActionSet                             // Op Valid Wait: how long it stays
+	ActionComplete                        // Op From Outcome Note Waited: the leg is over; From has the copy
+	ActionForget                          // Op: nothing of it comes any more
+	ActionSetTimer                        // Op Wait Timer
+	ActionAnnounceStart                   // Node Wait: it started so long ago
+	ActionLog                             // Node Text
 )
 
 // Action is what the decisions want done, in the order given.
 type Action struct {
-	Kind    ActionKind
-	Op      OpID
-	From    OpID
-	Node    routing.EndpointID
-	Wait    time.Duration
-	Age     time.Duration
-	Valid   Timestamp
-	Outcome routing.Outcome
-	Note    routing.Note
-	Waited  time.Duration
-	Timer   uint64
-	Text    string
+	Kind          ActionKind
+	Operation     OperationID
+	CopyFrom      OperationID
+	Endpoint      routing.EndpointID
+	Wait          time.Duration
+	MaxAge        time.Duration
+	ValidFrom     Timestamp
+	Outcome       routing.Outcome
+	Note          routing.Note
+	FirstByteWait time.Duration
+	TimerID       uint64
+	Message       string
 }
 
 // Counts is what was decided so far.
--- a/policy/sharedstore/ledger_test.go
+++ b/policy/sharedstore/ledger_test.go
@@ -21,7 +21,7 @@
 	shelf  shelf
 	saved  shelf
 	router [2]*Coordinator
-	read   [2]*LedgerRange // read on the connection that is up, nothing yet written
+	read   [2]*LogRange // read on the connection that is up, nothing yet written
 	path   []string
 }
 
@@ -37,14 +37,14 @@
 // up starts router i: it knows nothing of before.
 func (m *model) up(i int) {
 	k := New(modelSet(m.now), 1, storeS)
-	k.ledger.since, k.ledger.asOf = epoch+Timestamp(m.now/ms), epoch+Timestamp(m.now/ms)
+	k.log.completeFrom, k.log.completeTo = epoch+Timestamp(m.now/ms), epoch+Timestamp(m.now/ms)
 	m.router[i], m.read[i] = k, nil
 	m.connect(i)
 }
 
 func (m *model) connect(i int) {
 	m.read[i] = nil
-	m.router[i].Handle(m.now, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
+	m.router[i].Handle(m.now, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Age: time.Hour}, nil)
 }
 
 func (m *model) wall() Timestamp { return epoch + Timestamp(m.now/ms) }
@@ -59,7 +59,7 @@
 		m.told = m.wall()
 		for _, k := range m.router {
 			if k != nil {
-				k.RecordPurge(m.now, PurgeMark{Object: modelObject, Issued: m.told})
+				k.RecordInvalidation(m.now, Invalidation{Object: modelObject, IssuedAt: m.told})
 			}
 		}
 		return true
@@ -97,7 +97,7 @@
 	if m.router[i] == nil || m.read[i] != nil {
 		return false
 	}
-	m.read[i] = &LedgerRange{m.shelf.floor, m.shelf.seen}
+	m.read[i] = &LogRange{m.shelf.floor, m.shelf.seen}
 	return true
 }
 
@@ -109,20 +109,20 @@
 	}
 	m.read[i] = nil
 	k.DiscoveryCurrent(m.wall()) // the bulletin has told all by now
-	p := k.ReadInterval(m.now, storeS, *is)
-	if p.Wants {
-		var list []PurgeMark
+	p := k.PlanLogUpdate(m.now, storeS, *is)
+	if p.NeedsAll {
+		var list []Invalidation
 		if m.shelf.purged > 0 {
-			list = []PurgeMark{{Object: modelObject, Issued: m.shelf.purged}}
+			list = []Invalidation{{Object: modelObject, IssuedAt: m.shelf.purged}}
 		}
-		k.MergeMarks(m.now, storeS, list, true)
+		k.MergeInvalidations(m.now, storeS, list, true)
 		return true
 	}
-	for _, x := range p.Marks {
-		m.shelf.purged = max(m.shelf.purged, x.Issued)
+	for _, x := range p.Invalidations {
+		m.shelf.purged = max(m.shelf.purged, x.IssuedAt)
 	}
-	m.shelf.floor, m.shelf.seen = max(m.shelf.floor, p.Floor), max(m.shelf.seen, p.Seen)
-	k.LedgerWritten(storeS, p)
+	m.shelf.floor, m.shelf.seen = max(m.shelf.floor, p.CompleteFrom), max(m.shelf.seen, p.CompleteTo)
+	k.LogUpdateWritten(storeS, p)
 	return true
 }
 
@@ -132,7 +132,7 @@
 		return nil
 	}
 	for i, k := range m.router {
-		if k != nil && k.ledger.proves(modelObject, 0, m.shelf.born, m.shelf.valid) {
+		if k != nil && k.log.proves(modelObject, 0, m.shelf.born, m.shelf.valid) {
 			return fmt.Errorf("router %c would serve a copy of %d, purged %d", 'A'+i, m.shelf.born-epoch, m.told-epoch)
 		}
 	}
@@ -183,7 +183,7 @@
 
 // Every order of five events, at steps longer and shorter than the wait of the young.
 func TestLedgerModel(t *testing.T) {
-	for _, step := range []time.Duration{700 * ms, youngFor + time.Second} {
+	for _, step := range []time.Duration{700 * ms, takeoverDelay + time.Second} {
 		path, err, n := explore(5, step)
 		t.Logf("%d orders at steps of %v", n, step)
 		if err != nil {
@@ -197,7 +197,7 @@
 	was := touches
 	touches = func(Timestamp, Timestamp) bool { return true }
 	defer func() { touches = was }()
-	if path, err, _ := explore(5, youngFor+time.Second); err == nil {
+	if path, err, _ := explore(5, takeoverDelay+time.Second); err == nil {
 		t.Error("a router that joins an interval with a hole is not seen")
 	} else {
 		t.Log(path, err)
@@ -205,22 +205,22 @@
 }
 
 // A router that starts late takes over what the store's interval proves, once an older one has moved its end past its start.
-func ExampleCoordinator_ReadInterval() {
+func ExampleCoordinator_PlanLogUpdate() {
 	old, young := New(modelSet(0), 1, storeS), New(modelSet(0), 1, storeS)
-	young.ledger.since, young.ledger.asOf = epoch+60_000, epoch+60_000
-	show := func(who string, p LedgerUpdate) {
-		fmt.Printf("%s: wants all %v, marks %d, floor %d, seen %d\n", who, p.Wants, len(p.Marks), max(0, p.Floor-epoch), max(0, p.Seen-epoch))
+	young.log.completeFrom, young.log.completeTo = epoch+60_000, epoch+60_000
+	show := func(who string, p LogUpdate) {
+		fmt.Printf("%s: wants all %v, marks %d, floor %d, seen %d\n", who, p.NeedsAll, len(p.Invalidations), max(0, p.CompleteFrom-epoch), max(0, p.CompleteTo-epoch))
 	}
-	old.RecordPurge(30*time.Second, PurgeMark{Object: 7, Issued: epoch + 30_000})
+	old.RecordInvalidation(30*time.Second, Invalidation{Object: 7, IssuedAt: epoch + 30_000})
 	old.DiscoveryCurrent(epoch + 50_000)
-	show("old, the store has nothing", old.ReadInterval(50*time.Second, storeS, LedgerRange{}))
-	show("young, too early", young.ReadInterval(61*time.Second, storeS, LedgerRange{epoch, epoch + 50_000}))
+	show("old, the store has nothing", old.PlanLogUpdate(50*time.Second, storeS, LogRange{}))
+	show("young, too early", young.PlanLogUpdate(61*time.Second, storeS, LogRange{epoch, epoch + 50_000}))
 	old.DiscoveryCurrent(epoch + 62_000)
-	show("old moves it on", old.ReadInterval(62*time.Second, storeS, LedgerRange{epoch, epoch + 50_000}))
-	show("young", young.ReadInterval(63*time.Second, storeS, LedgerRange{epoch, epoch + 62_000}))
-	fmt.Println("copies of before its start are proved:", young.ledger.proves(8, 0, epoch+40_000, 0))
-	young.MergeMarks(63*time.Second, storeS, []PurgeMark{{Object: 7, Issued: epoch + 30_000}}, true)
-	fmt.Println("then:", young.ledger.proves(8, 0, epoch+40_000, 0), "but not one from before a purge:", young.ledger.proves(7, 0, epoch+20_000, 0))
+	show("old moves it on", old.PlanLogUpdate(62*time.Second, storeS, LogRange{epoch, epoch + 50_000}))
+	show("young", young.PlanLogUpdate(63*time.Second, storeS, LogRange{epoch, epoch + 62_000}))
+	fmt.Println("copies of before its start are proved:", young.log.proves(8, 0, epoch+40_000, 0))
+	young.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}}, true)
+	fmt.Println("then:", young.log.proves(8, 0, epoch+40_000, 0), "but not one from before a purge:", young.log.proves(7, 0, epoch+20_000, 0))
 	// Output:
 	// old, the store has nothing: wants all false, marks 1, floor 0, seen 50000
 	// young, too early: wants all false, marks 0, floor 0, seen 0
@@ -235,30 +235,30 @@
 func TestClockStep(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, time.Hour} {
 		k := New(modelSet(0), 1, storeS)
-		k.ledger.since, k.ledger.asOf = epoch, epoch
-		k.Handle(0, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
+		k.log.completeFrom, k.log.completeTo = epoch, epoch
+		k.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Age: time.Hour}, nil)
 		now := 10 * time.Minute
 		k.now = now
 		k.DiscoveryCurrent(epoch + Timestamp(now/ms))
 		old := epoch + Timestamp((now-time.Minute)/ms)
-		if !k.ledger.proves(modelObject, 0, old, old) || k.ahead(old, old) {
+		if !k.log.proves(modelObject, 0, old, old) || k.isInFuture(old, old) {
 			t.Fatal("a copy is not proved without any step")
 		}
 		k.ClockStepped(now, by)
-		if k.wall() != epoch+Timestamp((now+by)/ms) {
-			t.Errorf("step %v: the time is %d", by, k.wall()-epoch)
+		if k.wallClock() != epoch+Timestamp((now+by)/ms) {
+			t.Errorf("step %v: the time is %d", by, k.wallClock()-epoch)
 		}
-		k.RecordPurge(now, PurgeMark{Object: modelObject, Issued: k.wall()})
+		k.RecordInvalidation(now, Invalidation{Object: modelObject, IssuedAt: k.wallClock()})
 		for _, valid := range []Timestamp{0, old} {
-			if k.ledger.proves(modelObject, 0, old, valid) && !k.ahead(old, valid) {
+			if k.log.proves(modelObject, 0, old, valid) && !k.isInFuture(old, valid) {
 				t.Errorf("step %v: a copy from before a purge is proved", by)
 			}
 		}
-		if p := k.ReadInterval(now+youngFor+time.Second, storeS, LedgerRange{}); p.Seen > k.wall()+skew {
-			t.Errorf("step %v: an end is written that lies %d ms ahead", by, p.Seen-k.wall())
+		if p := k.PlanLogUpdate(now+takeoverDelay+time.Second, storeS, LogRange{}); p.CompleteTo > k.wallClock()+maxClockSkew {
+			t.Errorf("step %v: an end is written that lies %d ms ahead", by, p.CompleteTo-k.wallClock())
 		}
 		k.now = now + time.Hour + time.Minute
-		if born := k.wall(); !k.ledger.proves(modelObject, 0, born, born) || k.ahead(born, born) {
+		if born := k.wallClock(); !k.log.proves(modelObject, 0, born, born) || k.isInFuture(born, born) {
 			t.Errorf("step %v: a copy of after it is never proved", by)
 		}
 	}
--- a/policy/sharedstore/store_test.go
+++ b/policy/sharedstore/store_test.go
@@ -54,11 +54,11 @@
 	set := plainSet()
 	w := newWorld(set, seeded(3))
 	w.calm = true
-	w.tell(&Event{Kind: EventUp, Node: storeS, Run: 2, Age: 0})
+	w.tell(&Event{Kind: EventConnected, Endpoint: storeS, RunID: 2, Age: 0})
 	w.cmds = nil
 	begun := w.now
 	for w.now < begun+set.SlowStartFor {
-		w.ask(srcP, 300*ms, 0)
+		w.ask(parentP, 300*ms, 0)
 		w.pass(ms)
 		for len(w.pending) > 0 {
 			w.reply(0)
@@ -89,11 +89,11 @@
 func slow() error {
 	w := newWorld(plainSet(), seeded(2))
 	w.calm = true
-	for i := 0; w.k.nodes[0].mode != modeSlow; i++ {
-		if i > 3*lateRun {
-			return fmt.Errorf("after %d gets without an answer it is %s", i, modeNames[w.k.nodes[0].mode])
+	for i := 0; w.k.stores[0].state != healthSlow; i++ {
+		if i > 3*lateGetsUntilSlow {
+			return fmt.Errorf("after %d gets without an answer it is %s", i, healthStateNames[w.k.stores[0].state])
 		}
-		w.ask(srcP, 400*ms, 0)
+		w.ask(parentP, 400*ms, 0)
 		w.pass(30 * ms)
 	}
 	w.finish()
@@ -113,10 +113,10 @@
 		w.calm = true
 		fill := time.Duration(rapid.IntRange(5, 60).Draw(t, "fill")) * ms
 		for range 30 {
-			w.k.fillIn.add(fill)
+			w.k.fillTime.add(fill)
 		}
 		due := fill*time.Duration(rapid.IntRange(3, 12).Draw(t, "due")) + 20*ms
-		x := w.ask(srcP, due, 0)
+		x := w.ask(parentP, due, 0)
 		for range 10000 {
 			if x.ends > 0 {
 				break
@@ -124,10 +124,10 @@
 			for i := 0; i < len(w.pending); i++ {
 				p := w.pending[i]
 				switch {
-				case p.a.Kind == ActionLease:
-					w.leases[key{x.object, 0}] = w.now + time.Hour
+				case p.a.Kind == ActionAcquireLease:
+					w.leases[copyKey{x.object, 0}] = w.now + time.Hour
 					w.reply(i)
-				case p.a.Kind != ActionFill || w.now-p.at >= fill:
+				case p.a.Kind != ActionStartFill || w.now-p.at >= fill:
 					w.reply(i)
 				}
 			}
@@ -148,19 +148,19 @@
 	for name, plant := range map[string]func() (undo func()){
 		"no budget": func() func() { was := margin; margin = 100; return func() { margin = was } },
 		"out without an end": func() func() {
-			was := moods[modeOut]
-			moods[modeOut] = [signs]mode{}
-			return func() { moods[modeOut] = was }
+			was := healthTransitions[healthUnavailable]
+			healthTransitions[healthUnavailable] = [healthSignals]healthState{}
+			return func() { healthTransitions[healthUnavailable] = was }
 		},
 		"slow without an end": func() func() {
-			was := moods[modeSlow][signPause]
-			moods[modeSlow][signPause] = modeSlow
-			return func() { moods[modeSlow][signPause] = was }
+			was := healthTransitions[healthSlow][signalBackoffOver]
+			healthTransitions[healthSlow][signalBackoffOver] = healthSlow
+			return func() { healthTransitions[healthSlow][signalBackoffOver] = was }
 		},
 		"trial without an end": func() func() {
-			was := moods[modeTrial][signGood]
-			moods[modeTrial][signGood] = modeTrial
-			return func() { moods[modeTrial][signGood] = was }
+			was := healthTransitions[healthProbing][signalInTime]
+			healthTransitions[healthProbing][signalInTime] = healthProbing
+			return func() { healthTransitions[healthProbing][signalInTime] = was }
 		},
 	} {
 		undo := plant()
@@ -175,21 +175,21 @@
 // say prints what is done.
 func say(acts []Action) {
 	words := [...]string{
-		ActionGet: "get", ActionLease: "lease", ActionUnlease: "unlease", ActionFill: "fill", ActionDropFill: "drop fill",
-		ActionSet: "set", ActionEnd: "end", ActionForget: "forget", ActionTimer: "timer", ActionCold: "cold", ActionLog: "log",
+		ActionGet: "get", ActionAcquireLease: "lease", ActionReleaseLease: "unlease", ActionStartFill: "fill", ActionAbortFill: "drop fill",
+		ActionSet: "set", ActionComplete: "end", ActionForget: "forget", ActionSetTimer: "timer", ActionAnnounceStart: "cold", ActionLog: "log",
 	}
 	for _, a := range acts {
 		switch a.Kind {
-		case ActionEnd:
-			fmt.Printf("  end %d outcome %d note %d from %d\n", a.Op, a.Outcome, a.Note, a.From)
-		case ActionTimer:
-			fmt.Printf("  timer %d in %v\n", a.Op, a.Wait.Round(ms/10))
+		case ActionComplete:
+			fmt.Printf("  end %d outcome %d note %d from %d\n", a.Operation, a.Outcome, a.Note, a.CopyFrom)
+		case ActionSetTimer:
+			fmt.Printf("  timer %d in %v\n", a.Operation, a.Wait.Round(ms/10))
 		case ActionLog:
-			fmt.Printf("  log %q\n", a.Text)
-		case ActionLease, ActionSet, ActionCold:
-			fmt.Printf("  %s %d %v\n", words[a.Kind], a.Op, a.Wait.Round(ms))
+			fmt.Printf("  log %q\n", a.Message)
+		case ActionAcquireLease, ActionSet, ActionAnnounceStart:
+			fmt.Printf("  %s %d %v\n", words[a.Kind], a.Operation, a.Wait.Round(ms))
 		default:
-			fmt.Printf("  %s %d\n", words[a.Kind], a.Op)
+			fmt.Printf("  %s %d\n", words[a.Kind], a.Operation)
 		}
 	}
 }
@@ -204,23 +204,23 @@
 		fmt.Println(what)
 		say(k.Handle(now, &e, nil))
 	}
-	tell("up", Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour})
-	ask := Event{Kind: EventAsk, Op: 1, Node: storeS, Source: srcP, Object: 7, Due: 400 * ms, Left: time.Second}
+	tell("up", Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Age: time.Hour})
+	ask := Event{Kind: EventRequest, Operation: 1, Endpoint: storeS, Source: parentP, Object: 7, UntilObjective: 400 * ms, UntilDeadline: time.Second}
 	tell("a view", ask)
-	ask.Op = 2
+	ask.Operation = 2
 	tell("another for the same", ask)
 	now += ms / 2
-	tell("the store lacks it", Event{Kind: EventGot, Op: 1, Node: storeS, Reply: ReplyMiss, Took: ms / 2})
+	tell("the store lacks it", Event{Kind: EventGetDone, Operation: 1, Endpoint: storeS, Reply: ReplyMiss, Elapsed: ms / 2})
 	now += ms / 2
-	tell("the lease is ours", Event{Kind: EventLeased, Op: 1, Node: storeS, Reply: ReplyDone, Took: ms / 2})
+	tell("the lease is ours", Event{Kind: EventLeaseDone, Operation: 1, Endpoint: storeS, Reply: ReplyOK, Elapsed: ms / 2})
 	now += 40 * ms
-	tell("the source gives it", Event{Kind: EventFilled, Op: 1, Outcome: routing.Succeeded, Note: routing.NoteHit, Born: epoch + 500, Size: 10, Took: 40 * ms})
+	tell("the source gives it", Event{Kind: EventFillDone, Operation: 1, Outcome: routing.Succeeded, Note: routing.NoteHit, GeneratedAt: epoch + 500, BodyBytes: 10, Elapsed: 40 * ms})
 	now += ms
-	tell("it is stored", Event{Kind: EventSet, Op: 1, Node: storeS, Reply: ReplyDone, Took: ms})
-	ask.Op, ask.Object = 3, 8
+	tell("it is stored", Event{Kind: EventSetDone, Operation: 1, Endpoint: storeS, Reply: ReplyOK, Elapsed: ms})
+	ask.Operation, ask.Object = 3, 8
 	tell("a view for another object", ask)
-	tell("the store lacks it", Event{Kind: EventGot, Op: 3, Node: storeS, Reply: ReplyMiss, Took: ms / 2})
-	tell("another router has the lease", Event{Kind: EventLeased, Op: 3, Node: storeS, Reply: ReplyTaken, Took: ms / 2})
+	tell("the store lacks it", Event{Kind: EventGetDone, Operation: 3, Endpoint: storeS, Reply: ReplyMiss, Elapsed: ms / 2})
+	tell("another router has the lease", Event{Kind: EventLeaseDone, Operation: 3, Endpoint: storeS, Reply: ReplyLeaseHeld, Elapsed: ms / 2})
 	// Output:
 	// up
 	//   log "store ready"
@@ -257,16 +257,16 @@
 	set := plainSet()
 	set.Epoch = epoch
 	k := New(set, 1, storeS)
-	k.Handle(0, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
+	k.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Age: time.Hour}, nil)
 	now := time.Second
-	for op := OpID(1); op <= 8; op++ {
-		acts := k.Handle(now, &Event{Kind: EventAsk, Op: op, Node: storeS, Source: srcP, Object: routing.ObjectID(op), Due: 400 * ms, Left: time.Second}, nil)
+	for op := OperationID(1); op <= 8; op++ {
+		acts := k.Handle(now, &Event{Kind: EventRequest, Operation: op, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(op), UntilObjective: 400 * ms, UntilDeadline: time.Second}, nil)
 		fmt.Println("a view")
 		say(acts)
 		now += 30 * ms
 		for _, a := range acts {
-			if a.Kind == ActionTimer {
-				say(k.Handle(now, &Event{Kind: EventTimer, Op: a.Op, Timer: a.Timer}, nil))
+			if a.Kind == ActionSetTimer {
+				say(k.Handle(now, &Event{Kind: EventTimer, Operation: a.Operation, TimerID: a.TimerID}, nil))
 			}
 		}
 	}
@@ -307,15 +307,15 @@
 	set := plainSet()
 	set.Epoch = epoch
 	k := New(set, 1, storeS)
-	k.Handle(0, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
+	k.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Age: time.Hour}, nil)
 	acts := make([]Action, 0, 16)
 	now := time.Minute
-	op := OpID(0)
+	op := OperationID(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		op++
 		now += 10 * time.Microsecond
-		acts = k.Handle(now, &Event{Kind: EventAsk, Op: op, Node: storeS, Source: srcP, Object: routing.ObjectID(op%1000 + 1), Due: 400 * ms, Left: time.Second}, acts[:0])
-		acts = k.Handle(now, &Event{Kind: EventGot, Op: op, Node: storeS, Reply: ReplyHit, Born: epoch + 50_000, Valid: epoch + 50_000, Took: 300 * time.Microsecond}, acts[:0])
+		acts = k.Handle(now, &Event{Kind: EventRequest, Operation: op, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(op%1000 + 1), UntilObjective: 400 * ms, UntilDeadline: time.Second}, acts[:0])
+		acts = k.Handle(now, &Event{Kind: EventGetDone, Operation: op, Endpoint: storeS, Reply: ReplyHit, GeneratedAt: epoch + 50_000, ValidFrom: epoch + 50_000, Elapsed: 300 * time.Microsecond}, acts[:0])
 	}
 }
--- a/policy/sharedstore/table.go
+++ b/policy/sharedstore/table.go
@@ -1,37 +1,37 @@
 package sharedstore
 
-// stage is what a leg to the store waits for.
-type stage uint8
+// operationState is what a leg to the store waits for.
+type operationState uint8
 
 const (
-	stageNew  stage = iota
-	stageJoin       // for another leg of this router that is after the same copy
-	stageGet        // for the answer to a get
-	stageBoth       // for that, or the fill begun meanwhile, whichever is first
-	stageTake       // for the lease
-	stageHold       // for another router's fill
-	stageLook       // for the answer to a get after that
-	stageFill       // for the fill
-	stageKeep       // for the answer to a set; the leg itself is over
-	stages
+	stateNew               operationState = iota
+	stateJoined                           // for another leg of this router that is after the same copy
+	stateGetting                          // for the answer to a get
+	stateGettingAndFilling                // for that, or the fill begun meanwhile, whichever is first
+	stateAcquiringLease                   // for the lease
+	stateWaitingForHolder                 // for another router's fill
+	stateGettingAgain                     // for the answer to a get after that
+	stateFilling                          // for the fill
+	stateStoring                          // for the answer to a set; the leg itself is over
+	operationStates
 )
 
-// input is what a leg hears of.
-type input uint8
+// operationInput is what a leg hears of.
+type operationInput uint8
 
 const (
-	inHit    input = iota // a copy that will do
-	inMiss                // none
-	inFailed              // the store refused or broke off
-	inLate                // it takes longer than it is worth
-	inTook                // the lease is ours
-	inTaken               // it is another's
-	inFilled              // the source gave the object
-	inUnfit               // it did not
-	inShared              // the leg that was joined has a copy that will do
-	inAlone               // it has none
-	inStored              // the set is over, however
-	inputs
+	inputHit           operationInput = iota // a copy that will do
+	inputMiss                                // none
+	inputStoreFailed                         // the store refused or broke off
+	inputTimeout                             // it takes longer than it is worth
+	inputLeaseAcquired                       // the lease is ours
+	inputLeaseHeld                           // it is another's
+	inputFilled                              // the source gave the object
+	inputFillFailed                          // it did not
+	inputCopyShared                          // the leg that was joined has a copy that will do
+	inputLeaderFailed                        // it has none
+	inputStored                              // the set is over, however
+	operationInputs
 )
 
 // effect is what is done. Where an effect cannot be had (no budget, no source, no time), the function that carries it
@@ -55,59 +55,59 @@
 	await          // the get that is late goes on alone: nothing else can be done
 )
 
-type step struct {
-	next   stage
+type transition struct {
+	next   operationState
 	effect effect
 }
 
-// steps says what follows what. An input that a stage has no use for leaves all as it was.
-var steps = [stages][inputs]step{
-	stageJoin: {inShared: {stageJoin, share}, inAlone: {stageGet, again}, inLate: {stageGet, ask}},
-	stageGet:  {inHit: {stageGet, serve}, inMiss: {stageTake, lease}, inFailed: {stageFill, fill}, inLate: {stageBoth, hedge}},
-	stageBoth: {
-		inHit: {stageBoth, serve}, inMiss: {stageFill, nothing}, inFailed: {stageFill, nothing},
-		inFilled: {stageKeep, hand}, inUnfit: {stageGet, await},
+// operationTransitions says what follows what. An input that a stage has no use for leaves all as it was.
+var operationTransitions = [operationStates][operationInputs]transition{
+	stateJoined:  {inputCopyShared: {stateJoined, share}, inputLeaderFailed: {stateGetting, again}, inputTimeout: {stateGetting, ask}},
+	stateGetting: {inputHit: {stateGetting, serve}, inputMiss: {stateAcquiringLease, lease}, inputStoreFailed: {stateFilling, fill}, inputTimeout: {stateGettingAndFilling, hedge}},
+	stateGettingAndFilling: {
+		inputHit: {stateGettingAndFilling, serve}, inputMiss: {stateFilling, nothing}, inputStoreFailed: {stateFilling, nothing},
+		inputFilled: {stateStoring, hand}, inputFillFailed: {stateGetting, await},
 	},
-	stageTake: {inTook: {stageFill, fill}, inTaken: {stageHold, wait}, inFailed: {stageFill, fill}, inLate: {stageFill, fill}},
-	stageHold: {inLate: {stageLook, look}},
-	stageLook: {inHit: {stageLook, serve}, inMiss: {stageTake, lease}, inFailed: {stageFill, fill}, inLate: {stageBoth, hedge}},
-	stageFill: {inFilled: {stageKeep, hand}, inUnfit: {stageFill, lack}},
-	stageKeep: {inStored: {stageKeep, rest}},
+	stateAcquiringLease:   {inputLeaseAcquired: {stateFilling, fill}, inputLeaseHeld: {stateWaitingForHolder, wait}, inputStoreFailed: {stateFilling, fill}, inputTimeout: {stateFilling, fill}},
+	stateWaitingForHolder: {inputTimeout: {stateGettingAgain, look}},
+	stateGettingAgain:     {inputHit: {stateGettingAgain, serve}, inputMiss: {stateAcquiringLease, lease}, inputStoreFailed: {stateFilling, fill}, inputTimeout: {stateGettingAndFilling, hedge}},
+	stateFilling:          {inputFilled: {stateStoring, hand}, inputFillFailed: {stateFilling, lack}},
+	stateStoring:          {inputStored: {stateStoring, rest}},
 }
 
-// mode is what a store is good for.
-type mode uint8
+// healthState is what a store is good for.
+type healthState uint8
 
 const (
-	modeOut   mode = iota // no connection, or it refuses: passed by
-	modeTrial             // one get at a time shows whether it is good again
-	modeSlow              // it answers, but later than it is worth: passed by, with trials
-	modeCold              // just started: asked within its budget
-	modeReady
-	modes
+	healthUnavailable healthState = iota // no connection, or it refuses: passed by
+	healthProbing                        // one get at a time shows whether it is good again
+	healthSlow                           // it answers, but later than it is worth: passed by, with trials
+	healthWarmingUp                      // just started: asked within its budget
+	healthReady
+	healthStates
 )
 
-var modeNames = [modes]string{"out", "on trial", "slow", "cold", "ready"}
+var healthStateNames = [healthStates]string{"out", "on trial", "slow", "cold", "ready"}
 
-// sign is what changes a store's mode.
-type sign uint8
+// healthSignal is what changes a store's mode.
+type healthSignal uint8
 
 const (
-	signUp    sign = iota // a connection is up, the run known and long
-	signFresh             // a connection is up to a store that has just started
-	signDown              // no connection, or it refuses everything
-	signLate              // several gets in a row were later than they are worth
-	signGood              // a get in good time
-	signWarm              // its cold time is over
-	signPause             // the pause before a trial is over
-	signs
+	signalConnected    healthSignal = iota // a connection is up, the run known and long
+	signalStarted                          // a connection is up to a store that has just started
+	signalDisconnected                     // no connection, or it refuses everything
+	signalLate                             // several gets in a row were later than they are worth
+	signalInTime                           // a get in good time
+	signalWarm                             // its cold time is over
+	signalBackoffOver                      // the pause before a trial is over
+	healthSignals
 )
 
-// moods says which mode follows. Each mode has a way out: out and slow by their pause, trial by a get, cold by time.
-var moods = [modes][signs]mode{
-	modeOut:   {modeReady, modeCold, modeOut, modeOut, modeOut, modeOut, modeTrial},
-	modeTrial: {modeTrial, modeCold, modeOut, modeSlow, modeReady, modeTrial, modeTrial},
-	modeSlow:  {modeSlow, modeCold, modeOut, modeSlow, modeSlow, modeSlow, modeTrial},
-	modeCold:  {modeCold, modeCold, modeOut, modeSlow, modeCold, modeReady, modeCold},
-	modeReady: {modeReady, modeCold, modeOut, modeSlow, modeReady, modeReady, modeReady},
+// healthTransitions says which mode follows. Each mode has a way out: out and slow by their pause, trial by a get, cold by time.
+var healthTransitions = [healthStates][healthSignals]healthState{
+	healthUnavailable: {healthReady, healthWarmingUp, healthUnavailable, healthUnavailable, healthUnavailable, healthUnavailable, healthProbing},
+	healthProbing:     {healthProbing, healthWarmingUp, healthUnavailable, healthSlow, healthReady, healthProbing, healthProbing},
+	healthSlow:        {healthSlow, healthWarmingUp, healthUnavailable, healthSlow, healthSlow, healthSlow, healthProbing},
+	healthWarmingUp:   {healthWarmingUp, healthWarmingUp, healthUnavailable, healthSlow, healthWarmingUp, healthReady, healthWarmingUp},
+	healthReady:       {healthReady, healthWarmingUp, healthUnavailable, healthSlow, healthReady, healthReady, healthReady},
 }
--- a/policy/sharedstore/trace_test.go
+++ b/policy/sharedstore/trace_test.go
@@ -25,77 +25,77 @@
 	set.Epoch = epoch
 	k := New(set, 1, storeS)
 	now := 5 * time.Second // no copy below is stamped later
-	k.Handle(now, &Event{Kind: EventUp, Node: storeS, Run: 1, Age: time.Hour}, nil)
+	k.Handle(now, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Age: time.Hour}, nil)
 	for range 20 {
-		k.fillIn.add(40 * ms)
+		k.fillTime.add(40 * ms)
 	}
-	turns := map[OpID]uint64{}
+	turns := map[OperationID]uint64{}
 	var out []string
-	stage := map[OpID]ActionKind{1: ActionGet, 2: ActionGet}
+	stage := map[OperationID]ActionKind{1: ActionGet, 2: ActionGet}
 	for word := range strings.FieldsSeq(way) {
 		now += ms
-		op := OpID(1)
+		op := OperationID(1)
 		if w, second := strings.CutSuffix(word, "2"); second {
 			word, op = w, 2
 		}
-		e := Event{Op: op, Node: storeS, Took: ms, Kind: EventGot}
+		e := Event{Operation: op, Endpoint: storeS, Elapsed: ms, Kind: EventGetDone}
 		switch stage[op] {
-		case ActionLease:
-			e.Kind = EventLeased
+		case ActionAcquireLease:
+			e.Kind = EventLeaseDone
 		case ActionSet:
-			e.Kind = EventSet
+			e.Kind = EventSetDone
 		}
 		switch word {
 		case "ask", "join":
 			if word == "join" {
-				e.Op = 2
+				e.Operation = 2
 			}
-			e = Event{Kind: EventAsk, Op: e.Op, Node: storeS, Source: srcP, Object: 7, Due: 400 * ms, Left: time.Second}
+			e = Event{Kind: EventRequest, Operation: e.Operation, Endpoint: storeS, Source: parentP, Object: 7, UntilObjective: 400 * ms, UntilDeadline: time.Second}
 		case "hit":
-			e.Reply, e.Born, e.Valid = ReplyHit, epoch+3000, epoch+3000
+			e.Reply, e.GeneratedAt, e.ValidFrom = ReplyHit, epoch+3000, epoch+3000
 		case "old":
-			e.Reply, e.Born, e.Valid = ReplyHit, epoch-9000, epoch-9000
+			e.Reply, e.GeneratedAt, e.ValidFrom = ReplyHit, epoch-9000, epoch-9000
 		case "miss":
 			e.Reply = ReplyMiss
 		case "failed":
-			e.Reply = ReplyBroken
+			e.Reply = ReplyDisconnected
 		case "full":
-			e.Reply = ReplyFull
+			e.Reply = ReplyOutOfMemory
 		case "refused":
 			e.Reply = ReplyDenied
 		case "took":
-			e.Kind, e.Reply = EventLeased, ReplyDone
+			e.Kind, e.Reply = EventLeaseDone, ReplyOK
 		case "taken":
-			e.Reply = ReplyTaken
+			e.Reply = ReplyLeaseHeld
 		case "stored":
-			e.Kind, e.Reply = EventSet, ReplyDone
+			e.Kind, e.Reply = EventSetDone, ReplyOK
 		case "late":
-			e = Event{Kind: EventTimer, Op: op, Timer: turns[op]}
+			e = Event{Kind: EventTimer, Operation: op, TimerID: turns[op]}
 		case "filled":
-			e = Event{Kind: EventFilled, Op: op, Outcome: routing.Succeeded, Born: epoch + 3000, Size: 9, Took: 40 * ms}
+			e = Event{Kind: EventFillDone, Operation: op, Outcome: routing.Succeeded, GeneratedAt: epoch + 3000, BodyBytes: 9, Elapsed: 40 * ms}
 		case "unfit":
-			e = Event{Kind: EventFilled, Op: op, Outcome: routing.CacheMiss, Note: routing.NoteSourceMiss, Took: 4 * ms}
+			e = Event{Kind: EventFillDone, Operation: op, Outcome: routing.CacheMiss, Note: routing.NoteSourceMiss, Elapsed: 4 * ms}
 		case "cancel":
-			e = Event{Kind: EventCancel, Op: op}
+			e = Event{Kind: EventCancel, Operation: op}
 		}
 		var done []string
 		for _, a := range k.Handle(now, &e, nil) {
 			switch a.Kind {
-			case ActionTimer:
-				turns[a.Op] = a.Timer
+			case ActionSetTimer:
+				turns[a.Operation] = a.TimerID
 				continue
-			case ActionGet, ActionLease, ActionSet:
-				stage[a.Op] = a.Kind
+			case ActionGet, ActionAcquireLease, ActionSet:
+				stage[a.Operation] = a.Kind
 			case ActionLog:
 				continue
 			}
 			what := [...]string{
-				ActionGet: "get", ActionLease: "lease", ActionUnlease: "unlease", ActionFill: "fill",
-				ActionDropFill: "drop", ActionSet: "set", ActionForget: "forget", ActionCold: "cold",
-				ActionEnd: fmt.Sprintf("end(%d,%d)", a.Outcome, a.Note),
+				ActionGet: "get", ActionAcquireLease: "lease", ActionReleaseLease: "unlease", ActionStartFill: "fill",
+				ActionAbortFill: "drop", ActionSet: "set", ActionForget: "forget", ActionAnnounceStart: "cold",
+				ActionComplete: fmt.Sprintf("end(%d,%d)", a.Outcome, a.Note),
 			}[a.Kind]
-			if a.Op != 1 {
-				what += fmt.Sprint(a.Op)
+			if a.Operation != 1 {
+				what += fmt.Sprint(a.Operation)
 			}
 			done = append(done, what)
 		}
@@ -146,18 +146,18 @@
 	for _, w := range ways {
 		want = append(want, walk(w))
 	}
-	for s := range steps {
-		for in := range steps[s] {
-			was := steps[s][in]
-			if was == (step{}) {
+	for s := range operationTransitions {
+		for in := range operationTransitions[s] {
+			was := operationTransitions[s][in]
+			if was == (transition{}) {
 				continue
 			}
-			steps[s][in] = step{}
+			operationTransitions[s][in] = transition{}
 			seen := false
 			for i, w := range ways {
 				seen = seen || walk(w) != want[i]
 			}
-			steps[s][in] = was
+			operationTransitions[s][in] = was
 			if !seen {
 				t.Errorf("stage %d, input %d: no trace sees that it is not heard", s, in)
 			}
--- a/policy/sharedstore/world_test.go
+++ b/policy/sharedstore/world_test.go
@@ -15,16 +15,16 @@
 	now     time.Duration
 	draw    func(n int) int // 0 to n-1
 	bad     error
-	asked   map[OpID]*wish
+	asked   map[OperationID]*wish
 	pending []*answer
 	timers  []Action
-	values  map[key]*value
+	values  map[copyKey]*value
 	states  map[routing.EndpointID]routing.EndpointState
 	told    map[routing.EndpointID]time.Duration
 	purges  map[routing.ObjectID]Timestamp
-	leases  map[key]time.Duration
+	leases  map[copyKey]time.Duration
 	room    map[routing.EndpointID]int
-	last    OpID
+	last    OperationID
 	upRun   map[routing.EndpointID]uint64
 	cmds    []time.Duration // to a store in its cold time
 	calm    bool            // nothing fails, for the end
@@ -32,7 +32,7 @@
 }
 
 type wish struct {
-	op              OpID
+	op              OperationID
 	node, source    routing.EndpointID
 	object          routing.ObjectID
 	at, due         time.Duration
@@ -54,29 +54,29 @@
 type value struct{ born, valid Timestamp }
 
 const (
-	storeS routing.EndpointID = 11
-	storeT routing.EndpointID = 12
-	srcP   routing.EndpointID = 21
-	srcO   routing.EndpointID = 22
+	storeS  routing.EndpointID = 11
+	storeT  routing.EndpointID = 12
+	parentP routing.EndpointID = 21
+	originO routing.EndpointID = 22
 )
 
 const epoch Timestamp = 1_700_000_000_000
 
 func newWorld(set Settings, draw func(int) int) *world {
 	w := &world{
-		draw: draw, now: time.Second, asked: map[OpID]*wish{}, values: map[key]*value{}, states: map[routing.EndpointID]routing.EndpointState{},
-		told: map[routing.EndpointID]time.Duration{}, purges: map[routing.ObjectID]Timestamp{}, leases: map[key]time.Duration{}, room: map[routing.EndpointID]int{},
+		draw: draw, now: time.Second, asked: map[OperationID]*wish{}, values: map[copyKey]*value{}, states: map[routing.EndpointID]routing.EndpointState{},
+		told: map[routing.EndpointID]time.Duration{}, purges: map[routing.ObjectID]Timestamp{}, leases: map[copyKey]time.Duration{}, room: map[routing.EndpointID]int{},
 		upRun: map[routing.EndpointID]uint64{}, kinds: map[string]int{},
 	}
 	set.Epoch = epoch
 	w.k = New(set, 7, storeS, storeT)
-	for _, n := range []routing.EndpointID{storeS, storeT, srcP, srcO} {
+	for _, n := range []routing.EndpointID{storeS, storeT, parentP, originO} {
 		w.states[n] = routing.Ready
-		w.tell(&Event{Kind: EventState, Node: n, State: routing.Ready})
+		w.tell(&Event{Kind: EventEndpointState, Endpoint: n, State: routing.Ready})
 	}
 	for _, n := range []routing.EndpointID{storeS, storeT} {
 		w.upRun[n] = 1
-		w.tell(&Event{Kind: EventUp, Node: n, Run: 1, Age: time.Hour})
+		w.tell(&Event{Kind: EventConnected, Endpoint: n, RunID: 1, Age: time.Hour})
 	}
 	return w
 }
@@ -104,7 +104,7 @@
 	if x.forgotten > 0 {
 		w.fail("a command for a leg that is forgotten")
 	}
-	if a.Kind != ActionUnlease {
+	if a.Kind != ActionReleaseLease {
 		w.room[x.node]++
 		w.pending = append(w.pending, &answer{a: a, w: x, to: x.node, at: w.now})
 	}
@@ -112,51 +112,51 @@
 }
 
 func (w *world) obey(a Action) {
-	x := w.asked[a.Op]
+	x := w.asked[a.Operation]
 	switch a.Kind {
-	case ActionTimer:
-		w.timers = append(w.timers, Action{Op: a.Op, Node: a.Node, Timer: a.Timer, Wait: w.now + a.Wait})
+	case ActionSetTimer:
+		w.timers = append(w.timers, Action{Operation: a.Operation, Endpoint: a.Endpoint, TimerID: a.TimerID, Wait: w.now + a.Wait})
 		if a.Wait < 0 {
 			w.fail("a timer in the past")
 		}
-	case ActionGet, ActionLease, ActionSet, ActionUnlease:
+	case ActionGet, ActionAcquireLease, ActionSet, ActionReleaseLease:
 		w.command(x, a)
 		if a.Kind == ActionSet {
-			if a.Wait <= 0 || a.Wait > w.k.set.MaxTTL {
+			if a.Wait <= 0 || a.Wait > w.k.settings.MaxTTL {
 				w.fail("a copy stays for %v", a.Wait)
 			}
-			if a.Valid < x.copy || a.Valid > w.wall() {
-				w.fail("a copy is called valid from %d", a.Valid)
+			if a.ValidFrom < x.copy || a.ValidFrom > w.wall() {
+				w.fail("a copy is called valid from %d", a.ValidFrom)
 			}
 		}
-		if a.Kind == ActionUnlease {
-			delete(w.leases, key{x.object, 0})
+		if a.Kind == ActionReleaseLease {
+			delete(w.leases, copyKey{x.object, 0})
 		}
-	case ActionFill:
+	case ActionStartFill:
 		if x.filling {
 			w.fail("two fills of one leg")
 		}
-		if s := w.states[x.source]; s != routing.Ready && !(w.told[x.source] <= x.at && w.now-x.at <= w.k.set.DrainGrace/10) {
+		if s := w.states[x.source]; s != routing.Ready && !(w.told[x.source] <= x.at && w.now-x.at <= w.k.settings.DrainGrace/10) {
 			w.fail("a fill from a source that was told to leave %v ago", w.now-w.told[x.source])
 		}
 		if x.source == 0 {
 			w.fail("a fill from nowhere")
 		}
-		if p := w.purges[x.object]; p > 0 && w.wall() > p+1 && (a.Age == 0 || w.wall()-Timestamp(a.Age/ms) <= p) {
+		if p := w.purges[x.object]; p > 0 && w.wall() > p+1 && (a.MaxAge == 0 || w.wall()-Timestamp(a.MaxAge/ms) <= p) {
 			w.fail("a fill that may bring a copy from before a purge")
 		}
 		x.filling, x.fillAt = true, w.now
 		w.pending = append(w.pending, &answer{a: a, w: x, at: w.now})
-	case ActionDropFill:
+	case ActionAbortFill:
 		x.filling = false
-		w.pending = slices.DeleteFunc(w.pending, func(p *answer) bool { return p.w == x && p.a.Kind == ActionFill })
-	case ActionEnd:
+		w.pending = slices.DeleteFunc(w.pending, func(p *answer) bool { return p.w == x && p.a.Kind == ActionStartFill })
+	case ActionComplete:
 		if x.ends++; x.ends > 1 || x.cancelled {
-			w.fail("leg %d ends again", a.Op)
+			w.fail("leg %d ends again", a.Operation)
 		}
 		w.kinds[fmt.Sprint("end ", a.Outcome)]++
 		if a.Outcome == routing.Succeeded {
-			from := w.asked[a.From]
+			from := w.asked[a.CopyFrom]
 			if from == nil || from.object != x.object || from.forgotten > 0 {
 				w.fail("an answer from a copy that is not there")
 				return
@@ -167,21 +167,21 @@
 			if a.Note == routing.NoteHit && from.copy < x.least {
 				w.fail("a copy older than asked for")
 			}
-			if a.From != a.Op {
+			if a.CopyFrom != a.Operation {
 				w.kinds["shared"]++
 			}
 		}
 	case ActionForget:
 		if x.forgotten++; x.forgotten > 1 {
-			w.fail("leg %d is forgotten twice", a.Op)
+			w.fail("leg %d is forgotten twice", a.Operation)
 		}
 		if x.ends == 0 && !x.cancelled {
-			w.fail("leg %d is forgotten without an end", a.Op)
+			w.fail("leg %d is forgotten without an end", a.Operation)
 		}
 		if x.filling {
-			w.fail("leg %d is forgotten with a fill out", a.Op)
+			w.fail("leg %d is forgotten with a fill out", a.Operation)
 		}
-	case ActionCold:
+	case ActionAnnounceStart:
 		w.kinds["cold"]++
 	}
 }
@@ -194,8 +194,8 @@
 	}
 	w.asked[x.op] = x
 	w.tell(&Event{
-		Kind: EventAsk, Op: x.op, Node: x.node, Source: source, Object: x.object, Due: due, Left: due + time.Second, Age: age,
-		Held: source == srcO && w.draw(4) == 0,
+		Kind: EventRequest, Operation: x.op, Endpoint: x.node, Source: source, Object: x.object, UntilObjective: due, UntilDeadline: due + time.Second, Age: age,
+		OnlyIfCached: source == originO && w.draw(4) == 0,
 	})
 	return x
 }
@@ -205,47 +205,47 @@
 	p := w.pending[i]
 	w.pending = slices.Delete(w.pending, i, i+1)
 	x, took := p.w, w.now-p.at
-	at := key{x.object, 0}
-	if p.a.Kind == ActionFill {
+	at := copyKey{x.object, 0}
+	if p.a.Kind == ActionStartFill {
 		x.filling = false
-		e := Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: routing.Succeeded, Note: routing.NoteHit, Size: 100, Born: w.wall()}
+		e := Event{Kind: EventFillDone, Operation: x.op, Elapsed: took, Outcome: routing.Succeeded, Note: routing.NoteHit, BodyBytes: 100, GeneratedAt: w.wall()}
 		if n := w.draw(12); !w.calm && n < 4 {
-			e = Event{Kind: EventFilled, Op: x.op, Took: took, Outcome: []routing.Outcome{routing.CacheMiss, routing.Overloaded, routing.ConnectionBroken, routing.TimedOut}[n]}
+			e = Event{Kind: EventFillDone, Operation: x.op, Elapsed: took, Outcome: []routing.Outcome{routing.CacheMiss, routing.Overloaded, routing.ConnectionBroken, routing.TimedOut}[n]}
 		} else if n < 6 {
-			e.Born -= Timestamp(w.draw(4000)) // the source had it
+			e.GeneratedAt -= Timestamp(w.draw(4000)) // the source had it
 		}
 		if e.Outcome == routing.Succeeded && x.ends == 0 {
-			x.copy = e.Born
+			x.copy = e.GeneratedAt
 		}
 		w.tell(&e)
 		return
 	}
 	w.room[p.to]--
-	e := Event{Op: x.op, Node: p.to, Took: took}
+	e := Event{Operation: x.op, Endpoint: p.to, Elapsed: took}
 	broken := !w.calm && w.draw(10) == 0
-	word := Reply(int(ReplyLoading) + w.draw(int(ReplyBroken-ReplyLoading)+1))
+	word := Reply(int(ReplyLoading) + w.draw(int(ReplyDisconnected-ReplyLoading)+1))
 	switch p.a.Kind {
 	case ActionGet:
-		e.Kind = EventGot
+		e.Kind = EventGetDone
 		if v := w.values[at]; v != nil && w.draw(12) > 0 {
-			e.Reply, e.Born, e.Valid = ReplyHit, v.born, v.valid
+			e.Reply, e.GeneratedAt, e.ValidFrom = ReplyHit, v.born, v.valid
 			if !broken && x.ends == 0 {
 				x.copy = v.born
 			}
 		} else if e.Reply = ReplyMiss; w.draw(6) == 0 {
-			e.Reply = ReplySpoilt
+			e.Reply = ReplyCorrupt
 		}
-	case ActionLease:
-		e.Kind, e.Reply = EventLeased, ReplyDone
+	case ActionAcquireLease:
+		e.Kind, e.Reply = EventLeaseDone, ReplyOK
 		if w.leases[at] > w.now || w.draw(5) == 0 {
-			e.Reply = ReplyTaken
+			e.Reply = ReplyLeaseHeld
 		} else {
 			w.leases[at] = w.now + p.a.Wait
 		}
 	case ActionSet:
-		e.Kind, e.Reply = EventSet, ReplyDone
+		e.Kind, e.Reply = EventSetDone, ReplyOK
 		if !broken {
-			w.values[at] = &value{x.copy, p.a.Valid}
+			w.values[at] = &value{x.copy, p.a.ValidFrom}
 		}
 	}
 	if broken {
@@ -271,14 +271,14 @@
 		t := w.timers[next]
 		w.timers = slices.Delete(w.timers, next, next+1)
 		w.now = max(w.now, t.Wait)
-		w.tell(&Event{Kind: EventTimer, Op: t.Op, Node: t.Node, Timer: t.Timer})
+		w.tell(&Event{Kind: EventTimer, Operation: t.Operation, Endpoint: t.Endpoint, TimerID: t.TimerID})
 	}
 }
 
 func (w *world) step() {
 	switch n := w.draw(40); {
 	case n < 12:
-		w.ask([]routing.EndpointID{srcP, srcP, srcO, 0}[w.draw(4)], time.Duration(20+w.draw(600))*ms, time.Duration(w.draw(3))*time.Second)
+		w.ask([]routing.EndpointID{parentP, parentP, originO, 0}[w.draw(4)], time.Duration(20+w.draw(600))*ms, time.Duration(w.draw(3))*time.Second)
 	case n < 28 && len(w.pending) > 0:
 		w.reply(w.draw(len(w.pending)))
 	case n < 34:
@@ -288,45 +288,45 @@
 	case n == 35:
 		o := routing.ObjectID(1 + w.draw(3))
 		w.purges[o] = w.wall()
-		w.k.RecordPurge(w.now, PurgeMark{Object: o, Issued: w.wall()})
+		w.k.RecordInvalidation(w.now, Invalidation{Object: o, IssuedAt: w.wall()})
 	case n == 36:
-		id := []routing.EndpointID{storeS, srcP, srcO}[w.draw(3)]
+		id := []routing.EndpointID{storeS, parentP, originO}[w.draw(3)]
 		to := routing.EndpointState(w.draw(3))
 		if w.states[id] != to {
 			w.states[id], w.told[id] = to, w.now
-			w.tell(&Event{Kind: EventState, Node: id, State: to})
+			w.tell(&Event{Kind: EventEndpointState, Endpoint: id, State: to})
 		}
 	case n == 37:
 		if w.draw(2) == 0 {
-			w.tell(&Event{Kind: EventDown, Node: storeS})
+			w.tell(&Event{Kind: EventDisconnected, Endpoint: storeS})
 		}
 		if w.draw(3) == 0 {
 			w.upRun[storeS]++
-			w.values = map[key]*value{}
-			w.tell(&Event{Kind: EventUp, Node: storeS, Run: w.upRun[storeS]})
+			w.values = map[copyKey]*value{}
+			w.tell(&Event{Kind: EventConnected, Endpoint: storeS, RunID: w.upRun[storeS]})
 			return
 		}
-		w.tell(&Event{Kind: EventUp, Node: storeS, Run: w.upRun[storeS], Age: time.Hour})
+		w.tell(&Event{Kind: EventConnected, Endpoint: storeS, RunID: w.upRun[storeS], Age: time.Hour})
 	case n == 38 && w.last > 0:
-		x := w.asked[OpID(1+w.draw(int(w.last)))]
+		x := w.asked[OperationID(1+w.draw(int(w.last)))]
 		if x.ends == 0 && !x.cancelled {
 			x.cancelled = true
-			w.tell(&Event{Kind: EventCancel, Op: x.op})
+			w.tell(&Event{Kind: EventCancel, Operation: x.op})
 		}
 	}
-	if w.k.nodes[0].room.out != w.room[storeS] {
-		w.fail("%d commands are out, %d counted", w.room[storeS], w.k.nodes[0].room.out)
+	if w.k.stores[0].limit.inFlight != w.room[storeS] {
+		w.fail("%d commands are out, %d counted", w.room[storeS], w.k.stores[0].limit.inFlight)
 	}
 }
 
 // finish answers all that is out, and looks whether anything is left.
 func (w *world) finish() {
 	w.calm = true
-	for _, id := range []routing.EndpointID{storeS, srcP, srcO} {
+	for _, id := range []routing.EndpointID{storeS, parentP, originO} {
 		w.states[id] = routing.Ready
-		w.tell(&Event{Kind: EventState, Node: id, State: routing.Ready})
+		w.tell(&Event{Kind: EventEndpointState, Endpoint: id, State: routing.Ready})
 	}
-	w.tell(&Event{Kind: EventUp, Node: storeS, Run: w.upRun[storeS], Age: time.Hour})
+	w.tell(&Event{Kind: EventConnected, Endpoint: storeS, RunID: w.upRun[storeS], Age: time.Hour})
 	for i := 0; i < 4000 && w.k.InFlight() > 0; i++ {
 		if len(w.pending) > 0 {
 			w.reply(0)
@@ -346,27 +346,27 @@
 			w.fail("leg %d is not forgotten", x.op)
 		}
 	}
-	for _, b := range w.k.fills {
-		if b.out != 0 {
-			w.fail("%d fills are still counted", b.out)
+	for _, b := range w.k.fillLimits {
+		if b.inFlight != 0 {
+			w.fail("%d fills are still counted", b.inFlight)
 		}
 	}
-	if len(w.k.byKey) > 0 {
-		w.fail("%d keys are still joined", len(w.k.byKey))
+	if len(w.k.leaderByKey) > 0 {
+		w.fail("%d keys are still joined", len(w.k.leaderByKey))
 	}
 	// No mode is a dead end: a store that is well is used again.
 	for range 40 {
-		if w.k.nodes[0].mode == modeReady {
+		if w.k.stores[0].state == healthReady {
 			return
 		}
-		w.pass(lastPause * 2)
-		w.ask(srcP, time.Second, 0)
+		w.pass(maxBackoff * 2)
+		w.ask(parentP, time.Second, 0)
 		for len(w.pending) > 0 {
 			w.pass(ms / 4)
 			w.reply(0)
 		}
 	}
-	w.fail("a store that is well stays %s", modeNames[w.k.nodes[0].mode])
+	w.fail("a store that is well stays %s", healthStateNames[w.k.stores[0].state])
 }
 
 func plainSet() Settings {
