--- a/internal/sharedstore/carrier.go
+++ b/internal/sharedstore/carrier.go
@@ -280,13 +280,13 @@
 	t := &c.set.Classes[a.Class]
 	e := decide.Event{
 		Kind: decide.EventRequest, Operation: c.last, Endpoint: id, Object: a.Object, Part: a.Part, Group: a.Group,
-		OnlyIfCached: l.FillOptions&routing.OnlyIfCached != 0, UntilObjective: c.due(a, t), UntilDeadline: time.Until(l.Deadline), Age: l.MaxAge,
+		OnlyIfCached: l.FillOptions&routing.OnlyIfCached != 0, UntilObjective: c.due(a, t), UntilDeadline: time.Until(l.Deadline), MaxAge: l.MaxAge,
 	}
 	if !relay {
 		e.Source = l.Source
 	}
-	if e.Age == 0 {
-		e.Age = t.FreshFor
+	if e.MaxAge == 0 {
+		e.MaxAge = t.FreshFor
 	}
 	if t.FreshFor > 0 {
 		e.TTL = t.FreshFor + t.MaxStale
@@ -382,7 +382,7 @@
 		case greeted:
 			s.reading, s.lost = false, false
 			c.log.Info("store connected", zap.String("uid", s.conf.UID), zap.Duration("runs_for", e.age))
-			c.tell(&decide.Event{Kind: decide.EventConnected, Endpoint: s.id, RunID: e.run, Age: e.age})
+			c.tell(&decide.Event{Kind: decide.EventConnected, Endpoint: s.id, RunID: e.run, Uptime: e.age})
 			go s.beat()
 		case replied:
 			c.replied(s, &e)
@@ -505,14 +505,14 @@
 	o := c.ops[a.Operation]
 	switch a.Kind {
 	case decide.ActionSetTimer:
-		heap.Push(&c.timers, timer{at: c.now() + a.Wait, op: a.Operation, node: a.Endpoint, name: a.TimerID})
+		heap.Push(&c.timers, timer{at: c.now() + a.Delay, op: a.Operation, node: a.Endpoint, name: a.TimerID})
 		if c.timers[0].name == a.TimerID {
 			c.stir()
 		}
 		return
 	case decide.ActionAnnounceStart:
 		if n, known := c.members[a.Endpoint]; known && n.State == routing.Ready {
-			n.BootTime = time.Now().Add(-a.Wait)
+			n.BootTime = time.Now().Add(-a.Uptime)
 			c.members[a.Endpoint] = n
 			c.out(engine.EndpointList{Endpoints: []engine.Endpoint{n}})
 		}
@@ -531,7 +531,7 @@
 	case decide.ActionAcquireLease:
 		c.send(o, command{verb: verbLease, op: a.Operation, key: k, args: [][]byte{
 			[]byte("SET"), o.store.keys.lease(k.object, k.part),
-			[]byte("1"), []byte("NX"), []byte("PX"), millis(a.Wait),
+			[]byte("1"), []byte("NX"), []byte("PX"), millis(a.TTL),
 		}})
 	case decide.ActionReleaseLease:
 		o.store.send(command{verb: verbIgnore, args: [][]byte{[]byte("DEL"), o.store.keys.lease(k.object, k.part)}})
@@ -539,7 +539,7 @@
 		o.copy.Valid = a.ValidFrom
 		c.send(o, command{verb: verbSet, op: a.Operation, key: k, args: [][]byte{
 			[]byte("PSETEX"), o.store.keys.value(k.object, k.part),
-			millis(a.Wait), o.copy.Encode(make([]byte, 0, overhead+len(o.copy.Sum)+len(o.copy.Body))),
+			millis(a.TTL), o.copy.Encode(make([]byte, 0, overhead+len(o.copy.Sum)+len(o.copy.Body))),
 		}})
 	case decide.ActionStartFill:
 		c.fill(a, o)
--- /dev/null
+++ b/policy/sharedstore/completion.go
@@ -0,0 +1,80 @@
+package sharedstore
+
+import (
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// refuse answers an operation that can have neither the store nor a fill.
+func (c *Coordinator) refuse(op *operation) {
+	c.Counts.Refused++
+	switch {
+	case op.store.health.state == healthUnavailable:
+		c.complete(op, 0, routing.ConnectFailed, routing.NoteNone, 0)
+	case op.source == 0:
+		// Not NoteNoFillCapacity: routing would name no source for 100 ms, and the next request would fail the same way.
+		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
+	default:
+		c.complete(op, 0, routing.Overloaded, routing.NoteNoFillCapacity, 0)
+	}
+}
+
+// successNote is how a success is reported. One that waited for another router's fill is reported as coalesced: its
+// time says nothing of the store or the source, and must not enter their statistics.
+func (c *Coordinator) successNote(op *operation, note routing.Note, wait time.Duration) (routing.Note, time.Duration) {
+	if op.waitedForHolder {
+		return routing.NoteCoalesced, c.now - op.startedAt
+	}
+	return note, wait
+}
+
+// cancel ends an operation that nobody waits for any more.
+func (c *Coordinator) cancel(op *operation) {
+	if op.isComplete {
+		return
+	}
+	op.isComplete = true
+	c.completeFollowers(op, routing.Cancelled, routing.NoteNone)
+	c.close(op)
+}
+
+// complete answers an operation. Its followers share its copy, fail with it, or go on alone.
+func (c *Coordinator) complete(
+	op *operation, copyFrom OperationID, outcome routing.Outcome, note routing.Note, wait time.Duration,
+) {
+	if op.isComplete {
+		return
+	}
+	op.isComplete = true
+	c.emit(Action{
+		Kind: ActionComplete, Operation: op.id, CopyFrom: copyFrom, Outcome: outcome, Note: note, FirstByteWait: wait,
+	})
+	c.completeFollowers(op, outcome, note)
+	if op.state != stateStoring {
+		c.close(op)
+	}
+}
+
+// close releases what a completed operation still has in flight.
+func (c *Coordinator) close(op *operation) {
+	if op.isFilling {
+		c.fillLimit(op.source).inFlight--
+		op.isFilling = false
+		c.emit(Action{Kind: ActionAbortFill, Operation: op.id})
+	}
+	c.releaseLease(op)
+	c.forget(op)
+}
+
+// forget drops an operation. The reply to a command that is still in flight counts for the store all the same: its
+// event names the endpoint.
+func (c *Coordinator) forget(op *operation) {
+	c.leave(op)
+	if c.leaders[op.key] == op {
+		delete(c.leaders, op.key)
+	}
+	c.emit(Action{Kind: ActionForget, Operation: op.id})
+	delete(c.operations, op.id)
+	c.freeOperations = append(c.freeOperations, op)
+}
--- /dev/null
+++ b/policy/sharedstore/logsync_test.go
@@ -0,0 +1,92 @@
+package sharedstore
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// contiguousAlways is a planted fault: a router that joins any range of a store to its own.
+const contiguousAlways Timestamp = 1 << 60
+
+func newLogCoordinator() *Coordinator {
+	settings := testSettings()
+	settings.PurgeCompleteAfter = 0
+	return New(settings, 1, storeS)
+}
+
+// A router that starts late takes over what the store's log proves, once an older one has moved its end past its start.
+func ExampleCoordinator_PlanLogUpdate() {
+	older, younger := newLogCoordinator(), newLogCoordinator()
+	younger.log.completeFrom, younger.log.completeTo = epoch+60_000, epoch+60_000
+	show := func(who string, update LogUpdate) {
+		fmt.Printf("%s: needs all %v, entries %d, from %d, to %d\n", who, update.NeedsAll, len(update.Invalidations),
+			max(0, update.CompleteFrom-epoch), max(0, update.CompleteTo-epoch))
+	}
+	older.RecordInvalidation(30*time.Second, Invalidation{Object: 7, IssuedAt: epoch + 30_000})
+	older.DiscoveryCurrent(epoch + 50_000)
+	show("older, the store has nothing", older.PlanLogUpdate(50*time.Second, storeS, LogRange{}))
+	stored := LogRange{epoch, epoch + 50_000}
+	show("younger, too early", younger.PlanLogUpdate(61*time.Second, storeS, stored))
+	older.DiscoveryCurrent(epoch + 62_000)
+	show("older moves it on", older.PlanLogUpdate(62*time.Second, storeS, stored))
+	stored.CompleteTo = epoch + 62_000
+	show("younger", younger.PlanLogUpdate(63*time.Second, storeS, stored))
+	fmt.Println("copies from before its start are proved:", younger.log.proves(8, 0, epoch+40_000, 0))
+	younger.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}}, true)
+	fmt.Println("then:", younger.log.proves(8, 0, epoch+40_000, 0),
+		"but not one from before a purge:", younger.log.proves(7, 0, epoch+20_000, 0))
+	// Output:
+	// older, the store has nothing: needs all false, entries 1, from 0, to 50000
+	// younger, too early: needs all false, entries 0, from 0, to 0
+	// older moves it on: needs all false, entries 1, from 0, to 62000
+	// younger: needs all true, entries 0, from 0, to 0
+	// copies from before its start are proved: false
+	// then: true but not one from before a purge: false
+}
+
+// The wall clock is set back or forward by an hour: no copy that was stored before is proved any more, whichever
+// purge came after; what is stored later is, once the clock has passed both readings; and no end is written that lies
+// in the future.
+func TestClockStep(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			now := 10 * time.Minute
+			old := epoch + Timestamp((now-time.Minute)/ms)
+			coordinator := newLogCoordinator()
+			coordinator.log.completeFrom, coordinator.log.completeTo = epoch, epoch
+			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			coordinator.Handle(0, &connected, nil)
+			coordinator.now = now
+			coordinator.DiscoveryCurrent(epoch + Timestamp(now/ms))
+			if !isProved(coordinator, old, old) {
+				t.Fatal("a copy is not proved without any step")
+			}
+			coordinator.ClockStepped(now, step)
+			if coordinator.wallClock() != epoch+Timestamp((now+step)/ms) {
+				t.Errorf("the time is %d", coordinator.wallClock()-epoch)
+			}
+			purge := Invalidation{Object: modelObject, IssuedAt: coordinator.wallClock()}
+			coordinator.RecordInvalidation(now, purge)
+			for _, validFrom := range []Timestamp{0, old} {
+				if isProved(coordinator, old, validFrom) {
+					t.Error("a copy from before a purge is proved")
+				}
+			}
+			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, storeS, LogRange{})
+			if update.CompleteTo > coordinator.wallClock()+maxClockSkew {
+				t.Errorf("an end is written that lies %d ms ahead", update.CompleteTo-coordinator.wallClock())
+			}
+			coordinator.now = now + time.Hour + time.Minute
+			if generatedAt := coordinator.wallClock(); !isProved(coordinator, generatedAt, generatedAt) {
+				t.Error("a copy from after it is never proved")
+			}
+		})
+	}
+}
+
+// isProved says whether a copy of the model's object would be served.
+func isProved(coordinator *Coordinator, generatedAt, validFrom Timestamp) bool {
+	return coordinator.log.proves(modelObject, 0, generatedAt, validFrom) &&
+		!coordinator.isInFuture(generatedAt, validFrom)
+}
--- /dev/null
+++ b/policy/sharedstore/operation_test.go
@@ -0,0 +1,243 @@
+package sharedstore
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// operationScripts are short lives of one operation. Each word is an event; a 2 behind it means the second operation.
+var operationScripts = []string{
+	"request hit",
+	"request miss acquired filled stored",
+	"request broken filled stored",
+	"request timeout hit",
+	"request timeout miss filled stored",
+	"request timeout broken filled",
+	"request timeout filled hit",
+	"request timeout fillfailed miss",
+	"request timeout fillfailed hit",
+	"request miss held timeout hit",
+	"request miss held timeout miss acquired filled",
+	"request miss held timeout broken filled",
+	"request miss held timeout timeout filled",
+	"request miss broken filled",
+	"request miss timeout acquired filled",
+	"request miss acquired fillfailed",
+	"request denied filled",
+	"request cancel miss",
+	"request miss acquired cancel",
+	"request join miss acquired filled",
+	"request join hit",
+	"request join cancel hit2",
+	"request join miss acquired fillfailed",
+	"request join timeout2 hit2",
+	"request timeout miss fillfailed",
+	"request timeout broken fillfailed",
+	"request oom",
+	"request old acquired filled",
+}
+
+// scriptPlayer plays such a script and records what is done at once.
+type scriptPlayer struct {
+	coordinator *Coordinator
+	now         time.Duration
+	lastCommand map[OperationID]ActionKind
+	timers      map[OperationID]uint64
+}
+
+func newScriptPlayer() *scriptPlayer {
+	player := &scriptPlayer{
+		coordinator: New(testSettings(), 1, storeS),
+		now:         5 * time.Second, // no copy below is from later
+		lastCommand: map[OperationID]ActionKind{1: ActionGet, 2: ActionGet},
+		timers:      map[OperationID]uint64{},
+	}
+	connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+	player.coordinator.Handle(player.now, &connected, nil)
+	for range 20 {
+		player.coordinator.fillTime.add(40 * ms)
+	}
+	return player
+}
+
+// play returns the trace of a script: each event with the actions that follow from it.
+func play(script string) string {
+	player := newScriptPlayer()
+	var trace []string
+	for word := range strings.FieldsSeq(script) {
+		player.now += ms
+		id := OperationID(1)
+		if first, isSecond := strings.CutSuffix(word, "2"); isSecond {
+			word, id = first, 2
+		}
+		event := player.event(word, id)
+		actions := player.coordinator.Handle(player.now, &event, nil)
+		trace = append(trace, strings.TrimSpace(word+": "+player.record(actions)))
+	}
+	return strings.Join(trace, "; ")
+}
+
+func (p *scriptPlayer) event(word string, id OperationID) Event {
+	switch word {
+	case "request":
+		return requestEvent(id)
+	case "join":
+		return requestEvent(2)
+	case "timeout":
+		return Event{Kind: EventTimer, Operation: id, TimerID: p.timers[id]}
+	case "filled":
+		return Event{
+			Kind: EventFillDone, Operation: id, Outcome: routing.Succeeded, GeneratedAt: epoch + 3000, BodyBytes: 9,
+			Elapsed: 40 * ms,
+		}
+	case "fillfailed":
+		return Event{
+			Kind: EventFillDone, Operation: id, Outcome: routing.CacheMiss, Note: routing.NoteSourceMiss, Elapsed: 4 * ms,
+		}
+	case "cancel":
+		return Event{Kind: EventCancel, Operation: id}
+	}
+	return p.replyEvent(word, id)
+}
+
+func requestEvent(id OperationID) Event {
+	return Event{
+		Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: 7, UntilObjective: 400 * ms,
+		UntilDeadline: time.Second,
+	}
+}
+
+// replyEvent answers the operation's last command.
+func (p *scriptPlayer) replyEvent(word string, id OperationID) Event {
+	event := Event{Kind: EventGetDone, Operation: id, Endpoint: storeS, Elapsed: ms}
+	switch p.lastCommand[id] {
+	case ActionAcquireLease:
+		event.Kind = EventLeaseDone
+	case ActionSet:
+		event.Kind = EventSetDone
+	default:
+	}
+	switch word {
+	case "hit":
+		event.Reply, event.GeneratedAt, event.ValidFrom = ReplyHit, epoch+3000, epoch+3000
+	case "old":
+		event.Reply, event.GeneratedAt, event.ValidFrom = ReplyHit, epoch-9000, epoch-9000
+	case "miss":
+		event.Reply = ReplyMiss
+	case "broken":
+		event.Reply = ReplyDisconnected
+	case "oom":
+		event.Reply = ReplyOutOfMemory
+	case "denied":
+		event.Reply = ReplyDenied
+	case "acquired":
+		event.Kind, event.Reply = EventLeaseDone, ReplyOK
+	case "held":
+		event.Reply = ReplyLeaseHeld
+	case "stored":
+		event.Kind, event.Reply = EventSetDone, ReplyOK
+	default:
+		panic("unknown word " + word)
+	}
+	return event
+}
+
+// record notes commands and timers, and returns the names of the actions.
+func (p *scriptPlayer) record(actions []Action) string {
+	names := [...]string{
+		ActionGet: "get", ActionAcquireLease: "lease", ActionReleaseLease: "release", ActionStartFill: "fill",
+		ActionAbortFill: "abort", ActionSet: "set", ActionForget: "forget", ActionAnnounceStart: "announce",
+	}
+	var done []string
+	for i := range actions {
+		action := &actions[i]
+		var name string
+		switch action.Kind {
+		case ActionSetTimer:
+			p.timers[action.Operation] = action.TimerID
+			continue
+		case ActionLog:
+			continue
+		case ActionComplete:
+			name = fmt.Sprintf("complete(%d,%d)", action.Outcome, action.Note)
+		case ActionGet, ActionAcquireLease, ActionSet:
+			p.lastCommand[action.Operation] = action.Kind
+			name = names[action.Kind]
+		default:
+			name = names[action.Kind]
+		}
+		if action.Operation != 1 {
+			name += fmt.Sprint(action.Operation)
+		}
+		done = append(done, name)
+	}
+	return strings.Join(done, " ")
+}
+
+// Every life that an operation can have, but for what chance adds.
+func Example_operations() {
+	for _, script := range operationScripts {
+		fmt.Println(play(script))
+	}
+	// Output:
+	// request: get; hit: complete(1,1) forget
+	// request: get; miss: lease; acquired: fill; filled: complete(1,2) set release; stored: forget
+	// request: get; broken: fill; filled: complete(1,2) set; stored: forget
+	// request: get; timeout: fill; hit: complete(1,1) abort forget
+	// request: get; timeout: fill; miss:; filled: complete(1,2) set; stored: forget
+	// request: get; timeout: fill; broken:; filled: complete(1,2) set
+	// request: get; timeout: fill; filled: complete(1,2) set; hit: forget
+	// request: get; timeout: fill; fillfailed:; miss: complete(9,8) forget
+	// request: get; timeout: fill; fillfailed:; hit: complete(1,1) forget
+	// request: get; miss: lease; held:; timeout: get; hit: complete(1,4) forget
+	// request: get; miss: lease; held:; timeout: get; miss: lease; acquired: fill; filled: complete(1,4) set release
+	// request: get; miss: lease; held:; timeout: get; broken: fill; filled: complete(1,4) set
+	// request: get; miss: lease; held:; timeout: get; timeout: fill; filled: complete(1,4) set
+	// request: get; miss: lease; broken: fill; filled: complete(1,2) set
+	// request: get; miss: lease; timeout: fill; acquired:; filled: complete(1,2) set release
+	// request: get; miss: lease; acquired: fill; fillfailed: release complete(9,8) forget
+	// request: get; denied: fill; filled: complete(1,2) forget
+	// request: get; cancel: forget; miss:
+	// request: get; miss: lease; acquired: fill; cancel: abort release forget
+	// request: get; join:; miss: lease; acquired: fill; filled: complete(1,2) complete(1,4)2 forget2 set release
+	// request: get; join:; hit: complete(1,1) complete(1,4)2 forget2 forget
+	// request: get; join:; cancel: get2 forget; hit: complete(1,1)2 forget2
+	// request: get; join:; miss: lease; acquired: fill; fillfailed: release complete(9,8) complete(9,8)2 forget2 forget
+	// request: get; join:; timeout: get2; hit: complete(1,1)2 forget2
+	// request: get; timeout: fill; miss:; fillfailed: complete(9,8) forget
+	// request: get; timeout: fill; broken:; fillfailed: complete(9,8) forget
+	// request: get; oom: fill
+	// request: get; old: lease; acquired: fill; filled: complete(1,2) set release
+}
+
+// Each transition shows in some trace: without any one of them, one of the traces is another.
+func TestTracesCoverTransitions(t *testing.T) {
+	want := make([]string, len(operationScripts))
+	for i, script := range operationScripts {
+		want[i] = play(script)
+	}
+	differs := func() bool {
+		for i, script := range operationScripts {
+			if play(script) != want[i] {
+				return true
+			}
+		}
+		return false
+	}
+	for state := range operationTransitions {
+		for input, original := range operationTransitions[state] {
+			if original == (transition{}) {
+				continue
+			}
+			operationTransitions[state][input] = transition{}
+			if !differs() {
+				t.Errorf("state %d, input %d: no trace shows that it is missing", state, input)
+			}
+			operationTransitions[state][input] = original
+		}
+	}
+}
--- /dev/null
+++ b/policy/sharedstore/simulation_test.go
@@ -0,0 +1,296 @@
+package sharedstore
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+// simulation surrounds a Coordinator: stores that answer anything at any time, sources, purges and an endpoint list,
+// moved by draws. It checks after every step what must always hold, and at its end that nothing is left open.
+type simulation struct {
+	coordinator *Coordinator
+	now         time.Duration
+	draw        func(n int) int // 0 to n-1
+	err         error           // the first fault
+	requests    map[OperationID]*simulatedRequest
+	lastRequest OperationID
+	pending     []*pendingReply
+	timers      []pendingTimer
+	values      map[copyKey]*storedValue
+	leases      map[copyKey]time.Duration // until when
+	states      map[routing.EndpointID]routing.EndpointState
+	stateSince  map[routing.EndpointID]time.Duration
+	purges      map[routing.ObjectID]Timestamp
+	inFlight    map[routing.EndpointID]int
+	runID       uint64          // of storeS
+	commands    []time.Duration // when commands were sent
+	isCalm      bool            // nothing fails
+	kinds       map[string]int
+}
+
+type simulatedRequest struct {
+	id              OperationID
+	store, source   routing.EndpointID
+	object          routing.ObjectID
+	startedAt       time.Duration
+	objective       time.Duration
+	minGeneratedAt  Timestamp
+	completions     int
+	forgotten       int
+	isCancelled     bool
+	copyGeneratedAt Timestamp // of the copy that the operation has
+	isFilling       bool
+}
+
+type pendingReply struct {
+	action  Action
+	request *simulatedRequest
+	store   routing.EndpointID // 0: a fill
+	sentAt  time.Duration
+}
+
+type pendingTimer struct {
+	event Event
+	at    time.Duration
+}
+
+type storedValue struct{ generatedAt, validFrom Timestamp }
+
+const (
+	storeS  routing.EndpointID = 11
+	storeT  routing.EndpointID = 12
+	parentP routing.EndpointID = 21
+	originO routing.EndpointID = 22
+)
+
+const epoch Timestamp = 1_700_000_000_000
+
+func testSettings() Settings {
+	return Settings{
+		Routers: 4, Capacity: 1000, SlowStartShare: 0.1, SlowStartFor: 5 * time.Second, OverloadFactor: 1,
+		MaxInFlight: 64, MaxValueBytes: 1 << 18, MaxTTL: 10 * time.Minute, DrainGrace: time.Second,
+		PurgeCompleteAfter: time.Second, Lease: true, Epoch: epoch,
+	}
+}
+
+// newSimulation starts with both stores connected. Faults are planted by alter, which may be nil.
+func newSimulation(draw func(int) int, alter func(*Coordinator)) *simulation {
+	sim := &simulation{
+		coordinator: New(testSettings(), 7, storeS, storeT),
+		draw:        draw,
+		now:         time.Second,
+		requests:    map[OperationID]*simulatedRequest{},
+		values:      map[copyKey]*storedValue{},
+		leases:      map[copyKey]time.Duration{},
+		states:      map[routing.EndpointID]routing.EndpointState{},
+		stateSince:  map[routing.EndpointID]time.Duration{},
+		purges:      map[routing.ObjectID]Timestamp{},
+		inFlight:    map[routing.EndpointID]int{},
+		runID:       1,
+		kinds:       map[string]int{},
+	}
+	if alter != nil {
+		alter(sim.coordinator)
+	}
+	for _, id := range []routing.EndpointID{storeS, storeT, parentP, originO} {
+		sim.states[id] = routing.Ready
+		sim.handle(&Event{Kind: EventEndpointState, Endpoint: id, State: routing.Ready})
+	}
+	for _, id := range []routing.EndpointID{storeS, storeT} {
+		sim.handle(&Event{Kind: EventConnected, Endpoint: id, RunID: 1, Uptime: time.Hour})
+	}
+	return sim
+}
+
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.err == nil {
+		sim.err = fmt.Errorf("at %v: %s", sim.now, fmt.Sprintf(format, args...))
+	}
+}
+
+func (sim *simulation) wallClock() Timestamp { return epoch + Timestamp(sim.now/ms) }
+
+// store is the status of the store that requests go to.
+func (sim *simulation) store() *storeStatus { return sim.coordinator.stores[0] }
+
+func (sim *simulation) handle(event *Event) {
+	actions := slices.Clone(sim.coordinator.Handle(sim.now, event, nil))
+	for i := range actions {
+		sim.check(&actions[i])
+	}
+}
+
+// check carries an action out, if it is allowed.
+func (sim *simulation) check(action *Action) {
+	request := sim.requests[action.Operation]
+	switch action.Kind {
+	case ActionSetTimer:
+		sim.checkTimer(action)
+	case ActionGet, ActionAcquireLease, ActionSet, ActionReleaseLease:
+		sim.checkCommand(request, action)
+	case ActionStartFill:
+		sim.checkFill(request, action)
+	case ActionAbortFill:
+		request.isFilling = false
+		sim.pending = slices.DeleteFunc(sim.pending, func(reply *pendingReply) bool {
+			return reply.request == request && reply.action.Kind == ActionStartFill
+		})
+	case ActionComplete:
+		sim.checkCompletion(request, action)
+	case ActionForget:
+		sim.checkForget(request)
+	case ActionAnnounceStart:
+		sim.kinds["cold"]++
+	case ActionLog:
+	}
+}
+
+func (sim *simulation) checkTimer(action *Action) {
+	event := Event{
+		Kind: EventTimer, Operation: action.Operation, Endpoint: action.Endpoint, TimerID: action.TimerID,
+	}
+	sim.timers = append(sim.timers, pendingTimer{event, sim.now + action.Delay})
+	if action.Delay < 0 {
+		sim.fail("a timer in the past")
+	}
+}
+
+func (sim *simulation) checkCommand(request *simulatedRequest, action *Action) {
+	if sim.states[request.store] != routing.Ready && sim.now > sim.stateSince[request.store] {
+		sim.fail("a command to a store that is draining")
+	}
+	if request.forgotten > 0 {
+		sim.fail("a command for an operation that is forgotten")
+	}
+	if action.Kind == ActionReleaseLease {
+		delete(sim.leases, copyKey{request.object, 0})
+	} else {
+		sim.inFlight[request.store]++
+		reply := &pendingReply{action: *action, request: request, store: request.store, sentAt: sim.now}
+		sim.pending = append(sim.pending, reply)
+	}
+	sim.commands = append(sim.commands, sim.now)
+	if action.Kind == ActionSet {
+		if action.TTL <= 0 || action.TTL > sim.coordinator.settings.MaxTTL {
+			sim.fail("a copy stays for %v", action.TTL)
+		}
+		if action.ValidFrom < request.copyGeneratedAt || action.ValidFrom > sim.wallClock() {
+			sim.fail("a copy is called valid from %d", action.ValidFrom)
+		}
+	}
+}
+
+func (sim *simulation) checkFill(request *simulatedRequest, action *Action) {
+	if request.isFilling {
+		sim.fail("two fills of one operation")
+	}
+	source := request.source
+	if source == 0 {
+		sim.fail("a fill from nowhere")
+	}
+	wasDraining := sim.stateSince[source] <= request.startedAt
+	isInGrace := sim.now-request.startedAt <= sim.coordinator.settings.DrainGrace/10
+	if sim.states[source] != routing.Ready && (!wasDraining || !isInGrace) {
+		sim.fail("a fill from a source that is draining since %v", sim.now-sim.stateSince[source])
+	}
+	if purgedAt := sim.purges[request.object]; purgedAt > 0 && sim.wallClock() > purgedAt+1 {
+		if action.MaxAge == 0 || sim.wallClock()-Timestamp(action.MaxAge/ms) <= purgedAt {
+			sim.fail("a fill that may bring a copy from before a purge")
+		}
+	}
+	request.isFilling = true
+	sim.pending = append(sim.pending, &pendingReply{action: *action, request: request, sentAt: sim.now})
+}
+
+func (sim *simulation) checkCompletion(request *simulatedRequest, action *Action) {
+	request.completions++
+	if request.completions > 1 || request.isCancelled {
+		sim.fail("operation %d completes again", action.Operation)
+	}
+	sim.kinds[fmt.Sprint("end ", action.Outcome)]++
+	if action.Outcome != routing.Succeeded {
+		return
+	}
+	from := sim.requests[action.CopyFrom]
+	if from == nil || from.object != request.object || from.forgotten > 0 {
+		sim.fail("an answer from a copy that is not there")
+		return
+	}
+	if purgedAt := sim.purges[request.object]; from.copyGeneratedAt <= purgedAt {
+		sim.fail("a copy from before a purge: %d, purged %d", from.copyGeneratedAt, purgedAt)
+	}
+	if action.Note == routing.NoteHit && from.copyGeneratedAt < request.minGeneratedAt {
+		sim.fail("a copy older than asked for")
+	}
+	if action.CopyFrom != action.Operation {
+		sim.kinds["shared"]++
+	}
+}
+
+func (sim *simulation) checkForget(request *simulatedRequest) {
+	request.forgotten++
+	if request.forgotten > 1 {
+		sim.fail("operation %d is forgotten twice", request.id)
+	}
+	if request.completions == 0 && !request.isCancelled {
+		sim.fail("operation %d is forgotten without an end", request.id)
+	}
+	if request.isFilling {
+		sim.fail("operation %d is forgotten with a fill in flight", request.id)
+	}
+}
+
+// checkNothingLeft is for the end, when all was answered.
+func (sim *simulation) checkNothingLeft() {
+	for _, request := range sim.requests {
+		if request.completions == 0 && !request.isCancelled {
+			sim.fail("operation %d has no end", request.id)
+		}
+		if request.forgotten == 0 {
+			sim.fail("operation %d is not forgotten", request.id)
+		}
+	}
+	for _, limit := range sim.coordinator.fillLimits {
+		if limit.inFlight != 0 {
+			sim.fail("%d fills are still counted", limit.inFlight)
+		}
+	}
+	if count := len(sim.coordinator.leaders); count > 0 {
+		sim.fail("%d keys are still joined", count)
+	}
+}
+
+// checkRecovers finds health states without a way out: a store that is well is used again.
+func (sim *simulation) checkRecovers() {
+	for range 40 {
+		if sim.store().health.state == healthReady {
+			return
+		}
+		sim.advance(maxBackoff * 2)
+		sim.request(parentP, time.Second, 0)
+		for len(sim.pending) > 0 {
+			sim.advance(ms / 4)
+			sim.reply(0)
+		}
+	}
+	sim.fail("a store that is well stays %s", sim.store().health.state)
+}
+
+// TestSimulationDraws keeps the simulation honest: what it can draw does happen.
+func TestSimulationDraws(t *testing.T) {
+	seen := map[string]int{}
+	for seed := range uint64(40) {
+		for kind, count := range simulate(seededDraw(seed), 300, nil).kinds {
+			seen[kind] += count
+		}
+	}
+	for _, kind := range []string{"shared", fmt.Sprint("end ", routing.Succeeded), fmt.Sprint("end ", routing.CacheMiss)} {
+		if seen[kind] == 0 {
+			t.Errorf("%q does not happen in any of the histories", kind)
+		}
+	}
+}
--- /dev/null
+++ b/policy/sharedstore/slowstart_test.go
@@ -0,0 +1,56 @@
+package sharedstore
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestSlowStartBudget(t *testing.T) {
+	if err := checkSlowStartBudget(nil); err != nil {
+		t.Error(err)
+	}
+}
+
+// checkSlowStartBudget: a store that just started is asked for no more than its budget, however much is wanted.
+func checkSlowStartBudget(alter func(*Coordinator)) error {
+	sim := newSimulation(seededDraw(3), alter)
+	sim.isCalm = true
+	sim.handle(&Event{Kind: EventConnected, Endpoint: storeS, RunID: 2})
+	sim.commands = nil
+	startedAt := sim.now
+	for sim.now < startedAt+testSettings().SlowStartFor {
+		sim.request(parentP, 300*ms, 0)
+		sim.advance(ms)
+		for len(sim.pending) > 0 {
+			sim.reply(0)
+		}
+	}
+	for i, from := range sim.commands {
+		count := 0
+		for _, at := range sim.commands[i:] {
+			if at < from+time.Second {
+				count++
+			}
+		}
+		if share := shareOfSecond(from - startedAt); float64(count) > share {
+			return fmt.Errorf("%d commands in the second from %v on, the share is %.0f", count, from-startedAt, share)
+		}
+	}
+	if len(sim.commands) < 200 {
+		return fmt.Errorf("only %d commands during the slow start", len(sim.commands))
+	}
+	return sim.err
+}
+
+// shareOfSecond is how many commands one router may send in the second that begins so long after a store's start.
+func shareOfSecond(age time.Duration) float64 {
+	settings := testSettings()
+	capacity := 0.0
+	for offset := time.Duration(0); offset < time.Second; offset += 100 * ms {
+		progress := (age + offset).Seconds() / settings.SlowStartFor.Seconds()
+		warmFraction := settings.SlowStartShare + (1-settings.SlowStartShare)*progress
+		capacity += settings.Capacity / 10 * min(1, warmFraction)
+	}
+	return capacity / float64(settings.Routers)
+}
