--- a/internal/frontend/door.go
+++ b/internal/frontend/door.go
@@ -20,6 +20,8 @@
 	"fennelarch/internal/resp"
 	"fennelarch/internal/system"
 	"fennelarch/policy/admission"
+
+	"go.uber.org/zap"
 )
 
 // spare is a descriptor held back, so that one more connection can be accepted and turned back where there is none.
@@ -65,8 +67,8 @@
 					c.wake()
 				}()
 			}
-		case admission.Log:
-			s.log.Info(x.Text)
+		case admission.ModeChanged:
+			s.log.Info("admission mode changed", zap.Stringer("from", x.From), zap.Stringer("to", x.To))
 		case admission.Pause:
 			if c := s.conns[x.Conn]; c != nil {
 				c.paused.Store(int64(x.Wait))
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -128,7 +128,7 @@
 func (s *Server) AdmissionStatus() (admission.Counts, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.doors.Counts, s.doors.Mode()
+	return s.doors.Counts, s.doors.Mode().String()
 }
 
 // listener hands redcon connections whose bytes are read here.
