--- a/internal/frontend/arrivals.go
+++ b/internal/frontend/arrivals.go
@@ -1,53 +1,52 @@
 package frontend
 
-// This file owns the account of when the bytes in a connection's ring came: a request's time counts from its last byte, however long it
-// has waited there.
-
 import "time"
 
-// arrivalsMost bounds how many arrivals are told apart; the last ones of more count as one, by the earliest.
-const arrivalsMost = 64
+// maxArrivals bounds how many arrivals are kept apart; the last ones of more count as one, by the earliest time.
+const maxArrivals = 64
 
-// arrivals are the moments at which what is in the ring came, the oldest bytes first.
+// arrivals keeps account of when the bytes in a connection's input ring came: a request's time counts from its last
+// byte, however long it has waited in the ring.
 type arrivals struct {
-	list  []arrival
-	total int64 // bytes that came so far
+	list       []arrival // the oldest bytes first
+	totalBytes int64     // that came so far
 }
 
 // arrival is some bytes that came together.
 type arrival struct {
-	end  int64 // of all bytes, how many had come with them
-	came time.Time
+	endBytes int64 // how many bytes had come with the last of them
+	at       time.Time
 }
 
 // add notes bytes that came at some moment.
-func (a *arrivals) add(bytes int, came time.Time) {
-	a.total += int64(bytes)
-	if last := len(a.list) - 1; last >= 0 && (a.list[last].came.Equal(came) || len(a.list) == arrivalsMost) {
-		a.list[last].end = a.total
+func (a *arrivals) add(bytes int, at time.Time) {
+	a.totalBytes += int64(bytes)
+	last := len(a.list) - 1
+	if last >= 0 && (a.list[last].at.Equal(at) || len(a.list) == maxArrivals) {
+		a.list[last].endBytes = a.totalBytes
 		return
 	}
-	a.list = append(a.list, arrival{a.total, came})
+	a.list = append(a.list, arrival{a.totalBytes, at})
 }
 
-// look is when the byte came behind which so many are left.
-func (a *arrivals) look(left int) time.Time {
-	end := a.total - int64(left)
+// timeOf returns when the byte came that has that many bytes behind it.
+func (a *arrivals) timeOf(bytesBehind int) time.Time {
+	end := a.totalBytes - int64(bytesBehind)
 	for i := range a.list {
-		if a.list[i].end >= end {
-			return a.list[i].came
+		if a.list[i].endBytes >= end {
+			return a.list[i].at
 		}
 	}
 	return time.Time{}
 }
 
-// of is the same, and forgets what came before.
-func (a *arrivals) of(left int) time.Time {
-	end := a.total - int64(left)
-	old := 0
-	for old < len(a.list) && a.list[old].end < end {
-		old++
+// takeTimeOf returns the same, and forgets what came before.
+func (a *arrivals) takeTimeOf(bytesBehind int) time.Time {
+	end := a.totalBytes - int64(bytesBehind)
+	older := 0
+	for older < len(a.list) && a.list[older].endBytes < end {
+		older++
 	}
-	a.list = append(a.list[:0], a.list[old:]...)
-	return a.look(left)
+	a.list = append(a.list[:0], a.list[older:]...)
+	return a.timeOf(bytesBehind)
 }
--- a/internal/frontend/cancel_test.go
+++ b/internal/frontend/cancel_test.go
@@ -16,15 +16,15 @@
 
 // A request and its cancel both wait while the input is held. Once the client reads again, neither is handed on.
 func TestCancelledWhileHeld(t *testing.T) {
-	for name, sends := range map[string]func(h *house, c *net.TCPConn){
-		"in one write": func(h *house, c *net.TCPConn) { h.write(c, view(200)+frame("UNDO", "200")) },
-		"apart": func(h *house, c *net.TCPConn) {
-			h.write(c, view(200))
+	for name, sends := range map[string]func(h *testServer, c *net.TCPConn){
+		"in one write": func(h *testServer, c *net.TCPConn) { h.write(c, requestFrame(200)+frame("UNDO", "200")) },
+		"apart": func(h *testServer, c *net.TCPConn) {
+			h.write(c, requestFrame(200))
 			time.Sleep(60 * time.Millisecond)
 			h.write(c, frame("UNDO", "200"))
 		},
-		"behind more than the answers that may wait": func(h *house, c *net.TCPConn) {
-			h.write(c, view(200))
+		"behind more than the answers that may wait": func(h *testServer, c *net.TCPConn) {
+			h.write(c, requestFrame(200))
 			for range 200 {
 				h.write(c, frame("PING", "7"))
 			}
@@ -32,15 +32,15 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHouse(t, nil)
+			h := newTestServer(t, nil)
 			c := h.dial() // with a buffer of the usual size: one that was small once is slow to drain
 			h.stuff(c, 99)
 			sends(h, c)
 			time.Sleep(150 * time.Millisecond)
 			h.write(c, frame("PING", "9999"))
 			readUntil(t, c, "9999")
-			if len(h.asks) > 0 {
-				t.Errorf("request %d is handed on, which was cancelled 0.15 s before", got(t, h.asks).Tag)
+			if len(h.requests) > 0 {
+				t.Errorf("request %d is handed on, which was cancelled 0.15 s before", got(t, h.requests).Tag)
 			}
 			_ = c.Close()
 		})
@@ -52,15 +52,15 @@
 func cancelledInOneTurn(t *testing.T) {
 	s := testSession()
 	text := do(70, "") + frame("UNDO", "70") + do(71, "")
-	if err := s.got(copy(s.space(), text), time.Time{}); err != nil {
+	if err := s.receive(copy(s.inputSpace(), text), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	events := s.take()
+	events := s.takeMessages()
 	if len(events) != 1 {
 		t.Fatalf("%d events, not one", len(events))
 	}
-	if a, asked := events[0].(*engine.Request); !asked || a.Tag != 71 || len(s.open) != 1 {
-		t.Errorf("%+v is handed on, %d requests are open", events[0], len(s.open))
+	if a, asked := events[0].(*engine.Request); !asked || a.Tag != 71 || len(s.inFlight) != 1 {
+		t.Errorf("%+v is handed on, %d requests are open", events[0], len(s.inFlight))
 	}
 }
 
@@ -88,10 +88,10 @@
 		"no tag yet":   {"*5\r\n$2\r\nDO\r\n$1\r\n7", ""},
 		"no request":   {"*5\r\n$4\r\nPING\r\n$1\r\n7\r\n", ""},
 	} {
-		h := newHouse(t, func(l *limits.Limits) { l.MessageTimeout = 50 * time.Millisecond })
+		h := newTestServer(t, func(l *limits.Limits) { l.MessageTimeout = 50 * time.Millisecond })
 		conn := h.dial()
 		h.write(conn, frame("PING", "1")+c.half)
-		if got := h.rest(conn); got != frame("1", "UP", "", "")+c.want {
+		if got := h.readToEnd(conn); got != frame("1", "UP", "", "")+c.want {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
@@ -102,11 +102,11 @@
 	deaf := testSession()
 	answer := func(s *session, tag int) (word string) {
 		t.Helper()
-		if err := s.got(copy(s.space(), do(tag, "")), time.Time{}); err != nil {
+		if err := s.receive(copy(s.inputSpace(), do(tag, "")), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		s.answer(engine.Tag(tag), engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
-		return s.waiting[len(s.waiting)-1].word
+		s.respond(engine.Tag(tag), engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
+		return s.pendingResponses[len(s.pendingResponses)-1].status
 	}
 	tag := 1
 	for ; answer(deaf, tag) == "OK"; tag++ {
@@ -115,12 +115,12 @@
 		t.Errorf("a client that reads nothing yet has %d answers", tag-1)
 	}
 	other := newSession(deaf.shared, nil, open, time.Time{})
-	other.in.Release()
-	if err := other.got(copy(other.space(), frame("DO", "1", "clip", "req=00000000000000aa,timeout=1500,subject=7f3a9c21e0b4d655")), time.Time{}); err != nil {
+	other.input.Release()
+	if err := other.receive(copy(other.inputSpace(), frame("DO", "1", "clip", "req=00000000000000aa,timeout=1500,subject=7f3a9c21e0b4d655")), time.Time{}); err != nil {
 		t.Fatal(err)
 	}
-	other.answer(1, engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
-	if word := other.waiting[0].word; word != "OK" {
+	other.respond(1, engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
+	if word := other.pendingResponses[0].status; word != "OK" {
 		t.Errorf("a client that reads has %s", word)
 	}
 }
--- a/internal/frontend/crossing_test.go
+++ b/internal/frontend/crossing_test.go
@@ -21,47 +21,47 @@
 	"go.uber.org/zap"
 )
 
-// house is a server whose views come by a channel.
-type house struct {
+// testServer is a server whose views come by a channel.
+type testServer struct {
 	*Server
-	t    *testing.T
-	ln   net.Listener
-	asks chan *engine.Request
-	gone chan routing.RequestID
+	t         *testing.T
+	listener  net.Listener
+	requests  chan *engine.Request
+	cancelled chan routing.RequestID
 }
 
-func newHouse(t *testing.T, change func(*limits.Limits)) *house {
+func newTestServer(t *testing.T, change func(*limits.Limits)) *testServer {
 	l := limits.From(limits.Inputs{MemoryMB: 192, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second})
 	l.WriteStallTimeout = time.Hour // a client that reads nothing is not what ends it here
 	if change != nil {
 		change(&l)
 	}
-	h := &house{t: t, asks: make(chan *engine.Request, 1000), gone: make(chan routing.RequestID, 1000)}
+	h := &testServer{t: t, requests: make(chan *engine.Request, 1000), cancelled: make(chan routing.RequestID, 1000)}
 	h.Server = New(l, config.Names{Classes: []string{"clip"}}, []routing.Class{{}}, Options{}, func(_ time.Time, message engine.Message) bool {
 		switch message := message.(type) {
 		case *engine.Request:
-			h.asks <- message
+			h.requests <- message
 		case engine.ClientGone:
-			h.gone <- message.Request
+			h.cancelled <- message.Request
 		}
 		return true
 	}, zap.NewNop())
 	var err error
-	if h.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if h.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = h.Serve(h.ln)
+		_ = h.Serve(h.listener)
 	}()
 	t.Cleanup(func() {
-		_ = h.ln.Close()
+		_ = h.listener.Close()
 		<-served
 		within(t, "every connection is closed, and nothing of it is left", func() bool {
 			h.shared.mu.Lock()
 			defer h.shared.mu.Unlock()
-			return h.UnclosedCount() == 0 && h.ConnectionCount() == 0 && h.busy.Load() == 0 && h.shared.held.Load() == 0 && len(h.shared.open) == 0
+			return h.UnclosedCount() == 0 && h.ConnectionCount() == 0 && h.busyCount.Load() == 0 && h.shared.backlogBytes.Load() == 0 && len(h.shared.inFlight) == 0
 		})
 	})
 	return h
@@ -76,9 +76,9 @@
 	}
 }
 
-func (h *house) dial() *net.TCPConn {
+func (h *testServer) dial() *net.TCPConn {
 	h.t.Helper()
-	c, err := net.Dial("tcp", h.ln.Addr().String())
+	c, err := net.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 	return c.(*net.TCPConn)
 }
 
-func (h *house) write(c net.Conn, text string) {
+func (h *testServer) write(c net.Conn, text string) {
 	h.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		h.t.Fatal(err)
@@ -95,7 +95,7 @@
 }
 
 // rest reads to the end of a connection, which must be one that loses nothing.
-func (h *house) rest(c net.Conn) string {
+func (h *testServer) readToEnd(c net.Conn) string {
 	h.t.Helper()
 	b, err := io.ReadAll(c)
 	if err != nil {
@@ -114,22 +114,22 @@
 	return v
 }
 
-func view(tag int) string {
+func requestFrame(tag int) string {
 	return frame("DO", fmt.Sprint(tag), "clip", fmt.Sprintf("req=%016x,timeout=1500,subject=7f3a9c21e0b4d655", tag))
 }
 
 // A client sends rubbish behind a view, and goes on sending. What was open has its answer, which arrives: the end does not
 // reset the connection over what was not read.
 func TestRubbishKeepsAnswers(t *testing.T) {
-	h := newHouse(t, nil)
+	h := newTestServer(t, nil)
 	for range 20 {
 		c := h.dial()
-		h.write(c, view(1))
-		got(t, h.asks)
+		h.write(c, requestFrame(1))
+		got(t, h.requests)
 		h.write(c, "GET / HTTP/1.1\r\n"+strings.Repeat("x", 20_000))
-		got(t, h.gone)
+		got(t, h.cancelled)
 		h.write(c, strings.Repeat("y", 20_000))
-		if text := h.rest(c); text != frame("1", "FAILED", "", "") {
+		if text := h.readToEnd(c); text != frame("1", "FAILED", "", "") {
 			t.Fatalf("%q", text)
 		}
 	}
@@ -138,23 +138,23 @@
 // A request comes at the moment in which its connection is ended for having rested: it is not taken any more, and what was
 // answered before arrives.
 func TestRequestCrossesEnd(t *testing.T) {
-	h := newHouse(t, func(l *limits.Limits) { l.ClientIdleTimeout = 30 * time.Millisecond })
+	h := newTestServer(t, func(l *limits.Limits) { l.ClientIdleTimeout = 30 * time.Millisecond })
 	for range 10 {
 		c := h.dial()
 		h.write(c, frame("PING", "1"))
-		if text := h.rest(c); text != frame("1", "UP", "", "") { // the router has shut its side
+		if text := h.readToEnd(c); text != frame("1", "UP", "", "") { // the router has shut its side
 			t.Fatalf("%q", text)
 		}
-		h.write(c, view(2))
+		h.write(c, requestFrame(2))
 		within(t, "the connection is closed", func() bool { return h.UnclosedCount() == 0 })
-		if len(h.asks) > 0 {
+		if len(h.requests) > 0 {
 			t.Fatal("a request that was read after the end was taken")
 		}
 	}
 }
 
 // stuffed is a connection whose input is held, as its client reads none of its answers; the view with the tag is open on it.
-func (h *house) stuffed(tag int) *net.TCPConn {
+func (h *testServer) stuffed(tag int) *net.TCPConn {
 	h.t.Helper()
 	c := h.dial()
 	_ = c.SetReadBuffer(4 << 10)
@@ -162,27 +162,27 @@
 	return c
 }
 
-func (h *house) stuff(c *net.TCPConn, tag int) {
+func (h *testServer) stuff(c *net.TCPConn, tag int) {
 	h.t.Helper()
 	big := bytes.Repeat([]byte("x"), 240_000)
 	for n := 1; n <= 60; n++ {
-		h.write(c, view(n))
-		a := got(h.t, h.asks)
+		h.write(c, requestFrame(n))
+		a := got(h.t, h.requests)
 		a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusOK, Body: big})
 	}
-	h.write(c, view(tag))
-	got(h.t, h.asks)
+	h.write(c, requestFrame(tag))
+	got(h.t, h.requests)
 	for n := range 100 {
 		h.write(c, frame("PING", fmt.Sprint(5000+n)))
 	}
 	within(h.t, "the input is held", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for _, c := range h.conns {
+		for _, c := range h.connections {
 			c.mu.Lock()
-			stalled := c.stalled
+			isBackpressured := c.isBackpressured
 			c.mu.Unlock()
-			if stalled {
+			if isBackpressured {
 				return true
 			}
 		}
@@ -205,18 +205,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newHouse(t, nil)
+			h := newTestServer(t, nil)
 			c := h.stuffed(99)
-			h.write(c, view(100)) // held: not taken yet
+			h.write(c, requestFrame(100)) // held: not taken yet
 			leaves(c)
 			left := time.Now()
-			got(t, h.gone)
+			got(t, h.cancelled)
 			if took := time.Since(left); took > 2*time.Second { // some hundredths where nothing else runs
 				t.Errorf("noticed after %v", took)
 			}
 			_ = c.Close()
 			within(t, "the end of it", func() bool { return h.UnclosedCount() == 0 })
-			if len(h.asks) > 0 {
+			if len(h.requests) > 0 {
 				t.Error("a request was taken of a client that had gone")
 			}
 		})
@@ -226,7 +226,7 @@
 // The order to end: who rests goes at once and loses nothing, an open view has its answer first, one that comes then is
 // refused, also where half of it had come, or its connection only just.
 func TestEnd(t *testing.T) {
-	h := newHouse(t, nil)
+	h := newTestServer(t, nil)
 	resting, open, half := h.dial(), h.dial(), h.dial()
 	for _, c := range []net.Conn{resting, half} {
 		h.write(c, frame("PING", "1"))
@@ -234,15 +234,15 @@
 			t.Fatal(err)
 		}
 	}
-	h.write(half, view(2)[:40])
-	h.write(open, view(3))
-	a := got(t, h.asks)
+	h.write(half, requestFrame(2)[:40])
+	h.write(open, requestFrame(3))
+	a := got(t, h.requests)
 	within(t, "half a request has come", func() bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		for _, c := range h.conns {
+		for _, c := range h.connections {
 			c.mu.Lock()
-			n := c.session.in.Len()
+			n := c.session.input.Len()
 			c.mu.Unlock()
 			if n == 40 {
 				return true
@@ -252,29 +252,29 @@
 	})
 	h.Drain()
 	h.Drain()
-	if text := h.rest(resting); text != "" {
+	if text := h.readToEnd(resting); text != "" {
 		t.Errorf("%q", text)
 	}
-	h.write(resting, view(9)) // crosses the end
-	h.write(open, view(4))
-	h.write(half, view(2)[40:])
+	h.write(resting, requestFrame(9)) // crosses the end
+	h.write(open, requestFrame(4))
+	h.write(half, requestFrame(2)[40:])
 	late := h.dial()
-	h.write(late, view(5))
+	h.write(late, requestFrame(5))
 	for _, c := range []net.Conn{half, late} {
-		if text := h.rest(c); !strings.Contains(text, "BUSY") {
+		if text := h.readToEnd(c); !strings.Contains(text, "BUSY") {
 			t.Errorf("%q", text)
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
 	a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")})
-	if text := h.rest(open); text != frame("4", "BUSY", "", "")+frame("3", "OK", "", "bytes") {
+	if text := h.readToEnd(open); text != frame("4", "BUSY", "", "")+frame("3", "OK", "", "bytes") {
 		t.Errorf("%q", text)
 	}
 	for _, c := range []net.Conn{resting, open, half, late} {
 		_ = c.Close()
 	}
 	within(t, "nobody is left", func() bool { return h.UnclosedCount() == 0 })
-	if len(h.asks) > 0 {
+	if len(h.requests) > 0 {
 		t.Error("a request was taken after the order to end")
 	}
 }
@@ -283,10 +283,10 @@
 // either.
 func TestLeavingInEachOrder(t *testing.T) {
 	for order := range 4 {
-		h := newHouse(t, nil)
+		h := newTestServer(t, nil)
 		c := h.dial()
-		h.write(c, view(1))
-		a := got(t, h.asks)
+		h.write(c, requestFrame(1))
+		a := got(t, h.requests)
 		answer := func() { a.Client.Respond(a.Tag, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")}) }
 		switch order {
 		case 0:
@@ -294,11 +294,11 @@
 			_ = c.Close()
 		case 1:
 			_ = c.Close()
-			got(t, h.gone)
+			got(t, h.cancelled)
 			answer()
 		case 2:
 			h.write(c, frame("UNDO", "1")+frame("UNDO", "1")+frame("PING", "2"))
-			got(t, h.gone)
+			got(t, h.cancelled)
 			answer()
 			want := frame("2", "UP", "", "")
 			b := make([]byte, len(want))
@@ -313,8 +313,8 @@
 		}
 		_ = c.Close()
 		within(t, "the end of it", func() bool { return h.UnclosedCount() == 0 })
-		if len(h.gone) > 1 {
-			t.Errorf("order %d: %d times gone", order, len(h.gone))
+		if len(h.cancelled) > 1 {
+			t.Errorf("order %d: %d times gone", order, len(h.cancelled))
 		}
 	}
 }
--- a/internal/frontend/held_test.go
+++ b/internal/frontend/held_test.go
@@ -11,15 +11,15 @@
 // A connection is paused, as the decisions on admission have it where views are refused in a row. A request with little time left that
 // comes meanwhile has its final answer before that is up.
 func TestPauseEndsBeforeADeadline(t *testing.T) {
-	h := newHouse(t, nil)
+	h := newTestServer(t, nil)
 	c := h.dial()
 	h.write(c, frame("PING", "1"))
 	if _, err := io.ReadFull(c, make([]byte, len(frame("1", "UP", "", "")))); err != nil {
 		t.Fatal(err)
 	}
 	h.mu.Lock()
-	for _, conn := range h.conns {
-		conn.paused.Store(int64(2 * time.Second))
+	for _, conn := range h.connections {
+		conn.pauseFor.Store(int64(2 * time.Second))
 	}
 	h.mu.Unlock()
 	h.write(c, frame("PING", "2")) // the pause begins
@@ -27,7 +27,7 @@
 	begun := time.Now()
 	h.write(c, frame("DO", "3", "clip", "req=00000000000000a7,timeout=300,subject=7f3a9c21e0b4d655"))
 	select {
-	case a := <-h.asks:
+	case a := <-h.requests:
 		if took := time.Since(begun); took > 300*time.Millisecond {
 			t.Errorf("it is taken after %v", took)
 		}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -1,9 +1,5 @@
 package frontend
 
-// This file owns the listener and the goroutines of each client connection. redcon accepts, keeps and ends the
-// connections; their bytes are read here, under the session's bounds, because redcon's own reader grows with whatever
-// length a client announces. It must never look into a frame.
-
 import (
 	"maps"
 	"net"
@@ -23,116 +19,141 @@
 	"go.uber.org/zap"
 )
 
-// Server takes clients.
+// Server accepts client connections and serves them. redcon accepts, keeps and closes the connections; their bytes
+// are read here, within the session's bounds, because redcon's own reader grows with whatever length a client
+// announces.
 type Server struct {
-	shared   shared
-	post     func(at time.Time, message engine.Message) (taken bool)
-	redcon   *redcon.Server
-	start    time.Time
-	log      *zap.Logger
-	keys     *TLSKeys // none: connections are plain
-	spare    *spare
-	guard    *invariant.Monitor
-	refusing time.Time // since when there were no descriptors for those that wait to be accepted; the accepting goroutine's own
-	lag      func() time.Duration
-
-	OnDescriptorShortage func()       // if set, is called when no descriptor is left: others may have some to spare
-	turned               atomic.Int64 // connections that are being turned back
-
-	busy atomic.Int64 // connections on which something is open or to be written
-	live atomic.Int64 // connections that were taken and are not closed yet
-
-	parting atomic.Int64 // connections without a place that are being ended so that what was written arrives
-
-	ending atomic.Bool // whoever rests is to go, and nothing new is taken
-
-	mu    sync.Mutex
-	doors *admission.Controller
-	conns map[admission.ConnID]*conn
-	last  admission.ConnID
-	acts  []admission.Action
+	shared  sharedState
+	post    PostFunc
+	redcon  *redcon.Server
+	start   time.Time // events of admission count from it
+	log     *zap.Logger
+	tlsKeys *TLSKeys // nil: connections are plain
+	spare   *spareDescriptor
+	monitor *invariant.Monitor
+
+	eventQueueDelay func() time.Duration
+
+	// OnDescriptorShortage is called when no descriptor is left, if set. It stands here until its caller has moved to
+	// Options.OnDescriptorShortage.
+	OnDescriptorShortage func()
+
+	goroutines     sync.WaitGroup // writers, rejections and wake-ups
+	busyCount      atomic.Int64   // connections on which something is open or to be written
+	unclosedCount  atomic.Int64   // connections that were accepted and are not closed yet
+	rejectingCount atomic.Int64   // connections that are being rejected
+	lingeringCount atomic.Int64   // evicted connections that are being closed so that what was written arrives
+	isDraining     atomic.Bool
+
+	mu          sync.Mutex
+	admission   *admission.Controller
+	connections map[admission.ConnID]*connection
+	lastConnID  admission.ConnID
+	actions     []admission.Action // reused
 }
 
+// PostFunc sends the engine a message that came at a time, and says whether the engine has taken it.
+type PostFunc func(at time.Time, message engine.Message) (taken bool)
+
 // Options is how connections are admitted.
 type Options struct {
-	Admission       admission.Settings
-	Keys            *TLSKeys             // for TLS, or none
-	EventQueueDelay func() time.Duration // how long events wait for the engine
-	FlowKBPerSecond float64              // KB a second of one transfer, by which due times grow
-	Monitor         *invariant.Monitor   // keeps the invariants of requests and connections, or nobody does
+	Admission            admission.Settings
+	Keys                 *TLSKeys             // nil: connections are plain
+	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil: not at all
+	FlowKBPerSecond      float64              // transfer rate by which latency objectives grow
+	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; nil: nobody does
+	OnDescriptorShortage func()               // called when no descriptor is left: others may have some to spare
+}
+
+// Config is what a server is made of.
+type Config struct {
+	Limits  limits.Limits
+	Names   config.Names
+	Classes []routing.Class
+	Post    PostFunc
+	Log     *zap.Logger
+	Options
 }
 
-// New returns a server; what clients want goes to post.
-func New(l limits.Limits, n config.Names, tariffs []routing.Class, d Options, post func(at time.Time, message engine.Message) (taken bool), log *zap.Logger) *Server {
-	s := &Server{post: post, conns: map[admission.ConnID]*conn{}, start: time.Now(), log: log, keys: d.Keys, spare: newSpare(), lag: d.EventQueueDelay}
-	if s.lag == nil {
-		s.lag = func() time.Duration { return 0 }
+// NewServer returns a server that posts what clients want.
+func NewServer(c Config) *Server {
+	server := &Server{
+		post: c.Post, start: time.Now(), log: c.Log, tlsKeys: c.Keys, spare: newSpareDescriptor(), monitor: c.Monitor,
+		eventQueueDelay: c.EventQueueDelay, OnDescriptorShortage: c.OnDescriptorShortage,
+		connections: map[admission.ConnID]*connection{},
 	}
-	s.doors = admission.New(bounded(d.Admission, &l))
-	s.shared.limits, s.shared.tariffs, s.shared.open = l, map[string]routing.ClassID{}, map[engine.ClientRequestID]claim{}
-	s.shared.tenants, s.shared.guard, s.guard = n.Tenants, d.Monitor, d.Monitor
-	for i, name := range n.Classes {
-		s.shared.tariffs[name] = routing.ClassID(i)
-		s.shared.writes = append(s.shared.writes, tariffs[i].Write)
-		s.shared.repeats = append(s.shared.repeats, invariant.RepeatPolicy{Idempotency: tariffs[i].Idempotency, DedupScope: tariffs[i].DedupScope, DedupWindow: tariffs[i].DedupWindow})
-		growth := 0.0
-		if d.FlowKBPerSecond > 0 {
-			growth = tariffs[i].ObjectiveStretch / d.FlowKBPerSecond
-		}
-		s.shared.due, s.shared.growth = append(s.shared.due, tariffs[i].LatencyObjective), append(s.shared.growth, growth)
+	if server.eventQueueDelay == nil {
+		server.eventQueueDelay = func() time.Duration { return 0 }
 	}
-	s.redcon = redcon.NewServer("", func(redcon.Conn, redcon.Command) {}, nil, nil)
-	return s
+	server.shared.limits, server.shared.monitor, server.shared.log = c.Limits, c.Monitor, c.Log
+	server.shared.inFlight = map[engine.ClientRequestID]claim{}
+	server.shared.setClasses(c.Names, c.Classes, c.FlowKBPerSecond)
+	server.admission = admission.New(withLimits(c.Admission, &server.shared.limits))
+	server.redcon = redcon.NewServer("", func(redcon.Conn, redcon.Command) {}, nil, nil)
+	return server
 }
 
-// bounded fills in what the process's limits say.
-func bounded(set admission.Settings, l *limits.Limits) admission.Settings {
-	set.MaxConnections, set.FirstRequestGrace = l.ClientConnections, l.FirstRequestGrace
-	return set
+// New is NewServer, kept until its callers have moved.
+func New(
+	bounds limits.Limits, names config.Names, classes []routing.Class, options Options, post PostFunc, log *zap.Logger,
+) *Server {
+	return NewServer(Config{Limits: bounds, Names: names, Classes: classes, Post: post, Log: log, Options: options})
 }
 
-// UpdateAdmission takes settings that changed.
-func (s *Server) UpdateAdmission(set admission.Settings) {
+// withLimits fills in what the limits of the process say.
+func withLimits(settings admission.Settings, bounds *limits.Limits) admission.Settings {
+	settings.MaxConnections, settings.FirstRequestGrace = bounds.ClientConnections, bounds.FirstRequestGrace
+	return settings
+}
+
+// UpdateAdmission applies changed settings.
+func (s *Server) UpdateAdmission(settings admission.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.doors.UpdateSettings(bounded(set, &s.shared.limits))
+	s.admission.UpdateSettings(withLimits(settings, &s.shared.limits))
 }
 
-// Serve takes connections from a listener until it is closed.
-func (s *Server) Serve(l net.Listener) error { return s.redcon.Serve(listener{l, s}) }
+// Serve accepts connections from a listener until it is closed.
+func (s *Server) Serve(l net.Listener) error {
+	return s.redcon.Serve(&listener{Listener: l, server: s, spare: s.spare})
+}
 
-// Drain has every connection go as soon as nothing is owed on it; what is still asked is refused at once.
+// Drain has every connection closed as soon as nothing is owed on it; requests that still come are rejected at once.
 func (s *Server) Drain() {
-	s.ending.Store(true)
+	s.isDraining.Store(true)
 	s.mu.Lock()
-	conns := slices.Collect(maps.Values(s.conns))
+	connections := slices.Collect(maps.Values(s.connections))
 	s.mu.Unlock()
-	for _, c := range conns {
+	for _, c := range connections {
 		c.mu.Lock()
-		c.wake()
+		c.wakeReader()
 		c.mu.Unlock()
 	}
 }
 
-// UnclosedCount is how many connections are not closed yet.
-func (s *Server) UnclosedCount() int { return int(s.live.Load() + s.turned.Load()) }
+// Wait returns once the goroutines of connections have ended. It may be called after Serve has returned and
+// UnclosedCount is zero.
+func (s *Server) Wait() { s.goroutines.Wait() }
+
+// UnclosedCount returns how many connections are not closed yet.
+func (s *Server) UnclosedCount() int { return int(s.unclosedCount.Load() + s.rejectingCount.Load()) }
 
-// ConnectionCount is how many connections there are.
+// ConnectionCount returns how many connections there are.
 func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns)
+	return len(s.connections)
 }
 
-// AdmissionStatus is what was decided about connections so far, and the mode it is in.
-func (s *Server) AdmissionStatus() (admission.Counts, string) {
+// AdmissionStatus returns the admission decisions so far, and the name of the overload mode.
+func (s *Server) AdmissionStatus() (counts admission.Counts, mode string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.doors.Counts, s.doors.Mode().String()
+	return s.admission.Counts, s.admission.Mode().String()
 }
 
-// listener hands redcon connections whose bytes are read here.
-type listener struct {
-	net.Listener
-	server *Server
+// ReportDescriptorShortage says that no descriptor was left for an upstream connection: idle connections are closed
+// for it.
+func (s *Server) ReportDescriptorShortage() {
+	s.handleAdmissionEvent(admission.Event{Kind: admission.EventNoUpstreamDescriptors})
 }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -64,9 +64,9 @@
 	if _, got := ask(frame("PING", "1")); got != frame("1", "BUSY", "", "") {
 		t.Errorf("a fourth busy client got %q", got)
 	}
-	for end := time.Now().Add(10 * time.Second); s.ConnectionCount() > 3 || s.busy.Load() != 3; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); s.ConnectionCount() > 3 || s.busyCount.Load() != 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections, %d busy", s.ConnectionCount(), s.busy.Load())
+			t.Fatalf("%d connections, %d busy", s.ConnectionCount(), s.busyCount.Load())
 		}
 	}
 }
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -8,22 +8,23 @@
 	"time"
 
 	"fennelarch/internal/engine"
-	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
 	"fennelarch/policy/admission"
 	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
 )
 
 // open is doors that let any view in.
 func open(admission.Event) (time.Duration, bool) { return 0, true }
 
 func testSession() *session {
-	s := &shared{
+	s := &sharedState{
 		limits:  limits.From(limits.Inputs{MemoryMB: 6, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second}),
-		tariffs: map[string]routing.ClassID{"clip": 0, "signoff": 1}, writes: []bool{false, true}, repeats: make([]invariant.RepeatPolicy, 2), open: map[engine.ClientRequestID]claim{},
+		classes: map[string]routing.ClassID{"clip": 0, "signoff": 1}, classSettings: []classSettings{{}, {isWrite: true}}, inFlight: map[engine.ClientRequestID]claim{},
+		log: zap.NewNop(),
 	}
-	s.due, s.growth = make([]time.Duration, len(s.writes)), make([]float64, len(s.writes))
 	return newSession(s, nil, open, time.Time{})
 }
 
@@ -34,19 +35,19 @@
 func do(tag int, body string) string { return frame("DO", fmt.Sprint(tag), "clip", asked, body) }
 
 // got takes what came into the space at once.
-func (s *session) got(n int, now time.Time) error {
-	s.put(n, now, now)
+func (s *session) receive(n int, now time.Time) error {
+	s.received(n, now, now)
 	return s.parse(now)
 }
 
 // hear feeds bytes in parts of so many, and tells what came of it: views, what was given up, and the words written.
-func (s *session) hear(stream string, each int) (string, error) {
+func (s *session) feed(stream string, each int) (string, error) {
 	var log []string
 	for len(stream) > 0 {
-		n := copy(s.space(), stream[:min(each, len(stream))])
-		err := s.got(n, time.Time{})
-		log = append(log, s.told()...)
-		log = append(log, s.words()...)
+		n := copy(s.inputSpace(), stream[:min(each, len(stream))])
+		err := s.receive(n, time.Time{})
+		log = append(log, s.sentMessages()...)
+		log = append(log, s.writtenResponses()...)
 		if err != nil {
 			return strings.Join(log, "; "), err
 		}
@@ -55,8 +56,8 @@
 	return strings.Join(log, "; "), nil
 }
 
-func (s *session) told() (log []string) {
-	for _, e := range s.take() {
+func (s *session) sentMessages() (log []string) {
+	for _, e := range s.takeMessages() {
 		switch e := e.(type) {
 		case *engine.Request:
 			log = append(log, fmt.Sprintf("view %d tariff %d of %x/%d group %d, %g KB, %v left, write %v, has %q, id %x, %d bytes", e.Tag,
@@ -69,15 +70,15 @@
 }
 
 // words drains what is to be written.
-func (s *session) words() (log []string) {
+func (s *session) writtenResponses() (log []string) {
 	var all string
 	for {
-		out := s.outgoing()
+		out := s.nextOutput()
 		if len(out) == 0 {
 			break
 		}
 		all += string(out)
-		s.out.Wrote(len(out))
+		s.output.Wrote(len(out))
 	}
 	for part := range strings.SplitSeq(all, "*4\r\n") {
 		if w := strings.Split(part, "\r\n"); len(w) > 7 {
@@ -89,18 +90,18 @@
 
 func Example_view() {
 	s := testSession()
-	fmt.Println(s.hear(frame("PING", "1")+do(2, ""), 1<<16))
-	fmt.Println(s.hear(frame("DO", "3", "signoff", "req=9b1f03aa5c7e2d42,timeout=7,subject=0000000000000001", "a\r\nb"), 1<<16))
-	_, _ = s.hear(do(4, "")+do(5, "")+do(6, "")+do(7, ""), 1<<16)
-	s.answer(3, engine.Response{Status: engine.StatusFailed})
-	s.answer(4, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")})
-	s.answer(5, engine.Response{Status: engine.StatusOK, NotModified: true})
-	s.answer(6, engine.Response{Status: engine.StatusRejected, RetryAfter: 250 * time.Millisecond})
-	s.answer(6, engine.Response{Status: engine.StatusFailed})
-	s.answer(7, engine.Response{Status: engine.StatusRejected})
-	fmt.Printf("%q\n", s.words())
-	s.over()
-	fmt.Println(s.told(), s.idle())
+	fmt.Println(s.feed(frame("PING", "1")+do(2, ""), 1<<16))
+	fmt.Println(s.feed(frame("DO", "3", "signoff", "req=9b1f03aa5c7e2d42,timeout=7,subject=0000000000000001", "a\r\nb"), 1<<16))
+	_, _ = s.feed(do(4, "")+do(5, "")+do(6, "")+do(7, ""), 1<<16)
+	s.respond(3, engine.Response{Status: engine.StatusFailed})
+	s.respond(4, engine.Response{Status: engine.StatusOK, Body: []byte("bytes")})
+	s.respond(5, engine.Response{Status: engine.StatusOK, NotModified: true})
+	s.respond(6, engine.Response{Status: engine.StatusRejected, RetryAfter: 250 * time.Millisecond})
+	s.respond(6, engine.Response{Status: engine.StatusFailed})
+	s.respond(7, engine.Response{Status: engine.StatusRejected})
+	fmt.Printf("%q\n", s.writtenResponses())
+	s.close()
+	fmt.Println(s.sentMessages(), s.isIdle())
 	// Output:
 	// view 2 tariff 0 of 7f3a9c21e0b4d655/3 group 17, 412.5 KB, 1.5s left, write false, has "4be0c1927d55a6f3", id 9b1f03aa5c7e2d41, 0 bytes; 1 UP   <nil>
 	// view 3 tariff 1 of 1/0 group 0, 0 KB, 7ms left, write true, has "", id 9b1f03aa5c7e2d42, 4 bytes <nil>
@@ -135,19 +136,19 @@
 	for _, stream := range bad {
 		for _, each := range []int{1, 13, 1 << 16} {
 			s := testSession()
-			got, err := s.hear(stream+do(2, "")+frame("PING", "3"), each)
+			got, err := s.feed(stream+do(2, "")+frame("PING", "3"), each)
 			if err != nil || strings.Count(got, "FAILED") != 1 || strings.Count(got, "view") != 1 || !strings.Contains(got, "3 UP") {
 				t.Errorf("%.90q in parts of %d: %s, %v", stream, each, got, err)
 			}
 		}
 	}
-	if got, err := testSession().hear(do(1, strings.Repeat("x", 48_000)), 1<<16); err != nil || !strings.HasSuffix(got, "48000 bytes") {
+	if got, err := testSession().feed(do(1, strings.Repeat("x", 48_000)), 1<<16); err != nil || !strings.HasSuffix(got, "48000 bytes") {
 		t.Errorf("the largest body: %.100s, %v", got, err)
 	}
 	for _, stream := range []string{"GET / HTTP/1.1\r\n", "*2\r\n$4\r\nPING\r\n$99999999\r\n", frame("PING"), do(9, ""), frame("PING", "9")} {
 		s := testSession()
-		got, err := s.hear(do(9, "")+stream, 1)
-		if s.answer(9, engine.Response{Body: []byte("late")}); err == nil || !strings.HasSuffix(got, "gone 1; 9 FAILED  ") || !s.idle() {
+		got, err := s.feed(do(9, "")+stream, 1)
+		if s.respond(9, engine.Response{Body: []byte("late")}); err == nil || !strings.HasSuffix(got, "gone 1; 9 FAILED  ") || !s.isIdle() {
 			t.Errorf("%q leaves the connection in use, or is served for what went before: %s", stream, got)
 		}
 	}
@@ -174,10 +175,10 @@
 	} {
 		s := testSession()
 		s.shared.tenants = c.tenants
-		if err := s.got(copy(s.space(), frame("DO", "1", "clip", asked+c.fields)), time.Time{}); err != nil {
+		if err := s.receive(copy(s.inputSpace(), frame("DO", "1", "clip", asked+c.fields)), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		events := s.take()
+		events := s.takeMessages()
 		if (len(events) == 0) != c.bad {
 			t.Errorf("%q with %v: taken %v", c.fields, c.tenants, len(events) > 0)
 			continue
@@ -195,21 +196,21 @@
 func TestIdsOpen(t *testing.T) {
 	a := testSession()
 	b, other := newSession(a.shared, nil, open, time.Time{}), strings.Replace(asked, "piece=3", "piece=4", 1)
-	_, _ = a.hear(do(1, "")+do(2, ""), 1<<16)
-	for _, ends := range []func(){func() {}, func() { a.answer(1, engine.Response{}) }} {
-		if ends(); len(b.words()) > 0 {
+	_, _ = a.feed(do(1, "")+do(2, ""), 1<<16)
+	for _, ends := range []func(){func() {}, func() { a.respond(1, engine.Response{}) }} {
+		if ends(); len(b.writtenResponses()) > 0 {
 			t.Fatal("an answer to nobody")
 		}
-		if got, _ := b.hear(frame("DO", "1", "clip", other), 1<<16); got != "1 FAILED  " {
+		if got, _ := b.feed(frame("DO", "1", "clip", other), 1<<16); got != "1 FAILED  " {
 			t.Errorf("another object under an open id: %s", got)
 		}
 	}
-	if got, _ := b.hear(do(2, ""), 1<<16); !strings.HasPrefix(got, "view 2") {
+	if got, _ := b.feed(do(2, ""), 1<<16); !strings.HasPrefix(got, "view 2") {
 		t.Errorf("the same object under an open id: %s", got)
 	}
-	_, _ = a.hear(frame("UNDO", "2"), 1<<16)
-	if b.over(); len(a.shared.open) > 0 {
-		t.Errorf("%d ids are kept", len(a.shared.open))
+	_, _ = a.feed(frame("UNDO", "2"), 1<<16)
+	if b.close(); len(a.shared.inFlight) > 0 {
+		t.Errorf("%d ids are kept", len(a.shared.inFlight))
 	}
 }
 
@@ -217,20 +218,20 @@
 func TestUntil(t *testing.T) {
 	s, l := testSession(), testSession().shared.limits
 	start, later := time.Time{}, time.Time{}.Add(time.Minute)
-	if s.until(later) != start.Add(l.MessageTimeout) || !s.rest() {
+	if s.readDeadline(later) != start.Add(l.MessageTimeout) || !s.handleReadTimeout() {
 		t.Error("one that says nothing stays")
 	}
-	_, _ = s.hear(do(1, ""), 9)
-	if s.until(later) != later.Add(l.ClientIdleTimeout) || s.rest() {
+	_, _ = s.feed(do(1, ""), 9)
+	if s.readDeadline(later) != later.Add(l.ClientIdleTimeout) || s.handleReadTimeout() {
 		t.Error("one with an open view goes")
 	}
-	if err := s.got(copy(s.space(), "*4\r\n$2\r\nDO"), later); err != nil || s.until(later.Add(time.Second)) != later.Add(l.MessageTimeout) {
+	if err := s.receive(copy(s.inputSpace(), "*4\r\n$2\r\nDO"), later); err != nil || s.readDeadline(later.Add(time.Second)) != later.Add(l.MessageTimeout) {
 		t.Error("half a message may take as long as it likes")
 	}
-	if err := s.got(copy(s.space(), "\r"), later.Add(time.Second)); err != nil || s.until(later.Add(time.Second)) != later.Add(l.MessageTimeout) {
+	if err := s.receive(copy(s.inputSpace(), "\r"), later.Add(time.Second)); err != nil || s.readDeadline(later.Add(time.Second)) != later.Add(l.MessageTimeout) {
 		t.Error("each byte gives it more time")
 	}
-	if rests := s.rest(); !rests || fmt.Sprint(s.words()) != "[1 FAILED  ]" {
+	if rests := s.handleReadTimeout(); !rests || fmt.Sprint(s.writtenResponses()) != "[1 FAILED  ]" {
 		t.Error("half a message keeps the connection, or its views are left out")
 	}
 }
@@ -241,7 +242,7 @@
 	for tag := range 34 {
 		stream += do(tag+1, "")
 	}
-	got, err := s.hear(stream, 1000)
+	got, err := s.feed(stream, 1000)
 	if err != nil || strings.Count(got, "view") != 32 || !strings.Contains(got, "33 FAILED") || !strings.Contains(got, "34 FAILED") {
 		t.Errorf("%s, %v", got, err)
 	}
@@ -250,17 +251,17 @@
 // UNDO and the answer may cross: nothing is written for a view that was given up, and never two answers.
 func TestUndo(t *testing.T) {
 	s := testSession()
-	if got, err := s.hear(do(1, "")+do(2, ""), 1<<16); err != nil || strings.Count(got, "view") != 2 {
+	if got, err := s.feed(do(1, "")+do(2, ""), 1<<16); err != nil || strings.Count(got, "view") != 2 {
 		t.Errorf("%s, %v", got, err)
 	}
-	got, err := s.hear(frame("UNDO", "1")+frame("UNDO", "1")+frame("UNDO", "7"), 1<<16)
+	got, err := s.feed(frame("UNDO", "1")+frame("UNDO", "1")+frame("UNDO", "7"), 1<<16)
 	if err != nil || got != "gone 1" {
 		t.Errorf("%s, %v", got, err)
 	}
-	s.answer(1, engine.Response{Body: []byte("late")})
-	s.answer(2, engine.Response{Body: []byte("in time")})
-	if got, err := s.hear(frame("UNDO", "2"), 1<<16); got != "" || err != nil || !s.idle() || s.shared.held.Load() != 0 {
-		t.Errorf("%q, %v, %d bytes held", got, err, s.shared.held.Load())
+	s.respond(1, engine.Response{Body: []byte("late")})
+	s.respond(2, engine.Response{Body: []byte("in time")})
+	if got, err := s.feed(frame("UNDO", "2"), 1<<16); got != "" || err != nil || !s.isIdle() || s.shared.backlogBytes.Load() != 0 {
+		t.Errorf("%q, %v, %d bytes held", got, err, s.shared.backlogBytes.Load())
 	}
 }
 
@@ -269,28 +270,28 @@
 func TestSlowReader(t *testing.T) {
 	s := testSession()
 	for tag := range 32 {
-		if err := s.got(copy(s.space(), do(tag+1, "")), time.Time{}); err != nil {
+		if err := s.receive(copy(s.inputSpace(), do(tag+1, "")), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
-		s.answer(engine.Tag(tag+1), engine.Response{Body: make([]byte, 100_000)})
-		s.outgoing()
+		s.respond(engine.Tag(tag+1), engine.Response{Body: make([]byte, 100_000)})
+		s.nextOutput()
 	}
-	if l := s.shared.limits; s.shared.held.Load() > l.ResponseBacklogBytes || s.out.Len() > l.ClientWriteBuffer {
-		t.Errorf("%d bytes of answers held, %d in the ring", s.shared.held.Load(), s.out.Len())
+	if l := s.shared.limits; s.shared.backlogBytes.Load() > l.ResponseBacklogBytes || s.output.Len() > l.ClientWriteBuffer {
+		t.Errorf("%d bytes of answers held, %d in the ring", s.shared.backlogBytes.Load(), s.output.Len())
 	}
-	for i := 0; i < 200 && !s.full(); i++ {
-		if err := s.got(copy(s.space(), frame("PING", fmt.Sprint(100+i))), time.Time{}); err != nil {
+	for i := 0; i < 200 && !s.isBackpressured(); i++ {
+		if err := s.receive(copy(s.inputSpace(), frame("PING", fmt.Sprint(100+i))), time.Time{}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if !s.full() || len(s.waiting) > s.shared.limits.PendingResponses {
-		t.Errorf("%d answers wait", len(s.waiting))
+	if !s.isBackpressured() || len(s.pendingResponses) > s.shared.limits.PendingResponses {
+		t.Errorf("%d answers wait", len(s.pendingResponses))
 	}
-	if all := strings.Join(s.words(), ";"); strings.Count(all, "OK") < 8 || strings.Count(all, "FAILED")+strings.Count(all, "OK") != 32 {
+	if all := strings.Join(s.writtenResponses(), ";"); strings.Count(all, "OK") < 8 || strings.Count(all, "FAILED")+strings.Count(all, "OK") != 32 {
 		t.Errorf("%d OK, %d FAILED", strings.Count(all, "OK"), strings.Count(all, "FAILED"))
 	}
-	if s.shared.held.Load() != 0 {
-		t.Errorf("%d bytes held at the end", s.shared.held.Load())
+	if s.shared.backlogBytes.Load() != 0 {
+		t.Errorf("%d bytes held at the end", s.shared.backlogBytes.Load())
 	}
 }
 
@@ -298,13 +299,13 @@
 func TestNothingTakenOnceOver(t *testing.T) {
 	s := testSession()
 	for tag := range s.shared.limits.PendingResponses + 1 {
-		_ = s.got(copy(s.space(), frame("PING", fmt.Sprint(tag+100))), time.Time{})
+		_ = s.receive(copy(s.inputSpace(), frame("PING", fmt.Sprint(tag+100))), time.Time{})
 	}
-	if _ = s.got(copy(s.space(), do(1, "")), time.Time{}); !s.full() || len(s.take()) > 0 {
+	if _ = s.receive(copy(s.inputSpace(), do(1, "")), time.Time{}); !s.isBackpressured() || len(s.takeMessages()) > 0 {
 		t.Fatal("the input is not held")
 	}
-	s.over()
-	if err := s.parse(time.Time{}); err != nil || len(s.take()) > 0 || len(s.open) > 0 {
+	s.close()
+	if err := s.parse(time.Time{}); err != nil || len(s.takeMessages()) > 0 || len(s.inFlight) > 0 {
 		t.Errorf("a view was taken of a client that has gone, or %v", err)
 	}
 }
@@ -315,12 +316,12 @@
 	f.Add(frame("DO", "0", "clip", asked)+"*1\r\n$", 1)
 	f.Fuzz(func(t *testing.T, stream string, each int) {
 		s := testSession()
-		_, _ = s.hear(stream, min(max(1, each), math.MaxInt16))
-		if s.in.Len() > s.shared.limits.ClientReadBuffer {
-			t.Errorf("%d bytes held", s.in.Len())
+		_, _ = s.feed(stream, min(max(1, each), math.MaxInt16))
+		if s.input.Len() > s.shared.limits.ClientReadBuffer {
+			t.Errorf("%d bytes held", s.input.Len())
 		}
-		s.over()
-		if !s.idle() || s.shared.held.Load() != 0 {
+		s.close()
+		if !s.isIdle() || s.shared.backlogBytes.Load() != 0 {
 			t.Error("something is left")
 		}
 	})
@@ -331,19 +332,19 @@
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	s := testSession()
-	put := func(text string, ms int) { s.put(copy(s.space(), text), at(ms), at(ms)) }
+	put := func(text string, ms int) { s.received(copy(s.inputSpace(), text), at(ms), at(ms)) }
 	put(do(1, "")+do(2, "")[:30], 0)
 	put(do(2, "")[30:], 10)
 	put(strings.Replace(do(3, ""), "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d43", 1)[:50], 20)
 	put(strings.Replace(do(3, ""), "9b1f03aa5c7e2d41", "9b1f03aa5c7e2d43", 1)[50:], 30)
-	if first := s.ahead(); !first.Equal(at(1500)) {
+	if first := s.scanHeldInput(); !first.Equal(at(1500)) {
 		t.Errorf("the first is to have its answer by %v", first.Sub(start))
 	}
 	if err := s.parse(at(100)); err != nil {
 		t.Fatal(err)
 	}
 	for tag, ms := range []int{0, 10, 30} {
-		if a := s.open[engine.Tag(tag+1)]; a == nil || !a.ReceivedAt.Equal(at(ms)) {
+		if a := s.inFlight[engine.Tag(tag+1)]; a == nil || !a.ReceivedAt.Equal(at(ms)) {
 			t.Errorf("request %d came at %v", tag+1, a.ReceivedAt.Sub(start))
 		}
 	}
@@ -356,7 +357,7 @@
 			_ = s.parse(at(200))
 		}
 	}
-	if got := s.arrivals.look(0); len(s.arrivals.list) > arrivalsMost || got.After(at(1199)) || got.Before(at(200)) {
+	if got := s.arrivals.timeOf(0); len(s.arrivals.list) > maxArrivals || got.After(at(1199)) || got.Before(at(200)) {
 		t.Errorf("%d arrivals, the last at %v", len(s.arrivals.list), got.Sub(start))
 	}
 }
--- /dev/null
+++ b/internal/frontend/writer.go
@@ -0,0 +1,41 @@
+package frontend
+
+import (
+	"time"
+
+	"fennelarch/internal/system"
+)
+
+// writeLoop writes responses until the session is closed, or closes it where a write fails.
+func (c *connection) writeLoop() {
+	for {
+		output, isClosed := c.awaitOutput()
+		if isClosed {
+			return
+		}
+		_ = c.SetWriteDeadline(time.Now().Add(c.server.shared.limits.WriteStallTimeout))
+		count, err := system.Write(c.Conn, output)
+		c.mu.Lock()
+		c.session.wroteOutput(count)
+		if err != nil {
+			c.session.close()
+		}
+		c.unlockChanged()
+		if err != nil {
+			_ = c.Conn.Close()
+			return
+		}
+	}
+}
+
+// awaitOutput waits until there is something to be written, or the session is closed.
+func (c *connection) awaitOutput() (output []byte, isClosed bool) {
+	c.mu.Lock()
+	defer c.unlockChanged()
+	output = c.session.nextOutput()
+	for len(output) == 0 && !c.session.state.isClosed() {
+		c.changed.Wait()
+		output = c.session.nextOutput()
+	}
+	return output, c.session.state.isClosed()
+}
