--- /dev/null
+++ b/cmd/fennelarch/assemble.go
@@ -0,0 +1,172 @@
+package main
+
+// The construction of a router's parts. Every constructor of another package is called here, in the order in which
+// the parts depend on each other.
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"fennelarch/internal/config"
+	"fennelarch/internal/discovery"
+	"fennelarch/internal/engine"
+	"fennelarch/internal/flightrecorder"
+	"fennelarch/internal/frontend"
+	"fennelarch/internal/invariant"
+	"fennelarch/internal/limits"
+	"fennelarch/internal/operatorconfig"
+	"fennelarch/internal/sharedstore"
+	"fennelarch/internal/stalldetect"
+	"fennelarch/internal/upstream"
+	"fennelarch/policy/admission"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+)
+
+// recordedEvents is how many events the flight recorder holds: some seconds of a busy router, in a fifth of a megabyte.
+const recordedEvents = 4096
+
+// deriveLimits returns the limits that follow from the configuration.
+func deriveLimits(cfg *config.Config) limits.Limits {
+	inputs := limits.Inputs{
+		Cores:                cfg.Cores,
+		MemoryMB:             cfg.MemoryMB,
+		Sockets:              cfg.Sockets,
+		StreamsPerConnection: cfg.Names.StreamsPerConnection,
+		ConnectTimeout:       cfg.Routing.ConnectTimeout,
+		IdleTimeout:          cfg.Names.IdleTimeout,
+		DrainGrace:           cfg.Routing.DrainGrace,
+		PurgeGrace:           cfg.Routing.PurgeGrace,
+	}
+	for _, class := range cfg.Routing.Classes {
+		inputs.LongestDeadline = max(inputs.LongestDeadline, class.Deadline)
+	}
+	return limits.From(inputs)
+}
+
+// assemble makes the parts of the router and connects them. Nothing reads from a socket before start is called.
+func (r *router) assemble(retry *startupRetry) error {
+	r.monitor = r.newMonitor()
+	go r.watchStalls(context.Background())
+	r.stores = r.newSharedStores()
+	r.upstream = r.newUpstreamPool()
+	r.engine = r.newEngine()
+	r.engine.Start(0)
+	if err := r.buildFrontend(retry); err != nil {
+		return err
+	}
+	r.upstream.OnDescriptorShortage = r.frontend.ReportDescriptorShortage
+	r.frontend.OnDescriptorShortage = r.upstream.CloseIdle
+	r.watcher = r.newWatcher()
+	r.applyKnownEvents()
+	return nil
+}
+
+// newMonitor returns the monitor of the router's invariants, whose flight recorder is written at a violation.
+func (r *router) newMonitor() *invariant.Monitor {
+	recorder := flightrecorder.New(recordedEvents, invariant.ReasonName)
+	return invariant.NewMonitor(r.log, recorder, stalldetect.New(), func(reason string) {
+		go r.writeRecorder(recorder, reason)
+	})
+}
+
+func (r *router) newSharedStores() sharedStores {
+	file := r.operatorFile.Load()
+	if len(file.Stores) == 0 {
+		return sharedStores{}
+	}
+	var list []sharedstore.Store
+	for _, store := range file.Stores {
+		list = append(list, sharedstore.Store{
+			UID: store.UID, Addresses: store.Addresses, Listed: store.Listed, Weight: store.Weight, Prefix: store.Prefix,
+			Login: sharedstore.NewLogin(store.User, store.Password, store.Database), TLS: store.Secure,
+		})
+	}
+	settings := sharedStoreSettings(file, r.config, r.limits)
+	return sharedStores{sharedstore.New(
+		r.limits, r.config.Routing, settings, r.config.Seed, list, r.startedAt, r.post, r.log)}
+}
+
+func (r *router) newUpstreamPool() *upstream.Pool {
+	hasReportsInHealthChecks := r.config.Routing.ReportChannel == routing.ReportsWithHealthChecks
+	pool := upstream.New(r.limits, r.config.Names, hasReportsInHealthChecks, r.stores.upstreamPost(r.post), r.log)
+	pool.Monitor = r.monitor
+	return pool
+}
+
+func (r *router) newEngine() *engine.Engine {
+	localCache := engine.LocalCacheSettings{
+		Bytes:              r.limits.LocalCacheBytes,
+		FlowBytesPerSecond: r.config.FlowBytesPerSecond,
+		LinkBytesPerSecond: r.config.LinkBytesPerSecond,
+		MaxInFlight:        r.limits.ForgetAfter,
+	}
+	transport := r.stores.wrap(r.upstream)
+	made := engine.New(
+		r.config.Routing, r.config.Seed, r.limits.EventQueue, r.startedAt, transport, localCache, r.log)
+	made.SetMonitor(r.monitor, r.stores.wallClockStepped)
+	return made
+}
+
+// buildFrontend makes the frontend. Reading its TLS keys is retried like any other file of a start.
+func (r *router) buildFrontend(retry *startupRetry) error {
+	options := frontend.Options{
+		EventQueueDelay: r.engine.EventQueueDelay,
+		FlowKBPerSecond: r.config.Routing.FlowKBPerSecond,
+		Monitor:         r.monitor,
+	}
+	err := retry.load(func() (err error) {
+		options.Admission, options.Keys, err = loadFrontendFiles(r.operatorFile.Load(), r.config)
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	r.tlsKeys = options.Keys
+	r.frontend = frontend.New(r.limits, r.config.Names, r.config.Routing.Classes, options, r.offer, r.log)
+	return nil
+}
+
+// newWatcher returns the watcher of the discovery server, which keeps the shared stores informed.
+func (r *router) newWatcher() *discovery.Watcher {
+	watcher := discovery.New(r.limits, r.config.Names, r.config.DiscoveryAddress, r.log)
+	watcher.Stalls = r.monitor.Watch()
+	watcher.OnCurrent = r.stores.discoveryCurrent
+	watcher.OnGap = r.stores.discoveryGap
+	return watcher
+}
+
+// applyKnownEvents applies the discovery events that the configuration holds. Unreadable ones are skipped: the
+// discovery server reports the state that follows from them.
+func (r *router) applyKnownEvents() {
+	if len(r.config.KnownEvents) == 0 {
+		return
+	}
+	known, parseErr := discovery.ParseKnown(r.config.KnownEvents)
+	applyErr := r.watcher.Apply(&known, engine.AgeBeforeStart, func(message engine.Message) {
+		r.engine.Handle(0, engine.Event{Message: r.stores.translateEvent(message)})
+	})
+	if err := errors.Join(parseErr, applyErr); err != nil {
+		r.log.Warn("configuration: some known events are unreadable", zap.Error(err))
+	}
+}
+
+// loadFrontendFiles returns the settings of admission and the TLS keys that the operator's file names; no keys without
+// TLS.
+func loadFrontendFiles(
+	file *operatorconfig.File, cfg *config.Config,
+) (settings admission.Settings, keys *frontend.TLSKeys, err error) {
+	if settings, err = admissionSettings(file, cfg); err != nil {
+		return settings, nil, err
+	}
+	if file.TLS == nil {
+		return settings, nil, nil
+	}
+	keys, err = frontend.LoadTLSKeys(tlsFiles(file.TLS))
+	if err != nil {
+		return settings, nil, fmt.Errorf("operator's file: tls: %w", err)
+	}
+	return settings, keys, nil
+}
--- a/cmd/fennelarch/endings_test.go
+++ b/cmd/fennelarch/endings_test.go
@@ -27,7 +27,7 @@
 	if took := time.Since(begun); f.ended != nil || took > within {
 		f.t.Errorf("ended after %v with %v", took, f.ended)
 	}
-	if !strings.Contains(f.log.String(), "stopped\t{\"router\": \"n0\", \"open\": 0}") {
+	if !strings.Contains(f.log.String(), "stopped\t{\"router\": \"n0\", \"in_flight\": 0}") {
 		f.t.Error("views were left open")
 	}
 }
@@ -260,7 +260,7 @@
 	_ = f.router.Process.Signal(syscall.SIGTERM)
 	_ = c.conn.Close()
 	f.stopped(begun, 2500*time.Millisecond)
-	if n := strings.Count(f.log.String(), "only the bulletin's address is taken"); n != 1 {
+	if n := strings.Count(f.log.String(), "only the discovery address changes before a restart"); n != 1 {
 		t.Errorf("%d log lines say that the rest was not taken", n)
 	}
 }
--- a/cmd/fennelarch/log.go
+++ b/cmd/fennelarch/log.go
@@ -1,7 +1,7 @@
 package main
 
-// This file owns the log's way out: lines go by a bounded queue to standard error, and one that finds it full is
-// dropped and counted, so that nobody ever waits on the log.
+// The log's output: lines go through a bounded queue to standard error. One that finds the queue full is dropped and
+// counted, so that nothing ever waits on the log.
 
 import (
 	"fmt"
@@ -13,49 +13,57 @@
 	"go.uber.org/zap/zapcore"
 )
 
-type lines struct {
-	queue chan []byte
-	lost  atomic.Int64
-	done  atomic.Int64 // lines taken from the queue and written
-	taken atomic.Int64 // lines put into it
+// flushPollInterval is how often flush looks whether the queue has been written.
+const flushPollInterval = time.Millisecond
+
+// logQueue is a zapcore.WriteSyncer that never blocks.
+type logQueue struct {
+	lines   chan []byte
+	queued  atomic.Int64 // lines put into the queue
+	written atomic.Int64 // lines taken from it and written
+	dropped atomic.Int64 // lines dropped since that was last reported
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+// Write queues a copy of a line, or drops it.
+func (q *logQueue) Write(line []byte) (int, error) {
 	select {
-	case l.queue <- append([]byte(nil), p...):
-		l.taken.Add(1)
+	case q.lines <- append([]byte(nil), line...):
+		q.queued.Add(1)
 	default:
-		l.lost.Add(1)
+		q.dropped.Add(1)
 	}
-	return len(p), nil
+	return len(line), nil
 }
 
-func (l *lines) Sync() error { return nil }
+// Sync does nothing: the program flushes at its end.
+func (q *logQueue) Sync() error { return nil }
 
-func (l *lines) run() {
-	for p := range l.queue {
-		_, _ = os.Stderr.Write(p)
-		l.done.Add(1)
-		if n := l.lost.Swap(0); n > 0 {
-			fmt.Fprintf(os.Stderr, "%d lines of the log were lost\n", n)
+// run writes the lines of the queue for as long as the program runs.
+func (q *logQueue) run() {
+	for line := range q.lines {
+		_, _ = os.Stderr.Write(line)
+		q.written.Add(1)
+		if dropped := q.dropped.Swap(0); dropped > 0 {
+			fmt.Fprintf(os.Stderr, "%d log lines dropped\n", dropped)
 		}
 	}
 }
 
-// flush waits until the lines so far are out, but no longer than so.
-func (l *lines) flush(long time.Duration) {
-	for end := time.Now().Add(long); l.done.Load() < l.taken.Load() && time.Now().Before(end); {
-		time.Sleep(time.Millisecond)
+// flush waits until all lines so far are written, or a timeout is over.
+func (q *logQueue) flush(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
+	for q.written.Load() < q.queued.Load() && time.Now().Before(deadline) {
+		time.Sleep(flushPollInterval)
 	}
 }
 
-// newLog returns a log that keeps at most so many lines waiting, and what writes the last of them.
-func newLog(queue int, flush time.Duration) (*zap.Logger, func()) {
-	l := &lines{queue: make(chan []byte, queue)}
-	go l.run()
-	conf := zap.NewProductionEncoderConfig()
-	conf.EncodeTime = zapcore.ISO8601TimeEncoder
-	conf.EncodeDuration = zapcore.StringDurationEncoder
-	core := zapcore.NewCore(zapcore.NewConsoleEncoder(conf), l, zapcore.InfoLevel)
-	return zap.New(core), func() { l.flush(flush) }
+// newLog returns a log whose queue holds a number of lines, and a function that flushes it.
+func newLog(queueLength int, flushTimeout time.Duration) (*zap.Logger, func()) {
+	queue := &logQueue{lines: make(chan []byte, queueLength)}
+	go queue.run()
+	encoding := zap.NewProductionEncoderConfig()
+	encoding.EncodeTime = zapcore.ISO8601TimeEncoder
+	encoding.EncodeDuration = zapcore.StringDurationEncoder
+	core := zapcore.NewCore(zapcore.NewConsoleEncoder(encoding), queue, zapcore.InfoLevel)
+	return zap.New(core), func() { queue.flush(flushTimeout) }
 }
--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -1,5 +1,4 @@
-// Command fennelarch is the router as a service. This file owns the command line; what a router is made of is put
-// together in serve.go.
+// Command fennelarch is the router as a service, with commands to check its files and to make development keys.
 package main
 
 import (
@@ -18,6 +17,7 @@
 // version is the release; the revision is added where the build knows it.
 const version = "0.1.0"
 
+//nolint:lll // a struct tag cannot be broken
 type serveCmd struct {
 	Operator string `help:"The operator's own file: what this installation has beyond the platform." env:"RELAY_OPERATOR" placeholder:"FILE"`
 	Recorder string `help:"The folder into which the flight recorder is written at SIGUSR1 and at a violated invariant; none: standard error." env:"RELAY_RECORDER" placeholder:"DIR"`
@@ -39,50 +39,54 @@
 }
 
 func (k checkCmd) Run() error {
-	c, err := config.Load(os.Getenv)
+	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	own, err := operatorconfig.Load(k.Operator)
+	operatorFile, err := operatorconfig.Load(k.Operator)
 	if err != nil {
 		return err
 	}
-	if err := fits(own, c); err != nil {
+	if err := checkStoresUsable(operatorFile, cfg); err != nil {
 		return err
 	}
-	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n", c.Name, c.Listen, len(c.Routing.Classes), c.Cores, c.MemoryMB,
-		c.Sockets)
-	for _, s := range own.Stores {
-		fmt.Printf("store %s at %s\n", s.UID, strings.Join(s.Addresses, ", "))
+	// "tariffs" are our request classes: the output of check is a stable form.
+	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n",
+		cfg.Name, cfg.Listen, len(cfg.Routing.Classes), cfg.Cores, cfg.MemoryMB, cfg.Sockets)
+	for _, store := range operatorFile.Stores {
+		fmt.Printf("store %s at %s\n", store.UID, strings.Join(store.Addresses, ", "))
 	}
 	return nil
 }
 
 func (versionCmd) Run() error {
-	fmt.Print("fennelarch ", version)
-	if info, known := debug.ReadBuildInfo(); known {
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				fmt.Print(" ", s.Value)
+	text := "fennelarch " + version
+	if info, isKnown := debug.ReadBuildInfo(); isKnown {
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				text += " " + setting.Value
 			}
 		}
-		fmt.Print(" ", info.GoVersion)
+		text += " " + info.GoVersion
 	}
 	if system.Faulty {
-		fmt.Print(" with injected faults, not for service")
+		text += " with injected faults, not for service"
 	}
-	fmt.Println()
-	return nil
+	_, err := fmt.Println(text)
+	return err
+}
+
+//nolint:lll // a struct tag cannot be broken
+type commands struct {
+	Serve   serveCmd   `cmd:"" help:"Run one router, as the environment tells: RELAY_NAME, RELAY_LISTEN, RELAY_CONFIG."`
+	Check   checkCmd   `cmd:"" help:"Read the configuration, say what it holds, and end."`
+	Schema  schemaCmd  `cmd:"" help:"Print the JSON schema of the operator's file."`
+	Keys    keysCmd    `cmd:"" help:"Make a development authority, and pairs for the router and for clients."`
+	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
 func main() {
-	var cli struct {
-		Serve   serveCmd   `cmd:"" help:"Run one router, as the environment tells: RELAY_NAME, RELAY_LISTEN, RELAY_CONFIG."`
-		Check   checkCmd   `cmd:"" help:"Read the configuration, say what it holds, and end."`
-		Schema  schemaCmd  `cmd:"" help:"Print the JSON schema of the operator's file."`
-		Keys    keysCmd    `cmd:"" help:"Make a development authority, and pairs for the router and for clients."`
-		Version versionCmd `cmd:"" help:"Print the version."`
-	}
+	var cli commands
 	ctx := kong.Parse(&cli, kong.Name("fennelarch"),
 		kong.Description("A router that decides where objects are served, kept and filled from."))
 	if err := ctx.Run(); err != nil {
--- a/cmd/fennelarch/operator_test.go
+++ b/cmd/fennelarch/operator_test.go
@@ -56,7 +56,7 @@
 	for _, want := range []struct {
 		line string
 		n    int
-	}{{"operator's file read again", 1}, {"operator's file stays as it was", 3}, {"cannot_change", 1}, {"line 1", 1}, {"admission.per_address", 1}} {
+	}{{"operator's file reloaded", 1}, {"operator's file not reloaded", 3}, {"cannot_change", 1}, {"line 1", 1}, {"admission.per_address", 1}} {
 		if n := strings.Count(text, want.line); n != want.n {
 			t.Errorf("%q is logged %d times, not %d:\n%s", want.line, n, want.n, text)
 		}
--- a/cmd/fennelarch/patience_test.go
+++ b/cmd/fennelarch/patience_test.go
@@ -120,20 +120,20 @@
 	half, other := errors.New("line 4: unexpected end"), errors.New("line 9: unexpected end")
 	for name, c := range map[string]struct {
 		errs []error
-		want verdict
+		want retryAction
 	}{
-		"no descriptor, again and again": {[]error{busy, busy, busy}, tryLater},
-		"half a file":                    {[]error{half}, lookAgain},
-		"a file that still grows":        {[]error{half, other}, lookAgain},
+		"no descriptor, again and again": {[]error{busy, busy, busy}, retrySoon},
+		"half a file":                    {[]error{half}, rereadFile},
+		"a file that still grows":        {[]error{half, other}, rereadFile},
 		"a bad file":                     {[]error{half, half}, giveUp},
 		"a bad file, seen at last":       {[]error{half, busy, half}, giveUp},
 		"no file":                        {[]error{fmt.Errorf("open: %w", fs.ErrNotExist)}, giveUp},
 		"no permission":                  {[]error{fmt.Errorf("open: %w", syscall.EACCES)}, giveUp},
 	} {
-		var r reader
-		var got verdict
+		var policy retryPolicy
+		var got retryAction
 		for _, err := range c.errs {
-			got = r.judge(err)
+			got = policy.classifyError(err)
 		}
 		if got != c.want {
 			t.Errorf("%s: %d, not %d", name, got, c.want)
@@ -144,9 +144,9 @@
 // A start goes on once what it needs can be had; a reload is taken then, too, and one that is refused is not tried again.
 func TestTriedAgain(t *testing.T) {
 	calls := 0
-	begins := newStarter()
-	begins.told = true // no line among the test's
-	err := begins.read(func() error {
+	retry := newStartupRetry()
+	retry.isLogged = true // no line among the test's
+	err := retry.load(func() error {
 		if calls++; calls < 3 {
 			return syscall.EMFILE
 		}
@@ -155,30 +155,30 @@
 	if err != nil || calls != 3 {
 		t.Errorf("%v after %d calls", err, calls)
 	}
-	begins.until = time.Now()
-	if err := begins.read(func() error { return syscall.EMFILE }); !errors.Is(err, syscall.EMFILE) {
+	retry.deadline = time.Now()
+	if err := retry.load(func() error { return syscall.EMFILE }); !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("past its patience: %v", err)
 	}
 
-	rereads := newReloads(zap.NewNop())
+	reloads := newReloader(zap.NewNop())
 	taken, bad := 0, errors.New("line 1: no number")
-	rereads.add("one", func() error {
+	reloads.add("one", func() error {
 		if taken++; taken < 3 {
 			return syscall.EMFILE
 		}
 		return nil
 	})
-	rereads.add("two", func() error { return bad })
-	rereads.begin()
+	reloads.add("two", func() error { return bad })
+	reloads.reloadAll()
 	for range 10 {
-		due, which := rereads.due()
+		due, file := reloads.nextRetry()
 		if due == nil {
 			break
 		}
 		<-due
-		rereads.retry(which)
+		reloads.reload(file)
 	}
-	if due, _ := rereads.due(); taken != 3 || due != nil {
+	if due, _ := reloads.nextRetry(); taken != 3 || due != nil {
 		t.Errorf("taken after %d tries, still waiting: %v", taken, due != nil)
 	}
 }
--- a/cmd/fennelarch/serve.go
+++ b/cmd/fennelarch/serve.go
@@ -1,12 +1,13 @@
 package main
 
-// This file owns the life of a router: it puts the parts together, starts them in order, and ends them. It must never
-// hold a bound, a decision or a protocol.
+// The life of a router: its parts are assembled, started in order, controlled by signals and shut down. Limits,
+// decisions and protocols belong to the packages of those parts.
 
 import (
 	"context"
 	"errors"
 	"math"
+	"net"
 	"os"
 	"os/signal"
 	"runtime"
@@ -23,161 +24,164 @@
 	"fennelarch/internal/limits"
 	"fennelarch/internal/operatorconfig"
 	"fennelarch/internal/upstream"
-	"fennelarch/policy/routing"
 
 	"go.uber.org/zap"
 )
 
-func serve(path, recorderFolder string) error {
-	// From the first moment on: by default each of these signals would end the program.
-	again, stop, dump := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(dump, syscall.SIGUSR1)
-	signal.Notify(again, syscall.SIGHUP)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	begins := newStarter()
-	var c *config.Config
-	var own *operatorconfig.File
-	err := begins.read(func() (err error) { c, err = config.Load(os.Getenv); return err })
-	if err != nil {
-		return err
+// minDescriptors is the least limit of the process that is believed: no router can work with fewer.
+const minDescriptors = 32
+
+var errListenerFailed = errors.New("no client can be accepted any more")
+
+// router owns the parts of one running router.
+type router struct {
+	config         *config.Config
+	operatorPath   string
+	operatorFile   atomic.Pointer[operatorconfig.File] // in force; a reload replaces it while summaries read it
+	recorderFolder string
+	limits         limits.Limits
+	log            *zap.Logger
+	startedAt      time.Time
+
+	monitor  *invariant.Monitor
+	stores   sharedStores
+	upstream *upstream.Pool
+	engine   *engine.Engine
+	tlsKeys  *frontend.TLSKeys // nil without TLS
+	frontend *frontend.Server
+	watcher  *discovery.Watcher
+
+	serveResult chan error // gets the end of the frontend, whose listener is never closed while the router runs
+}
+
+// controlSignals are the signals that control a router.
+type controlSignals struct {
+	reload chan os.Signal
+	stop   chan os.Signal
+	dump   chan os.Signal
+}
+
+func notifyControlSignals() controlSignals {
+	signals := controlSignals{
+		reload: make(chan os.Signal, 1),
+		stop:   make(chan os.Signal, 1),
+		dump:   make(chan os.Signal, 1),
 	}
-	err = begins.read(func() (err error) { own, err = operatorconfig.Load(path); return err })
+	signal.Notify(signals.dump, syscall.SIGUSR1)
+	signal.Notify(signals.reload, syscall.SIGHUP)
+	signal.Notify(signals.stop, syscall.SIGTERM, syscall.SIGINT)
+	return signals
+}
+
+// serve runs a router until it is told to stop, or can accept no client any more.
+func serve(operatorPath, recorderFolder string) error {
+	signals := notifyControlSignals() // before anything else: by default each of them ends the program
+	retry := newStartupRetry()
+	cfg, operatorFile, err := loadFiles(retry, operatorPath)
 	if err != nil {
 		return err
 	}
-	if err := fits(own, c); err != nil {
-		return err
-	}
-	var files syscall.Rlimit // the system may give fewer than the configuration says
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err == nil && files.Cur >= 32 && files.Cur < uint64(c.Sockets) {
-		c.Sockets = int(files.Cur)
-	}
-	told := limits.Inputs{
-		Cores: c.Cores, MemoryMB: c.MemoryMB, Sockets: c.Sockets, StreamsPerConnection: c.Names.StreamsPerConnection,
-		ConnectTimeout: c.Routing.ConnectTimeout, IdleTimeout: c.Names.IdleTimeout, DrainGrace: c.Routing.DrainGrace, PurgeGrace: c.Routing.PurgeGrace,
-	}
-	for _, t := range c.Routing.Classes {
-		told.LongestDeadline = max(told.LongestDeadline, t.Deadline)
-	}
-	lim := limits.From(told)
-	runtime.GOMAXPROCS(int(math.Ceil(lim.Cores)))
-	debug.SetMemoryLimit(lim.Memory * 3 / 4)
-
+	lim := deriveLimits(cfg)
+	applyRuntimeLimits(lim)
 	log, flush := newLog(lim.LogQueue, lim.FlushTimeout)
 	defer flush()
-	log = log.With(zap.String("router", c.Name))
-
-	var eng *engine.Engine
-	offer := func(at time.Time, message engine.Message) (taken bool) { return eng.Post(at, message) }
-	post := func(at time.Time, message engine.Message) { eng.Post(at, message) }
-	start := time.Now()
-	monitor := newMonitor(c.Name, recorderFolder, log)
-	go watchStalls(context.Background(), monitor, log)
-	stores := newStores(own, c, lim, start, post, log)
-	pool := upstream.New(lim, c.Names, c.Routing.ReportChannel == routing.ReportsWithHealthChecks, stores.inner(post), log)
-	eng = engine.New(c.Routing, c.Seed, lim.EventQueue, start, stores.over(pool),
-		engine.LocalCacheSettings{Bytes: lim.LocalCacheBytes, FlowBytesPerSecond: c.FlowBytesPerSecond, LinkBytesPerSecond: c.LinkBytesPerSecond, MaxInFlight: lim.ForgetAfter}, log)
-	eng.SetMonitor(monitor, stores.stepped)
-	eng.Start(0)
-	var doors frontend.Options
-	err = begins.read(func() (err error) { doors, err = newDoors(own, c); return err })
-	if err != nil {
+
+	r := &router{
+		config: cfg, operatorPath: operatorPath, recorderFolder: recorderFolder, limits: lim,
+		log: log.With(zap.String("router", cfg.Name)), startedAt: time.Now(), serveResult: make(chan error, 1),
+	}
+	r.operatorFile.Store(operatorFile)
+	if err := r.assemble(retry); err != nil {
 		return err
 	}
-	doors.EventQueueDelay, doors.Monitor = eng.EventQueueDelay, monitor
-	server := frontend.New(lim, c.Names, c.Routing.Classes, doors, offer, log)
-	pool.OnDescriptorShortage, server.OnDescriptorShortage, pool.Monitor = server.ReportDescriptorShortage, pool.CloseIdle, monitor
-
-	follower := discovery.New(lim, c.Names, c.DiscoveryAddress, log)
-	follower.Stalls = monitor.Watch()
-	stores.follow(follower)
-	if len(c.KnownEvents) > 0 {
-		known, cut := discovery.ParseKnown(c.KnownEvents)
-		err := follower.Apply(&known, engine.AgeBeforeStart, func(message engine.Message) { eng.Handle(0, engine.Event{Message: stores.told(message)}) })
-		if err := errors.Join(cut, err); err != nil { // the bulletin tells the rest
-			log.Warn("configuration: known: not all of it can be read", zap.Error(err))
-		}
+	listener, err := retry.listen(cfg.Listen)
+	if err != nil {
+		return err
 	}
+	r.start(listener, signals.dump)
+	failure := r.run(signals)
+	r.shutDown()
+	return failure
+}
 
-	ln, err := begins.listen(c.Listen)
-	if err != nil {
+// loadFiles reads the configuration and the operator's file, and lowers the sockets of the configuration to what the
+// process may have.
+func loadFiles(retry *startupRetry, operatorPath string) (*config.Config, *operatorconfig.File, error) {
+	var cfg *config.Config
+	err := retry.load(func() (err error) {
+		cfg, err = config.Load(os.Getenv)
 		return err
+	})
+	if err != nil {
+		return nil, nil, err
 	}
-	var inForce atomic.Pointer[operatorconfig.File] // it changes while summaries are made
-	inForce.Store(own)
-	done := make(chan struct{}) // never: the engine answers to the last
-	go eng.Run(done, lim.SummaryInterval, func(n engine.Counts) {
-		summary(log, n, server.ConnectionCount(), pool.ConnectionCount(), monitor)
-		stores.summary(log)
-		doorsSummary(inForce.Load(), server, log)
+	var operatorFile *operatorconfig.File
+	err = retry.load(func() (err error) {
+		operatorFile, err = operatorconfig.Load(operatorPath)
+		return err
 	})
-	go dumpAtSignal(dump, monitor, c.Name, recorderFolder, log)
-	go stores.run(context.Background())
-	go follower.Run(context.Background(), func(at time.Time, message engine.Message) { post(at, stores.told(message)) })
-	deaf := make(chan error, 1) // the listener is never closed while the router runs
-	go func() { deaf <- server.Serve(ln) }()
-	log.Info("started", zap.String("listen", c.Listen), zap.Float64("cores", lim.Cores), zap.Int64("memory", lim.Memory),
-		zap.Int("sockets", lim.Sockets))
-
-	rereads := newReloads(log)
-	rereads.add("configuration", func() error { return reloadConfig(follower, c, log) })
-	if path != "" {
-		rereads.add("operator's file", func() error {
-			to, err := reloadOwn(path, inForce.Load(), c, stores, server, doors)
-			inForce.Store(to)
-			return err
-		})
+	if err != nil {
+		return nil, nil, err
 	}
-	var failed error
-	for running := true; running; {
-		due, which := rereads.due()
-		select {
-		case <-again:
-			rereads.begin()
-		case <-due:
-			rereads.retry(which)
-		case <-stop: // a second order changes nothing
-			running = false
-		case err := <-deaf: // what was taken is owed its answer all the same
-			failed = errors.Join(errDeaf, err)
-			log.Error("the router ends", zap.Error(failed))
-			running = false
-		}
+	if err := checkStoresUsable(operatorFile, cfg); err != nil {
+		return nil, nil, err
 	}
-	log.Info("stopping", zap.Int("open", eng.InFlight()))
-	begun := time.Now()
-	eng.Post(begun, engine.Shutdown{Grace: lim.ShutdownGrace})
-	time.Sleep(lim.ShutdownLinger)
-	server.Drain()
-	for (eng.InFlight() > 0 || server.UnclosedCount() > 0) && time.Since(begun) < lim.ShutdownGrace+lim.FlushTimeout {
-		time.Sleep(lim.RecheckInterval)
+	var descriptors syscall.Rlimit
+	err = syscall.Getrlimit(syscall.RLIMIT_NOFILE, &descriptors)
+	if err == nil && descriptors.Cur >= minDescriptors && descriptors.Cur < uint64(cfg.Sockets) {
+		cfg.Sockets = int(descriptors.Cur)
 	}
-	log.Info("stopped", zap.Int("open", eng.InFlight()))
-	return failed
+	return cfg, operatorFile, nil
 }
 
-var errDeaf = errors.New("no client can be accepted any more")
+// applyRuntimeLimits bounds the processors and the memory of the Go runtime. A quarter of the memory is left to what
+// the runtime does not count.
+func applyRuntimeLimits(lim limits.Limits) {
+	runtime.GOMAXPROCS(int(math.Ceil(lim.Cores)))
+	debug.SetMemoryLimit(lim.Memory * 3 / 4)
+}
 
-// reloadConfig takes over from the configuration what may change while the router runs: the bulletin's address. Nothing else of it
-// acts before the next start, and the log says so where something else has changed.
-func reloadConfig(follower *discovery.Watcher, old *config.Config, log *zap.Logger) error {
-	c, err := config.Load(os.Getenv)
-	if err != nil {
-		return err
-	}
-	if c.Immutable != old.Immutable {
-		log.Warn("configuration: only the bulletin's address is taken before the next start")
+// start starts the goroutines of the router. Each runs until the program ends: the engine answers requests to the last.
+func (r *router) start(listener net.Listener, dump <-chan os.Signal) {
+	never := make(chan struct{})
+	go r.engine.Run(never, r.limits.SummaryInterval, r.logSummaries)
+	go r.dumpRecorderAtSignals(dump)
+	go r.stores.run(context.Background())
+	go r.watcher.Run(context.Background(), func(at time.Time, message engine.Message) {
+		r.post(at, r.stores.translateEvent(message))
+	})
+	go func() { r.serveResult <- r.frontend.Serve(listener) }()
+	r.log.Info("started",
+		zap.String("listen", r.config.Listen),
+		zap.Float64("cores", r.limits.Cores),
+		zap.Int64("memory_bytes", r.limits.Memory),
+		zap.Int("sockets", r.limits.Sockets))
+}
+
+// run handles signals until the router is to be shut down, and returns why if that is a failure.
+func (r *router) run(signals controlSignals) error {
+	reloads := r.newReloader()
+	for {
+		retryDue, file := reloads.nextRetry()
+		select {
+		case <-signals.reload:
+			reloads.reloadAll()
+		case <-retryDue:
+			reloads.reload(file)
+		case <-signals.stop: // a second one has no effect
+			return nil
+		case err := <-r.serveResult: // requests that have been taken are answered all the same
+			failure := errors.Join(errListenerFailed, err)
+			r.log.Error("listener failed, shutting down", zap.Error(failure))
+			return failure
+		}
 	}
-	follower.SetAddress(c.DiscoveryAddress)
-	return nil
 }
 
-func summary(log *zap.Logger, n engine.Counts, clients, nodes int, monitor *invariant.Monitor) {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	violated, closed := monitor.Counts()
-	log.Info("summary", zap.Uint64("views", n.Requests), zap.Uint64("succeeded", n.Succeeded),
-		zap.Uint64("turned_back", n.Rejected), zap.Uint64("terminated", n.Failed), zap.Uint64("gone", n.ClientCancelled),
-		zap.Uint64("legs", n.Attempts), zap.Uint64("own", n.LocalCacheHits), zap.Int64("open", n.InFlight), zap.Duration("lag", n.EventQueueDelay), zap.Int("clients", clients),
-		zap.Int("nodes", nodes), zap.Uint64("memory_mb", m.Sys>>20), zap.Uint64("violations", monitor.Violations()), zap.Any("violated", violated), zap.Any("closed", closed))
+// offer posts a client's message to the engine, which may reject it.
+func (r *router) offer(at time.Time, message engine.Message) (isTaken bool) {
+	return r.engine.Post(at, message)
 }
+
+// post posts a message that the engine always takes.
+func (r *router) post(at time.Time, message engine.Message) { r.engine.Post(at, message) }
