--- /dev/null
+++ b/internal/fake/site/protocol.go
@@ -0,0 +1,133 @@
+package site
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+// Verbs of the cache servers' protocol.
+const (
+	verbFetch  = "fetch"
+	verbCancel = "abort"
+	verbHealth = "alive"
+	verbStats  = "stats"
+)
+
+// Statuses of the cache servers' protocol.
+const (
+	StatusOK          = "200"
+	StatusNotModified = "304"
+	StatusNotCached   = "404"
+	StatusError       = "500"
+	StatusOverloaded  = "503"
+)
+
+// CopySource says where the copy that a cache server returns came from.
+type CopySource string
+
+// The protocol's words for it.
+const (
+	FromLocalCache CopySource = "local"
+	FromParent     CopySource = "pulled"
+	FromOrigin     CopySource = "pulled_far"
+)
+
+// FillError says why a cache server has no copy to return. Its value is the protocol's word for the reason.
+type FillError string
+
+func (e FillError) Error() string { return string(e) }
+
+// The reasons.
+const (
+	ErrNotCached  FillError = "not_there"
+	ErrOverloaded FillError = "turned_away"
+)
+
+// ErrMalformedFetch is a fetch request that cannot be parsed.
+var ErrMalformedFetch = errors.New("malformed fetch request")
+
+// Frame encodes words as one frame: an array of bulk strings.
+func Frame(words ...string) []byte {
+	frame := redcon.AppendArray(nil, len(words))
+	for _, word := range words {
+		frame = redcon.AppendBulkString(frame, word)
+	}
+	return frame
+}
+
+// ParseFields parses a list of the form "name=value,name=value".
+func ParseFields(text string) map[string]string {
+	fields := map[string]string{}
+	for part := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(part, "=")
+		fields[name] = value
+	}
+	return fields
+}
+
+// FetchRequest is one request of a router to a cache server.
+type FetchRequest struct {
+	ID             string
+	Class          string
+	Object         Object
+	Source         string        // the server to fill from
+	CachedChecksum string        // of the copy that the client has
+	MaxAge         time.Duration // 0: any age
+	Timeout        time.Duration
+	OnlyIfCached   bool // the source must not fill in its turn
+	HasBody        bool
+}
+
+// ParseFetch parses a fetch request. The protocol's names are mapped to ours here alone.
+func ParseFetch(words []string) (FetchRequest, error) {
+	if len(words) < 4 || words[0] != verbFetch {
+		return FetchRequest{}, ErrMalformedFetch
+	}
+	fields := ParseFields(words[2])
+	id, err := strconv.ParseUint(fields["key"], 16, 64)
+	if err != nil {
+		return FetchRequest{}, fmt.Errorf("%w: key: %w", ErrMalformedFetch, err)
+	}
+	part, _ := strconv.Atoi(fields["part"])
+	maxAgeMS, _ := strconv.Atoi(fields["agelim"])
+	timeoutMS, _ := strconv.Atoi(fields["wait"])
+	return FetchRequest{
+		ID: words[1], Class: fields["class"], Object: Object{ID: id, Part: part}, Source: fields["next"],
+		CachedChecksum: fields["cached"], MaxAge: time.Duration(maxAgeMS) * time.Millisecond,
+		Timeout: time.Duration(timeoutMS) * time.Millisecond, OnlyIfCached: strings.Contains(fields["ways"], "held"),
+		HasBody: words[3] != "",
+	}, nil
+}
+
+// IsCancel says whether a request cancels an earlier one; it has no answer.
+func IsCancel(words []string) bool { return words[0] == verbCancel }
+
+// IsHealthCheck says whether a request asks for no object, but for a sign of life or a load report.
+func IsHealthCheck(words []string) bool { return words[0] == verbHealth || words[0] == verbStats }
+
+// HealthResponse answers a health check.
+func HealthResponse(id string) []byte { return Frame(id, verbHealth, "-") }
+
+// ErrorResponse answers a request that failed.
+func ErrorResponse(id string) []byte { return Frame(id, StatusError, "-", "") }
+
+// FillErrorResponse answers a request for which there is no copy.
+func FillErrorResponse(id, status string, reason FillError) []byte {
+	return Frame(id, status, "how="+string(reason), "")
+}
+
+// CopyResponse answers a request with a copy, or says that the client's own copy is current.
+func CopyResponse(request *FetchRequest, found Copy, source CopySource, fillTime time.Duration) []byte {
+	checksum := Checksum(found.CreatedAt)
+	note := fmt.Sprintf("sum=%s,t0=%d,how=%s,slow=%d",
+		checksum, found.CreatedAt.UnixMilli(), source, fillTime.Milliseconds())
+	if request.CachedChecksum == checksum {
+		return Frame(request.ID, StatusNotModified, note, "")
+	}
+	return Frame(request.ID, StatusOK, note, found.Body)
+}
--- a/internal/testbed/judge_test.go
+++ b/internal/testbed/judge_test.go
@@ -13,7 +13,7 @@
 // The judge sees each kind of breach: a claim that cannot fail shows nothing.
 func TestJudge(t *testing.T) {
 	s := &Scene{Setup: Setup{Settings: Usual(1), Groups: 4}, kills: map[int][]time.Time{}, sizes: []float64{1, 1, 1}}
-	s.Site = site.NewSite(func(site.Object) int { return 100 }, s.group)
+	s.Site = site.New(func(site.Object) int { return 100 }, s.group)
 	defer s.Site.Close()
 	at := time.Now()
 	o := site.Object{ID: 1}
--- a/internal/testbed/scene.go
+++ b/internal/testbed/scene.go
@@ -37,8 +37,8 @@
 	Skew     float64 // of popularity, over 1
 	SizeKB   float64 // the middle of sizes
 	Fixed    int     // bytes of each object, 0: by its size
-	Origin   site.Times
-	Parents  site.Times
+	Origin   site.ServiceTime
+	Parents  site.ServiceTime
 }
 
 // Scene is one arm of an experiment.
@@ -47,9 +47,9 @@
 	Seed    uint64
 	Site    *site.Site
 	Store   *redis.Store
-	Origin  *site.Node
-	Parents []*site.Node
-	Boxes   []*site.Node
+	Origin  *site.CacheServer
+	Parents []*site.CacheServer
+	Boxes   []*site.CacheServer
 	Routers []*Router
 	Clients []*Clients
 	Begun   time.Time
@@ -77,30 +77,30 @@
 	for range set.Objects + 1 {
 		s.sizes = append(s.sizes, min(1500, sized.Rand()))
 	}
-	s.Site = site.NewSite(func(o site.Object) int { return s.bytes(o.ID) }, s.group)
+	s.Site = site.New(func(o site.Object) int { return s.bytes(o.ID) }, s.group)
 	var err error
 	if s.folder, err = os.MkdirTemp("", "testbed"); err != nil {
 		return nil, err
 	}
-	if s.Origin, err = s.Site.Add("s-origin", site.Origin, 8, set.Origin, seed+1); err != nil {
+	if s.Origin, err = s.addServer("s-origin", site.Origin, set.Origin, seed+1); err != nil {
 		return nil, err
 	}
-	lines := []site.Line{s.Origin.Line("ready")}
+	lines := []site.Endpoint{s.Origin.Endpoint(site.StateReady)}
 	for i := range 2 {
-		p, err := s.Site.Add(fmt.Sprintf("s-parent-%d", i), site.Parent, 8, set.Parents, seed+2+uint64(i))
+		p, err := s.addServer(fmt.Sprintf("s-parent-%d", i), site.Parent, set.Parents, seed+2+uint64(i))
 		if err != nil {
 			return nil, err
 		}
 		s.Parents = append(s.Parents, p)
-		lines = append(lines, p.Line("ready"))
+		lines = append(lines, p.Endpoint(site.StateReady))
 	}
 	for i := range set.Boxes {
-		b, err := s.Site.Add(fmt.Sprintf("s-box-%d", i), site.Cache, 8, site.Times{Answer: time.Millisecond}, seed+5+uint64(i))
+		b, err := s.addServer(fmt.Sprintf("s-box-%d", i), site.Cache, site.ServiceTime{Base: time.Millisecond}, seed+5+uint64(i))
 		if err != nil {
 			return nil, err
 		}
 		s.Boxes = append(s.Boxes, b)
-		lines = append(lines, b.Line("ready"))
+		lines = append(lines, b.Endpoint(site.StateReady))
 	}
 	if set.Store != nil {
 		c := *set.Store
@@ -112,12 +112,16 @@
 			lines = append(lines, s.storeLine("ready"))
 		}
 	}
-	s.Site.Board.List(true, lines...)
+	s.Site.Discovery.PublishList(lines...)
 	return s, nil
 }
 
-func (s *Scene) storeLine(state string) site.Line {
-	return site.Line{UID: storeUID, Address: s.Store.Address(), Zone: "west", Kind: site.Cache, State: state, Weight: 8}
+func (s *Scene) addServer(uid string, kind site.Kind, serviceTime site.ServiceTime, seed uint64) (*site.CacheServer, error) {
+	return s.Site.Add(site.CacheServerOptions{UID: uid, Kind: kind, Weight: 8, ServiceTime: serviceTime, Seed: seed})
+}
+
+func (s *Scene) storeLine(state string) site.Endpoint {
+	return site.Endpoint{UID: storeUID, Address: s.Store.Address(), Zone: "west", Kind: site.Cache, State: state, Weight: 8}
 }
 
 // bytes is an object's size on the socket: a fifteenth of what it stands for, as on the bench's platform.
@@ -155,8 +159,8 @@
 	}
 	from := len(s.Routers)
 	for i := from; i < from+n; i++ {
-		r, err := NewRouter(program, s.folder, fmt.Sprintf("n%d", i), s.Seed*1000+uint64(i), s.Settings, s.Site.Board.Address,
-			s.Site.Board.Known(), s.operator())
+		r, err := NewRouter(program, s.folder, fmt.Sprintf("n%d", i), s.Seed*1000+uint64(i), s.Settings, s.Site.Discovery.Address,
+			s.Site.Discovery.Known(), s.operator())
 		if err != nil {
 			return err
 		}
@@ -249,12 +253,16 @@
 
 // Purge purges an object, or a group where it is 0.
 func (s *Scene) Purge(object uint64, group int) {
-	s.purges = append(s.purges, purge{object, group, s.Site.Purge(object, group)})
+	if object != 0 {
+		s.purges = append(s.purges, purge{object, group, s.Site.PurgeObject(object)})
+		return
+	}
+	s.purges = append(s.purges, purge{object, group, s.Site.PurgeGroup(group)})
 }
 
 // Drain tells that the store is to be left alone.
-func (s *Scene) Drain(uid string, line site.Line) {
-	s.Site.Board.List(false, line)
+func (s *Scene) Drain(uid string, line site.Endpoint) {
+	s.Site.Discovery.PublishChanges(line)
 	s.drains[uid] = time.Now()
 }
 
@@ -318,8 +326,8 @@
 			s.judge(n, v)
 		}
 	}
-	for _, a := range s.Origin.Asked() {
-		if !a.Write {
+	for _, a := range s.Origin.Received() {
+		if !a.IsWrite {
 			n.Fills++
 		}
 	}
@@ -380,7 +388,7 @@
 		n.Failed++
 	}
 	if v.Tariff != "clip" {
-		if s.Site.Ran(v.Req) > 1 || v.Word == "BUSY" && s.Site.Ran(v.Req) > 0 {
+		if s.Site.WriteRuns(v.Req) > 1 || v.Word == "BUSY" && s.Site.WriteRuns(v.Req) > 0 {
 			n.RanTwice++
 		}
 		return
@@ -388,7 +396,7 @@
 	if v.Word != "OK" {
 		return
 	}
-	o, born, whole := site.Read(v.Body)
+	o, born, whole := site.ParseBody(v.Body)
 	if !whole || o != v.Object {
 		n.Wrong++
 		return
@@ -405,10 +413,10 @@
 func (s *Scene) judgeDrains(n *Seen) {
 	for uid, told := range s.drains {
 		over := told.Add(s.Settings.Grace + slack)
-		for _, nodes := range [][]*site.Node{s.Parents, s.Boxes} {
+		for _, nodes := range [][]*site.CacheServer{s.Parents, s.Boxes} {
 			for _, d := range nodes {
-				for _, a := range d.Asked() {
-					if a.At.After(over) && (d.UID == uid && a.By == "" || a.Source == uid) {
+				for _, a := range d.Received() {
+					if a.At.After(over) && (d.UID == uid && a.FilledFor == "" || a.Source == uid) {
 						n.AfterDrain++
 					}
 				}
--- a/internal/testbed/soak/client.go
+++ b/internal/testbed/soak/client.go
@@ -350,7 +350,7 @@
 	}
 	if len(args) > 3 {
 		r.Body = string(args[3])
-		if _, born, whole := site.Read(r.Body); whole {
+		if _, born, whole := site.ParseBody(r.Body); whole {
 			c.clients.sums.Store(r.Object, sum(born))
 		}
 	}
--- a/internal/testbed/soak/judge.go
+++ b/internal/testbed/soak/judge.go
@@ -244,7 +244,7 @@
 		}
 		born = time.Unix(0, nanos)
 	} else {
-		object, at, whole := site.Read(q.Body)
+		object, at, whole := site.ParseBody(q.Body)
 		if !whole || object.ID != q.Object {
 			return "wrong_bytes", fmt.Sprintf("%d bytes of something else", len(q.Body))
 		}
--- a/internal/testbed/store.go
+++ b/internal/testbed/store.go
@@ -16,7 +16,7 @@
 func storeSetup(routers int, with bool) Setup {
 	s := Setup{
 		Settings: Usual(routers), Objects: 400, Groups: 40, Skew: 1.2, SizeKB: 150,
-		Origin: site.Times{Answer: 30 * time.Millisecond, Spread: 20 * time.Millisecond}, Parents: site.Times{Answer: 4 * time.Millisecond, Spread: 2 * time.Millisecond},
+		Origin: site.ServiceTime{Base: 30 * time.Millisecond, Jitter: 20 * time.Millisecond}, Parents: site.ServiceTime{Base: 4 * time.Millisecond, Jitter: 2 * time.Millisecond},
 	}
 	if with {
 		s.Store = &redis.Config{Capacity: 4000, ColdShare: 0.1, ColdFor: 6 * time.Second}
@@ -77,7 +77,7 @@
 			if set.Listed {
 				line := s.storeLine("ready")
 				line.Boot = time.Now()
-				s.Site.Board.List(false, line)
+				s.Site.Discovery.PublishChanges(line)
 			}
 		})
 		if err != nil {
@@ -154,7 +154,7 @@
 	once := func(name string, lease bool, kill bool) (*Seen, error) {
 		set := warm(storeSetup(n, true))
 		set.Shared["lease"] = lease
-		set.Origin = site.Times{Answer: 80 * time.Millisecond, Spread: 10 * time.Millisecond}
+		set.Origin = site.ServiceTime{Base: 80 * time.Millisecond, Jitter: 10 * time.Millisecond}
 		s, err := NewScene(o.Seed, set)
 		if err != nil {
 			return nil, err
@@ -166,7 +166,7 @@
 		// They learn first how long fills take, each by objects of its own.
 		s.Play(Load{Rate: 10, For: 2 * time.Second, Single: true})
 		time.Sleep(300 * time.Millisecond)
-		before := len(s.Origin.Asked())
+		before := len(s.Origin.Received())
 		for round := range rounds {
 			id := uint64(500_000_000 + round)
 			at := time.Now()
@@ -181,7 +181,7 @@
 			}
 			time.Sleep(450 * time.Millisecond)
 		}
-		fills := len(s.Origin.Asked()) - before
+		fills := len(s.Origin.Received()) - before
 		seen := s.End()
 		r.rules(name, seen)
 		r.Figure(name+" fills an object", float64(fills)/float64(rounds))
@@ -221,13 +221,13 @@
 // killHolder kills a router that has a fill of an object out, as the parents saw it: the first whose view came to one.
 func (s *Scene) killHolder(id uint64, round int) {
 	for _, p := range s.Parents {
-		for _, a := range p.Asked() {
+		for _, a := range p.Received() {
 			if a.Object.ID != id {
 				continue
 			}
 			for i, c := range s.Clients {
 				for _, v := range c.Views() {
-					if v.Req == a.View && s.Routers[i].Killed.IsZero() {
+					if v.Req == a.RequestID && s.Routers[i].Killed.IsZero() {
 						s.Kill(i)
 						return
 					}
@@ -312,7 +312,7 @@
 	old := s.Routers[i]
 	program, _ := Program()
 	r := &Router{Name: old.Name, Address: old.Address, program: program, folder: old.folder, args: old.args}
-	if err := r.Configure(s.Seed*1000+uint64(len(s.Routers)), s.Settings, s.Site.Board.Address, s.Site.Board.Known()); err != nil {
+	if err := r.Configure(s.Seed*1000+uint64(len(s.Routers)), s.Settings, s.Site.Discovery.Address, s.Site.Discovery.Known()); err != nil {
 		s.try(err)
 		return
 	}
@@ -390,12 +390,12 @@
 		asked = s.Store.Values()
 		time.Sleep(l.For / 4)
 		later = s.Store.Values()
-		s.Site.Board.List(false, s.storeLine("gone"))
+		s.Site.Discovery.PublishChanges(s.storeLine("gone"))
 		time.Sleep(500 * time.Millisecond)
 		if s.Store.Values() != later {
 			later = -1
 		}
-		s.Site.Board.List(false, s.storeLine("ready"))
+		s.Site.Discovery.PublishChanges(s.storeLine("ready"))
 	})
 	if err != nil {
 		return err
--- a/internal/testbed/up.go
+++ b/internal/testbed/up.go
@@ -17,7 +17,7 @@
 
 // Up starts the stand-ins of deploy/example.json at the addresses that it names, and runs until it is interrupted.
 func Up(bulletin string, out io.Writer) error {
-	s := site.NewSite(func(site.Object) int { return 2000 }, func(id uint64) int { return 1 })
+	s := site.New(func(site.Object) int { return 2000 }, func(id uint64) int { return 1 })
 	defer s.Close()
 	for _, n := range []struct {
 		uid, address string
@@ -28,7 +28,9 @@
 		{"s-2", "127.0.0.1:9102", site.Parent, 4 * time.Millisecond},
 		{"s-3", "127.0.0.1:9103", site.Origin, 30 * time.Millisecond},
 	} {
-		if _, err := s.AddAt(n.address, n.uid, n.kind, 4, site.Times{Answer: n.takes}, 1); err != nil {
+		if _, err := s.Add(site.CacheServerOptions{
+			UID: n.uid, Kind: n.kind, Address: n.address, Weight: 4, ServiceTime: site.ServiceTime{Base: n.takes}, Seed: 1,
+		}); err != nil {
 			return err
 		}
 	}
@@ -36,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	s.Board.Serve(ln)
+	s.Discovery.Serve(ln)
 	store, err := redis.Start(redis.Config{Address: "127.0.0.1:6390", Memory: 64 << 20})
 	if err != nil {
 		return err
