--- a/internal/fake/site/frame_server.go
+++ b/internal/fake/site/frame_server.go
@@ -18,6 +18,7 @@
 	readers  sync.WaitGroup // the accept loop and one reader a connection
 
 	mu          sync.Mutex
+	isClosed    bool
 	connections map[net.Conn]struct{}
 }
 
@@ -39,6 +40,9 @@
 // response goes nowhere.
 func (s *FrameServer) Close() {
 	_ = s.listener.Close()
+	s.mu.Lock()
+	s.isClosed = true
+	s.mu.Unlock()
 	s.ResetConnections()
 	s.readers.Wait()
 }
@@ -66,13 +70,25 @@
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		s.connections[connection] = struct{}{}
-		s.mu.Unlock()
+		if !s.add(connection) {
+			ResetConnection(connection)
+			return
+		}
 		s.readers.Go(func() { s.serve(connection) })
 	}
 }
 
+// add takes note of a connection; it fails once the server is closed.
+func (s *FrameServer) add(connection net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isClosed {
+		return false
+	}
+	s.connections[connection] = struct{}{}
+	return true
+}
+
 func (s *FrameServer) serve(connection net.Conn) {
 	defer func() {
 		_ = connection.Close()
--- a/internal/fake/site/protocol.go
+++ b/internal/fake/site/protocol.go
@@ -48,8 +48,12 @@
 	ErrOverloaded FillError = "turned_away"
 )
 
-// ErrMalformedFetch is a fetch request that cannot be parsed.
-var ErrMalformedFetch = errors.New("malformed fetch request")
+var (
+	// ErrNotFetch is a request other than a fetch request.
+	ErrNotFetch = errors.New("not a fetch request")
+	// ErrMalformedKey is a fetch request that names no object.
+	ErrMalformedKey = errors.New("malformed key")
+)
 
 // Frame encodes words as one frame: an array of bulk strings.
 func Frame(words ...string) []byte {
@@ -83,25 +87,28 @@
 	HasBody        bool
 }
 
-// ParseFetch parses a fetch request. The protocol's names are mapped to ours here alone.
+// ParseFetch parses a fetch request. The protocol's names are mapped to ours here alone. Where the key is malformed,
+// the other fields are still returned.
 func ParseFetch(words []string) (FetchRequest, error) {
 	if len(words) < 4 || words[0] != verbFetch {
-		return FetchRequest{}, ErrMalformedFetch
+		return FetchRequest{}, ErrNotFetch
 	}
 	fields := ParseFields(words[2])
-	id, err := strconv.ParseUint(fields["key"], 16, 64)
-	if err != nil {
-		return FetchRequest{}, fmt.Errorf("%w: key: %w", ErrMalformedFetch, err)
-	}
 	part, _ := strconv.Atoi(fields["part"])
 	maxAgeMS, _ := strconv.Atoi(fields["agelim"])
 	timeoutMS, _ := strconv.Atoi(fields["wait"])
-	return FetchRequest{
-		ID: words[1], Class: fields["class"], Object: Object{ID: id, Part: part}, Source: fields["next"],
+	request := FetchRequest{
+		ID: words[1], Class: fields["class"], Object: Object{Part: part}, Source: fields["next"],
 		CachedChecksum: fields["cached"], MaxAge: time.Duration(maxAgeMS) * time.Millisecond,
 		Timeout: time.Duration(timeoutMS) * time.Millisecond, OnlyIfCached: strings.Contains(fields["ways"], "held"),
 		HasBody: words[3] != "",
-	}, nil
+	}
+	id, err := strconv.ParseUint(fields["key"], 16, 64)
+	if err != nil {
+		return request, fmt.Errorf("%w: %w", ErrMalformedKey, err)
+	}
+	request.Object.ID = id
+	return request, nil
 }
 
 // IsCancel says whether a request cancels an earlier one; it has no answer.
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -49,8 +49,8 @@
 func TestEndpointEvents(t *testing.T) {
 	cell := 3
 	endpoint := Endpoint{UID: "s-1", Address: "127.0.0.1:1", Zone: Zone, Kind: Cache, State: StateReady, Weight: 4}
-	const want = `"roster":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","az":"west","model":"box",` +
-		`"state":"ready","capacity_hint":4,"boot_ms":0}]}`
+	const want = `"roster":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","az":"west",` +
+		`"model":"box","state":"ready","capacity_hint":4,"boot_ms":0}]}`
 	if got := ListEvent(endpoint); got != want {
 		t.Error(got)
 	}
@@ -63,11 +63,11 @@
 }
 
 func TestFillThroughAParentIsKept(t *testing.T) {
-	s := New(func(Object) int { return 200 }, func(uint64) int { return 1 })
-	defer s.Close()
+	fleet := New(func(Object) int { return 200 }, func(uint64) int { return 1 })
+	defer fleet.Close()
 	servers := map[Kind]*CacheServer{}
 	for _, kind := range []Kind{Cache, Parent, Origin} {
-		server, err := s.Add(CacheServerOptions{UID: "s-" + string(kind), Kind: kind, Weight: 1, Seed: 1})
+		server, err := fleet.Add(CacheServerOptions{UID: "s-" + string(kind), Kind: kind, Weight: 1, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer connection.Close()
+	defer func() { _ = connection.Close() }()
 	reader := redcon.NewReader(connection)
 	fetch := func(id, fields string) (status string) {
 		t.Helper()
@@ -105,7 +105,7 @@
 			t.Errorf("%s: %d fills at the origin", step.name, fills)
 		}
 	}
-	s.PurgeObject(7)
+	fleet.PurgeObject(7)
 	if status := fetch("b", "class=clip,key=7"); status != StatusNotCached {
 		t.Errorf("a purged copy is still given out: %s", status)
 	}
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -1,8 +1,5 @@
 package soak
 
-// This file owns the stand-in of discovery: each router reaches it at an address of its own, so that it is known who asked for what,
-// and when; a router that asks for what comes after an event has been told of it.
-
 import (
 	"fmt"
 	"net"
@@ -15,170 +12,149 @@
 	"fennelarch/internal/fake/site"
 )
 
-// ill is what is wrong with discovery at the moment.
-type ill uint8
+// discoveryState is what is wrong with discovery at the moment.
+type discoveryState uint8
 
 const (
-	fine ill = iota
-	silentPolls
-	brokenPolls
+	discoveryHealthy discoveryState = iota
+	discoveryHoldsPolls
+	discoveryBreaksPolls
 )
 
+// oldPortLasts is how long polls that are open at a port that shuts down may go on.
+const oldPortLasts = 1500 * time.Millisecond
+
+// discovery is a fake discovery server. Each router reaches it at a port of its own, so that it is known who polled for
+// what, and when: a router that polls for what comes after an event has seen that event.
 type discovery struct {
 	record *Record
+	events *site.EventLog
 
-	mu     sync.Mutex
-	items  []string
-	times  []time.Time // of the items
-	change chan struct{}
-	ill    ill
-	end    chan struct{} // closed when the ill is over
-	ports  []*port       // by router: the one in force
+	mu        sync.Mutex
+	state     discoveryState
+	recovered chan struct{}    // closed when the state is over
+	ports     []*discoveryPort // by router: the one in force
 }
 
-// port is where one router reaches discovery.
-type port struct {
-	ln     net.Listener
-	server *http.Server
-	closed chan struct{}
+// discoveryPort is where one router reaches discovery.
+type discoveryPort struct {
+	listener net.Listener
+	server   *http.Server
+	closed   chan struct{}
 }
 
-func newDiscovery(record *Record) *discovery {
-	return &discovery{record: record, change: make(chan struct{})}
+func newDiscovery(record *Record, routers int) *discovery {
+	return &discovery{record: record, events: site.NewEventLog(), ports: make([]*discoveryPort, routers)}
 }
 
-// open makes an address for a router, in the place of the last one.
+// open makes a port for a router, in the place of the last one.
 func (d *discovery) open(router int) (address string, err error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	p := &port{ln: ln, closed: make(chan struct{})}
-	p.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(router, p, w, r) })}
-	go func() { _ = p.server.Serve(ln) }()
+	port := &discoveryPort{listener: listener, closed: make(chan struct{})}
+	port.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		d.poll(router, port, w, r)
+	})}
+	go func() { _ = port.server.Serve(listener) }()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for len(d.ports) <= router {
-		d.ports = append(d.ports, nil)
-	}
-	d.ports[router] = p
-	return ln.Addr().String(), nil
+	d.ports[router] = port
+	return listener.Addr().String(), nil
 }
 
-// leave ends an address: it takes nothing new, tells nothing more, and closes what is open after a while.
-func (p *port) leave() {
+// shutDown ends a port: it accepts nothing new, sends nothing more, and closes what is open after a while.
+func (p *discoveryPort) shutDown() {
 	close(p.closed)
-	_ = p.ln.Close()
-	time.AfterFunc(1500*time.Millisecond, func() { _ = p.server.Close() })
+	_ = p.listener.Close()
+	time.AfterFunc(oldPortLasts, func() { _ = p.server.Close() })
 }
 
-func (d *discovery) port(router int) *port {
+func (d *discovery) port(router int) *discoveryPort {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ports[router]
 }
 
-// suffer puts an ill in force until the end is called.
-func (d *discovery) suffer(i ill) (end func()) {
-	over := make(chan struct{})
+// close ends all ports at once.
+func (d *discovery) close() {
 	d.mu.Lock()
-	d.ill, d.end = i, over
+	defer d.mu.Unlock()
+	for _, port := range d.ports {
+		_ = port.server.Close()
+	}
+}
+
+// impair puts a state in force until the end is called.
+func (d *discovery) impair(state discoveryState) (end func()) {
+	recovered := make(chan struct{})
+	d.mu.Lock()
+	d.state, d.recovered = state, recovered
 	d.mu.Unlock()
 	return func() {
 		d.mu.Lock()
-		if d.end == over {
-			d.ill, d.end = fine, nil
+		if d.recovered == recovered {
+			d.state, d.recovered = discoveryHealthy, nil
 		}
 		d.mu.Unlock()
-		close(over)
+		close(recovered)
 	}
 }
 
-func (d *discovery) tell(text string) (no int) {
+func (d *discovery) currentState() (discoveryState, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.items = append(d.items, fmt.Sprintf(`{"no":%d,%s}`, len(d.items)+1, text))
-	d.times = append(d.times, time.Now())
-	close(d.change)
-	d.change = make(chan struct{})
-	return len(d.items)
+	return d.state, d.recovered
 }
 
-// list tells the list, or changes of it.
-func (d *discovery) list(all bool, lines ...line) (no int) {
-	var targets []string
-	for _, l := range lines {
-		boot := int64(0)
-		if !l.Boot.IsZero() {
-			boot = l.Boot.UnixMilli()
-		}
-		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"west","model":%q,"pod_group":%d,"state":%q,"capacity_hint":%g,"boot_ms":%d}`,
-			l.UID, l.Address, l.Kind, l.cell, l.State, l.Weight, boot))
-	}
-	return d.tell(fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, all, strings.Join(targets, ",")))
-}
+func (d *discovery) publish(text string) (event int) { return d.events.Append(text) }
 
 // history is all events, with their times.
-func (d *discovery) history(began time.Time) string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (d *discovery) history(startedAt time.Time) string {
+	events, _ := d.events.Events()
 	var text strings.Builder
-	for i, item := range d.items {
-		fmt.Fprintf(&text, "%v %s\n", d.times[i].Sub(began).Round(time.Millisecond), item)
+	for _, event := range events {
+		fmt.Fprintf(&text, "%v %s\n", event.PublishedAt.Sub(startedAt).Round(time.Millisecond), event.Text)
 	}
 	return text.String()
 }
 
 func (d *discovery) known() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return pageOf(d.items, 0)
-}
-
-func pageOf(items []string, after int) string {
-	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(items), strings.Join(items[min(after, len(items)):], ","))
+	events, _ := d.events.Events()
+	return site.Page(events, 0)
 }
 
-func (d *discovery) serve(router int, p *port, w http.ResponseWriter, r *http.Request) {
-	now := time.Now()
+func (d *discovery) poll(router int, port *discoveryPort, w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.FormValue("after"))
-	patience, _ := strconv.Atoi(r.FormValue("patience"))
-	d.record.with(func() {
-		if told := d.record.told[router]; after > 0 && told[after].IsZero() {
-			told[after] = now
-		}
-	})
-	late := time.After(time.Duration(patience) * time.Millisecond)
-	for done := false; ; {
-		d.mu.Lock()
-		items, change, i, over := d.items, d.change, d.ill, d.end
-		d.mu.Unlock()
-		switch {
-		case i == silentPolls:
+	waitMS, _ := strconv.Atoi(r.FormValue("patience"))
+	d.record.recordPoll(router, after)
+	timeout := time.After(time.Duration(waitMS) * time.Millisecond)
+	for timedOut := false; ; {
+		events, changed := d.events.Events()
+		state, recovered := d.currentState()
+		switch state {
+		case discoveryHoldsPolls:
 			select {
-			case <-over:
+			case <-recovered:
 				continue
 			case <-r.Context().Done():
 				return
 			}
-		case i == brokenPolls && after%2 == 0:
-			http.Error(w, "out of order", http.StatusServiceUnavailable)
+		case discoveryBreaksPolls:
+			breakPoll(w, after, site.Page(events, after))
 			return
-		case i == brokenPolls:
-			text := pageOf(items, after)
-			_, _ = fmt.Fprint(w, text[:len(text)*2/3])
-			_ = http.NewResponseController(w).Flush()
-			panic(http.ErrAbortHandler)
+		case discoveryHealthy:
 		}
-		if len(items) > after || done {
-			_, _ = fmt.Fprint(w, pageOf(items, after))
+		if len(events) > after || timedOut {
+			_, _ = fmt.Fprint(w, site.Page(events, after))
 			return
 		}
 		select {
-		case <-change:
-		case <-late:
-			done = true
-		case <-p.closed:
+		case <-changed:
+		case <-timeout:
+			timedOut = true
+		case <-port.closed:
 			<-r.Context().Done()
 			return
 		case <-r.Context().Done():
@@ -187,8 +163,13 @@
 	}
 }
 
-// line is what the list says of one server.
-type line struct {
-	site.Line
-	cell int // its group
+// breakPoll fails a poll in one of two ways: with an error, or with a response that breaks off.
+func breakPoll(w http.ResponseWriter, after int, page string) {
+	if after%2 == 0 {
+		http.Error(w, "out of order", http.StatusServiceUnavailable)
+		return
+	}
+	_, _ = fmt.Fprint(w, page[:len(page)*2/3])
+	_ = http.NewResponseController(w).Flush()
+	panic(http.ErrAbortHandler)
 }
--- /dev/null
+++ b/internal/testbed/soak/link.go
@@ -0,0 +1,59 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"sync"
+)
+
+// linkConditions is what is wrong with the connections between routers and servers at the moment.
+type linkConditions struct {
+	mu                 sync.Mutex
+	resetProbability   float64 // that a connection is reset after a piece
+	corruptProbability float64 // that a response is corrupt or breaks off
+	fragments          bool    // responses come in pieces, and some of them twice
+	rng                *rand.Rand
+}
+
+func newLinkConditions(seed uint64) *linkConditions {
+	return &linkConditions{rng: rand.New(rand.NewPCG(seed, linkStream))}
+}
+
+func (l *linkConditions) set(change func(*linkConditions)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	change(l)
+}
+
+// happens draws whether something of a probability happens.
+func (l *linkConditions) happens(probability float64) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return probability > 0 && l.rng.Float64() < probability
+}
+
+func (l *linkConditions) current() (resetProbability, corruptProbability float64, fragments bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.resetProbability, l.corruptProbability, l.fragments
+}
+
+func (l *linkConditions) intN(n int) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rng.IntN(n)
+}
+
+// corrupt returns what comes instead of a response: nothing at all, half of it and an end, noise, or a length that does
+// not fit.
+func (l *linkConditions) corrupt(frame []byte) []byte {
+	switch l.intN(4) {
+	case 0:
+		return nil
+	case 1:
+		return frame[:len(frame)/2]
+	case 2:
+		return []byte("*4\r\n$-7\r\nnoise\r\n")
+	default:
+		return append([]byte("*4\r\n$99999999999\r\n"), frame...)
+	}
+}
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -1,184 +1,150 @@
 package soak
 
-// This file owns the TCP proxy before a server. It notes each request in the moment in which it arrives from a router, and then passes
-// it on as well as the troubles of the moment let it. It always reads what a router writes: when an attempt began is not its affair.
-
 import (
-	"math/rand/v2"
+	"errors"
 	"net"
-	"strconv"
 	"sync"
 	"time"
 
+	"fennelarch/internal/fake/site"
+
 	"github.com/tidwall/redcon"
 )
 
-// weather is what is wrong with connections at the moment.
-type weather struct {
-	mu     sync.Mutex
-	reset  float64 // part of the pieces after which a connection is reset
-	pieces bool    // answers come in pieces, and some of them twice
-	spoil  float64 // part of the answers that are spoilt or break off
-	rng    *rand.Rand
-}
-
-func (w *weather) set(change func(w *weather)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	change(w)
-}
-
-// draw says whether something of a part happens.
-func (w *weather) draw(part float64) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return part > 0 && w.rng.Float64() < part
-}
-
-func (w *weather) now() (reset, spoil float64, pieces bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.reset, w.spoil, w.pieces
-}
-
-func (w *weather) intn(n int) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rng.IntN(n)
-}
+const (
+	upstreamDialTimeout = time.Second
+	proxyBufferBytes    = 32 << 10
+	proxyQueueLength    = 1024
+)
 
-// proxy stands before one server.
+// proxy is a TCP proxy before one server. It records each request at the moment at which it arrives from a router, and
+// then passes it on as well as the faults in force let it. It always reads what a router writes, so that the record of
+// when an attempt began does not depend on the faults.
 type proxy struct {
-	uid     string
-	record  *Record
-	weather *weather
-	called  func(id string) // is told of each request
-	ln      net.Listener
+	uid       string
+	record    *Record
+	link      *linkConditions
+	onRequest func(id string)
+	listener  net.Listener
+	upstream  string
 
-	mu       sync.Mutex
-	upstream string
-	silent   chan struct{} // closed when the silence is over; nil: there is none
-	conns    map[net.Conn]bool
+	mu          sync.Mutex
+	unblocked   chan struct{} // closed when the proxy passes on again; nil: it does
+	connections map[net.Conn]bool
 }
 
-func newProxy(uid, address, upstream string, record *Record, w *weather, called func(id string)) (*proxy, error) {
-	ln, err := net.Listen("tcp", address)
+func (c *cluster) newProxy(s *server, address string) (*proxy, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{uid: uid, record: record, weather: w, called: called, ln: ln, upstream: upstream, conns: map[net.Conn]bool{}}
+	p := &proxy{
+		uid: s.uid, record: c.record, link: c.link, onRequest: func(id string) { c.servers.recordRequest(s, id) },
+		listener: listener, upstream: s.frames.Address(), connections: map[net.Conn]bool{},
+	}
 	go p.accept()
 	return p, nil
 }
 
-func (p *proxy) address() string { return p.ln.Addr().String() }
+func (p *proxy) address() string { return p.listener.Addr().String() }
+
+func (p *proxy) stopListening() { _ = p.listener.Close() }
 
 func (p *proxy) accept() {
 	for {
-		c, err := p.ln.Accept()
+		connection, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.pass(c.(*net.TCPConn))
+		go p.serve(connection)
 	}
 }
 
-// hush has nothing passed on until it is ended.
-func (p *proxy) hush() (end func()) {
-	over := make(chan struct{})
+// block has nothing passed on until it is ended.
+func (p *proxy) block() (end func()) {
+	unblocked := make(chan struct{})
 	p.mu.Lock()
-	p.silent = over
+	p.unblocked = unblocked
 	p.mu.Unlock()
 	return func() {
 		p.mu.Lock()
-		if p.silent == over {
-			p.silent = nil
+		if p.unblocked == unblocked {
+			p.unblocked = nil
 		}
 		p.mu.Unlock()
-		close(over)
+		close(unblocked)
 	}
 }
 
-func (p *proxy) waitForSound() {
+func (p *proxy) waitUntilUnblocked() {
 	p.mu.Lock()
-	silent := p.silent
+	unblocked := p.unblocked
 	p.mu.Unlock()
-	if silent != nil {
-		<-silent
+	if unblocked != nil {
+		<-unblocked
 	}
 }
 
-// reset ends all connections at once.
+// reset resets all connections at once.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.conns {
-		resetConn(c)
+	for connection := range p.connections {
+		site.ResetConnection(connection)
 	}
 }
 
-func resetConn(c net.Conn) {
-	_ = c.(*net.TCPConn).SetLinger(0)
-	_ = c.Close()
-}
-
-// pass carries one connection of a router.
-func (p *proxy) pass(down *net.TCPConn) {
+// serve carries one connection of a router.
+func (p *proxy) serve(downstream net.Conn) {
 	p.mu.Lock()
-	p.conns[down] = true
-	upstream := p.upstream
+	p.connections[downstream] = true
 	p.mu.Unlock()
 	defer func() {
-		_ = down.Close()
+		_ = downstream.Close()
 		p.mu.Lock()
-		delete(p.conns, down)
+		delete(p.connections, downstream)
 		p.mu.Unlock()
 	}()
-	up, err := net.DialTimeout("tcp", upstream, time.Second)
+	upstream, err := net.DialTimeout("tcp", p.upstream, upstreamDialTimeout)
 	if err != nil {
-		resetConn(down)
+		site.ResetConnection(downstream)
 		return
 	}
-	defer up.Close()
-	requests := make(chan []byte, 1024)
-	go func() {
-		defer up.Close()
-		for b := range requests {
-			p.waitForSound()
-			if _, err := up.Write(b); err != nil {
-				_ = down.Close()
-			}
-		}
-	}()
-	go p.answers(up, down)
-	p.note(down, requests)
+	defer func() { _ = upstream.Close() }()
+	requests := make(chan []byte, proxyQueueLength)
+	go p.passRequests(upstream, downstream, requests)
+	go p.passResponses(upstream, downstream)
+	p.readRequests(downstream, requests)
 	close(requests)
 }
 
-// note reads what a router writes, and notes each request with the moments of its first and its last byte.
-func (p *proxy) note(down net.Conn, requests chan<- []byte) {
+func (p *proxy) passRequests(upstream, downstream net.Conn, requests <-chan []byte) {
+	defer func() { _ = upstream.Close() }()
+	for request := range requests {
+		p.waitUntilUnblocked()
+		if _, err := upstream.Write(request); err != nil {
+			_ = downstream.Close()
+		}
+	}
+}
+
+// readRequests reads what a router writes, and records each request with the moments of its first and its last byte.
+func (p *proxy) readRequests(downstream net.Conn, requests chan<- []byte) {
 	var pending []byte
-	var first time.Time
-	buffer := make([]byte, 32<<10)
+	var firstByteAt time.Time
+	buffer := make([]byte, proxyBufferBytes)
 	for {
-		n, err := down.Read(buffer)
+		n, err := downstream.Read(buffer)
 		now := time.Now()
 		if n > 0 {
 			if len(pending) == 0 {
-				first = now
+				firstByteAt = now
 			}
 			pending = append(pending, buffer[:n]...)
-			for len(pending) > 0 {
-				whole, args, _, rest, bad := redcon.ReadNextCommand(pending, nil)
-				if bad != nil || !whole {
-					break
-				}
-				p.noteOne(args, first, now)
-				pending, first = append([]byte(nil), rest...), now
-			}
+			pending, firstByteAt = p.recordAttempts(pending, firstByteAt, now)
 			requests <- append([]byte(nil), buffer[:n]...)
-			if reset, _, _ := p.weather.now(); p.weather.draw(reset) {
-				resetConn(down)
+			if resetProbability, _, _ := p.link.current(); p.link.happens(resetProbability) {
+				site.ResetConnection(downstream)
 				return
 			}
 		}
@@ -188,85 +154,92 @@
 	}
 }
 
-func (p *proxy) noteOne(args [][]byte, first, whole time.Time) {
-	if len(args) < 4 || string(args[0]) != "fetch" {
+// recordAttempts records the complete requests at the beginning of what has been read, and returns the rest.
+func (p *proxy) recordAttempts(pending []byte, firstByteAt, now time.Time) (rest []byte, restFirstByteAt time.Time) {
+	for len(pending) > 0 {
+		isComplete, args, _, rest, err := redcon.ReadNextCommand(pending, nil)
+		if err != nil || !isComplete {
+			break
+		}
+		p.recordAttempt(args, firstByteAt, now)
+		pending, firstByteAt = append([]byte(nil), rest...), now
+	}
+	return pending, firstByteAt
+}
+
+func (p *proxy) recordAttempt(args [][]byte, firstByteAt, lastByteAt time.Time) {
+	words := make([]string, len(args))
+	for i, word := range args {
+		words[i] = string(word)
+	}
+	request, err := site.ParseFetch(words)
+	if errors.Is(err, site.ErrNotFetch) {
 		return
 	}
-	fields := fieldsOf(string(args[2]))
-	ms, _ := strconv.Atoi(fields["wait"])
-	a := Attempt{
-		ID: string(args[1]), Server: p.uid, Source: fields["next"], First: first, Whole: whole,
-		Deadline: time.Duration(ms) * time.Millisecond,
+	attempt := Attempt{
+		RequestID: request.ID, Server: p.uid, Source: request.Source, FirstByteAt: firstByteAt, LastByteAt: lastByteAt,
+		Timeout: request.Timeout,
 	}
-	p.record.with(func() { p.record.attempts = append(p.record.attempts, a) })
-	p.called(a.ID)
+	p.record.update(func() { p.record.attempts = append(p.record.attempts, attempt) })
+	p.onRequest(attempt.RequestID)
 }
 
-// answers passes on what the server says, whole frame by whole frame unless a trouble says otherwise.
-func (p *proxy) answers(up net.Conn, down *net.TCPConn) {
-	defer down.Close()
-	for r := redcon.NewReader(up); ; {
-		command, err := r.ReadCommand()
+// passResponses passes on what the server responds, frame by frame unless a fault says otherwise.
+func (p *proxy) passResponses(upstream, downstream net.Conn) {
+	defer func() { _ = downstream.Close() }()
+	reader := redcon.NewReader(upstream)
+	for {
+		command, err := reader.ReadCommand()
 		if err != nil {
 			return
 		}
-		p.waitForSound()
-		frame := append([]byte(nil), command.Raw...)
-		reset, spoil, pieces := p.weather.now()
-		if p.weather.draw(spoil) {
-			frame = p.spoil(frame)
-			if frame == nil {
-				return
-			}
-		}
-		if p.weather.draw(reset) {
-			_, _ = down.Write(frame[:p.weather.intn(len(frame))])
-			resetConn(down)
+		p.waitUntilUnblocked()
+		if !p.passResponse(downstream, append([]byte(nil), command.Raw...)) {
 			return
 		}
-		if !pieces {
-			if _, err := down.Write(frame); err != nil {
-				return
-			}
-			continue
-		}
-		if !p.inPieces(down, frame) {
-			return
-		}
-		if p.weather.draw(0.2) {
-			time.Sleep(time.Duration(p.weather.intn(5)) * time.Millisecond)
-			if !p.inPieces(down, frame) {
-				return
-			}
+	}
+}
+
+// passResponse passes on one response; it returns false where the connection is over.
+func (p *proxy) passResponse(downstream net.Conn, frame []byte) bool {
+	resetProbability, corruptProbability, fragments := p.link.current()
+	if p.link.happens(corruptProbability) {
+		if frame = p.link.corrupt(frame); frame == nil {
+			return false
 		}
 	}
+	if p.link.happens(resetProbability) {
+		_, _ = downstream.Write(frame[:p.link.intN(len(frame))])
+		site.ResetConnection(downstream)
+		return false
+	}
+	if !fragments {
+		_, err := downstream.Write(frame)
+		return err == nil
+	}
+	if !p.passInPieces(downstream, frame) {
+		return false
+	}
+	if p.link.happens(0.2) {
+		time.Sleep(time.Duration(p.link.intN(5)) * time.Millisecond)
+		return p.passInPieces(downstream, frame)
+	}
+	return true
 }
 
-// inPieces writes a frame in some pieces.
-func (p *proxy) inPieces(down net.Conn, frame []byte) bool {
-	for left := 4; len(frame) > 0; left-- {
+// passInPieces writes a frame in some pieces.
+func (p *proxy) passInPieces(downstream net.Conn, frame []byte) bool {
+	const cuts = 4
+	for cutsLeft := cuts; len(frame) > 0; cutsLeft-- {
 		n := len(frame)
-		if left > 0 {
-			n = 1 + p.weather.intn(len(frame))
+		if cutsLeft > 0 {
+			n = 1 + p.link.intN(len(frame))
 		}
-		if _, err := down.Write(frame[:n]); err != nil {
+		if _, err := downstream.Write(frame[:n]); err != nil {
 			return false
 		}
 		frame = frame[n:]
-		time.Sleep(time.Duration(p.weather.intn(3)) * time.Millisecond)
+		time.Sleep(time.Duration(p.link.intN(3)) * time.Millisecond)
 	}
 	return true
 }
-
-// spoil is what comes instead of an answer: nothing at all, half of it and an end, noise, or a length that does not fit.
-func (p *proxy) spoil(frame []byte) []byte {
-	switch p.weather.intn(4) {
-	case 0:
-		return nil
-	case 1:
-		return frame[:len(frame)/2]
-	case 2:
-		return []byte("*4\r\n$-7\r\nnoise\r\n")
-	}
-	return append([]byte("*4\r\n$99999999999\r\n"), frame...)
-}
--- /dev/null
+++ b/internal/testbed/soak/report.go
@@ -0,0 +1,156 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"fennelarch/internal/testbed"
+)
+
+// maxBreachesPrinted bounds what is printed of a run that failed; the report holds all.
+const maxBreachesPrinted = 10
+
+// Report is the outcome of a run, as it is written down.
+type Report struct {
+	Seed         uint64            `json:"seed"`
+	Plan         []string          `json:"plan"`
+	SystemFaults map[string]string `json:"system_faults"` // by router
+	Requests     int               `json:"requests"`
+	Answered     map[string]int    `json:"answered"` // by status
+	Excused      map[string]int    `json:"excused"`
+	Breaches     []Breach          `json:"breaches"`
+	Violations   map[string]int    `json:"invariant_violations"` // that the routers themselves counted
+	Errors       []string          `json:"errors"`
+	LongestDelay time.Duration     `json:"longest_delay"` // of the testbed's own process
+}
+
+// hasPassed says that neither the checker nor the routers' own invariants found anything.
+func (r *Report) hasPassed() bool { return len(r.Breaches)+len(r.Violations)+len(r.Errors) == 0 }
+
+// conclude checks the run, and asserts what must hold. It brings two findings together: the checker's from outside, and
+// what the routers' own invariants counted. Both must be empty.
+func (c *cluster) conclude(result *testbed.Result, plan []Fault) {
+	report := c.newReport(plan)
+	c.printSummary(report)
+	served := report.Answered[testbed.StatusOK]
+	crossed := report.Excused[string(ExcuseCrossedClose)]
+	result.Claim(len(report.Breaches) == 0, "no rule is broken, as clients and servers see it",
+		"%d requests, %d breaches %v", report.Requests, len(report.Breaches), countKinds(report.Breaches))
+	result.Claim(len(report.Violations) == 0, "no router counts a violation of an invariant", "%v", report.Violations)
+	result.Claim(len(report.Errors) == 0, "no router crashes, or fails to start or to end", "%v", report.Errors)
+	result.Claim(served*3 > report.Requests, "a third of all requests is served all the same", "%d of %d", served,
+		report.Requests)
+	result.Claim(crossed*200 <= report.Requests, "ends of connections that cross a request are few", "%d of %d", crossed,
+		report.Requests)
+	result.Figure("requests", float64(report.Requests))
+	result.Figure("faults", float64(len(plan)))
+	result.Figure("served", float64(served))
+	result.Figure("breaches", float64(len(report.Breaches)))
+	c.writeReport(report, result.Held())
+}
+
+func (c *cluster) newReport(plan []Fault) *Report {
+	breaches, excused := c.record.check()
+	report := &Report{
+		Seed: c.options.Seed, SystemFaults: map[string]string{}, Requests: len(c.record.requests),
+		Answered: map[string]int{}, Excused: excused, Breaches: breaches, Violations: map[string]int{},
+		LongestDelay: c.record.longestDelay(),
+	}
+	for _, fault := range plan {
+		report.Plan = append(report.Plan, fault.String())
+	}
+	for _, request := range c.record.requests {
+		if request.Answers > 0 {
+			report.Answered[request.Status]++
+		}
+	}
+	for _, r := range c.routers {
+		report.SystemFaults[r.Name] = c.systemFaults(r.index)
+		countViolations(r.Log(), report.Violations)
+	}
+	for _, err := range c.errs {
+		report.Errors = append(report.Errors, err.Error())
+	}
+	return report
+}
+
+// countViolations counts the violations of invariants in a router's log, by kind.
+func countViolations(log string, counts map[string]int) {
+	for line := range strings.Lines(log) {
+		_, fields, found := strings.Cut(line, "invariant violated")
+		if !found {
+			continue
+		}
+		_, rest, _ := strings.Cut(fields, `"kind": "`)
+		kind, _, _ := strings.Cut(rest, `"`)
+		counts[kind]++
+	}
+}
+
+func countKinds(breaches []Breach) map[BreachKind]int {
+	kinds := map[BreachKind]int{}
+	for i := range breaches {
+		kinds[breaches[i].Kind]++
+	}
+	return kinds
+}
+
+// printSummary prints the run in one line.
+func (c *cluster) printSummary(report *Report) {
+	outcome := "passed"
+	if !report.hasPassed() {
+		outcome = "FAILED"
+	}
+	c.options.Say("seed %d: %s, %d requests %v, excused %v, %d faults, breaches %v, violations %v, %d errors, "+
+		"longest delay %v",
+		report.Seed, outcome, report.Requests, report.Answered, report.Excused, len(report.Plan),
+		countKinds(report.Breaches), report.Violations, len(report.Errors), report.LongestDelay.Round(time.Millisecond))
+}
+
+// writeReport writes the report and the plan; of a run that failed, the routers' logs and flight recorders too.
+func (c *cluster) writeReport(report *Report, hasPassed bool) {
+	defer func() { _ = os.RemoveAll(c.folder) }()
+	if c.options.Out == "" {
+		return
+	}
+	out := filepath.Join(c.options.Out, fmt.Sprintf("soak-%d", c.options.Seed))
+	if err := os.MkdirAll(out, 0o755); err != nil {
+		c.options.Say("  the report can't be written: %v", err)
+		return
+	}
+	text, _ := json.MarshalIndent(report, "", "  ")
+	c.writeFile(filepath.Join(out, "report.json"), text)
+	c.writeFile(filepath.Join(out, "plan.txt"), []byte(strings.Join(report.Plan, "\n")+"\n"))
+	if !hasPassed {
+		c.writeEvidence(report, out)
+	}
+}
+
+// writeEvidence writes what a run that failed is looked into with.
+func (c *cluster) writeEvidence(report *Report, out string) {
+	for _, r := range c.routers {
+		c.writeFile(filepath.Join(out, r.Name+".log"), []byte(r.Log()))
+	}
+	c.writeFile(filepath.Join(out, "events.txt"), []byte(c.discovery.history(c.record.startedAt)))
+	recorders, _ := filepath.Glob(filepath.Join(c.folder, "recorder-*.txt"))
+	for _, path := range recorders {
+		if text, err := os.ReadFile(path); err == nil {
+			c.writeFile(filepath.Join(out, filepath.Base(path)), text)
+		}
+	}
+	for _, breach := range report.Breaches[:min(len(report.Breaches), maxBreachesPrinted)] {
+		c.options.Say("  %s: request %s, router n%d: %s", breach.Kind, breach.Request, breach.Router, breach.Detail)
+	}
+	plan := filepath.Join(out, "plan.txt")
+	c.options.Say("  kept in %s; the same plan again: --seed %d, or --plan %s", out, c.options.Seed, plan)
+}
+
+func (c *cluster) writeFile(path string, text []byte) {
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		c.options.Say("  %v", err)
+	}
+}
--- a/internal/testbed/soak/server.go
+++ b/internal/testbed/soak/server.go
@@ -1,354 +1,224 @@
 package soak
 
-// This file owns the stand-ins of cache servers, parents and the origin, written from the published protocol: what they hold, what is
-// wrong with them, and what effect each request had.
-
 import (
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"fennelarch/internal/fake/site"
-
-	"github.com/tidwall/redcon"
 )
 
-// Class is one kind of request.
-type Class struct {
-	Name    string
-	Effect  Effect
-	Write   bool          // it runs at the origin
-	Fresh   time.Duration // of a copy, 0: until purged
-	Window  time.Duration // in which repeats of a keyed request are dropped
-	Timeout time.Duration
-}
-
-// classes are those of the soak's deployment.
-var classes = []*Class{
-	{Name: "clip", Timeout: 2500 * time.Millisecond},
-	{Name: "page", Fresh: 2 * time.Second, Timeout: 1500 * time.Millisecond},
-	{Name: "photo", Effect: OneShot, Timeout: 1800 * time.Millisecond},
-	{Name: "book", Effect: Keyed, Window: 1200 * time.Millisecond, Timeout: 2 * time.Second},
-	{Name: "signoff", Effect: OneShot, Write: true, Timeout: 2 * time.Second},
-}
-
-func classOf(name string) *Class {
-	for _, c := range classes {
-		if c.Name == name {
-			return c
-		}
-	}
-	return nil
-}
-
-// mode is what is wrong with a server.
-type mode uint8
+// serverState is what is wrong with a server.
+type serverState uint8
 
 const (
-	healthy mode = iota
-	hanging
-	failing
-	full
+	serverHealthy serverState = iota
+	serverHanging
+	serverFailing
+	serverOverloaded
 )
 
-// flow is how many KB a second one transfer carries; a byte on the socket stands for fifteen.
-const flow, bytesPerKB = 800.0, 1024.0 / 15
-
-// server is one stand-in.
+// server is a fake cache server, parent or origin. It holds copies, has effects, and fails as its state says.
 type server struct {
-	site   *serverSet
+	set    *serverSet
 	uid    string
 	kind   site.Kind
 	cell   int
 	weight float64
-	front  *proxy // what routers reach
-	ln     net.Listener
+	frames *site.FrameServer
+
+	proxy  *proxy // what routers reach; guarded by the set's mutex
+	isLost bool   // it has been replaced; guarded by the set's mutex
 
 	mu     sync.Mutex
-	mode   mode
-	held   map[uint64]copied
-	conns  map[net.Conn]bool
+	state  serverState
+	copies map[uint64]site.Copy
 	rng    *rand.Rand
-	gone   bool
-	drains int // troubles that have it drain
+	drains int // the faults that have it drain
 }
 
-type copied struct {
-	body string
-	born time.Time
+// endpoint is the server's entry in the endpoint list: it drains as long as any fault has it drain.
+func (s *server) endpoint(state string) site.Endpoint {
+	address := s.currentProxy().address()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if state == site.StateReady && s.drains > 0 {
+		state = site.StateDraining
+	}
+	return site.Endpoint{
+		UID: s.uid, Address: address, Zone: site.Zone, Kind: s.kind, State: state, Weight: s.weight, Cell: &s.cell,
+	}
 }
 
-func sum(born time.Time) string { return fmt.Sprintf("%016x", born.UnixNano()) }
-
-// sizeKB is an object's size: most are some tens of KB.
-func sizeKB(object uint64) float64 { return 15 + float64(object%7)*20 }
+func (s *server) currentProxy() *proxy {
+	s.set.mu.Lock()
+	defer s.set.mu.Unlock()
+	return s.proxy
+}
 
-func (s *server) accept() {
-	for {
-		c, err := s.ln.Accept()
-		if err != nil {
-			return
-		}
-		s.mu.Lock()
-		s.conns[c] = true
-		s.mu.Unlock()
-		go s.serve(c)
-	}
+// swapProxy has routers reach the server by another proxy, and returns the old one.
+func (s *server) swapProxy(replacement *proxy) (old *proxy) {
+	s.set.mu.Lock()
+	defer s.set.mu.Unlock()
+	old, s.proxy = s.proxy, replacement
+	return old
 }
 
-func (s *server) serve(c net.Conn) {
-	defer func() {
-		_ = c.Close()
-		s.mu.Lock()
-		delete(s.conns, c)
-		s.mu.Unlock()
-	}()
-	var writing sync.Mutex
-	for r := redcon.NewReader(c); ; {
-		command, err := r.ReadCommand()
-		if err != nil || len(command.Args) < 2 {
-			return
-		}
-		words := make([]string, len(command.Args))
-		for i, a := range command.Args {
-			words[i] = string(a)
-		}
-		go func() {
-			answer := s.answer(words)
-			if answer == nil {
-				return
-			}
-			writing.Lock()
-			defer writing.Unlock()
-			_, _ = c.Write(answer)
-		}()
-	}
+func (s *server) isGone() bool {
+	s.set.mu.Lock()
+	defer s.set.mu.Unlock()
+	return s.isLost
 }
 
-// reset ends all its connections at once, as a process that dies does.
-func (s *server) reset() {
+func (s *server) setState(state serverState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		_ = c.(*net.TCPConn).SetLinger(0)
-		_ = c.Close()
-	}
+	s.state = state
 }
 
-func (s *server) set(m mode) {
+func (s *server) currentState() serverState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode = m
+	return s.state
 }
 
-func words(list ...string) []byte {
-	b := redcon.AppendArray(nil, len(list))
-	for _, w := range list {
-		b = redcon.AppendBulkString(b, w)
-	}
-	return b
+func (s *server) addDrain(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.drains += n
 }
 
-func fieldsOf(text string) map[string]string {
-	fields := map[string]string{}
-	for part := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(part, "=")
-		fields[name] = value
-	}
-	return fields
+func (s *server) dropCopies() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.copies = map[uint64]site.Copy{}
 }
 
-func (s *server) answer(request []string) []byte {
+// handle answers one request of a router.
+func (s *server) handle(words []string) []byte {
 	s.mu.Lock()
-	m, draw := s.mode, s.rng.Float64()
+	state, draw := s.state, s.rng.Float64()
 	s.mu.Unlock()
 	switch {
-	case m == hanging || request[0] == "abort":
+	case state == serverHanging || site.IsCancel(words):
 		return nil
-	case request[0] == "alive" || request[0] == "stats":
-		return words(request[1], "alive", "-")
-	case request[0] != "fetch" || len(request) < 4:
-		return words(request[1], "500", "-", "")
+	case site.IsHealthCheck(words):
+		return site.HealthResponse(words[1])
 	}
-	id, fields := request[1], fieldsOf(request[2])
-	class := classOf(fields["class"])
-	object, err := strconv.ParseUint(fields["key"], 16, 64)
-	if class == nil || err != nil {
-		return words(id, "500", "-", "")
+	request, err := site.ParseFetch(words)
+	if err != nil {
+		return site.ErrorResponse(words[1])
 	}
-	begun := time.Now()
-	wait, _ := strconv.Atoi(fields["wait"])
-	until := begun.Add(time.Duration(wait) * time.Millisecond)
-	switch {
-	case m == full:
-		return words(id, "503", "how=turned_away", "")
-	case m == failing && draw < 0.5:
-		return words(id, "404", "how=not_there", "")
+	class := classByName(request.Class)
+	if class == nil {
+		return site.ErrorResponse(request.ID)
 	}
-	if class.Effect != Repeatable || class.Write {
-		return s.run(id, class, m, until)
+	deadline := time.Now().Add(request.Timeout)
+	switch {
+	case state == serverOverloaded:
+		return site.FillErrorResponse(request.ID, site.StatusOverloaded, site.ErrOverloaded)
+	case state == serverFailing && draw < 0.5:
+		return site.FillErrorResponse(request.ID, site.StatusNotCached, site.ErrNotCached)
+	case class.hasEffect():
+		return s.execute(request.ID, class, state, deadline)
 	}
-	return s.fetch(id, class, object, fields, m, until)
+	return s.fetch(&request, class, state, deadline)
 }
 
-// run has an effect, unless it is a repeat that this server's cell drops.
-func (s *server) run(id string, class *Class, m mode, until time.Time) []byte {
-	if class.Write && s.kind != site.Origin {
-		return words(id, "404", "how=not_there", "")
+// execute has an effect, unless the request is a repeat that this server's cell drops.
+func (s *server) execute(id string, class *Class, state serverState, deadline time.Time) []byte {
+	if class.IsWrite && s.kind != site.Origin {
+		return site.FillErrorResponse(id, site.StatusNotCached, site.ErrNotCached)
 	}
-	if !s.site.repeated(s, id, class) {
-		s.site.record.with(func() { s.site.record.runs[id]++ })
+	if !s.set.isRepeat(s, id, class) {
+		s.set.record.update(func() { s.set.record.executions[id]++ })
 	}
-	s.sleep(until)
-	if m == failing {
-		return words(id, "500", "-", "")
+	s.sleep(deadline)
+	if state == serverFailing {
+		return site.ErrorResponse(id)
 	}
-	return words(id, "200", "sum=0000000000000001,t0="+strconv.FormatInt(time.Now().UnixMilli(), 10)+",how=local", "done "+id)
+	note := "sum=0000000000000001,t0=" + strconv.FormatInt(time.Now().UnixMilli(), 10) + ",how=local"
+	return site.Frame(id, site.StatusOK, note, executedBody(id))
 }
 
-func (s *server) sleep(until time.Time) {
+// executedBody is the body of a response to a request that ran.
+func executedBody(id string) string { return "done " + id }
+
+func (s *server) sleep(deadline time.Time) {
 	s.mu.Lock()
-	d := time.Duration(2+s.rng.IntN(8)) * time.Millisecond
+	duration := time.Duration(2+s.rng.IntN(8)) * time.Millisecond
 	s.mu.Unlock()
-	time.Sleep(min(d, max(0, time.Until(until))))
+	time.Sleep(min(duration, max(0, time.Until(deadline))))
 }
 
-// fetch gives a copy that will do, or fills it.
-func (s *server) fetch(id string, class *Class, object uint64, fields map[string]string, m mode, until time.Time) []byte {
-	oldest := class.Fresh
-	if limit, _ := strconv.Atoi(fields["agelim"]); limit > 0 {
-		oldest = time.Duration(limit) * time.Millisecond
+// fetch responds with a copy that is fresh enough, which it fills if it has to.
+func (s *server) fetch(request *site.FetchRequest, class *Class, state serverState, deadline time.Time) []byte {
+	if request.MaxAge <= 0 {
+		request.MaxAge = class.MaxAge
 	}
-	s.sleep(until)
-	begun := time.Now()
-	c, how := s.find(id, object, fields["next"], oldest, strings.Contains(fields["ways"], "held"))
-	if how == "not_there" || how == "turned_away" {
-		return words(id, "404", "how="+how, "")
+	s.sleep(deadline)
+	started := time.Now()
+	found, source, err := s.find(request)
+	if err != nil {
+		return site.Frame(request.ID, site.StatusNotCached, fmt.Sprintf("how=%v", err), "")
 	}
-	waited := time.Since(begun)
-	transfer := time.Duration(sizeKB(object) / flow * float64(time.Second))
-	time.Sleep(min(transfer, max(0, time.Until(until))))
-	if time.Now().After(until) || m == failing {
-		return words(id, "500", "-", "")
+	waited := time.Since(started)
+	transfer := time.Duration(sizeKB(request.Object.ID) / transferKBPerSecond * float64(time.Second))
+	time.Sleep(min(transfer, max(0, time.Until(deadline))))
+	if time.Now().After(deadline) || state == serverFailing {
+		return site.ErrorResponse(request.ID)
 	}
-	note := fmt.Sprintf("sum=%s,t0=%d,how=%s,slow=%d", sum(c.born), c.born.UnixMilli(), how, waited.Milliseconds())
-	if fields["cached"] == sum(c.born) {
-		return words(id, "304", note, "")
-	}
-	return words(id, "200", note, c.body)
+	return site.CopyResponse(request, found, source, waited)
 }
 
-// find is what the server holds, or what it fills from the source that is named.
-func (s *server) find(id string, object uint64, next string, oldest time.Duration, held bool) (copied, string) {
+// find returns the copy that the server holds, or fills it from the source that is named.
+func (s *server) find(request *site.FetchRequest) (site.Copy, site.CopySource, error) {
+	object := request.Object.ID
 	if s.kind == site.Origin {
-		return s.site.fresh(object), "local"
+		return newCopy(object), site.FromLocalCache, nil
 	}
 	s.mu.Lock()
-	c, has := s.held[object]
+	cached, has := s.copies[object]
 	s.mu.Unlock()
-	if has && (oldest == 0 || time.Since(c.born) <= oldest) && !s.site.dropped(object, c.born) {
-		return c, "local"
+	isFresh := request.MaxAge == 0 || time.Since(cached.CreatedAt) <= request.MaxAge
+	if has && isFresh && !s.set.isPurged(object, cached.CreatedAt) {
+		return cached, site.FromLocalCache, nil
 	}
-	source := s.site.byUID(next)
+	source := s.set.lookUp(request.Source)
 	if source == nil || source == s {
-		return copied{}, "not_there"
-	}
-	s.site.called(source, id) // a fill counts as a request at its source
-	source.mu.Lock()
-	m := source.mode
-	source.mu.Unlock()
-	if m != healthy {
-		return copied{}, "turned_away"
+		return site.Copy{}, "", site.ErrNotCached
 	}
-	above := ""
-	if source.kind == site.Parent && !held {
-		above = s.site.origin.uid
-	}
-	c, how := source.find(id, object, above, oldest, held)
-	if how != "local" && how != "pulled" {
-		return c, how
-	}
-	s.mu.Lock()
-	s.held[object] = c
-	s.mu.Unlock()
-	if how == "pulled" || source.kind == site.Origin {
-		return c, "pulled_far"
-	}
-	return c, "pulled"
-}
-
-// serverSet is all servers of the deployment.
-type serverSet struct {
-	record *Record
-	origin *server
-
-	mu      sync.Mutex
-	servers map[string]*server
-	effects map[string]map[int]time.Time // of a keyed request, by cell: when it ran there
-}
-
-func (s *serverSet) byUID(uid string) *server {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.servers[uid]
+	return s.fill(source, *request)
 }
 
-// repeated says whether a cell knows a keyed request already, and notes it.
-func (s *serverSet) repeated(at *server, id string, class *Class) bool {
-	if class.Effect != Keyed {
-		return false
+// fill fetches a copy from another server. What a parent had to fetch from the origin first is not kept here.
+func (s *server) fill(source *server, request site.FetchRequest) (site.Copy, site.CopySource, error) {
+	s.set.recordRequest(source, request.ID) // a fill counts as a request at its source
+	if source.currentState() != serverHealthy {
+		return site.Copy{}, "", site.ErrOverloaded
+	}
+	request.Source = ""
+	if source.kind == site.Parent && !request.OnlyIfCached {
+		request.Source = s.set.origin.uid
+	}
+	filled, from, err := source.find(&request)
+	if err != nil || from == site.FromOrigin {
+		return filled, from, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cells := s.effects[id]
-	if cells == nil {
-		cells = map[int]time.Time{}
-		s.effects[id] = cells
-	}
-	ran, known := cells[at.cell]
-	if known && time.Since(ran) < class.Window {
-		return true
+	s.copies[request.Object.ID] = filled
+	if from == site.FromParent || source.kind == site.Origin {
+		return filled, site.FromOrigin, nil
 	}
-	cells[at.cell] = time.Now()
-	return false
-}
-
-// goneEverywhere is how long caches may still hold what was purged; purgeGrace and drainGrace are what routers have.
-const (
-	goneEverywhere = 4 * time.Second
-	purgeGrace     = time.Second
-	drainGrace     = time.Second
-)
-
-// dropped says whether a copy from before a purge has been dropped by now.
-func (s *serverSet) dropped(object uint64, born time.Time) bool {
-	dropped := false
-	s.record.with(func() {
-		for _, p := range s.record.purges {
-			dropped = dropped || p.object == object && born.Before(p.issued) && time.Since(p.at) > goneEverywhere
-		}
-	})
-	return dropped
-}
-
-// fresh is a copy as the origin gives it out now.
-func (s *serverSet) fresh(object uint64) copied {
-	born := time.Now().Truncate(time.Millisecond)
-	return copied{site.Body(site.Object{ID: object}, born, int(sizeKB(object)*bytesPerKB)), born}
+	return filled, site.FromParent, nil
 }
 
-// called counts a request at a server that started a while ago, cold.
-func (s *serverSet) called(at *server, id string) {
-	now := time.Now()
-	s.record.with(func() {
-		for i := range s.record.colds {
-			if c := &s.record.colds[i]; c.server == at.uid {
-				c.calls = append(c.calls, call{id, now})
-			}
-		}
-	})
+// newCopy is a copy as the origin gives it out now.
+func newCopy(object uint64) site.Copy {
+	createdAt := time.Now().Truncate(time.Millisecond)
+	body := site.Body(site.Object{ID: object}, createdAt, int(sizeKB(object)*bytesPerKB))
+	return site.Copy{Body: body, CreatedAt: createdAt}
 }
