--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
-// Command sim-adapter hosts routers for the bench: it reads batches of events on
-// standard input and writes one reply a batch on standard output.
+// Command sim-adapter hosts routers for the simulator: it reads frames of events on standard input and writes one reply
+// a frame on standard output.
 package main
 
 import (
@@ -10,9 +10,11 @@
 	"fennelarch/internal/simwire"
 )
 
+// gcPercent makes collections rare: routers hold little memory and make little garbage.
+const gcPercent = 400
+
 func main() {
-	// Routers hold little and make little garbage; collecting rarely saves time.
-	debug.SetGCPercent(400)
+	debug.SetGCPercent(gcPercent)
 	if err := simwire.NewHost().Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "sim-adapter:", err)
 		os.Exit(1)
--- /dev/null
+++ b/internal/simwire/host_test.go
@@ -0,0 +1,116 @@
+package simwire
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"testing"
+
+	"fennelarch/internal/config"
+	"fennelarch/policy/routing"
+)
+
+// One frame starts a router, gives it an endpoint list and sends it a request; the next stops it.
+func Example_frames() {
+	in := append(newRequestFrame(), newFrame(2, "", stopRecord, requestRecord)...)
+	var out bytes.Buffer
+	fmt.Println(NewHost().Serve(bytes.NewReader(in), &out))
+	reply := out.Bytes()
+	fmt.Printf("%x\n", reply[:replyHeaderSize])
+	for reply = reply[replyHeaderSize:]; len(reply) >= actionSize; reply = reply[actionSize:] {
+		fmt.Printf("%x\n", reply[:actionSize])
+	}
+	fmt.Printf("%x\n", reply)
+	// Output:
+	// <nil>
+	// 010000006400000002000000
+	// 060700000000000000000034400000000000000000000000000000000000000000000000000000000000000000000000
+	// 0307000000090000000000000000000000000000000a124a078b130100000000000000000a9011f2b413000000000000
+	// 020000000400000000000000
+}
+
+// asError reports whether an error is of a type.
+func asError[T error](err error) bool {
+	var target T
+	return errors.As(err, &target)
+}
+
+// A malformed input ends the adapter with a typed error.
+func TestMalformedInput(t *testing.T) {
+	good := newFrame(1, "", stopRecord)
+	huge := append([]byte{}, good...)
+	byteOrder.PutUint32(huge[frameSizeOffset:], 0xfffffff0)
+	tooMany := append([]byte{}, good...)
+	byteOrder.PutUint32(tooMany[frameCountOffset:], 1000)
+	for _, testCase := range []struct {
+		name    string
+		in      []byte
+		text    string
+		hasType func(error) bool
+	}{
+		{"header cut short", good[:5], "frame header cut short: unexpected EOF", asError[*TruncatedError]},
+		{"frame cut short", good[:40], "frame cut short: unexpected EOF", asError[*TruncatedError]},
+		{"frame cut short behind its size", good[:12], "frame cut short: EOF", asError[*TruncatedError]},
+		{"frame too large", huge, "frame of 4294967280 bytes is out of bounds", asError[*SizeError]},
+		{"too many records", tooMany, "frame of 84 bytes cannot hold 1000 records", asError[*SizeError]},
+		{
+			"unknown record", newFrame(1, "", "63 07000000"),
+			"record 0: unknown code 99", asError[*UnknownCodeError],
+		},
+		{
+			"reference beyond the tail", newFrame(1, "", "02 03 ff000000 02000000"),
+			"record 0: offset 255 and length 2 leave the tail of 0 bytes", asError[*TailError],
+		},
+		{
+			"list number", newFrame(1, "", "02 10"),
+			"record 0: list number 16 is out of bounds", asError[*ListNumberError],
+		},
+		{
+			"scope of a list", newFrame(1, "", "01 07000000 03 09"),
+			"record 0: list of unknown scope 9", asError[*UnknownCodeError],
+		},
+		{
+			"outcome", newFrame(1, "", "07 07000000 0000000000000000 0000 000000000000 6300"),
+			"record 0: unknown outcome 99", asError[*UnknownCodeError],
+		},
+		{
+			"configuration", newFrame(1, "{", "03 07000000 0100000000000000 00000000 01000000"),
+			"record 0: settings: line 1, column 1: unexpected end of JSON input", asError[*RecordError],
+		},
+	} {
+		t.Run(testCase.name, func(t *testing.T) {
+			err := NewHost().Serve(bytes.NewReader(testCase.in), io.Discard)
+			if err == nil || err.Error() != testCase.text || !testCase.hasType(err) {
+				t.Errorf("%T: %v, not %s", err, err, testCase.text)
+			}
+		})
+	}
+}
+
+func Example_settings() {
+	settings, _, err := config.Decode([]byte(configText))
+	fmt.Println(err, settings.Zone, settings.Routers, settings.MaxAttempts, settings.ParentKind, settings.OriginKind,
+		settings.FlowKBPerSecond, settings.ResponseDetail == routing.DetailFull)
+	class := settings.Classes[0]
+	fmt.Println(class.LatencyObjective, class.Deadline, class.Idempotency == routing.Idempotent)
+	_, _, err = config.Decode([]byte(`{"classes": [{"effect": "odd"}]}`))
+	fmt.Println(err)
+	// Output:
+	// <nil> 1 1 6 1 2 1000 true
+	// 250ms 3s true
+	// settings.classes.0: the unknown effect "odd"
+}
+
+// FuzzBatch: no frame may crash the host, and a reply's size must be that of its records and texts.
+func FuzzBatch(f *testing.F) {
+	f.Add(newRequestFrame())
+	f.Add(newFrame(2, "", "07 07000000 0900000000000000 0000 0a124a07 8b13 0900"))
+	f.Fuzz(func(t *testing.T, in []byte) {
+		host := NewHost()
+		_ = host.Batch(newRequestFrame())
+		if err := host.Batch(in); err == nil && len(host.reply.records) != int(host.reply.count)*actionSize {
+			t.Errorf("%d records in %d bytes", host.reply.count, len(host.reply.records))
+		}
+	})
+}
