--- a/internal/invariant/reasonname.go
+++ b/internal/invariant/reasonname.go
@@ -38,7 +38,7 @@
 	switch event {
 	case flightrecorder.ConnectionClosed, flightrecorder.ServerClosed:
 		return nameAt(closeReasonNames[:], reason)
-	case flightrecorder.RequestEnded, flightrecorder.RequestRejected:
+	case flightrecorder.RequestEnded:
 		return nameAt(endReasonNames[:], reason)
 	case flightrecorder.AttemptDenied:
 		return nameAt(sendDenialNames[:], reason)
--- a/internal/invariant/senddenial.go
+++ b/internal/invariant/senddenial.go
@@ -10,7 +10,6 @@
 	SendDeadlinePassed            // the client's deadline has passed, or all but
 	SendBoundPassed               // the grace of a drain, or the dedup window, has passed
 	SendRepeatUnsafe              // an earlier attempt may have run, and this one might run again
-	SendNoConnection              // no connection was established in time
 	sendDenials
 )
 
@@ -20,7 +19,6 @@
 	SendDeadlinePassed: "deadline_passed",
 	SendBoundPassed:    "bound_passed",
 	SendRepeatUnsafe:   "repeat_unsafe",
-	SendNoConnection:   "no_connection",
 }
 
 // String is the name under which a reason is recorded.
