--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -172,7 +172,7 @@
 	return request
 }
 
-// newTestMonitor is a monitor that reports each violation, if it is told where.
+// newTestMonitor is a monitor that reports each violation; nil: it only counts them.
 func newTestMonitor(report func(reason string)) *invariant.Monitor {
 	return invariant.NewMonitor(zap.NewNop(), nil, nil, report)
 }
