--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -2,6 +2,7 @@
 
 import (
 	"container/heap"
+	"fmt"
 	"time"
 
 	"fennelarch/internal/invariant"
@@ -53,7 +54,7 @@
 	return true
 }
 
-func (e *Engine) violateTransition(request *Request, of string, from, to interface{ String() string }) {
+func (e *Engine) violateTransition(request *Request, of string, from, to fmt.Stringer) {
 	e.monitor.Violate(invariant.InvalidTransition, uint64(request.ClientRequestID),
 		zap.String("of", of), zap.Stringer("from", from), zap.Stringer("to", to))
 }
