--- a/policy/routing/bench_test.go
+++ b/policy/routing/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // A view through the decisions, served by a hit, by the number of caches of its location.
-func BenchmarkView(b *testing.B) {
+func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{4, 130, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := New(testSettings(), 1)
--- a/policy/routing/drain.go
+++ b/policy/routing/drain.go
@@ -1,19 +1,22 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
-// isUsable: listed ready, or told of its leaving so lately that a leg may still name it. A tenth of the grace
-// is left unused, so that a leg sent at its end does not reach the node after it.
-func (r *Router) isUsable(n int32) bool {
-	return n != noEndpoint && (r.endpoints[n].state == Ready || r.now-r.endpoints[n].leavingSince < r.settings.DrainGrace*9/10)
+// isUsable reports whether an attempt may still name the endpoint: it is listed ready, or is leaving for so short a time
+// that its grace still runs. A tenth of the grace is left unused, so that an attempt sent at its end does not reach the
+// endpoint after it. Guards rule 3.
+func (r *Router) isUsable(index endpointIndex) bool {
+	if index == noEndpoint {
+		return false
+	}
+	target := &r.endpoints[index]
+	return target.state == Ready || r.now-target.leavingSince < r.settings.DrainGrace*9/10
 }
 
-// setState keeps the time at which a node was first told to leave.
-func (r *Router) setState(d *endpoint, s EndpointState, told time.Duration) {
-	if s != Ready && d.state == Ready {
-		d.leavingSince = told
+// setState takes the state from the endpoint list, and keeps the time at which it first said that the endpoint leaves.
+func (e *endpoint) setState(state EndpointState, listedAt time.Duration) {
+	if state != Ready && e.state == Ready {
+		e.leavingSince = listedAt
 	}
-	d.state = s
+	e.state = state
 }
--- a/policy/routing/drain_test.go
+++ b/policy/routing/drain_test.go
@@ -6,7 +6,7 @@
 )
 
 // A server that left before this router heard of it has no grace left, whether the list tells it all at once or event by event.
-func TestLeftBeforeTheStart(t *testing.T) {
+func TestDrainBeforeTheStart(t *testing.T) {
 	for name, tell := range map[string]func(b *harness){
 		"first seen as it drains": func(b *harness) {
 			b.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Age: time.Minute, Endpoints: []Endpoint{member(cacheA), drainingMember(cacheB), member(parentP), member(origin)}})
@@ -29,7 +29,7 @@
 		for id := range RequestID(40) {
 			b.request(id+1, 0, ObjectID(id+1))
 		}
-		for _, v := range b.router.requests {
+		for _, v := range b.router.requests.slots {
 			for _, l := range v.attempts[:v.attemptCount] {
 				if b.router.endpoints[l.endpoint].id == cacheB || b.router.endpoints[l.source].id == cacheB {
 					t.Errorf("%s: an attempt names it", name)
@@ -51,3 +51,17 @@
 	m.State = Draining
 	return m
 }
+
+// Rule 3: a cache told to drain gets no view at once, and is no source once its grace is over.
+func Example_drain() {
+	b := newHarness(testSettings(), cacheA, cacheB)
+	o := b.firstObject(cacheA, parentP)
+	b.change(cacheA, Draining, LongAgo)
+	b.advance(890 * ms)
+	b.request(1, 0, o)
+	b.result(1, cacheB, 100*ms, Succeeded, NoteFilled)
+	b.request(2, 0, o+1000)
+	// Output:
+	//   0.89s request 1: attempt to B, fill from A, only if cached
+	//   0.99s request 2: attempt to B, fill from P
+}
--- a/policy/routing/endpoints.go
+++ b/policy/routing/endpoints.go
@@ -1,9 +1,11 @@
 package routing
 
 import (
+	"slices"
 	"time"
 )
 
+// endpointRole says what an endpoint is to this router.
 type endpointRole uint8
 
 const (
@@ -13,8 +15,18 @@
 	roleOrigin
 )
 
-// noEndpoint stands for no node, no view.
-const noEndpoint = int32(-1)
+func (e endpointRole) String() string {
+	return [...]string{"local cache", "cache", "parent", "origin"}[e]
+}
+
+// endpointIndex is the place of an endpoint in Router.endpoints.
+type endpointIndex int32
+
+// noEndpoint stands for no endpoint.
+const noEndpoint endpointIndex = -1
+
+// idleTransfers is less than any transfer: an endpoint with fewer has none, but for rounding.
+const idleTransfers = 0.001
 
 // endpoint is what the router knows of a cache of its location, a parent or the origin.
 type endpoint struct {
@@ -24,74 +36,137 @@
 	cell           CellID
 	weight         float64
 	state          EndpointState
-	leavingSince   time.Duration // when told that it drains or is gone
-	startedAt      time.Duration
-	link           link // its link out, as far as this router's transfers show it
-	health         endpointHealth
+	leavingSince   time.Duration // when the list first said that it drains or is gone
+	slowStart      slowStart
+	outlier        outlierDetector
+	link           link          // its link out, as far as this router's transfers show it
+	throughput     decayingRate  // seconds of transfers that it has answered, a second
+	utilization    float64       // by its last report
 	lastHeardAt    time.Duration // last sign of life
-	noFillsUntil   time.Duration // until then it has no place for a fill
-	cachedFillWait time.Duration // usual time to the first byte of a fill that it holds
-	fillSlowdown   float64       // usual length of a fill's body over its prediction
-	throughput     decayingRate  // sending time a second that it has answered in
-	nextAllowed    time.Duration // while it is cold: nothing from this router before
-	budgetFor      time.Duration // the start for which that is reckoned
-	lateFillAt     time.Duration // when a fill from it was last counted at the gate as late
 	brokenAt       time.Duration // when a connection to it last broke
-	utilization    float64       // its last report of how busy it is
-	visit          int           // last walk of a ring that met it
+	noFillsUntil   time.Duration // until then it has no capacity for a fill
+	cachedFillWait time.Duration // usual time to the first byte of a fill that it has cached
+	fillSlowdown   float64       // usual length of a fill's body over its prediction
+	lateFillAt     time.Duration // when a fill from it was last counted as late at the origin limiter
+	listVersion    int           // the last list that named it
 }
 
-// allocateEndpoint finds room for a new node: that of one long gone, else more.
-func (r *Router) allocateEndpoint() int32 {
-	for i := range r.endpoints {
-		if d := &r.endpoints[i]; d.state == Gone && d.link.current < 0.001 && r.now-d.leavingSince > 2*relayFor {
-			delete(r.endpointByID, d.id)
-			return int32(i)
-		}
+// handleEndpointList takes an endpoint list or its changes, or plans to ask again where there was no answer.
+func (r *Router) handleEndpointList(event *Event) {
+	if event.EndpointListKind == EndpointListFailed {
+		spread := time.Duration(r.random.float() * float64(endpointListRetryWait))
+		r.setTimer(endpointListRetryWait+spread, timerEndpointList)
+		return
 	}
-	r.endpoints = append(r.endpoints, endpoint{})
-	return int32(len(r.endpoints) - 1)
+	r.applyEndpointList(event)
+	r.rebuildRings()
 }
 
-// applyEndpointList takes what the list says of the nodes. Caches of other locations are passed over.
-func (r *Router) applyEndpointList(e *Event) {
-	r.visits++
-	told := r.now - e.Age
-	for i := range e.Endpoints {
-		m := &e.Endpoints[i]
-		n, known := r.endpointByID[m.ID]
-		if !known {
-			k := roleCache
-			switch m.Kind {
-			case r.settings.ParentKind:
-				k = roleParent
-			case r.settings.OriginKind:
-				k = roleOrigin
-			}
-			if m.State == Gone || k == roleCache && m.Zone != r.settings.Zone {
+// applyEndpointList takes what the list says of the endpoints. Those that a whole list does not name are gone.
+func (r *Router) applyEndpointList(event *Event) {
+	r.listVersion++
+	listedAt := r.now - event.Age
+	for i := range event.Endpoints {
+		listed := &event.Endpoints[i]
+		index, isKnown := r.endpointByID[listed.ID]
+		if !isKnown {
+			if index = r.addEndpoint(listed); index == noEndpoint {
 				continue
 			}
-			n = r.allocateEndpoint()
-			r.endpointByID[m.ID] = n
-			// One that is not ready when it is first heard of was told to leave at some time before.
-			r.endpoints[n] = endpoint{id: m.ID, role: k, zone: m.Zone, cell: m.Cell, startedAt: LongAgo, lastHeardAt: r.now, leavingSince: LongAgo, budgetFor: LongAgo}
-			if r.settings.WeightIsLinkCapacity {
-				r.endpoints[n].link.capacity = m.Weight // as told, until transfers show it
-			}
-			if k == roleOrigin {
-				r.origin = n
-			}
 		}
-		d := &r.endpoints[n]
-		d.visit, d.weight = r.visits, m.Weight
-		if m.StartedAt > d.startedAt {
-			d.startedAt, d.health = m.StartedAt, endpointHealth{}
+		r.endpoints[index].update(listed, r.listVersion, listedAt)
+	}
+	if event.EndpointListKind == EndpointListDelta {
+		return
+	}
+	for i := range r.endpoints {
+		if e := &r.endpoints[i]; e.listVersion != r.listVersion && e.role != roleLocalCache {
+			e.setState(Gone, listedAt)
+		}
+	}
+}
+
+// update takes a line of the list.
+func (e *endpoint) update(listed *Endpoint, listVersion int, listedAt time.Duration) {
+	e.listVersion, e.weight = listVersion, listed.Weight
+	if listed.StartedAt > e.slowStart.startedAt {
+		e.slowStart.startedAt, e.outlier = listed.StartedAt, outlierDetector{}
+	}
+	e.setState(listed.State, listedAt)
+}
+
+// addEndpoint adds an endpoint that was not known. Those that are gone and caches of other locations are passed over.
+func (r *Router) addEndpoint(listed *Endpoint) endpointIndex {
+	role := r.roleOf(listed.Kind)
+	if listed.State == Gone || role == roleCache && listed.Zone != r.settings.Zone {
+		return noEndpoint
+	}
+	index := r.allocateEndpoint()
+	r.endpointByID[listed.ID] = index
+	// One that is not ready when it is first heard of was told to leave at some time before.
+	r.endpoints[index] = endpoint{
+		id: listed.ID, role: role, zone: listed.Zone, cell: listed.Cell,
+		slowStart: r.slowStartOf(role), lastHeardAt: r.now, leavingSince: LongAgo,
+	}
+	if r.settings.WeightIsLinkCapacity {
+		r.endpoints[index].link.capacity = listed.Weight // as listed, until transfers show it
+	}
+	if role == roleOrigin {
+		r.origin = index
+	}
+	return index
+}
+
+func (r *Router) roleOf(kind KindID) endpointRole {
+	switch kind {
+	case r.settings.ParentKind:
+		return roleParent
+	case r.settings.OriginKind:
+		return roleOrigin
+	default:
+		return roleCache
+	}
+}
+
+// allocateEndpoint finds a place for a new endpoint: that of one long gone, else a new one.
+func (r *Router) allocateEndpoint() endpointIndex {
+	for i := range r.endpoints {
+		e := &r.endpoints[i]
+		if e.state == Gone && e.link.current < idleTransfers && r.now-e.leavingSince > 2*relayFor {
+			delete(r.endpointByID, e.id)
+			return endpointIndex(i)
 		}
-		r.setState(d, m.State, told)
 	}
-	for n := range r.endpoints {
-		if d := &r.endpoints[n]; e.EndpointListKind != EndpointListDelta && d.visit != r.visits && d.role != roleLocalCache {
-			r.setState(d, Gone, told)
+	r.endpoints = append(r.endpoints, endpoint{})
+	return endpointIndex(len(r.endpoints) - 1)
+}
+
+// rebuildRings builds the rings anew and keeps the last ones for the relay.
+func (r *Router) rebuildRings() {
+	caches, parents := newRing(r.readyMembers(roleCache)), newRing(r.readyMembers(roleParent))
+	if len(r.caches.members) > 0 && !slices.Equal(caches.members, r.caches.members) {
+		r.rememberRing()
+	}
+	r.caches, r.parents = caches, parents
+	r.origins.share = r.originLimiterShare()
+}
+
+// readyMembers lists the ready endpoints with the role.
+func (r *Router) readyMembers(role endpointRole) []ringMember {
+	var members []ringMember
+	for i := range r.endpoints {
+		if e := &r.endpoints[i]; e.state == Ready && e.role == role {
+			members = append(members, ringMember{endpointIndex(i), e.id, e.weight})
 		}
 	}
+	return members
+}
+
+// addLocalCache adds the router's own copies as an endpoint, whose link nobody else uses.
+func (r *Router) addLocalCache(capacity float64) {
+	r.localCache = r.allocateEndpoint()
+	r.endpoints[r.localCache] = endpoint{
+		id: LocalCache, role: roleLocalCache, state: Ready, slowStart: r.slowStartOf(roleLocalCache),
+		link: link{capacity: capacity, dedicated: true},
+	}
 }
--- a/policy/routing/helper_test.go
+++ b/policy/routing/harness_test.go
@@ -26,11 +26,12 @@
 	parentP EndpointID = 201 + iota
 	parentQ
 )
+
 const origin EndpointID = 301
 
 var endpointNames = map[EndpointID]string{
 	cacheA: "A", cacheB: "B", cacheC: "C", cacheD: "D", parentP: "P", parentQ: "Q",
-	origin: "origin", LocalCache: "own",
+	origin: "origin", LocalCache: "local cache",
 }
 
 // testSettings are the settings that the traces start from: one harmless tariff, one write, everything told and allowed.
@@ -96,28 +97,28 @@
 	if b.isMuted {
 		return
 	}
-	at := fmt.Sprintf("%6.2fs view %d", (b.now - time.Minute).Seconds(), a.Request)
+	at := fmt.Sprintf("%6.2fs request %d", (b.now - time.Minute).Seconds(), a.Request)
 	switch a.Kind {
 	case ActionLookup, ActionSend:
 		how := ""
 		if a.FillOptions&OnlyIfCached != 0 {
-			how = ", holds-only"
+			how = ", only if cached"
 		}
 		if a.MaxAge > 0 {
-			how += fmt.Sprintf(", no older than %v", a.MaxAge)
+			how += fmt.Sprintf(", max age %v", a.MaxAge)
 		}
 		if a.StartWithin > 0 {
-			how += fmt.Sprintf(", on its way within %v", a.StartWithin)
+			how += fmt.Sprintf(", start within %v", a.StartWithin)
 		}
-		fmt.Printf("%s: leg to %s, fill from %s%s\n", at, endpointNames[a.Endpoint], endpointNames[a.Source], how)
+		fmt.Printf("%s: attempt to %s, fill from %s%s\n", at, endpointNames[a.Endpoint], endpointNames[a.Source], how)
 	case ActionReject:
-		fmt.Printf("%s: turned back\n", at)
+		fmt.Printf("%s: rejected\n", at)
 	case ActionFail:
-		fmt.Printf("%s: terminated\n", at)
+		fmt.Printf("%s: failed\n", at)
 	case ActionCancel:
-		fmt.Printf("%s: leg %d cancelled\n", at, a.Attempt)
+		fmt.Printf("%s: attempt %d cancelled\n", at, a.Attempt)
 	case ActionWatchEndpoints:
-		fmt.Printf("%6.2fs the list is asked for\n", (b.now - time.Minute).Seconds())
+		fmt.Printf("%6.2fs the endpoint list is requested\n", (b.now - time.Minute).Seconds())
 	}
 }
 
@@ -149,11 +150,20 @@
 }
 
 func (b *harness) ownerOf(o ObjectID) EndpointID {
-	n := b.router.walk(&b.router.caches, mix(uint64(o)), func(int32) bool { return true })
+	n := b.router.caches.owner(mix(uint64(o)))
 	return b.router.endpoints[n].id
 }
 
 func (b *harness) parentOf(o ObjectID) EndpointID {
-	n := b.router.walk(&b.router.parents, mix(uint64(o)), func(int32) bool { return true })
+	n := b.router.parents.owner(mix(uint64(o)))
 	return b.router.endpoints[n].id
 }
+
+// firstObject returns the first object from 1 on whose cache and parent are the ones named.
+func (b *harness) firstObject(cache, parent EndpointID) ObjectID {
+	for o := ObjectID(1); ; o++ {
+		if b.ownerOf(o) == cache && b.parentOf(o) == parent {
+			return o
+		}
+	}
+}
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -1,64 +1,101 @@
 package routing
 
-// checkOverdueAttempts sends writes again, and finds overdue legs. One whose node, or source, has shown no sign of life
-// since it was sent gets a second copy by another way. Guards against silent caches and parents (vanished,
-// cut off, stalled); the gate counts a parent's silence once. A node's long pause may cost a double transfer.
+import "time"
+
+// overdueAfter is how far past twice its predicted time an attempt may be before silence counts: a short pause of an
+// endpoint or a resent packet should fit.
+const overdueAfter = 150 * ms
+
+// checkOverdueAttempts sends writes again whose backoff is over, and hedges requests with overdue attempts. Guards against
+// silent caches and parents (vanished, cut off, stalled). An endpoint's long pause may cost a double transfer.
 func (r *Router) checkOverdueAttempts() {
-	for i := range r.requests {
-		v := &r.requests[i]
-		if !v.open || v.streaming {
+	for i := range r.requests.slots {
+		req := &r.requests.slots[i]
+		if !req.open || req.streaming {
 			continue
 		}
-		if v.retryWriteAt > 0 && r.now >= v.retryWriteAt {
-			r.sendWrite(v)
+		if req.retryWriteAt > 0 && r.now >= req.retryWriteAt {
+			r.sendWrite(req)
 			continue
 		}
-		for k := range v.attemptCount {
-			l := &v.attempts[k]
-			age := r.now - l.sentAt
-			if !l.inFlight || l.overdue || v.transferTime == 0 || age < 2*l.expected+overdueAfter || l.endpoint == r.origin {
-				continue
-			}
-			silent := noEndpoint
-			switch {
-			case v.sizeTold && l.needsFill && l.originShare > 0 && !l.countedLate && age > 2*v.transferTime+r.origins.wait &&
-				(l.source == r.origin || r.endpoints[l.source].lateFillAt <= r.endpoints[l.source].lastHeardAt):
-				l.countedLate, r.endpoints[l.source].lateFillAt = true, r.now
-				r.origins.observe(age, true, r.now)
-				continue
-			case !l.onlyIfCached && age < 2*(l.expected+r.origins.wait)+overdueAfter && l.needsFill:
-				continue // it may well wait for the origin
-			case r.endpoints[l.endpoint].lastHeardAt < l.sentAt:
-				silent = l.endpoint
-			case !l.needsFill && !v.sizeTold:
-				continue
-			case l.source != r.origin && r.settings.ResponseDetail == DetailFull && r.endpoints[l.source].lastHeardAt < l.sentAt:
-				silent = l.source
-			}
-			l.overdue = true
-			if silent != noEndpoint {
-				r.recordFailure(silent, hardFailure)
-				r.origins.inFlight.add(-l.originShare, r.now) // nothing of it waits for the origin any more
-				l.originShare = 0
-			} else if !v.sizeKnown {
-				continue // it may just be long
-			}
-			if r.settings.Classes[v.class].Idempotency == NonIdempotent || r.now > v.objectiveAt || r.retryTokens < 1 {
-				continue
-			}
-			r.retryTokens--
-			if silent == l.source && silent != l.endpoint {
-				v.cache = l.endpoint
-				r.sendWithFill(v, stageOrigin)
-			} else if c := r.pickCache(v); c != noEndpoint {
-				v.cache = c
-				r.sendWithFill(v, stageRelay)
-			}
+		for k := range req.attemptCount {
+			r.checkOverdueAttempt(req, &req.attempts[k])
 		}
 	}
-	r.checkHealth()
-	if shut := r.origins.limit <= minOriginLimit; shut != r.origins.closed && (shut || r.origins.limit >= initialOriginLimit) {
-		r.origins.closed = shut
-		r.logEndpoint(map[bool]string{true: "gate shut", false: "gate open"}[shut], r.origin)
+}
+
+// checkOverdueAttempt hedges the request if the attempt is overdue and its endpoint or source has shown no sign of life
+// since it was sent; or, with a known size, if the endpoint lives but the attempt does not end.
+func (r *Router) checkOverdueAttempt(req *request, att *attempt) {
+	age := r.now - att.sentAt
+	if !att.isPending() || req.transferTime == 0 || age < 2*att.expected+overdueAfter || att.endpoint == r.origin {
+		return
+	}
+	if r.isLateFill(req, att, age) {
+		r.countLateFill(att, age)
+		return
+	}
+	if !att.onlyIfCached && age < 2*(att.expected+r.origins.wait)+overdueAfter && att.needsFill {
+		return // it may well wait for the origin
+	}
+	silent := r.silentEndpoint(att)
+	if silent != att.endpoint && !att.needsFill && !req.sizeTold {
+		return
+	}
+	att.state = attemptOverdue
+	if silent != noEndpoint {
+		r.recordFailure(silent, hardFailure)
+		r.origins.end(att.originShare, r.now) // nothing of it waits for the origin any more
+		att.originShare = 0
+	} else if !req.sizeKnown {
+		return // it may just be long
+	}
+	r.hedge(req, att, silent)
+}
+
+// isLateFill reports whether a fill from the origin, or by way of it, is so late that the origin must be slow. A parent's
+// silence counts once, not with each fill that waits for it.
+func (r *Router) isLateFill(req *request, att *attempt, age time.Duration) bool {
+	if !req.sizeTold || !att.needsFill || att.originShare <= 0 || att.state == attemptCountedLate {
+		return false
+	}
+	source := &r.endpoints[att.source]
+	return age > 2*req.transferTime+r.origins.wait &&
+		(att.source == r.origin || source.lateFillAt <= source.lastHeardAt)
+}
+
+// countLateFill tells the origin limiter of a late fill.
+func (r *Router) countLateFill(att *attempt, age time.Duration) {
+	att.state = attemptCountedLate
+	r.endpoints[att.source].lateFillAt = r.now
+	r.origins.observe(age, true, r.now)
+}
+
+// silentEndpoint is the endpoint, or else the source, of the attempt that has shown no sign of life since it was sent. Of
+// sources only full answers tell.
+func (r *Router) silentEndpoint(att *attempt) endpointIndex {
+	if r.endpoints[att.endpoint].lastHeardAt < att.sentAt {
+		return att.endpoint
+	}
+	if att.source != r.origin && r.settings.ResponseDetail == DetailFull &&
+		r.endpoints[att.source].lastHeardAt < att.sentAt {
+		return att.source
+	}
+	return noEndpoint
+}
+
+// hedge sends a second attempt beside an overdue one: past the source if that one is silent, else by another cache.
+func (r *Router) hedge(req *request, att *attempt, silent endpointIndex) {
+	isRepeatable := r.settings.Classes[req.class].Idempotency != NonIdempotent
+	if !isRepeatable || r.now > req.objectiveAt || !r.retries.canSpend() {
+		return
+	}
+	r.retries.spend()
+	if silent == att.source && silent != att.endpoint {
+		req.cache = att.endpoint
+		r.sendWithFill(req, stageOrigin)
+	} else if cache := r.pickCache(req); cache != noEndpoint {
+		req.cache = cache
+		r.sendWithFill(req, stageRelay)
 	}
 }
--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -1,48 +1,50 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
-// predict is the time until a leg's answer is through, the part of it that uses the link, and whether a fill
-// is expected. src none: the time of a hit.
-func (r *Router) predict(v *request, n, src int32) (expect time.Duration, duty float64, filled bool) {
-	if r.settings.Classes[v.class].Write {
-		return v.transferTime, 0, false
+// congestionGrowth is how much more a shared link slows a transfer down, over the slowdown on arrival, by the requests
+// that come during the transfer: a full link stays full. Less of it was tried: requests that are admitted late end late,
+// more are rejected on calm days.
+const congestionGrowth = 1.6
+
+// prediction is what an attempt is expected to take.
+type prediction struct {
+	duration  time.Duration // until the answer is through
+	linkShare float64       // the part of duration in which it uses the link
+	needsFill bool
+}
+
+// predict estimates an attempt at the endpoint with the source. Without a source it is the time of a hit.
+func (r *Router) predict(req *request, index, source endpointIndex) prediction {
+	if r.settings.Classes[req.class].Write {
+		return prediction{duration: req.transferTime}
 	}
-	s := r.slowdown(&r.endpoints[n].link, r.warmFraction(n))
+	target := &r.endpoints[index]
+	slowdown := r.slowdown(&target.link, r.warmFraction(index))
 	wait := time.Duration(0)
-	// A view past the caches comes through the location's link whatever the parent holds.
-	far := r.endpoints[n].role > roleCache
-	filled = far || src != n && src != noEndpoint && !r.isExpectedAt(v, n)
-	if filled && (far || r.endpoints[src].role != roleCache) {
-		s = max(s, r.slowdown(&r.ingress, 1))
-		wait = r.endpoints[src].cachedFillWait
-		if src == r.origin {
-			wait = r.origins.wait
-		}
+	// A request past the caches comes through the location's link whatever the parent holds.
+	bypassesCaches := target.role > roleCache
+	needsFill := bypassesCaches || source != index && source != noEndpoint && !r.isExpectedAt(req, index)
+	if needsFill && (bypassesCaches || r.endpoints[source].role != roleCache) {
+		slowdown = max(slowdown, r.slowdown(&r.ingress, 1))
+		wait = r.usualFillWait(source)
 	}
-	grow := congestionGrowth
-	if n == r.localCache {
-		grow = 0 // one transfer after the other, and nobody else's
+	growth := congestionGrowth
+	if target.link.dedicated {
+		growth = 0 // one transfer after the other, and nobody else's
+	}
+	transfer := time.Duration(float64(req.transferTime) * (slowdown + (slowdown-1)*growth))
+	return prediction{
+		duration:  wait + transfer,
+		linkShare: float64(transfer+ms) / float64(wait+transfer+ms),
+		needsFill: needsFill,
 	}
-	send := time.Duration(float64(v.transferTime) * (s + (s-1)*grow))
-	return wait + send, float64(send+ms) / float64(wait+send+ms), filled
 }
 
-// predictionMargin is what the rest of a prediction may be off. growth is how much more a shared link is stretched,
-// over its stretch on arrival, by the views that come while this one is sent: a full link stays full. Both
-// were tried: less growth lets views in that end late, more turns back on calm days.
-const predictionMargin, congestionGrowth = 1.2, 1.6
-
-// isInTime is the admission test. A tenant's views over its allowance must leave room for others'.
-func (r *Router) isInTime(v *request, n, src int32) bool {
-	expect, _, filled := r.predict(v, n, src)
-	if filled && r.now < r.endpoints[n].noFillsUntil {
-		return false
-	}
-	if v.overQuota {
-		expect *= 2
+// usualFillWait is the usual time to the first byte of a fill from the source.
+func (r *Router) usualFillWait(source endpointIndex) time.Duration {
+	if source == r.origin {
+		return r.origins.wait
 	}
-	return r.now+time.Duration(predictionMargin*float64(expect)) <= v.objectiveAt
+	return r.endpoints[source].cachedFillWait
 }
--- a/policy/routing/loadreport.go
+++ b/policy/routing/loadreport.go
@@ -1,45 +1,66 @@
 package routing
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
-// healthCheckInterval is how often one cache is asked for its load, in turn, where reports come only so, and requestsPerHealthCheck
-// after how many views: a few in a hundred of them at most, also where each router has few.
-const healthCheckInterval, requestsPerHealthCheck = 500 * ms, 20
+const (
+	// healthCheckInterval is how often one cache is asked for its load, in turn, where reports come only so.
+	healthCheckInterval = 500 * ms
+	// requestsPerHealthCheck bounds health checks to a few in a hundred requests, also where each router has few.
+	requestsPerHealthCheck = 20
+	// minReportedUtilization and minTransfers are the least of which a report tells the capacity of a link.
+	minReportedUtilization = 0.2
+	minTransfers           = 0.5
+	// reportedCapacityPace is how many reports a capacity is averaged over.
+	reportedCapacityPace = 10
+)
 
-// checkHealth asks for the state of the location's link, where no answer tells.
+// checkHealth asks a cache for the load of the location's link, where no answer tells.
 func (r *Router) checkHealth() {
-	if r.now < r.nextHealthCheck || r.sinceHealthCheck < requestsPerHealthCheck || len(r.caches.members) == 0 || !r.settings.HealthChecks ||
-		r.settings.ReportChannel != ReportsWithHealthChecks || !slices.Contains(r.settings.ReportColumns, SignalLinkUtilization) {
+	if r.now < r.nextHealthCheck || r.sinceHealthCheck < requestsPerHealthCheck || !r.learnsByHealthChecks() {
 		return
 	}
 	r.nextHealthCheck, r.sinceHealthCheck = r.now+healthCheckInterval, 0
-	if n := r.caches.members[int(r.now/healthCheckInterval)%len(r.caches.members)]; r.isHealthy(n) {
-		r.emit(Action{Kind: ActionHealthCheck, Endpoint: r.endpoints[n].id})
+	turn := int(r.now/healthCheckInterval) % len(r.caches.members)
+	if index := r.caches.members[turn]; r.isHealthy(index) {
+		r.emit(Action{Kind: ActionHealthCheck, Endpoint: r.endpoints[index].id})
 	}
 }
 
-// reportValidFor is how long a report of the location's link tells of it: some times as long as they are apart.
-const reportValidFor = 2 * time.Second
+// learnsByHealthChecks reports whether the load of the location's link is told by health checks alone.
+func (r *Router) learnsByHealthChecks() bool {
+	return len(r.caches.members) > 0 && r.settings.HealthChecks &&
+		r.settings.ReportChannel == ReportsWithHealthChecks &&
+		slices.Contains(r.settings.ReportColumns, SignalLinkUtilization)
+}
 
-// applyLoadReport reads a load report. A link whose size the settings tell is as wide as they say.
-func (r *Router) applyLoadReport(n int32, rep *LoadReport) {
-	for i := range min(rep.Count, len(r.settings.ReportColumns)) {
-		x := rep.Values[i]
-		switch {
-		case r.settings.ReportColumns[i] == SignalUtilization:
-			r.endpoints[n].utilization = x
-		case r.settings.ReportColumns[i] != SignalLinkUtilization || r.endpoints[n].role != roleCache:
-		case r.settings.ingressTransfers() > 0:
-			r.ingress.reportedUtilization, r.ingress.reportedAt = r.ingress.reportedUtilization+(x-r.ingress.reportedUtilization)/4, r.now
-		case x > 0.2 && r.totalTransfers(&r.ingress) > 0.5:
-			seen := max(1, r.totalTransfers(&r.ingress)/x)
-			if r.ingress.capacity <= 0 {
-				r.ingress.capacity = seen
+// applyLoadReport reads the load report of an endpoint.
+func (r *Router) applyLoadReport(index endpointIndex, report *LoadReport) {
+	reporter := &r.endpoints[index]
+	for i := range min(report.Count, len(r.settings.ReportColumns)) {
+		switch r.settings.ReportColumns[i] {
+		case SignalUtilization:
+			reporter.utilization = report.Values[i]
+		case SignalLinkUtilization:
+			if reporter.role == roleCache {
+				r.observeIngressReport(report.Values[i])
 			}
-			r.ingress.capacity += (seen - r.ingress.capacity) / 10
+		default:
 		}
 	}
 }
+
+// observeIngressReport takes a report of the location's link. A link whose size the settings tell is as wide as they say.
+func (r *Router) observeIngressReport(utilization float64) {
+	if r.settings.ingressTransfers() > 0 {
+		r.ingress.observeReport(utilization, r.now)
+		return
+	}
+	if utilization <= minReportedUtilization || r.totalTransfers(&r.ingress) <= minTransfers {
+		return
+	}
+	capacity := max(1, r.totalTransfers(&r.ingress)/utilization)
+	if r.ingress.capacity <= 0 {
+		r.ingress.capacity = capacity
+	}
+	r.ingress.capacity += (capacity - r.ingress.capacity) / reportedCapacityPace
+}
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -1,92 +1,152 @@
 package routing
 
-import (
-	"time"
+import "time"
+
+const (
+	// initialOriginLimit fits a usual load from the start on, but no herd of routers that know nothing yet.
+	initialOriginLimit = 8
+	// wideOriginLimit is wide. Twice what is in flight with answers in good time may be more: the limit matters when
+	// answers say so.
+	wideOriginLimit = 24
+	// minOriginLimit keeps trials going.
+	minOriginLimit = 1
+	// originFailureInterval is the time within which answers were under way together and tell one thing.
+	originFailureInterval = 100 * ms
+	// sparableWait is the part of the usual wait that a fill may be spared: half of all waits are shorter. 0.7 did no more.
+	sparableWait = 0.5
+	// originLimiterCaches is how many caches a router with a whole limit has behind it: one of many routers that share
+	// few caches gets less, and less than a slot is a part of the time.
+	originLimiterCaches = 4
+	// originTrialInterval is the distance of trials of a whole limit while it is closed: failures may come at once, so
+	// that slots alone would let a herd through, and parents and caches try on their own.
+	originTrialInterval = 600 * ms
 )
 
-// originLimiter counts the fills that wait for the origin.
+// originLimiter is an adaptive concurrency limit on the fills that wait for the origin. It closes when requests are late
+// after they waited for the origin for half their objective, or when it fails, and opens again with each answer in good
+// time. Guards against a slow, overloaded or stopped origin, and against pushing it over; also holds back fills while many
+// caches are empty. It hurts when a few slow answers close it: then requests are rejected that the origin could have
+// served.
 type originLimiter struct {
-	limit             float64
-	inFlight          concurrency   // the fills that wait
-	wait              time.Duration // usual time to the first byte by way of the origin
-	originShare       float64       // share of the parents' fills that went to the origin
-	reducedAt, goodAt time.Duration // when it was narrowed, when an answer came in good time
-	observedAt        time.Duration // when it last learned of the wait
-	nextTrial         time.Duration // no trial before, while it is shut
-	share             float64       // of a whole gate
-	closed            bool          // as last logged
+	limit       float64
+	share       float64       // this router's part of a whole limit
+	inFlight    concurrency   // the fills that wait
+	wait        time.Duration // usual time to the first byte by way of the origin
+	originShare float64       // the part of the parents' fills that went to the origin
+	reducedAt   time.Duration
+	goodAt      time.Duration // last answer in good time
+	observedAt  time.Duration // last observation of the wait
+	nextTrial   time.Duration // no trial before, while it is closed
+	closed      bool          // as last logged
 }
 
-// The gate limits how many fills that wait for the origin are out at once. It closes when views are late
-// after waiting for the origin for half their due time, or it fails, and opens again with each answer in good
-// time. Guards against a slow, crowded or stopped origin, and against pushing it over; also holds back fills
-// while many caches are empty. It hurts when a few slow answers shut it: then views are turned back that the
-// origin could have served.
-// initialOriginLimit fits a usual load from the start on, but no herd of routers that know nothing yet; wideOriginLimit is
-// wide, and twice what is out with answers in good time may be more: the gate matters when answers say so.
-// minOriginLimit keeps trials going. Answers within originFailureInterval were under way together and tell one thing. hope is
-// the part of the usual wait that a fill may be spared: half of all waits are shorter. 0.7 did no more.
-const initialOriginLimit, wideOriginLimit, minOriginLimit, originFailureInterval, sparedWait = 8, 24, 1, 100 * ms, 0.5
-
-func (g *originLimiter) observe(wait time.Duration, late bool, now time.Duration) {
-	// A running median: waits are skewed, and a few long ones don't make the next one late. Where answers are
-	// few, each moves it further.
-	step := time.Duration(min(0.4, 0.07+0.15*(now-g.observedAt).Seconds()) * float64(g.wait))
-	if g.observedAt = now; g.wait == 0 {
-		g.wait = wait
-	} else if wait > g.wait {
-		g.wait += step
-	} else {
-		g.wait -= step
-	}
-	if late {
-		g.recordFailure(now)
+// observe takes the wait of a fill by way of the origin.
+func (o *originLimiter) observe(wait time.Duration, isLate bool, now time.Duration) {
+	o.observeWait(wait, now)
+	if isLate {
+		o.recordFailure(now)
 		return
 	}
-	g.goodAt = now
-	g.limit = min(max(wideOriginLimit, 2*g.inFlight.current/g.share), g.limit+0.5+1.5*g.scarcity())
+	o.goodAt = now
+	widest := max(wideOriginLimit, 2*o.inFlight.current/o.share)
+	o.limit = min(widest, o.limit+0.5+1.5*o.scarcity())
+}
+
+// observeWait moves the usual wait, a running median: waits are skewed, and a few long ones don't make the next one late.
+// Where answers are few, each moves it further.
+func (o *originLimiter) observeWait(wait, now time.Duration) {
+	step := time.Duration(min(0.4, 0.07+0.15*(now-o.observedAt).Seconds()) * float64(o.wait))
+	o.observedAt = now
+	switch {
+	case o.wait == 0:
+		o.wait = wait
+	case wait > o.wait:
+		o.wait += step
+	default:
+		o.wait -= step
+	}
 }
 
-// scarcity is how far a router with a part of a gate must take its few answers to speak for those of others.
-func (g *originLimiter) scarcity() float64 { return (1 - g.share) * (1 - g.share) }
+// recordFailure reduces the limit, once for all failures that come together.
+func (o *originLimiter) recordFailure(now time.Duration) {
+	if now-o.reducedAt >= originFailureInterval {
+		o.reducedAt = now
+		o.limit = max(minOriginLimit, o.limit*(0.75-0.7*o.scarcity()))
+	}
+}
+
+// scarcity is how far a router with a part of a limit must take its few answers to speak for those of others.
+func (o *originLimiter) scarcity() float64 { return (1 - o.share) * (1 - o.share) }
 
-func (g *originLimiter) recordFailure(now time.Duration) {
-	if now-g.reducedAt >= originFailureInterval {
-		g.reducedAt = now
-		g.limit = max(minOriginLimit, g.limit*(0.75-0.7*g.scarcity()))
+// isClosed reports whether only trials are let through.
+func (o *originLimiter) isClosed() bool { return o.limit <= minOriginLimit }
+
+// hasCapacity reports whether one of so many slots is free.
+func (o *originLimiter) hasCapacity(slots float64, now time.Duration) bool {
+	if o.isClosed() {
+		return o.inFlight.current < minOriginLimit && now >= o.nextTrial
 	}
+	slots *= o.share
+	return o.inFlight.current < max(1, slots) && (slots >= 1 || o.inFlight.averageAt(now) < slots)
+}
+
+// begin counts a fill that may wait for the origin for a part of its time. jitter spreads the trials of all routers.
+func (o *originLimiter) begin(part, jitter float64, now time.Duration) {
+	o.inFlight.add(part, now)
+	o.nextTrial = now + time.Duration((0.5+jitter)*float64(originTrialInterval)/o.share)
 }
 
-// originLimiterCaches is how many caches a router with a whole gate has behind it: one of many routers that share few
-// caches gets less, and less than a place is a part of the time. originTrialInterval is the distance of trials of a
-// whole gate while it is shut: failures may come at once, so that places alone would let a herd through, and
-// parents and caches try on their own.
-const originLimiterCaches, originTrialInterval = 4, 600 * ms
+// end takes off a fill that has ended, or that no longer waits for the origin.
+func (o *originLimiter) end(part float64, now time.Duration) { o.inFlight.add(-part, now) }
+
+// sparedWait is the part of the usual wait that a fill may hope to be spared, more of it the wider the limit is.
+func (o *originLimiter) sparedWait() time.Duration {
+	return time.Duration(sparableWait * (1 - o.scarcity()) * min(1, o.limit/wideOriginLimit) * float64(o.wait))
+}
+
+// updateClosed reports whether the limiter has closed, or is open again, since the last call. It counts as open only at
+// its initial limit, so that it is not logged with each trial.
+func (o *originLimiter) updateClosed() (changed bool) {
+	closed := o.isClosed()
+	if closed == o.closed || !closed && o.limit < initialOriginLimit {
+		return false
+	}
+	o.closed = closed
+	return true
+}
 
-// originHasCapacity says whether the gate has a place of so many.
-func (r *Router) originHasCapacity(places float64) bool {
-	if r.origins.limit <= minOriginLimit {
-		return r.origins.inFlight.current < minOriginLimit && r.now >= r.origins.nextTrial
+// logOriginLimiter logs that the limiter has closed or is open again.
+func (r *Router) logOriginLimiter() {
+	if !r.origins.updateClosed() {
+		return
 	}
-	places *= r.origins.share
-	return r.origins.inFlight.current < max(1, places) && (places >= 1 || r.origins.inFlight.averageAt(r.now) < places)
+	state := "origin limiter open"
+	if r.origins.closed {
+		state = "origin limiter closed"
+	}
+	r.logEndpoint(state, r.origin)
 }
 
-// mayReachOrigin says whether a fill from src that has to wait for the origin may go: the gate has room and it comes
-// in time, with luck where the gate is wide. One at a time goes in any case: who else would see it recover?
-func (r *Router) mayReachOrigin(v *request, n, src int32) bool {
-	if src == noEndpoint || r.now >= v.objectiveAt {
+// mayReachOrigin reports whether a fill from the source may go although it may have to wait for the origin: the limiter
+// has capacity and the fill comes in time, with luck where the limit is wide. One at a time goes in any case: who else
+// would see the origin recover?
+func (r *Router) mayReachOrigin(req *request, index, source endpointIndex) bool {
+	if source == noEndpoint || r.now >= req.objectiveAt {
 		return false
 	}
-	expect, _, filled := r.predict(v, n, src)
-	if filled && src != r.origin {
-		expect += r.origins.wait
+	predicted := r.predict(req, index, source)
+	expected := predicted.duration
+	if predicted.needsFill && source != r.origin {
+		expected += r.origins.wait
+	}
+	expected -= r.origins.sparedWait()
+	if r.origins.hasCapacity(minOriginLimit, r.now) {
+		return true
 	}
-	expect -= time.Duration(sparedWait * (1 - r.origins.scarcity()) * min(1, r.origins.limit/wideOriginLimit) * float64(r.origins.wait))
-	return r.originHasCapacity(minOriginLimit) || r.originHasCapacity(r.origins.limit) && r.now+expect <= v.objectiveAt
+	return r.origins.hasCapacity(r.origins.limit, r.now) && r.now+expected <= req.objectiveAt
 }
 
-// originLimiterShare is this router's part of a whole gate.
+// originLimiterShare is this router's part of a whole limit.
 func (r *Router) originLimiterShare() float64 {
 	return min(1, r.trafficShare*float64(max(1, len(r.caches.members)))/originLimiterCaches)
 }
--- a/policy/routing/outlier.go
+++ b/policy/routing/outlier.go
@@ -1,140 +1,130 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
-// endpointHealth follows a cache or a parent through its failures.
-type endpointHealth struct {
-	ejected       bool
-	wasSilent     bool          // it went out without a word: it may have been restarted
-	failureRate   float64       // recent share of failures
-	ejectedAt     time.Duration // when it went out
-	nextTrial     time.Duration // no trial before
-	trialInterval time.Duration
-	successes     int
-}
-
-// A failure moves the rate of failures by this much: an error answer is softer than a lost connection.
-const softFailure, hardFailure = 0.15, 0.3
+// A failure moves the failure rate by its severity: an error answer is softer than a lost connection.
+const (
+	softFailure = 0.15
+	hardFailure = 0.3
+	// successWeight is how far a success moves the failure rate back.
+	successWeight = 0.15
+)
 
-// ejectionRate is the rate at which a node goes out: two lost connections, or four errors in a row. Trials begin
-// after firstTrialInterval, then at twice the distance up to maxTrialInterval; successesToReturn good ones in a row end them.
 const (
-	ejectionRate       = 0.45
+	// ejectionRate is the failure rate at which an endpoint is ejected: two lost connections, or four errors in a row.
+	ejectionRate = 0.45
+	// firstTrialInterval is the time to the first trial. It doubles with each failed one, up to maxTrialInterval.
 	firstTrialInterval = time.Second
 	maxTrialInterval   = 4 * time.Second
-	successesToReturn  = 3
+	// trialGapDivisor gives the part of the interval after which a trial that is under way is followed by another.
+	trialGapDivisor = 4
+	// successesToReturn ends an ejection: so many successes in a row.
+	successesToReturn = 3
+	// parentRemapAfter parts a brief failure of a parent from one that moves its arc: the design's 10 s.
+	parentRemapAfter = 10 * time.Second
 )
 
-// isHealthy: in, or due for a trial, which send then counts as begun.
-func (r *Router) isHealthy(n int32) bool {
-	h := &r.endpoints[n].health
-	return !h.ejected || r.now >= h.nextTrial
+// outlierDetector follows a cache or a parent through its failures. An endpoint with a high failure rate is ejected; then
+// single requests go to it on trial, and some successes in a row end the ejection.
+type outlierDetector struct {
+	ejected       bool
+	wasSilent     bool // it was ejected for silence: it may have been restarted
+	failureRate   float64
+	ejectedAt     time.Duration
+	nextTrial     time.Duration
+	trialInterval time.Duration
+	successes     int // in a row, since the ejection
+}
+
+// allowsAttempt reports whether an attempt may go to the endpoint: it is not ejected, or due for a trial.
+func (o *outlierDetector) allowsAttempt(now time.Duration) bool {
+	return !o.ejected || now >= o.nextTrial
+}
+
+// isRemapped reports whether a parent has been ejected for so long that its arc belongs to the next one, but for trials.
+func (o *outlierDetector) isRemapped(now time.Duration) bool {
+	return o.ejected && now-o.ejectedAt >= parentRemapAfter && now < o.nextTrial
 }
 
-func (r *Router) recordFailure(n int32, by float64) {
-	h := &r.endpoints[n].health
-	h.failureRate += by * (1 - h.failureRate)
-	h.successes = 0
-	h.wasSilent = by == hardFailure
-	if h.ejected {
-		h.trialInterval = min(maxTrialInterval, 2*h.trialInterval)
-		h.nextTrial = r.now + h.trialInterval
-	} else if h.failureRate > ejectionRate {
-		h.ejected, h.ejectedAt, h.nextTrial, h.trialInterval = true, r.now, r.now+firstTrialInterval, firstTrialInterval
-		r.logEndpoint("out", n)
+// beginTrial notes an attempt, which is a trial where the endpoint is ejected: no other one follows at once.
+func (o *outlierDetector) beginTrial(now time.Duration) {
+	if o.ejected {
+		o.nextTrial = now + o.trialInterval/trialGapDivisor
 	}
 }
 
-// recordSuccess takes an answer to a leg sent at that time. One sent before a silence, or one from a kept copy, shows
-// that nothing was lost.
-func (r *Router) recordSuccess(n int32, sent time.Duration, kept bool) {
-	d := &r.endpoints[n]
-	d.lastHeardAt = r.now
-	h := &d.health
-	h.failureRate -= softFailure * h.failureRate
-	if !h.ejected {
-		return
+// recordFailure takes a failure and reports whether it ejects the endpoint.
+func (o *outlierDetector) recordFailure(severity float64, now time.Duration) (isEjection bool) {
+	o.failureRate += severity * (1 - o.failureRate)
+	o.successes = 0
+	o.wasSilent = severity == hardFailure
+	if o.ejected {
+		o.trialInterval = min(maxTrialInterval, 2*o.trialInterval)
+		o.nextTrial = now + o.trialInterval
+		return false
 	}
-	h.wasSilent = h.wasSilent && sent >= h.ejectedAt && !kept
-	if h.successes++; h.successes >= successesToReturn {
-		// Gone without a word and back: taken for restarted, so cold and empty. A list may say so too late.
-		if h.wasSilent {
-			d.startedAt = max(d.startedAt, r.now-firstTrialInterval)
-		}
-		*h = endpointHealth{}
-		r.logEndpoint("back", n)
+	if o.failureRate <= ejectionRate {
+		return false
 	}
+	o.ejected, o.ejectedAt = true, now
+	o.trialInterval = firstTrialInterval
+	o.nextTrial = now + firstTrialInterval
+	return true
 }
 
-// simultaneousBreaks is how far apart breaks tell of a node more than once: what ends a connection ends many legs.
-// noFillsFor is how long a cache that turned a view away is asked for no fills: some transfers end meanwhile.
-// overdue is how far past twice its predicted time a leg may be before silence counts: a short pause of a
-// node or a resent packet should fit.
-const simultaneousBreaks, noFillsFor, overdueAfter = 20 * ms, 100 * ms, 150 * ms
+// recovery is what a success means for an ejection.
+type recovery uint8
 
-// attributeFailure tells nodes, gate and view apart as the cause of a failure. Notes say which; a source heard of since
-// the leg went out, that took its time to fail, was itself waiting for the origin. An error without a note
-// counts once another node has done the view: guards against clients that ask for what no node can do.
-func (r *Router) attributeFailure(v *request, l *attempt, e *Event, end failureKind) {
-	n := &r.endpoints[l.endpoint]
-	if l.endpoint == r.origin {
-		if end != failureNotCached && (e.Outcome != Cancelled || r.now >= v.objectiveAt) { // a client that left early tells nothing
-			r.origins.recordFailure(r.now)
-		}
-		return
+const (
+	recoveryNone      recovery = iota // not ejected, or still on probation
+	recoveryReturned                  // back, with what it had cached
+	recoveryRestarted                 // back after a silence: taken for restarted
+)
+
+// recordSuccess takes an answer to an attempt sent at a time. One sent before a silence, or answered from a cached copy,
+// shows that nothing was lost.
+func (o *outlierDetector) recordSuccess(sentAt time.Duration, fromCache bool) recovery {
+	o.failureRate -= successWeight * o.failureRate
+	if !o.ejected {
+		return recoveryNone
 	}
-	switch end {
-	case failureEndpoint:
-		switch {
-		case e.Outcome == Failed:
-			v.failedBy = l.endpoint // the next node that it is sent to tells whose fault it is
-		case e.Outcome != ConnectionBroken:
-			r.recordFailure(l.endpoint, hardFailure)
-		case r.now-n.brokenAt >= simultaneousBreaks:
-			n.brokenAt = r.now
-			r.recordFailure(l.endpoint, softFailure)
-		}
-		return
-	case failureTimeout, failureRequest:
-		return
-	case failureNoCapacity:
-		n.noFillsUntil = r.now + noFillsFor
-	case failureSource:
-		switch {
-		case l.source == r.origin,
-			!l.onlyIfCached && e.FirstByteWait > overdueAfter && r.endpoints[l.source].lastHeardAt > l.sentAt && r.origins.goodAt < l.sentAt:
-			r.origins.recordFailure(r.now)
-		case e.Note == NoteSourceUnreachable:
-			r.recordFailure(l.source, hardFailure)
-		default:
-			r.recordFailure(l.source, softFailure)
-		}
-	case failureOrigin:
-		r.origins.recordFailure(r.now)
-		r.endpoints[l.source].lastHeardAt = r.now
-	case failureNotCached:
-		r.endpoints[l.source].lastHeardAt = r.now
+	o.wasSilent = o.wasSilent && sentAt >= o.ejectedAt && !fromCache
+	o.successes++
+	if o.successes < successesToReturn {
+		return recoveryNone
 	}
-	n.lastHeardAt = r.now
+	ended := recoveryReturned
+	if o.wasSilent {
+		ended = recoveryRestarted
+	}
+	*o = outlierDetector{}
+	return ended
 }
 
-// draggingFactor is how many times its prediction the body of a fill may take before its parent counts as failing:
-// the location's links are in the prediction, so what is left is the parent's own. Guards against slow and
-// throttled parents that begin to answer in good time. maxFillSlowdown bounds what one odd fill can tell.
-const draggingFactor, maxFillSlowdown = 2, 8
+// isHealthy reports whether an endpoint may get an attempt: it is not ejected, or due for a trial, which the attempt then
+// begins.
+func (r *Router) isHealthy(index endpointIndex) bool {
+	return r.endpoints[index].outlier.allowsAttempt(r.now)
+}
 
-// isDragging compares a parent's fills with those of the others: where sizes are only guessed, one long body tells
-// nothing, but they are guessed alike for all parents.
-func (r *Router) isDragging(n int32) bool {
-	for _, p := range r.parents.members {
-		if p != n && r.endpoints[n].fillSlowdown > draggingFactor*max(0.5, r.endpoints[p].fillSlowdown) {
-			return true
-		}
+// recordFailure counts a failure against an endpoint.
+func (r *Router) recordFailure(index endpointIndex, severity float64) {
+	if r.endpoints[index].outlier.recordFailure(severity, r.now) {
+		r.logEndpoint("ejected", index)
 	}
-	return false
 }
 
-// calmUtilization is the load below which a cache's link is taken to run at full pace.
-const calmUtilization = 0.8
+// recordSuccess counts an answer of an endpoint to an attempt sent at a time.
+func (r *Router) recordSuccess(index endpointIndex, sentAt time.Duration, fromCache bool) {
+	answered := &r.endpoints[index]
+	answered.lastHeardAt = r.now
+	ended := answered.outlier.recordSuccess(sentAt, fromCache)
+	if ended == recoveryNone {
+		return
+	}
+	if ended == recoveryRestarted {
+		// It is cold and empty; an endpoint list may say so too late.
+		answered.slowStart.startedAt = max(answered.slowStart.startedAt, r.now-firstTrialInterval)
+	}
+	r.logEndpoint("ejection ended", index)
+}
--- a/policy/routing/random.go
+++ b/policy/routing/random.go
@@ -7,14 +7,16 @@
 	return x ^ x>>31
 }
 
-// pcg is a permuted congruential generator (PCG-XSH-RR 64/32).
+// pcg is a permuted congruential generator (PCG-XSH-RR 64/32). The package has its own so that a seed gives the same
+// decisions with every release of the compiler.
 type pcg struct{ state uint64 }
 
 func newPCG(seed uint64) pcg { return pcg{mix(seed) | 1} }
 
+// float returns a number from 0 to 1, 1 excluded.
 func (p *pcg) float() float64 {
-	s := p.state
-	p.state = s*6364136223846793005 + 1442695040888963407
-	x, k := uint32((s>>18^s)>>27), uint32(s>>59)
-	return float64(x>>k|x<<(-k&31)) / (1 << 32)
+	old := p.state
+	p.state = old*6364136223846793005 + 1442695040888963407
+	shifted, rotation := uint32((old>>18^old)>>27), uint32(old>>59)
+	return float64(shifted>>rotation|shifted<<(-rotation&31)) / (1 << 32)
 }
--- a/policy/routing/relay.go
+++ b/policy/routing/relay.go
@@ -1,30 +1,50 @@
 package routing
 
 import (
+	"slices"
 	"time"
 )
 
-// relayFor is how long after a list change a moved slot is filled from its former owner: the design's 30 s.
-const relayFor = 30 * time.Second
+const (
+	// relayFor is how long after a list change a moved slot is filled from its previous owner: the design's 30 s.
+	relayFor = 30 * time.Second
+	// maxPreviousRings is how many rings are remembered: a deployment changes the list every few seconds.
+	maxPreviousRings = 3
+)
+
+// previousRing is a ring of caches that was replaced.
+type previousRing struct {
+	ring       ring
+	replacedAt time.Duration
+}
+
+// rememberRing keeps the ring of caches, which is about to be replaced, for the relay.
+func (r *Router) rememberRing() {
+	if len(r.previousRings) == maxPreviousRings {
+		r.previousRings = slices.Delete(r.previousRings, 0, 1)
+	}
+	r.previousRings = append(r.previousRings, previousRing{r.caches, r.now})
+}
 
-// previousOwner is the cache that held the view's slot before it moved, or none. It must still hold it: a cold cache
-// holds nothing, and one past its grace must not be asked. A cache that started lately is empty though its
-// slot may not have moved: the next of the ring had it meanwhile.
-func (r *Router) previousOwner(v *request) int32 {
+// previousOwner is the cache that owned the request's arc before it moved, or none. It must still have the copies: a cold
+// cache has none, and one past its drain grace must not be asked. A cache that started lately is empty though its arc may
+// not have moved: the next of the ring had it meanwhile.
+func (r *Router) previousOwner(req *request) endpointIndex {
 	if r.settings.PeerFill == PeerFillNone {
 		return noEndpoint
 	}
-	good := func(f int32) bool {
-		return f != v.cache && r.isUsable(f) && !r.endpoints[f].health.ejected && r.warmFraction(f) >= 1
+	hasCopies := func(index endpointIndex) bool {
+		return index != req.cache && r.isUsable(index) && !r.endpoints[index].outlier.ejected &&
+			r.warmFraction(index) >= 1
 	}
 	for i := len(r.previousRings) - 1; i >= 0 && r.now-r.previousRings[i].replacedAt < relayFor; i-- {
-		f := r.walk(&r.previousRings[i].ring, v.hash, func(int32) bool { return true })
-		if f != noEndpoint && good(f) {
-			return f
+		owner := r.previousRings[i].ring.owner(req.hash)
+		if owner != noEndpoint && hasCopies(owner) {
+			return owner
 		}
 	}
-	if r.now-r.endpoints[v.cache].startedAt < relayFor {
-		return r.walk(&r.caches, v.hash, good)
+	if r.now-r.endpoints[req.cache].slowStart.startedAt < relayFor {
+		return r.caches.find(req.hash, hasCopies)
 	}
 	return noEndpoint
 }
--- a/policy/routing/request.go
+++ b/policy/routing/request.go
@@ -5,86 +5,104 @@
 	"time"
 )
 
-// request is a view in hand, or one whose last legs have yet to end.
+// request is an open request, or a closed one whose last attempts have yet to end.
 type request struct {
-	id                     RequestID
-	class                  ClassID
-	object                 ObjectID
-	group                  GroupID
-	hash                   uint64
-	deadline, objectiveAt  time.Duration // end: the client gives up
-	transferTime           time.Duration // to send it at full pace
-	retryWriteAt           time.Duration // when a write is tried again, 0: not
-	sizeTold               bool          // the size was told
-	sizeKnown              bool          // the size was told, or is recalled
-	overQuota              bool          // over its tenant's allowance
-	open                   bool
-	streaming              bool
-	stage                  fillStage
-	cache                  int32 // the cache whose turn it is
-	failedBy               int32 // the node that failed it without saying why
-	attempts               [maxAttempts]attempt
-	attemptCount, inFlight int
+	id           RequestID
+	class        ClassID
+	object       ObjectID
+	group        GroupID
+	hash         uint64        // its object's place on the rings
+	deadline     time.Duration // the client gives up
+	objectiveAt  time.Duration // an answer later than this is late
+	transferTime time.Duration // at full pace
+	retryWriteAt time.Duration // when a write is attempted again, 0: not
+	sizeTold     bool          // the request told its size
+	sizeKnown    bool          // the request told its size, or the history has it
+	overQuota    bool          // its tenant is over its quota
+	open         bool
+	streaming    bool // its answer is on its way to the client
+	stage        fillStage
+	cache        endpointIndex // the cache whose turn it is
+	failedBy     endpointIndex // the endpoint that failed it without saying why
+	attempts     [maxAttempts]attempt
+	attemptCount int
+	inFlight     int // attempts that have not ended
 }
 
-// hasTriedSource tells whether the view's cache has asked a source for all that it can do.
-func (v *request) hasTriedSource(src int32) bool {
-	for i := range v.attemptCount {
-		if l := &v.attempts[i]; l.endpoint == v.cache && l.source == src && !l.onlyIfCached {
-			return true
-		}
-	}
-	return false
+// hasTriedSource reports whether the request's cache has asked a source for more than a cached copy.
+func (q *request) hasTriedSource(source endpointIndex) bool {
+	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool {
+		return att.endpoint == q.cache && att.source == source && !att.onlyIfCached
+	})
 }
 
-// mayHaveRun tells whether a leg may have run.
-func (v *request) mayHaveRun() bool {
-	return slices.ContainsFunc(v.attempts[:v.attemptCount], func(l attempt) bool { return l.mayHaveRun })
+// hasAsked reports whether an attempt went to the endpoint.
+func (q *request) hasAsked(index endpointIndex) bool {
+	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool { return att.endpoint == index })
 }
 
-func (r *Router) hasAsked(v *request, n int32) bool {
-	for i := range v.attemptCount {
-		if v.attempts[i].endpoint == n {
-			return true
-		}
-	}
-	return false
+// mayHaveRun reports whether an attempt may have run.
+func (q *request) mayHaveRun() bool {
+	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool { return att.mayHaveRun })
 }
 
-func (r *Router) findRequest(id RequestID) *request {
-	if i, held := r.requestByID[id]; held {
-		return &r.requests[i]
+// isLinkSample reports whether the request's transfer tells how congested a link is: its size is known, and it is not
+// short.
+func (q *request) isLinkSample() bool { return q.sizeKnown && q.transferTime >= minLinkSample }
+
+func (q *request) sentAttempts() []attempt { return q.attempts[:q.attemptCount] }
+
+// requestTable holds the requests by id. Slots are used again, so that the ordinary path allocates nothing.
+type requestTable struct {
+	slots    []request
+	free     []int
+	slotByID map[RequestID]int
+}
+
+func newRequestTable() requestTable { return requestTable{slotByID: map[RequestID]int{}} }
+
+// find returns the request with the id, or nil.
+func (t *requestTable) find(id RequestID) *request {
+	if slot, isKnown := t.slotByID[id]; isKnown {
+		return &t.slots[slot]
 	}
 	return nil
 }
 
-func (r *Router) allocateRequest() int32 {
-	if n := len(r.freeRequests); n > 0 {
-		i := r.freeRequests[n-1]
-		r.freeRequests = r.freeRequests[:n-1]
-		return i
+// add returns a zeroed request with the id. It is valid until the next one is added.
+func (t *requestTable) add(id RequestID) *request {
+	slot := len(t.slots)
+	if count := len(t.free); count > 0 {
+		slot = t.free[count-1]
+		t.free = t.free[:count-1]
+	} else {
+		t.slots = append(t.slots, request{})
 	}
-	r.requests = append(r.requests, request{})
-	return int32(len(r.requests) - 1)
+	t.slotByID[id] = slot
+	t.slots[slot] = request{id: id}
+	return &t.slots[slot]
 }
 
-func (r *Router) releaseRequest(v *request) {
-	if i, held := r.requestByID[v.id]; held && !v.open && v.inFlight == 0 {
-		delete(r.requestByID, v.id)
-		r.freeRequests = append(r.freeRequests, i)
+// release frees the slot of a request that is closed and whose attempts have all ended.
+func (t *requestTable) release(req *request) {
+	if slot, isKnown := t.slotByID[req.id]; isKnown && !req.open && req.inFlight == 0 {
+		delete(t.slotByID, req.id)
+		t.free = append(t.free, slot)
 	}
 }
 
-// closeRequest ends a view: legs still out are cancelled, and its place is used again when they have ended.
-func (r *Router) closeRequest(v *request) {
-	v.open = false
-	for i := range v.attemptCount {
-		if v.attempts[i].inFlight && r.settings.Cancel && !v.streaming {
-			r.emit(Action{Kind: ActionCancel, Request: v.id, Attempt: AttemptNumber(i)})
+// closeRequest ends a request: attempts in flight are cancelled, and its slot is used again when they have ended.
+func (r *Router) closeRequest(req *request) {
+	req.open = false
+	if r.settings.Cancel && !req.streaming {
+		for i := range req.sentAttempts() {
+			if req.attempts[i].isInFlight() {
+				r.emit(Action{Kind: ActionCancel, Request: req.id, Attempt: AttemptNumber(i)})
+			}
 		}
 	}
-	r.releaseRequest(v)
+	r.requests.release(req)
 }
 
-// objectHash is the place of a view's object on the rings.
-func (e *Event) objectHash() uint64 { return mix(uint64(e.Object) ^ uint64(e.Part)*0x9e3779b97f4a7c15) }
+// objectHash is the place of a request's object, and of its part, on the rings.
+func (e *Event) objectHash() uint64 { return mix(uint64(e.Object) ^ uint64(e.Part)*goldenGamma) }
--- a/policy/routing/ring.go
+++ b/policy/routing/ring.go
@@ -4,90 +4,84 @@
 	"cmp"
 	"math"
 	"slices"
-	"time"
 )
 
-// pointsPerEndpoint a member evens the arcs to some six in a hundred. maxPreviousRings are kept for the relay: a deploy
-// changes the list every few seconds.
-const pointsPerEndpoint, maxPreviousRings = 200, 3
+// pointsPerEndpoint is the usual number of points of a member. So many even the members' arcs to some six in a hundred.
+const pointsPerEndpoint = 200
 
-// ring is a consistent-hash ring; previousRing one that was replaced.
+// goldenGamma is the increment of splitmix64; a multiple of it separates inputs that differ by little.
+const goldenGamma = 0x9e3779b97f4a7c15
+
+// ring is a consistent-hash ring. A member owns the arcs that end at its points; a heavier member has more points. The
+// points follow from ids and weights alone, so that all routers build the same ring.
 type ring struct {
 	points  []ringPoint
-	members []int32
+	members []endpointIndex
+
+	lastVisit []int // by member: the last walk that met it
+	walks     int
 }
 
-type ringPoint struct {
-	position uint64
-	endpoint int32
+// ringMember is an endpoint that a ring is built from.
+type ringMember struct {
+	index  endpointIndex
+	id     EndpointID
+	weight float64
 }
 
-type previousRing struct {
-	ring       ring
-	replacedAt time.Duration
+// ringPoint is the end of an arc; member is an index into ring.members.
+type ringPoint struct {
+	position uint64
+	member   int32
 }
 
-func (r *Router) newRing(members []int32) ring {
-	g, total := ring{members: members}, 0.0
-	for _, n := range members {
-		total += r.endpoints[n].weight
+// newRing builds the ring of the members.
+func newRing(members []ringMember) ring {
+	built := ring{lastVisit: make([]int, len(members))}
+	totalWeight := 0.0
+	for _, member := range members {
+		built.members = append(built.members, member.index)
+		totalWeight += member.weight
 	}
-	for _, n := range members {
+	for i, member := range members {
 		count := pointsPerEndpoint
-		if total > 0 {
-			count = max(1, int(math.Round(pointsPerEndpoint*r.endpoints[n].weight/total*float64(len(members)))))
+		if totalWeight > 0 {
+			count = max(1, int(math.Round(pointsPerEndpoint*member.weight/totalWeight*float64(len(members)))))
 		}
-		h := mix(uint64(r.endpoints[n].id))
+		position := mix(uint64(member.id))
 		for range count {
-			h = mix(h + 0x9e3779b97f4a7c15)
-			g.points = append(g.points, ringPoint{h, n})
+			position = mix(position + goldenGamma)
+			built.points = append(built.points, ringPoint{position, int32(i)})
 		}
 	}
-	slices.SortFunc(g.points, func(a, b ringPoint) int {
-		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.endpoint, b.endpoint))
+	slices.SortFunc(built.points, func(a, b ringPoint) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.member, b.member))
 	})
-	return g
+	return built
 }
 
-// walk visits the members in ring order from the hash on, and returns the first that will do.
-func (r *Router) walk(g *ring, hash uint64, does func(int32) bool) int32 {
-	from, _ := slices.BinarySearchFunc(g.points, hash, func(p ringPoint, h uint64) int {
-		return cmp.Compare(p.position, h)
+// find visits each member once, in ring order from the hash on, and returns the first that is accepted.
+func (g *ring) find(hash uint64, accepts func(endpointIndex) bool) endpointIndex {
+	from, _ := slices.BinarySearchFunc(g.points, hash, func(point ringPoint, hash uint64) int {
+		return cmp.Compare(point.position, hash)
 	})
-	r.visits++
-	walk := r.visits
-	for i, left := 0, len(g.members); left > 0 && i < len(g.points); i++ {
-		n := g.points[(from+i)%len(g.points)].endpoint
-		if r.endpoints[n].visit == walk {
+	g.walks++
+	unvisited := len(g.members)
+	for i := 0; unvisited > 0 && i < len(g.points); i++ {
+		member := g.points[(from+i)%len(g.points)].member
+		if g.lastVisit[member] == g.walks {
 			continue
 		}
-		r.endpoints[n].visit = walk
-		left--
-		if does(n) {
-			return n
+		g.lastVisit[member] = g.walks
+		unvisited--
+		if accepts(g.members[member]) {
+			return g.members[member]
 		}
 	}
 	return noEndpoint
 }
 
-// rebuildRings makes the rings anew and keeps the last ones for the relay.
-func (r *Router) rebuildRings() {
-	var caches, parents []int32
-	for i := range r.endpoints {
-		switch d := &r.endpoints[i]; {
-		case d.state != Ready:
-		case d.role == roleCache:
-			caches = append(caches, int32(i))
-		case d.role == roleParent:
-			parents = append(parents, int32(i))
-		}
-	}
-	if len(r.caches.members) > 0 && !slices.Equal(caches, r.caches.members) {
-		if len(r.previousRings) == maxPreviousRings {
-			r.previousRings = slices.Delete(r.previousRings, 0, 1)
-		}
-		r.previousRings = append(r.previousRings, previousRing{r.caches, r.now})
-	}
-	r.caches, r.parents = r.newRing(caches), r.newRing(parents)
-	r.origins.share = r.originLimiterShare()
+// owner returns the member whose arc holds the hash.
+func (g *ring) owner(hash uint64) endpointIndex {
+	return g.find(hash, func(endpointIndex) bool { return true })
 }
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -7,57 +7,75 @@
 
 const ms = time.Millisecond
 
-// Timers. tick is how often views in hand are looked over: well under the shortest due time, and cheap.
-// endpointListRetryWait is how long after a failed call the list is asked for again, and as much more by chance.
+// Timers, as Event.Timer and Action.Timer have them.
 const (
-	timerTick, timerEndpointList        = 0, 1
-	tickInterval, endpointListRetryWait = 20 * ms, 250 * ms
+	timerTick         = 0
+	timerEndpointList = 1
+)
+
+const (
+	// tickInterval is how often open requests are checked: well under the shortest objective, and cheap.
+	tickInterval = 20 * ms
+	// endpointListRetryWait is how long after a failed call the endpoint list is asked for again, with as much jitter.
+	endpointListRetryWait = 250 * ms
+	// untoldTransferFactor bounds a transfer time, over the objective, that may hold the wait of a fill: such a time
+	// rejects nothing by itself, or nothing better would ever be learned.
+	untoldTransferFactor = 0.95
 )
 
 // Router decides for one router instance.
 type Router struct {
-	settings         Settings
-	random           pcg
-	now              time.Duration
-	actions          []Action
-	endpoints        []endpoint
-	endpointByID     map[EndpointID]int32
-	origin           int32
-	localCache       int32 // the router itself, where it keeps copies
-	caches           ring
-	parents          ring
-	previousRings    []previousRing
-	visits           int
-	requests         []request
-	freeRequests     []int32
-	requestByID      map[RequestID]int32
-	history          []objectRecord
-	classes          []classStats
-	tenantQuotas     []tokenBucket
-	ingress          link // the location's link in, as this router's fills show it
+	settings Settings
+	random   pcg
+	now      time.Duration // of the event that is handled
+	actions  []Action      // of the event that is handled
+
+	endpoints       []endpoint
+	endpointByID    map[EndpointID]endpointIndex
+	listVersion     int
+	origin          endpointIndex
+	localCache      endpointIndex // the router itself, where it keeps copies
+	caches, parents ring
+	previousRings   []previousRing
+	cacheSlowStart  slowStartSettings
+	parentSlowStart slowStartSettings
+
+	requests     requestTable
+	history      objectHistory
+	classStats   []classStats
+	tenantQuotas []tokenBucket
+	retries      retryBudget
+	purges       []purge
+
+	ingress          link // into the location, as this router's fills show it
 	origins          originLimiter
-	retryTokens      float64 // further legs that may be spent
-	purges           []purge
-	trafficShare     float64 // this router's part of its location's views
+	trafficShare     float64 // this router's part of its location's requests
 	nextHealthCheck  time.Duration
-	sinceHealthCheck int // views, since a probe
+	sinceHealthCheck int // requests
 }
 
-// New returns a router with empty hands.
-func New(set Settings, seed uint64) *Router {
+// New returns a router that knows its settings and no endpoint yet. The seed is that of its random generator.
+func New(settings Settings, seed uint64) *Router {
 	r := &Router{
-		settings: set, random: newPCG(seed), endpointByID: map[EndpointID]int32{}, requestByID: map[RequestID]int32{}, origin: noEndpoint, localCache: noEndpoint,
-		classes: make([]classStats, len(set.Classes)), tenantQuotas: make([]tokenBucket, len(set.Tenants)),
-		history: make([]objectRecord, historySize), origins: originLimiter{limit: initialOriginLimit}, trafficShare: 1, retryTokens: maxRetryTokens,
+		settings: settings, random: newPCG(seed), trafficShare: 1,
+		endpointByID: map[EndpointID]endpointIndex{}, origin: noEndpoint, localCache: noEndpoint,
+		requests: newRequestTable(), history: newObjectHistory(), retries: newRetryBudget(),
+		classStats: make([]classStats, len(settings.Classes)), tenantQuotas: make([]tokenBucket, len(settings.Tenants)),
+		origins: originLimiter{limit: initialOriginLimit},
+		cacheSlowStart: slowStartSettings{
+			settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor, settings.OverloadWindow,
+		},
+		parentSlowStart: slowStartSettings{
+			settings.ParentSlowStartShare, settings.ParentSlowStartFor, settings.ParentOverloadFactor,
+			settings.OverloadWindow,
+		},
 	}
-	z := int(set.Zone)
-	if z < len(set.ZoneRouters) && set.ZoneRouters[z] > 1 {
-		r.trafficShare = 1 / float64(set.ZoneRouters[z])
+	if zone := int(settings.Zone); zone < len(settings.ZoneRouters) && settings.ZoneRouters[zone] > 1 {
+		r.trafficShare = 1 / float64(settings.ZoneRouters[zone])
 	}
-	r.ingress.capacity = set.ingressTransfers()
-	if set.LocalCacheCapacity > 0 {
-		r.localCache = r.allocateEndpoint()
-		r.endpoints[r.localCache] = endpoint{id: LocalCache, role: roleLocalCache, state: Ready, startedAt: LongAgo, link: link{capacity: set.LocalCacheCapacity}}
+	r.ingress.capacity = settings.ingressTransfers()
+	if settings.LocalCacheCapacity > 0 {
+		r.addLocalCache(settings.LocalCacheCapacity)
 	}
 	if r.settings.MaxAttempts <= 0 || r.settings.MaxAttempts > maxAttempts {
 		r.settings.MaxAttempts = maxAttempts
@@ -65,9 +83,9 @@
 	return r
 }
 
-// Start begins the router's life.
-func (r *Router) Start(now time.Duration, acts []Action) []Action {
-	r.now, r.actions = now, acts
+// Start begins the router's work and returns its first actions, appended to actions.
+func (r *Router) Start(now time.Duration, actions []Action) []Action {
+	r.now, r.actions = now, actions
 	r.setTimer(tickInterval, timerTick)
 	if r.settings.PollEndpoints {
 		r.emit(Action{Kind: ActionWatchEndpoints})
@@ -75,222 +93,232 @@
 	return r.actions
 }
 
-// Handle takes one event and returns the actions that it calls for, appended to acts.
-func (r *Router) Handle(now time.Duration, e *Event, acts []Action) []Action {
-	r.now, r.actions = now, acts
-	v := r.findRequest(e.Request)
-	switch e.Kind {
+// Handle takes one event and returns the actions that it calls for, appended to actions.
+func (r *Router) Handle(now time.Duration, event *Event, actions []Action) []Action {
+	r.now, r.actions = now, actions
+	switch event.Kind {
 	case EventRequest:
-		r.handleRequest(e)
+		r.handleRequest(event)
 	case EventAttemptResult:
-		r.handleAttemptResult(v, e)
+		r.handleAttemptResult(r.requests.find(event.Request), event)
 	case EventStreamStarted:
-		if v != nil {
-			v.streaming = true
+		if req := r.requests.find(event.Request); req != nil {
+			req.streaming = true
 		}
 	case EventClientGone:
-		if v != nil {
-			r.closeRequest(v)
+		if req := r.requests.find(event.Request); req != nil {
+			r.closeRequest(req)
 		}
 	case EventEndpoints:
-		if e.EndpointListKind == EndpointListFailed {
-			r.setTimer(endpointListRetryWait+time.Duration(r.random.float()*float64(endpointListRetryWait)), timerEndpointList)
-		} else {
-			r.applyEndpointList(e)
-			r.rebuildRings()
-		}
+		r.handleEndpointList(event)
 	case EventPurge:
-		r.handlePurge(e)
+		r.handlePurge(event)
 	case EventHealthCheck:
-		if n, known := r.endpointByID[e.Endpoint]; known {
-			r.applyLoadReport(n, &e.LoadReport)
+		if index, isKnown := r.endpointByID[event.Endpoint]; isKnown {
+			r.applyLoadReport(index, &event.LoadReport)
 		}
 	case EventTimer:
-		switch e.Timer {
-		case timerTick:
-			r.setTimer(tickInterval, timerTick)
-			r.checkOverdueAttempts()
-		case timerEndpointList:
-			r.emit(Action{Kind: ActionWatchEndpoints})
-		}
+		r.handleTimer(event.Timer)
+	case EventGossip:
 	}
 	return r.actions
 }
 
-func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
+func (r *Router) handleTimer(timer uint64) {
+	switch timer {
+	case timerTick:
+		r.setTimer(tickInterval, timerTick)
+		r.checkOverdueAttempts()
+		r.checkHealth()
+		r.logOriginLimiter()
+	case timerEndpointList:
+		r.emit(Action{Kind: ActionWatchEndpoints})
+	}
+}
+
+func (r *Router) emit(action Action) { r.actions = append(r.actions, action) }
 
-func (r *Router) setTimer(wait time.Duration, name uint64) {
-	r.emit(Action{Kind: ActionTimer, Wait: wait, Timer: name})
+func (r *Router) setTimer(wait time.Duration, timer uint64) {
+	r.emit(Action{Kind: ActionTimer, Wait: wait, Timer: timer})
 }
 
-// logEndpoint writes a line about a node: its role, its id and what happened.
-func (r *Router) logEndpoint(what string, n int32) {
-	if n != noEndpoint {
-		d := &r.endpoints[n]
-		role := [...]string{"own", "cache", "parent", "origin"}[d.role]
-		r.emit(Action{Kind: ActionLog, Text: fmt.Sprintf("%s %x: %s", role, uint64(d.id), what)})
+// logEndpoint logs what happened to an endpoint: its role, its id and the text.
+func (r *Router) logEndpoint(text string, index endpointIndex) {
+	if index == noEndpoint {
+		return
 	}
+	subject := &r.endpoints[index]
+	r.emit(Action{Kind: ActionLog, Text: fmt.Sprintf("%s %x: %s", subject.role, uint64(subject.id), text)})
 }
 
-// handleRequest takes a new view, or turns it back.
-func (r *Router) handleRequest(e *Event) {
-	if int(e.Class) >= len(r.settings.Classes) {
-		r.emit(Action{Kind: ActionReject, Request: e.Request})
+// handleRequest takes a new request, and sends or rejects it.
+func (r *Router) handleRequest(event *Event) {
+	if int(event.Class) >= len(r.settings.Classes) {
+		r.reject(event.Request, 0)
 		return
 	}
-	t, usual := &r.settings.Classes[e.Class], &r.classes[e.Class].transferTime
-	i := r.allocateRequest()
-	v := &r.requests[i]
-	r.sinceHealthCheck++
-	*v = request{
-		id: e.Request, class: e.Class, object: e.Object, group: e.Group, open: true, deadline: r.now + e.TimeLeft,
-		cache: noEndpoint, failedBy: noEndpoint, transferTime: usual.duration(), hash: e.objectHash(),
-	}
-	r.requestByID[e.Request] = i
-	m := r.findRecord(v)
-	v.sizeTold = e.SizeKB > 0 && r.settings.FlowKBPerSecond > 0 && !t.Write
-	v.sizeKnown = v.sizeTold || m != nil && m.transferTime > 0
-	switch {
-	case v.sizeTold:
-		v.transferTime = time.Duration(e.SizeKB / r.settings.FlowKBPerSecond * float64(time.Second))
-		usual.add(v.transferTime, 0.02)
-	case v.sizeKnown:
-		v.transferTime = m.transferTime
+	req := r.addRequest(event)
+	r.retries.earn()
+	if r.settings.Classes[req.class].Write {
+		r.sendWrite(req)
+		return
 	}
-	if r.settings.ResponseDetail == DetailNone && !v.sizeTold && !t.Write {
-		// A time that may hold a fill's wait turns nothing back by itself, or nothing better would ever be learned.
-		v.transferTime = min(v.transferTime, time.Duration(0.95/predictionMargin*float64(t.LatencyObjective)))
+	if record := r.history.find(req.hash); record != nil {
+		record.countRequest()
 	}
-	v.objectiveAt = min(v.deadline, r.now+t.LatencyObjective+time.Duration(t.ObjectiveStretch*float64(v.transferTime)))
-	v.overQuota = r.isOverQuota(int(e.Tenant))
-	r.retryTokens = min(maxRetryTokens, r.retryTokens+retryTokensPerRequest)
-	if t.Write {
-		r.sendWrite(v)
-		return
+	r.route(req)
+}
+
+// addRequest adds a request with its transfer time, objective and quota.
+func (r *Router) addRequest(event *Event) *request {
+	class := &r.settings.Classes[event.Class]
+	r.sinceHealthCheck++
+	req := r.requests.add(event.Request)
+	req.class, req.object, req.group = event.Class, event.Object, event.Group
+	req.hash = event.objectHash()
+	req.open = true
+	req.deadline = r.now + event.TimeLeft
+	req.cache, req.failedBy = noEndpoint, noEndpoint
+	r.estimateTransfer(req, event.SizeKB)
+	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(req.transferTime))
+	req.objectiveAt = min(req.deadline, r.now+objective)
+	req.overQuota = r.isOverQuota(event.Tenant)
+	return req
+}
+
+// estimateTransfer sets the transfer time of a request by its size, or that of the object or the class. sizeKB is 0 where
+// the request does not tell it.
+func (r *Router) estimateTransfer(req *request, sizeKB float64) {
+	class, usual := &r.settings.Classes[req.class], &r.classStats[req.class].transferTime
+	record := r.history.find(req.hash)
+	req.sizeTold = sizeKB > 0 && r.settings.FlowKBPerSecond > 0 && !class.Write
+	req.sizeKnown = req.sizeTold || record != nil && record.transferTime > 0
+	req.transferTime = usual.duration()
+	switch {
+	case req.sizeTold:
+		req.transferTime = time.Duration(sizeKB / r.settings.FlowKBPerSecond * float64(time.Second))
+		usual.add(req.transferTime, transferTimePace)
+	case req.sizeKnown:
+		req.transferTime = record.transferTime
 	}
-	if m != nil && m.requests < 255 {
-		m.requests++
+	if r.settings.ResponseDetail == DetailNone && !req.sizeTold && !class.Write {
+		longest := time.Duration(untoldTransferFactor / predictionMargin * float64(class.LatencyObjective))
+		req.transferTime = min(req.transferTime, longest)
 	}
-	r.route(v)
 }
 
-// route sends a view by the ordinary path: the ring's cache, the former owner if the slot moved, the parent.
-func (r *Router) route(v *request) {
-	v.cache = r.pickCache(v)
-	if !r.sendWithFill(v, stageRelay) && (v.cache != noEndpoint || !r.settings.AllowDirect || !r.bypassCaches(v)) {
-		r.giveUp(v)
+// route sends a request by the ordinary path: the ring's cache, filled from the previous owner if the arc moved, else from
+// the parent.
+func (r *Router) route(req *request) {
+	req.cache = r.pickCache(req)
+	if r.sendWithFill(req, stageRelay) {
+		return
+	}
+	if req.cache == noEndpoint && r.settings.AllowDirect && r.bypassCaches(req) {
+		return
 	}
+	r.giveUp(req)
 }
 
-// sendWithFill sends the view to its cache with the source of the stage, or of a later stage where that one cannot be
-// gone to. It reports whether a leg went out. None does where an earlier leg ends after no cache was left.
-func (r *Router) sendWithFill(v *request, st fillStage) bool {
-	if v.cache == noEndpoint {
+// sendWithFill sends the request to its cache with the source of the stage, or of a later stage where that one cannot be
+// used. It reports whether an attempt went out. None does where an earlier attempt ends after no cache was left.
+func (r *Router) sendWithFill(req *request, stage fillStage) bool {
+	if req.cache == noEndpoint {
 		return false
 	}
-	if st == stageRelay {
-		f := r.previousOwner(v)
-		if f != noEndpoint && r.isInTime(v, v.cache, f) && r.sendAttempt(v, stageRelay, v.cache, f, OnlyIfCached) {
-			return true
-		}
+	if stage == stageRelay && r.sendWithRelay(req) {
+		return true
 	}
-	p, failing := r.pickParent(v)
-	if o := r.origin; st == stageOrigin || failing || p == noEndpoint {
-		if !v.hasTriedSource(o) && r.mayReachOrigin(v, v.cache, o) && r.sendAttempt(v, stageOrigin, v.cache, o, 0) {
+	parent, isFailing := r.pickParent(req)
+	if stage == stageOrigin || isFailing || parent == noEndpoint {
+		if r.sendWithOriginFill(req) {
 			return true
 		}
-		p = r.pickOtherParent(v)
+		parent = r.pickOtherParent(req)
 	}
-	if p != noEndpoint && !v.hasTriedSource(p) && r.isInTime(v, v.cache, p) {
-		if r.mayReachOrigin(v, v.cache, p) {
-			return r.sendAttempt(v, stageParent, v.cache, p, 0)
+	if parent != noEndpoint && !req.hasTriedSource(parent) && r.isInTime(req, req.cache, parent) {
+		if r.mayReachOrigin(req, req.cache, parent) {
+			return r.sendAttempt(req, attemptPlan{stageParent, req.cache, parent, 0})
 		}
-		if v.stage != stageParentCached {
-			return r.sendAttempt(v, stageParentCached, v.cache, p, OnlyIfCached)
+		if req.stage != stageParentCached {
+			return r.sendAttempt(req, attemptPlan{stageParentCached, req.cache, parent, OnlyIfCached})
 		}
 	}
-	// Nothing can be filled in time: what the cache holds may still do.
-	return v.attemptCount == 0 && r.isInTime(v, v.cache, noEndpoint) && r.sendAttempt(v, stageLookup, v.cache, v.cache, 0)
+	return r.sendLookup(req)
+}
+
+// sendWithRelay sends the request to its cache, filled from the previous owner if that has a copy.
+func (r *Router) sendWithRelay(req *request) bool {
+	owner := r.previousOwner(req)
+	return owner != noEndpoint && r.isInTime(req, req.cache, owner) &&
+		r.sendAttempt(req, attemptPlan{stageRelay, req.cache, owner, OnlyIfCached})
+}
+
+// sendWithOriginFill sends the request to its cache, filled straight from the origin.
+func (r *Router) sendWithOriginFill(req *request) bool {
+	return !req.hasTriedSource(r.origin) && r.mayReachOrigin(req, req.cache, r.origin) &&
+		r.sendAttempt(req, attemptPlan{stageOrigin, req.cache, r.origin, 0})
+}
+
+// sendLookup asks the cache for a copy where nothing can be filled in time.
+func (r *Router) sendLookup(req *request) bool {
+	return req.attemptCount == 0 && r.isInTime(req, req.cache, noEndpoint) &&
+		r.sendAttempt(req, attemptPlan{stageLookup, req.cache, req.cache, 0})
 }
 
-// bypassCaches passes the caches by: only where the settings allow it and no cache of the location is fit to be
-// asked at all (all lost, cold or failing). The origin is left to writes: its link is thin.
-func (r *Router) bypassCaches(v *request) bool {
-	p, failing := r.pickParent(v)
-	if failing {
-		p = r.pickOtherParent(v)
+// bypassCaches sends a request straight to a parent: only where the settings allow it and no cache of the location is fit
+// to be asked at all (all lost, cold or failing). The origin is left to writes: its link is thin.
+func (r *Router) bypassCaches(req *request) bool {
+	parent, isFailing := r.pickParent(req)
+	if isFailing {
+		parent = r.pickOtherParent(req)
 	}
-	if v.cache = p; p == noEndpoint || !r.isInTime(v, p, p) {
+	req.cache = parent
+	if parent == noEndpoint || !r.isInTime(req, parent, parent) {
 		return false
 	}
-	if !v.hasTriedSource(r.origin) && r.mayReachOrigin(v, p, r.origin) {
-		return r.sendAttempt(v, stageBypass, p, r.origin, 0)
+	if !req.hasTriedSource(r.origin) && r.mayReachOrigin(req, parent, r.origin) {
+		return r.sendAttempt(req, attemptPlan{stageBypass, parent, r.origin, 0})
 	}
-	return !v.hasTriedSource(p) && r.sendAttempt(v, stageBypass, p, p, 0)
+	return !req.hasTriedSource(parent) && r.sendAttempt(req, attemptPlan{stageBypass, parent, parent, 0})
 }
 
-// sendWrite runs a view at the origin: straight where that is allowed, else through a cache. One that provably
-// did not run waits a little and goes again while it can be in time.
-func (r *Router) sendWrite(v *request) {
-	v.retryWriteAt = 0
-	n := r.origin
+// sendWrite runs a write at the origin: straight where that is allowed, else through a cache.
+func (r *Router) sendWrite(req *request) {
+	req.retryWriteAt = 0
+	target := r.origin
 	if !r.settings.AllowDirect {
-		n = r.pickCache(v)
+		target = r.pickCache(req)
 	}
-	if n == noEndpoint || r.origin == noEndpoint || !r.sendAttempt(v, stageBypass, n, r.origin, 0) {
-		r.giveUp(v)
+	if target == noEndpoint || r.origin == noEndpoint ||
+		!r.sendAttempt(req, attemptPlan{stageBypass, target, r.origin, 0}) {
+		r.giveUp(req)
 	}
 }
 
-// followUp takes a step for an open view.
-func (r *Router) followUp(v *request, end failureKind) {
-	s := transitions[v.stage][end]
-	// A further leg after a failure, unlike one after a miss, is bounded: else it multiplies a trouble's load.
-	if s.kind != rejectRequest && end != failureNotCached && !r.settings.Classes[v.class].Write {
-		if r.retryTokens--; r.retryTokens < 0 || r.now >= v.objectiveAt {
-			r.retryTokens, s.kind = max(0, r.retryTokens), rejectRequest
+// followUp does what follows the failure of an attempt of an open request.
+func (r *Router) followUp(req *request, failure failureKind) {
+	following := transitions[req.stage][failure]
+	if r.settings.Classes[req.class].Write {
+		if following.kind == rejectRequest || !r.scheduleWriteRetry(req) {
+			r.giveUp(req)
 		}
-	}
-	switch {
-	case r.settings.Classes[v.class].Write:
-		if wait := writeBackoff << v.attemptCount; s.kind != rejectRequest && r.now+wait < v.objectiveAt && r.mayRepeat(v, r.origin) {
-			v.retryWriteAt = r.now + wait
-			return
-		}
-	case s.kind == tryNextSource:
-		if r.sendWithFill(v, s.stage) {
-			return
-		}
-	case s.kind == tryNextCache:
-		r.route(v)
 		return
 	}
-	r.giveUp(v)
-}
-
-// usualRetryAfter is the middle of the time to come back: about a due time, spread against a common return.
-const usualRetryAfter = 300 * ms
-
-// giveUp answers a view for good, unless a leg is still out that may answer it.
-func (r *Router) giveUp(v *request) {
-	if !v.open || v.inFlight > 0 {
-		return
-	}
-	t := &r.settings.Classes[v.class]
-	// What the caches cannot give in time, a copy of the router's own may; it is asked last, so that they learn
-	// of every view. Guards against lost, cold and crowded caches of whatever cause.
-	if r.localCache != noEndpoint && t.Idempotency == Idempotent && !t.Write && !r.hasAsked(v, r.localCache) && r.isInTime(v, r.localCache, noEndpoint) &&
-		r.sendAttempt(v, stageLocalCache, r.localCache, r.localCache, 0) {
-		return
+	// An attempt after a failure, unlike one after a miss, needs a token: else retries multiply a fault's load.
+	if following.kind != rejectRequest && failure != failureNotCached {
+		if !r.retries.spend() || r.now >= req.objectiveAt {
+			following.kind = rejectRequest
+		}
 	}
-	if t.Idempotency == Idempotent || !v.mayHaveRun() || t.Idempotency == IdempotentWithKey && t.DedupScope == ScopeAll {
-		a := Action{Kind: ActionReject, Request: v.id}
-		if r.settings.RetryAfter {
-			a.Wait = min(r.settings.MaxRetryAfter, usualRetryAfter/2+time.Duration(r.random.float()*float64(usualRetryAfter)))
+	switch following.kind {
+	case tryNextCache:
+		r.route(req)
+	case tryNextSource:
+		if !r.sendWithFill(req, following.stage) {
+			r.giveUp(req)
 		}
-		r.emit(a)
-	} else {
-		r.emit(Action{Kind: ActionFail, Request: v.id})
+	case rejectRequest:
+		r.giveUp(req)
 	}
-	r.closeRequest(v)
 }
--- a/policy/routing/selection.go
+++ b/policy/routing/selection.go
@@ -1,62 +1,88 @@
 package routing
 
-import (
-	"time"
-)
-
-// maxSpill is how many caches after the ring's own may take a view that would be late there: more would spread
-// copies of everything over the location.
+// maxSpill is how many caches after the ring's own may take a request that would be late there: more would spread copies of
+// everything over the location.
 const maxSpill = 1
 
-// pickCache walks the ring from the view's point to the first cache that may have it: listed, in health, warm
-// enough for this object, not asked yet, and predicted in time. If none is in time, it is the first: it may
-// hold the object. Where none may have it, its share is not asked of cold caches, only their budget; then,
-// where views may not pass the caches by, nor is health: what fails everywhere is shared.
-func (r *Router) pickCache(v *request) int32 {
-	p, failing := r.pickParent(v)
-	if failing {
-		p = r.origin
+// strictness says which conditions a cache has to meet. Where no cache meets all, fewer are asked for.
+type strictness uint8
+
+const (
+	strictAll    strictness = iota
+	strictHealth            // a cold cache takes any object, its budget alone decides
+	strictNone              // an ejected cache is asked as well: what fails everywhere is a shared fault
+	strictnessCount
+)
+
+// pickCache finds the first cache from the request's place on the ring on that may have it: listed, in health, warm enough
+// for this object, not asked yet, and predicted in time. If none is in time, it is the first: it may have the object.
+// Ejected caches are asked only where requests may not bypass the caches.
+func (r *Router) pickCache(req *request) endpointIndex {
+	source, isFailing := r.pickParent(req)
+	if isFailing {
+		source = r.origin
 	}
-	for pass := range 3 {
-		first, left := noEndpoint, maxSpill+1
-		found := r.walk(&r.caches, v.hash, func(c int32) bool {
-			if pass == 0 && !r.takesObject(c, v.hash) || pass < 2 && !r.isHealthy(c) || !r.hasBudget(v, c) || r.hasAsked(v, c) {
-				return false
-			}
-			if first == noEndpoint {
-				first = c
-			}
-			left--
-			return left < 0 || r.isInTime(v, c, p)
-		})
-		if found != noEndpoint && left >= 0 {
-			return found
+	for strict := strictAll; strict < strictnessCount; strict++ {
+		first, inTime := r.findCache(req, source, strict)
+		if inTime != noEndpoint {
+			return inTime
 		}
-		if first != noEndpoint || pass == 1 && r.settings.AllowDirect {
+		if first != noEndpoint || strict == strictHealth && r.settings.AllowDirect {
 			return first
 		}
 	}
 	return noEndpoint
 }
 
-// parentRemapAfter parts a brief failure of a parent from one that moves its arc: the design's 10 s.
-const parentRemapAfter = 10 * time.Second
+// findCache returns the first cache that meets the conditions, and the first of those within maxSpill that is in time.
+func (r *Router) findCache(req *request, source endpointIndex, strict strictness) (first, inTime endpointIndex) {
+	first = noEndpoint
+	left := maxSpill + 1
+	found := r.caches.find(req.hash, func(index endpointIndex) bool {
+		if !r.mayServe(req, index, strict) {
+			return false
+		}
+		if first == noEndpoint {
+			first = index
+		}
+		left--
+		return left < 0 || r.isInTime(req, index, source)
+	})
+	if left < 0 {
+		return first, noEndpoint
+	}
+	return first, found
+}
+
+// mayServe reports whether a cache meets the conditions.
+func (r *Router) mayServe(req *request, index endpointIndex, strict strictness) bool {
+	if strict < strictHealth && !r.takesObject(index, req.hash) {
+		return false
+	}
+	if strict < strictNone && !r.isHealthy(index) {
+		return false
+	}
+	return r.hasBudget(req, index) && !req.hasAsked(index)
+}
 
-// pickParent names the ring's parent for the object, and whether it is failing for the moment. A parent that has
-// failed for parentRemapAfter has handed its arc to the next one, but for trials.
-func (r *Router) pickParent(v *request) (p int32, failing bool) {
-	p = r.walk(&r.parents, v.hash, func(c int32) bool {
-		h := &r.endpoints[c].health
-		lost := h.ejected && r.now-h.ejectedAt >= parentRemapAfter && r.now < h.nextTrial
-		return !lost && r.takesObject(c, v.hash) && r.hasBudget(v, c)
+// pickParent names the ring's parent for the object, and whether it is failing for the moment. A parent that has been
+// failing for long has handed its arc to the next one, but for trials.
+func (r *Router) pickParent(req *request) (parent endpointIndex, isFailing bool) {
+	parent = r.parents.find(req.hash, func(index endpointIndex) bool {
+		return !r.endpoints[index].outlier.isRemapped(r.now) && r.mayFill(req, index)
 	})
-	return p, p != noEndpoint && !r.isHealthy(p)
+	return parent, parent != noEndpoint && !r.isHealthy(parent)
 }
 
-// pickOtherParent is a healthy parent that the view has not been filled from: where the origin cannot be reached
-// for a failing parent's objects.
-func (r *Router) pickOtherParent(v *request) int32 {
-	return r.walk(&r.parents, v.hash, func(c int32) bool {
-		return !v.hasTriedSource(c) && !r.endpoints[c].health.ejected && r.takesObject(c, v.hash) && r.hasBudget(v, c)
+// pickOtherParent is a healthy parent that the request has not been filled from: where the origin cannot be reached for a
+// failing parent's objects.
+func (r *Router) pickOtherParent(req *request) endpointIndex {
+	return r.parents.find(req.hash, func(index endpointIndex) bool {
+		return !req.hasTriedSource(index) && !r.endpoints[index].outlier.ejected && r.mayFill(req, index)
 	})
 }
+
+// mayFill reports whether a parent is warm enough for the object and the request.
+func (r *Router) mayFill(req *request, index endpointIndex) bool {
+	return r.takesObject(index, req.hash) && r.hasBudget(req, index)
+}
--- a/policy/routing/fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -118,7 +118,7 @@
 				if a.Kind != ActionSend {
 					continue
 				}
-				v := fleet[i].router.findRequest(a.Request)
+				v := fleet[i].router.requests.find(a.Request)
 				work := float64(v.transferTime) / float64(100*ms)
 				filled := a.Source != a.Endpoint && !holds[a.Endpoint][v.object]
 				if a.Endpoint == cold || a.Source == cold && filled {
@@ -158,7 +158,7 @@
 			e := Event{Kind: EventAttemptResult, Request: d.view, Attempt: d.leg, Endpoint: d.node, Outcome: Succeeded, Note: d.note, Final: true, Elapsed: 100 * ms}
 			if d.fails {
 				e.Outcome, e.Note, e.Final = Failed, NoteSourceUnreachable, false
-			} else if v := b.router.findRequest(d.view); v != nil && v.open {
+			} else if v := b.router.requests.find(d.view); v != nil && v.open {
 				good++
 			}
 			b.handle(&e)
--- a/policy/routing/tokenbucket.go
+++ b/policy/routing/tokenbucket.go
@@ -1,21 +1,20 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
-// tokenBucket is a tenant's bucket of views within its share.
+// tokenBucket limits a rate. It holds at most the tokens of one second.
 type tokenBucket struct {
 	tokens   float64
 	filledAt time.Duration
 }
 
-// take takes one view of an allowance a second, if there is one left.
-func (a *tokenBucket) take(each float64, now time.Duration) bool {
-	a.tokens, a.filledAt = min(each, a.tokens+each*(now-a.filledAt).Seconds()), now
-	if a.tokens < 1 {
+// take takes one token from a bucket that gains ratePerSecond, and reports whether there was one.
+func (b *tokenBucket) take(ratePerSecond float64, now time.Duration) bool {
+	b.tokens = min(ratePerSecond, b.tokens+ratePerSecond*(now-b.filledAt).Seconds())
+	b.filledAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	a.tokens--
+	b.tokens--
 	return true
 }
--- a/policy/routing/transitions.go
+++ b/policy/routing/transitions.go
@@ -1,11 +1,12 @@
 package routing
 
+// fillStage says how an attempt is served: by which kind of cache, filled from which kind of source.
 type fillStage uint8
 
 const (
 	stageParent       fillStage = iota // the ring's cache, filled from the ring's parent
-	stageRelay                         // filled from the slot's former owner, holds-only
-	stageParentCached                  // filled from the parent, holds-only: the origin's gate is closed
+	stageRelay                         // the ring's cache, filled from the previous owner if that has a copy
+	stageParentCached                  // filled from the parent if that has a copy: the origin limiter is closed
 	stageOrigin                        // filled straight from the origin: the parent is failing
 	stageBypass                        // past the caches, straight to a parent or the origin
 	stageLookup                        // the cache only, no fill
@@ -13,50 +14,85 @@
 	stageCount
 )
 
+// failureKind says what failed where an attempt has ended without an answer.
 type failureKind uint8
 
 const (
-	failureNotCached  failureKind = iota // nothing suitable held where it was asked for
+	failureNotCached  failureKind = iota // no suitable copy where it was asked for
 	failureSource                        // the source failed
 	failureOrigin                        // the origin failed behind the parent
-	failureNoCapacity                    // the cache is full, or has no place for a fill
+	failureNoCapacity                    // the cache is overloaded, or has no capacity for a fill
 	failureEndpoint                      // the cache failed
 	failureTimeout                       // no answer in time
-	failureRequest                       // another node failed it alike: it is the view's own fault
+	failureRequest                       // another endpoint failed it alike: it is the request's own fault
 	failureCount
 )
 
+// followUpKind says what follows a failed attempt.
 type followUpKind uint8
 
 const (
-	tryNextSource followUpKind = iota // same cache, next source in stage
-	tryNextCache                      // next cache of the ring
+	tryNextSource followUpKind = iota // the same cache, filled from the source of the next stage
+	tryNextCache                      // the next cache of the ring
 	rejectRequest                     // nothing more can be done in time
 )
 
+// transition is what follows a failed attempt; stage is the next one where kind is tryNextSource.
 type transition struct {
 	stage fillStage
 	kind  followUpKind
 }
 
-var toRejection, toNextCache = transition{kind: rejectRequest}, transition{kind: tryNextCache}
+var (
+	toParent    = transition{stageParent, tryNextSource}
+	toOrigin    = transition{stageOrigin, tryNextSource}
+	toNextCache = transition{kind: tryNextCache}
+	toRejection = transition{kind: rejectRequest}
+)
 
-// transitions says what follows when a leg has ended without an answer. Where a next stage cannot be gone to (no
-// such node, no budget, not in time), fill and start go on to a later one or give up.
+// transitions says what follows when an attempt has ended without an answer. Where a next stage cannot be used (no such
+// endpoint, no budget, not in time), sendWithFill and route go on to a later one or give up.
 var transitions = [stageCount][failureCount]transition{
-	//            lacks                source               origin         place       cache       late  view
-	stageParent:       {{stageOrigin, tryNextSource}, {stageOrigin, tryNextSource}, toRejection, toNextCache, toNextCache, toRejection, toRejection},
-	stageRelay:        {{stageParent, tryNextSource}, {stageParent, tryNextSource}, {stageParent, tryNextSource}, toNextCache, toNextCache, toRejection, toRejection},
-	stageParentCached: {{stageParent, tryNextSource}, {stageOrigin, tryNextSource}, toRejection, toNextCache, toNextCache, toRejection, toRejection},
-	stageOrigin:       {toRejection, {stageParent, tryNextSource}, toRejection, toNextCache, toNextCache, toRejection, toRejection},
-	stageBypass:       {toNextCache, toNextCache, toRejection, toNextCache, toNextCache, toRejection, toRejection},
-	stageLookup:       {toRejection, toRejection, toRejection, toRejection, toNextCache, toRejection, toRejection},
-	stageLocalCache:   {toRejection, toRejection, toRejection, toRejection, toRejection, toRejection, toRejection},
+	stageParent: {
+		failureNotCached: toOrigin, failureSource: toOrigin, failureOrigin: toRejection,
+		failureNoCapacity: toNextCache, failureEndpoint: toNextCache,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
+	stageRelay: {
+		failureNotCached: toParent, failureSource: toParent, failureOrigin: toParent,
+		failureNoCapacity: toNextCache, failureEndpoint: toNextCache,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
+	stageParentCached: {
+		failureNotCached: toParent, failureSource: toOrigin, failureOrigin: toRejection,
+		failureNoCapacity: toNextCache, failureEndpoint: toNextCache,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
+	stageOrigin: {
+		failureNotCached: toRejection, failureSource: toParent, failureOrigin: toRejection,
+		failureNoCapacity: toNextCache, failureEndpoint: toNextCache,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
+	stageBypass: {
+		failureNotCached: toNextCache, failureSource: toNextCache, failureOrigin: toRejection,
+		failureNoCapacity: toNextCache, failureEndpoint: toNextCache,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
+	stageLookup: {
+		failureNotCached: toRejection, failureSource: toRejection, failureOrigin: toRejection,
+		failureNoCapacity: toRejection, failureEndpoint: toNextCache,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
+	stageLocalCache: {
+		failureNotCached: toRejection, failureSource: toRejection, failureOrigin: toRejection,
+		failureNoCapacity: toRejection, failureEndpoint: toRejection,
+		failureTimeout: toRejection, failureRequest: toRejection,
+	},
 }
 
-// classifyFailure tells from an answer what failed. Without notes only the outcome speaks.
-func classifyFailure(e *Event) failureKind {
-	switch e.Note {
+// classifyFailure tells from the result of an attempt what failed. Without a note only the outcome speaks.
+func classifyFailure(event *Event) failureKind {
+	switch event.Note {
 	case NoteSourceMiss:
 		return failureNotCached
 	case NoteSourceRefused, NoteSourceUnreachable:
@@ -65,14 +101,20 @@
 		return failureOrigin
 	case NoteNoFillCapacity:
 		return failureNoCapacity
+	default:
+		return classifyOutcome(event.Outcome)
 	}
-	switch e.Outcome {
+}
+
+func classifyOutcome(outcome Outcome) failureKind {
+	switch outcome {
 	case CacheMiss:
 		return failureNotCached
 	case Overloaded:
 		return failureNoCapacity
 	case TimedOut, Cancelled, NotSent:
 		return failureTimeout
+	default:
+		return failureEndpoint
 	}
-	return failureEndpoint
 }
