--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -49,8 +49,8 @@
 	options  FillOptions
 }
 
-// sendAttempt sends a request to an endpoint if the guards of the five rules allow it, and reports whether they did. Every
-// attempt passes here.
+// sendAttempt sends a request to an endpoint if the guards of the five rules allow it, and reports whether they did.
+// Every attempt passes here.
 func (r *Router) sendAttempt(req *request, plan attemptPlan) bool {
 	if !r.mayAttempt(req, plan) {
 		return false
--- a/policy/routing/attribution.go
+++ b/policy/routing/attribution.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// simultaneousBreaks is how far apart broken connections count more than once: what ends one connection may end many
-	// attempts.
+	// simultaneousBreaks is how far apart broken connections count more than once: what ends one connection may end
+	// many attempts.
 	simultaneousBreaks = 20 * ms
 	// noFillsFor is how long a cache that had no capacity is asked for no fills: some transfers end meanwhile.
 	noFillsFor = 100 * ms
@@ -39,8 +39,8 @@
 	answered.lastHeardAt = r.now
 }
 
-// attributeToEndpoint counts a failure without a note. An error answer counts only once another endpoint has answered the
-// request: guards against clients that ask for what no endpoint can do.
+// attributeToEndpoint counts a failure without a note. An error answer counts only once another endpoint has answered
+// the request: guards against clients that ask for what no endpoint can do.
 func (r *Router) attributeToEndpoint(req *request, att *attempt, outcome Outcome) {
 	target := &r.endpoints[att.endpoint]
 	switch {
--- a/policy/routing/drain.go
+++ b/policy/routing/drain.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// isUsable reports whether an attempt may still name the endpoint: it is listed ready, or is leaving for so short a time
-// that its grace still runs. A tenth of the grace is left unused, so that an attempt sent at its end does not reach the
-// endpoint after it. Guards rule 3.
+// isUsable reports whether an attempt may still name the endpoint: it is listed ready, or is leaving for so short a
+// time that its grace still runs. A tenth of the grace is left unused, so that an attempt sent at its end does not
+// reach the endpoint after it. Guards rule 3.
 func (r *Router) isUsable(index endpointIndex) bool {
 	if index == noEndpoint {
 		return false
--- a/policy/routing/drain_test.go
+++ b/policy/routing/drain_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A server that left before this router heard of it has no grace left, whether the list tells it all at once or event by event.
+// A server that left before this router heard of it has no grace left, whether the list tells it all at once or event
+// by event.
 func TestDrainBeforeTheStart(t *testing.T) {
 	for name, tell := range map[string]func(b *harness){
 		"first seen as it drains": func(b *harness) {
--- a/policy/routing/harness_test.go
+++ b/policy/routing/harness_test.go
@@ -34,7 +34,8 @@
 	origin: "origin", LocalCache: "local cache",
 }
 
-// testSettings are the settings that the traces start from: one harmless tariff, one write, everything told and allowed.
+// testSettings are the settings that the traces start from: one harmless tariff, one write, everything told and
+// allowed.
 func testSettings() Settings {
 	return Settings{
 		Routers: 1, Zone: 2, ZoneRouters: []int{0, 0, 1}, ParentKind: 1, OriginKind: 2,
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -6,8 +6,8 @@
 // endpoint or a resent packet should fit.
 const overdueAfter = 150 * ms
 
-// checkOverdueAttempts sends writes again whose backoff is over, and hedges requests with overdue attempts. Guards against
-// silent caches and parents (vanished, cut off, stalled). An endpoint's long pause may cost a double transfer.
+// checkOverdueAttempts sends writes again whose backoff is over, and hedges requests with overdue attempts. Guards
+// against silent caches and parents (vanished, cut off, stalled). An endpoint's long pause may cost a double transfer.
 func (r *Router) checkOverdueAttempts() {
 	for i := range r.requests.slots {
 		req := &r.requests.slots[i]
@@ -53,8 +53,8 @@
 	r.hedge(req, att, silent)
 }
 
-// isLateFill reports whether a fill from the origin, or by way of it, is so late that the origin must be slow. A parent's
-// silence counts once, not with each fill that waits for it.
+// isLateFill reports whether a fill from the origin, or by way of it, is so late that the origin must be slow. A
+// parent's silence counts once, not with each fill that waits for it.
 func (r *Router) isLateFill(req *request, att *attempt, age time.Duration) bool {
 	if !req.sizeTold || !att.needsFill || att.originShare <= 0 || att.state == attemptCountedLate {
 		return false
@@ -71,8 +71,8 @@
 	r.origins.observe(age, true, r.now)
 }
 
-// silentEndpoint is the endpoint, or else the source, of the attempt that has shown no sign of life since it was sent. Of
-// sources only full answers tell.
+// silentEndpoint is the endpoint, or else the source, of the attempt that has shown no sign of life since it was sent.
+// Of sources only full answers tell.
 func (r *Router) silentEndpoint(att *attempt) endpointIndex {
 	if r.endpoints[att.endpoint].lastHeardAt < att.sentAt {
 		return att.endpoint
--- a/policy/routing/hedging_test.go
+++ b/policy/routing/hedging_test.go
@@ -1,7 +1,7 @@
 package routing
 
-// Found on branch-library grown: a second copy finds no cache left while the first leg is still out; its late end must not
-// be taken for one at that cache.
+// Found on branch-library grown: a second copy finds no cache left while the first leg is still out; its late end must
+// not be taken for one at that cache.
 func Example_noCacheLeft() {
 	set := testSettings()
 	set.AllowDirect = false
--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -3,8 +3,8 @@
 import "time"
 
 // congestionGrowth is how much more a shared link slows a transfer down, over the slowdown on arrival, by the requests
-// that come during the transfer: a full link stays full. Less of it was tried: requests that are admitted late end late,
-// more are rejected on calm days.
+// that come during the transfer: a full link stays full. Less of it was tried: requests that are admitted late end
+// late, more are rejected on calm days.
 const congestionGrowth = 1.6
 
 // prediction is what an attempt is expected to take.
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Where neither sizes nor ways are told, the shortest answers stand for hits: a cache with much to send gets no more, but one
-// with nothing to do always gets one, so that a slow moment is not believed for ever. Found on a deployment that tells nothing: all
-// was taken until all was late.
+// Where neither sizes nor ways are told, the shortest answers stand for hits: a cache with much to send gets no more,
+// but one with nothing to do always gets one, so that a slow moment is not believed for ever. Found on a deployment
+// that tells nothing: all was taken until all was late.
 func Example_noResponseDetail() {
 	set := testSettings()
 	set.ResponseDetail, set.FlowKBPerSecond, set.AllowDirect = DetailNone, 0, false
--- a/policy/routing/learning.go
+++ b/policy/routing/learning.go
@@ -4,8 +4,8 @@
 
 const (
 	// draggingFactor is how many times its prediction the body of a fill may take before its parent counts as failing:
-	// the location's links are in the prediction, so what is left is the parent's own. Guards against slow and throttled
-	// parents that begin to answer in good time.
+	// the location's links are in the prediction, so what is left is the parent's own. Guards against slow and
+	// throttled parents that begin to answer in good time.
 	draggingFactor = 2
 	// maxFillSlowdown bounds what one odd fill can tell.
 	maxFillSlowdown = 8
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// concurrencySpan is the span over which the usual load of a link by this router is measured, to tell what others of its
-// kind put on it: some requests, even where each router has few.
+// concurrencySpan is the span over which the usual load of a link by this router is measured, to tell what others of
+// its kind put on it: some requests, even where each router has few.
 const concurrencySpan = 5 * time.Second
 
 // concurrency counts what this router has in flight, and its decaying average.
--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Links are reckoned whole: a router alone, with one fill at a time, finds a link that fits one free; one of twenty finds
-// it full once its own fills tell what the others have there, and asks the caches only.
+// Links are reckoned whole: a router alone, with one fill at a time, finds a link that fits one free; one of twenty
+// finds it full once its own fills tell what the others have there, and asks the caches only.
 func Example_sharedLink() {
 	for _, routers := range []int{1, 20} {
 		set, fills := testSettings(), 0
@@ -28,7 +28,8 @@
 	// 20 routers: 5 of 30 views are filled
 }
 
-// On no list: load reports frozen at a full link, sizes untold. The link may not be shut for good: one fill always goes.
+// On no list: load reports frozen at a full link, sizes untold. The link may not be shut for good: one fill always
+// goes.
 func Example_frozenReports() {
 	set := testSettings()
 	set.ReportChannel, set.ReportColumns, set.ZoneIngressKBPerSecond = ReportsWithResponses, []Signal{SignalLinkUtilization}, []float64{0, 0, 20000}
--- a/policy/routing/loadreport.go
+++ b/policy/routing/loadreport.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// observeIngressReport takes a report of the location's link. A link whose size the settings tell is as wide as they say.
+// observeIngressReport takes a report of the location's link. A link whose size the settings tell is as wide as they
+// say.
 func (r *Router) observeIngressReport(utilization float64) {
 	if r.settings.ingressTransfers() > 0 {
 		r.ingress.observeReport(utilization, r.now)
--- a/policy/routing/objecthistory.go
+++ b/policy/routing/objecthistory.go
@@ -71,7 +71,8 @@
 	rankRequested    uint8 = 2
 )
 
-// cacheRank is the rank at which a copy is cached: the lowest at the first request, the next when it is asked for again.
+// cacheRank is the rank at which a copy is cached: the lowest at the first request, the next when it is asked for
+// again.
 func (r *Router) cacheRank(req *request) uint8 {
 	if record := r.history.find(req.hash); record != nil && record.requests > 0 {
 		return rankRequested
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -12,7 +12,8 @@
 	minOriginLimit = 1
 	// originFailureInterval is the time within which answers were under way together and tell one thing.
 	originFailureInterval = 100 * ms
-	// sparableWait is the part of the usual wait that a fill may be spared: half of all waits are shorter. 0.7 did no more.
+	// sparableWait is the part of the usual wait that a fill may be spared: half of all waits are shorter. 0.7 did no
+	// more.
 	sparableWait = 0.5
 	// originLimiterCaches is how many caches a router with a whole limit has behind it: one of many routers that share
 	// few caches gets less, and less than a slot is a part of the time.
@@ -22,11 +23,11 @@
 	originTrialInterval = 600 * ms
 )
 
-// originLimiter is an adaptive concurrency limit on the fills that wait for the origin. It closes when requests are late
-// after they waited for the origin for half their objective, or when it fails, and opens again with each answer in good
-// time. Guards against a slow, overloaded or stopped origin, and against pushing it over; also holds back fills while many
-// caches are empty. It hurts when a few slow answers close it: then requests are rejected that the origin could have
-// served.
+// originLimiter is an adaptive concurrency limit on the fills that wait for the origin. It closes when requests are
+// late after they waited for the origin for half their objective, or when it fails, and opens again with each answer
+// in good time. Guards against a slow, overloaded or stopped origin, and against pushing it over; also holds back
+// fills while many caches are empty. It hurts when a few slow answers close it: then requests are rejected that the
+// origin could have served.
 type originLimiter struct {
 	limit       float64
 	share       float64       // this router's part of a whole limit
@@ -52,8 +53,8 @@
 	o.limit = min(widest, o.limit+0.5+1.5*o.scarcity())
 }
 
-// observeWait moves the usual wait, a running median: waits are skewed, and a few long ones don't make the next one late.
-// Where answers are few, each moves it further.
+// observeWait moves the usual wait, a running median: waits are skewed, and a few long ones don't make the next one
+// late. Where answers are few, each moves it further.
 func (o *originLimiter) observeWait(wait, now time.Duration) {
 	step := time.Duration(min(0.4, 0.07+0.15*(now-o.observedAt).Seconds()) * float64(o.wait))
 	o.observedAt = now
--- a/policy/routing/originlimit_test.go
+++ b/policy/routing/originlimit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Found on depot-records at tight due times: the usual wait for the origin is a little too long, so half of all fills would
-// come in time. They go while the gate is wide, and with a narrow one the parent is asked for what it holds.
+// Found on depot-records at tight due times: the usual wait for the origin is a little too long, so half of all fills
+// would come in time. They go while the gate is wide, and with a narrow one the parent is asked for what it holds.
 func Example_originWaitMayBeSpared() {
 	b := newHarness(testSettings(), cacheA)
 	for i, window := range []float64{24, 4} {
@@ -20,8 +20,8 @@
 	//   0.15s request 2: attempt to A, fill from P, only if cached
 }
 
-// Found on depot-records at five times its usual rate: the gate is as wide as what is out with answers in good time asks for,
-// and as narrow as ever once they are late.
+// Found on depot-records at five times its usual rate: the gate is as wide as what is out with answers in good time
+// asks for, and as narrow as ever once they are late.
 func Example_originLimitWidens() {
 	g := originLimiter{limit: initialOriginLimit, share: 0.5}
 	for _, c := range []struct {
@@ -41,8 +41,8 @@
 	// 5 out, late true: 1
 }
 
-// Found on depot-records: a parent falls silent, and clients send writes by the hundred and give them up at once. Neither
-// says much of the origin: what lacks its parent is filled from there at once.
+// Found on depot-records: a parent falls silent, and clients send writes by the hundred and give them up at once.
+// Neither says much of the origin: what lacks its parent is filled from there at once.
 func Example_originLimiterIgnoresCancelledWrites() {
 	b := newHarness(testSettings(), cacheA, cacheB)
 	b.isMuted = true
--- a/policy/routing/outlier.go
+++ b/policy/routing/outlier.go
@@ -24,8 +24,8 @@
 	parentRemapAfter = 10 * time.Second
 )
 
-// outlierDetector follows a cache or a parent through its failures. An endpoint with a high failure rate is ejected; then
-// single requests go to it on trial, and some successes in a row end the ejection.
+// outlierDetector follows a cache or a parent through its failures. An endpoint with a high failure rate is ejected;
+// then single requests go to it on trial, and some successes in a row end the ejection.
 type outlierDetector struct {
 	ejected       bool
 	wasSilent     bool // it was ejected for silence: it may have been restarted
@@ -41,7 +41,8 @@
 	return !o.ejected || now >= o.nextTrial
 }
 
-// isRemapped reports whether a parent has been ejected for so long that its arc belongs to the next one, but for trials.
+// isRemapped reports whether a parent has been ejected for so long that its arc belongs to the next one, but for
+// trials.
 func (o *outlierDetector) isRemapped(now time.Duration) bool {
 	return o.ejected && now-o.ejectedAt >= parentRemapAfter && now < o.nextTrial
 }
@@ -81,8 +82,8 @@
 	recoveryRestarted                 // back after a silence: taken for restarted
 )
 
-// recordSuccess takes an answer to an attempt sent at a time. One sent before a silence, or answered from a cached copy,
-// shows that nothing was lost.
+// recordSuccess takes an answer to an attempt sent at a time. One sent before a silence, or answered from a cached
+// copy, shows that nothing was lost.
 func (o *outlierDetector) recordSuccess(sentAt time.Duration, fromCache bool) recovery {
 	o.failureRate -= successWeight * o.failureRate
 	if !o.ejected {
@@ -101,8 +102,8 @@
 	return ended
 }
 
-// isHealthy reports whether an endpoint may get an attempt: it is not ejected, or due for a trial, which the attempt then
-// begins.
+// isHealthy reports whether an endpoint may get an attempt: it is not ejected, or due for a trial, which the attempt
+// then begins.
 func (r *Router) isHealthy(index endpointIndex) bool {
 	return r.endpoints[index].outlier.allowsAttempt(r.now)
 }
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -33,8 +33,9 @@
 	//  10.66s request 5: attempt to A, fill from Q
 }
 
-// Found on depot-records: clients ask for what no node can do, and all nodes say so. Each view is turned back once two have,
-// and no node goes out; one that errs where another does not goes out, and what ends many legs at once counts once.
+// Found on depot-records: clients ask for what no node can do, and all nodes say so. Each view is turned back once two
+// have, and no node goes out; one that errs where another does not goes out, and what ends many legs at once counts
+// once.
 func Example_requestsOwnFault() {
 	b := newHarness(testSettings(), cacheA, cacheB)
 	o := b.firstObject(cacheA, parentP)
@@ -78,8 +79,8 @@
 	//   0.42s request 21: attempt to B, fill from P
 }
 
-// Found on branch-library grown: all caches break some connections, none is lost. They go out one by one, and then health
-// is not asked; one that answers from a kept copy is not taken for restarted.
+// Found on branch-library grown: all caches break some connections, none is lost. They go out one by one, and then
+// health is not asked; one that answers from a kept copy is not taken for restarted.
 func Example_brokenEverywhere() {
 	set := testSettings()
 	set.AllowDirect = false
--- a/policy/routing/relay.go
+++ b/policy/routing/relay.go
@@ -26,9 +26,9 @@
 	r.previousRings = append(r.previousRings, previousRing{r.caches, r.now})
 }
 
-// previousOwner is the cache that owned the request's arc before it moved, or none. It must still have the copies: a cold
-// cache has none, and one past its drain grace must not be asked. A cache that started lately is empty though its arc may
-// not have moved: the next of the ring had it meanwhile.
+// previousOwner is the cache that owned the request's arc before it moved, or none. It must still have the copies: a
+// cold cache has none, and one past its drain grace must not be asked. A cache that started lately is empty though its
+// arc may not have moved: the next of the ring had it meanwhile.
 func (r *Router) previousOwner(req *request) endpointIndex {
 	if r.settings.PeerFill == PeerFillNone {
 		return noEndpoint
--- a/policy/routing/retry.go
+++ b/policy/routing/retry.go
@@ -38,7 +38,8 @@
 // writeBackoff is the base of the exponential backoff of writes, so that a crowded origin recovers.
 const writeBackoff = 60 * ms
 
-// scheduleWriteRetry plans the next attempt of a write that provably did not run, and reports whether it can be in time.
+// scheduleWriteRetry plans the next attempt of a write that provably did not run, and reports whether it can be in
+// time.
 func (r *Router) scheduleWriteRetry(req *request) bool {
 	wait := writeBackoff << req.attemptCount
 	if r.now+wait >= req.objectiveAt || !r.mayRepeat(req, r.origin) {
@@ -81,8 +82,9 @@
 	}
 }
 
-// dedupWindowLeft is what is left of the time in which repeats of a request with an idempotency key are dropped, 0 where
-// nothing may have run yet. A repeat must be on its way by then, however late its connection comes up. Guards rule 2.
+// dedupWindowLeft is what is left of the time in which repeats of a request with an idempotency key are dropped, 0
+// where nothing may have run yet. A repeat must be on its way by then, however late its connection comes up. Guards
+// rule 2.
 func (r *Router) dedupWindowLeft(req *request) time.Duration {
 	class := &r.settings.Classes[req.class]
 	if class.Idempotency != IdempotentWithKey {
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -186,8 +186,8 @@
 	return req
 }
 
-// estimateTransfer sets the transfer time of a request by its size, or that of the object or the class. sizeKB is 0 where
-// the request does not tell it.
+// estimateTransfer sets the transfer time of a request by its size, or that of the object or the class. sizeKB is 0
+// where the request does not tell it.
 func (r *Router) estimateTransfer(req *request, sizeKB float64) {
 	class, usual := &r.settings.Classes[req.class], &r.classStats[req.class].transferTime
 	record := r.history.find(req.hash)
@@ -207,8 +207,8 @@
 	}
 }
 
-// route sends a request by the ordinary path: the ring's cache, filled from the previous owner if the arc moved, else from
-// the parent.
+// route sends a request by the ordinary path: the ring's cache, filled from the previous owner if the arc moved, else
+// from the parent.
 func (r *Router) route(req *request) {
 	req.cache = r.pickCache(req)
 	if r.sendWithFill(req, stageRelay) {
@@ -220,8 +220,8 @@
 	r.giveUp(req)
 }
 
-// sendWithFill sends the request to its cache with the source of the stage, or of a later stage where that one cannot be
-// used. It reports whether an attempt went out. None does where an earlier attempt ends after no cache was left.
+// sendWithFill sends the request to its cache with the source of the stage, or of a later stage where that one cannot
+// be used. It reports whether an attempt went out. None does where an earlier attempt ends after no cache was left.
 func (r *Router) sendWithFill(req *request, stage fillStage) bool {
 	if req.cache == noEndpoint {
 		return false
@@ -266,8 +266,8 @@
 		r.sendAttempt(req, attemptPlan{stageLookup, req.cache, req.cache, 0})
 }
 
-// bypassCaches sends a request straight to a parent: only where the settings allow it and no cache of the location is fit
-// to be asked at all (all lost, cold or failing). The origin is left to writes: its link is thin.
+// bypassCaches sends a request straight to a parent: only where the settings allow it and no cache of the location is
+// fit to be asked at all (all lost, cold or failing). The origin is left to writes: its link is thin.
 func (r *Router) bypassCaches(req *request) bool {
 	parent, isFailing := r.pickParent(req)
 	if isFailing {
--- a/policy/routing/selection.go
+++ b/policy/routing/selection.go
@@ -1,7 +1,7 @@
 package routing
 
-// maxSpill is how many caches after the ring's own may take a request that would be late there: more would spread copies of
-// everything over the location.
+// maxSpill is how many caches after the ring's own may take a request that would be late there: more would spread
+// copies of everything over the location.
 const maxSpill = 1
 
 // strictness says which conditions a cache has to meet. Where no cache meets all, fewer are asked for.
@@ -14,9 +14,9 @@
 	strictnessCount
 )
 
-// pickCache finds the first cache from the request's place on the ring on that may have it: listed, in health, warm enough
-// for this object, not asked yet, and predicted in time. If none is in time, it is the first: it may have the object.
-// Ejected caches are asked only where requests may not bypass the caches.
+// pickCache finds the first cache from the request's place on the ring on that may have it: listed, in health, warm
+// enough for this object, not asked yet, and predicted in time. If none is in time, it is the first: it may have the
+// object. Ejected caches are asked only where requests may not bypass the caches.
 func (r *Router) pickCache(req *request) endpointIndex {
 	source, isFailing := r.pickParent(req)
 	if isFailing {
@@ -74,8 +74,8 @@
 	return parent, parent != noEndpoint && !r.isHealthy(parent)
 }
 
-// pickOtherParent is a healthy parent that the request has not been filled from: where the origin cannot be reached for a
-// failing parent's objects.
+// pickOtherParent is a healthy parent that the request has not been filled from: where the origin cannot be reached
+// for a failing parent's objects.
 func (r *Router) pickOtherParent(req *request) endpointIndex {
 	return r.parents.find(req.hash, func(index endpointIndex) bool {
 		return !req.hasTriedSource(index) && !r.endpoints[index].outlier.ejected && r.mayFill(req, index)
--- a/policy/routing/settings.go
+++ b/policy/routing/settings.go
@@ -1,21 +1,21 @@
 package routing
 
-import (
-	"time"
-)
+import "time"
 
-// Idempotency says what a repeat of a view would do.
+// Idempotency says what a repeat of a request would do.
 type Idempotency uint8
 
+// What a repeat would do.
 const (
 	Idempotent        Idempotency = iota // may run again
 	IdempotentWithKey                    // repeats are dropped inside a scope, for a while
 	NonIdempotent                        // must never run twice
 )
 
-// DedupScope is the set of nodes that drops the repeats of a stamped view.
+// DedupScope is the set of endpoints that share the record of idempotency keys, and so drop each other's repeats.
 type DedupScope uint8
 
+// The scopes: all endpoints, those of a zone, those of a cell.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
@@ -25,6 +25,7 @@
 // PeerFill says which caches may be the source of a fill.
 type PeerFill uint8
 
+// The caches that may be a source: none, those of the same location, all.
 const (
 	PeerFillNone PeerFill = iota
 	PeerFillLocation
@@ -34,15 +35,17 @@
 // ResponseDetail says how much an answer tells of the way it took.
 type ResponseDetail uint8
 
+// The details of answers.
 const (
-	DetailNone ResponseDetail = iota
-	DetailHit
-	DetailFull
+	DetailNone ResponseDetail = iota // none
+	DetailHit                        // whether it was a hit
+	DetailFull                       // the source as well, and why a fill failed
 )
 
-// ReportChannel says where load reports come with.
+// ReportChannel says what load reports come with.
 type ReportChannel uint8
 
+// The channels of load reports.
 const (
 	ReportsNone ReportChannel = iota
 	ReportsWithResponses
@@ -52,6 +55,7 @@
 // Signal is one column of a load report.
 type Signal uint8
 
+// The columns of a load report. Those that the router does not read are SignalOther.
 const (
 	SignalOther Signal = iota
 	SignalInFlight
@@ -61,25 +65,25 @@
 	SignalLinkUtilization
 )
 
-// Class is what the settings say of one kind of view.
+// Class is what the settings say of one class of requests.
 type Class struct {
 	LatencyObjective time.Duration // answers later than this earn LateValue
-	ObjectiveStretch float64       // Due grows by this multiple of the sending time
-	Deadline         time.Duration // the client's whole patience
+	ObjectiveStretch float64       // the objective grows by this multiple of the transfer time
+	Deadline         time.Duration // the client gives up after this
 	Value            float64
 	LateValue        float64
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	DedupWindow      time.Duration // how long repeats of a stamped view are dropped
+	DedupWindow      time.Duration // how long repeats with an idempotency key are dropped
 	Stream           bool
-	Write            bool          // runs at the origin and is never kept
-	FreshFor         time.Duration // 0: good until purged
+	Write            bool          // runs at the origin and is never cached
+	FreshFor         time.Duration // 0: fresh until purged
 	MaxStale         time.Duration // how much older a copy may be when asked for
 }
 
 // Tenant is a customer's part of the service.
 type Tenant struct {
-	QuotaPerSecond float64 // views a second across all routers
+	QuotaPerSecond float64 // requests a second across all routers
 }
 
 // Settings are what a router is told at its start.
@@ -87,16 +91,19 @@
 	Routers                int
 	Zone                   ZoneID
 	ZoneRouters            []int     // routers that serve each zone
-	ZoneIngressKBPerSecond []float64 // KB a second into each zone, 0 where untold
+	ZoneIngressKBPerSecond []float64 // KB a second into each zone, 0 where it is not told
 	ParentKind             KindID    // -1: no parents
 	OriginKind             KindID    // -1: no origin
 	Classes                []Class
 	Tenants                []Tenant
 
-	HealthChecks, Cancel, HedgedRequests, RetryAfter bool
-	MaxAttempts                                      int // legs a view may have
-	MaxRetryAfter                                    time.Duration
-	ConnectTimeout                                   time.Duration
+	HealthChecks   bool // may be sent
+	Cancel         bool // attempts may be cancelled
+	HedgedRequests bool // a request may have two attempts in flight
+	RetryAfter     bool // a rejected client may be told when to come back
+	MaxRetryAfter  time.Duration
+	MaxAttempts    int // of a request
+	ConnectTimeout time.Duration
 
 	PollEndpoints bool          // the list comes only when asked for
 	PollInterval  time.Duration // and must be asked for this often
@@ -114,14 +121,14 @@
 	PurgeGrace           time.Duration
 	PurgeCompleteAfter   time.Duration // by then every old copy is dropped
 
-	AllowDirect     bool // views may go straight to a parent or the origin
-	CoalesceFills   bool // a view may join a fill under way
+	AllowDirect     bool // requests may go straight to a parent or the origin
+	CoalesceFills   bool // a request may join a fill under way
 	PeerFill        PeerFill
 	ResponseDetail  ResponseDetail
 	FlowKBPerSecond float64 // KB a second of one transfer to a client
 
 	LocalCacheCapacity   float64 // transfers that fit on the router's own link, 0: it keeps no copies
-	WeightIsLinkCapacity bool    // a node's weight counts the transfers that its link carries, if roughly
+	WeightIsLinkCapacity bool    // an endpoint's weight counts, if roughly, the transfers that its link carries
 
 	ReportChannel ReportChannel
 	ReportColumns []Signal
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -55,9 +55,9 @@
 	return true
 }
 
-// consume puts the next request to a cold endpoint as far off as its budget asks. times is how many requests are counted,
-// weight the transfer time of one, throughput what this router's part of the warm endpoint carries. What is saved up and
-// may go at once is what the overload window bears beside the requests that go on in it.
+// consume puts the next request to a cold endpoint as far off as its budget asks. times is how many requests are
+// counted, weight the transfer time of one, throughput what this router's part of the warm endpoint carries. What is
+// saved up and may go at once is what the overload window bears beside the requests that go on in it.
 func (s *slowStart) consume(times float64, weight time.Duration, throughput float64, now time.Duration) {
 	rate := max(minBudgetRate, budgetSafety*s.settings.overloadFactor*s.warmFraction(now)*throughput)
 	gap := time.Duration(float64(weight) / rate)
@@ -83,8 +83,8 @@
 	return r.endpoints[index].slowStart.warmFraction(r.now)
 }
 
-// takesObject reports whether an endpoint takes the object: all objects once it is warm, while cold the share that it can
-// give, chosen by the object's hash, so that all routers agree without talking. Guards rule 4.
+// takesObject reports whether an endpoint takes the object: all objects once it is warm, while cold the share that it
+// can give, chosen by the object's hash, so that all routers agree without talking. Guards rule 4.
 func (r *Router) takesObject(index endpointIndex, hash uint64) bool {
 	return float64(mix(hash^slowStartSalt)>>11)/(1<<53) < r.warmFraction(index)
 }
@@ -103,8 +103,8 @@
 }
 
 // consumeBudget counts so many requests against the budget of a cold endpoint. A router whose part is less than one
-// request waits its turn, from a random start, so that many together keep the budget. Guards rule 4 when the load is far
-// from usual: a lost location, retries, a dead neighbour.
+// request waits its turn, from a random start, so that many together keep the budget. Guards rule 4 when the load is
+// far from usual: a lost location, retries, a dead neighbour.
 func (r *Router) consumeBudget(req *request, index endpointIndex, times float64) {
 	ramp := &r.endpoints[index].slowStart
 	if ramp.warmFraction(r.now) >= 1 {
@@ -121,9 +121,9 @@
 	return r.settings.Classes[req.class].LatencyObjective
 }
 
-// warmThroughput is what the endpoint carries of this router's traffic once it is warm, in seconds of transfers a second:
-// its link as the list tells it, or what others with its role were seen to carry for this router at their best. Those that
-// carried far less tell of little use.
+// warmThroughput is what the endpoint carries of this router's traffic once it is warm, in seconds of transfers a
+// second: its link as the list tells it, or what others with its role were seen to carry for this router at their
+// best. Those that carried far less tell of little use.
 func (r *Router) warmThroughput(index endpointIndex) float64 {
 	cold, sum, count := &r.endpoints[index], 0.0, 0.0
 	if r.settings.WeightIsLinkCapacity {
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -1,7 +1,7 @@
 package routing
 
-// Many routers that share nothing, driven side by side in one clock, with one cold node among them: what all of them send
-// to it together, against what it bears.
+// Many routers that share nothing, driven side by side in one clock, with one cold node among them: what all of them
+// send to it together, against what it bears.
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	work float64 // over the mean
 }
 
-// coldFleet is a day of many routers round one cold node: uneven traffic, and a burst of it at the moment when the node's
-// neighbour is lost.
+// coldFleet is a day of many routers round one cold node: uneven traffic, and a burst of it at the moment when the
+// node's neighbour is lost.
 type coldFleet struct {
 	routers int
 	link    float64 // transfers that each node's link carries when it is warm
@@ -169,8 +169,8 @@
 	return got, good / views
 }
 
-// worst is the highest ratio, over all windows, of the work that reached the node to what it bears without falling: N and
-// twice its root and two more, N as the settings allow it at the window's end.
+// worst is the highest ratio, over all windows, of the work that reached the node to what it bears without falling: N
+// and twice its root and two more, N as the settings allow it at the window's end.
 func (f *coldFleet) worst(set Settings, start time.Duration, got []arrival) (worst float64) {
 	least, over, multiple := set.SlowStartShare, set.SlowStartFor, set.OverloadFactor
 	if f.parent {
@@ -190,8 +190,9 @@
 	return worst
 }
 
-// Rule 4 over the fleet: however many routers there are, however uneven their traffic, and when a neighbour of the cold node
-// is lost at any moment, all of them together stay within its budget. The cost is seen in the part of views that is served.
+// Rule 4 over the fleet: however many routers there are, however uneven their traffic, and when a neighbour of the
+// cold node is lost at any moment, all of them together stay within its budget. The cost is seen in the part of views
+// that is served.
 func TestColdNodeAndManyRouters(t *testing.T) {
 	start := time.Minute
 	for _, routers := range []int{1, 4, 20, 300} {
@@ -219,8 +220,8 @@
 	}
 }
 
-// Most or all routers are killed and start anew at once, some time after a server started cold: each of them meets the server for the
-// first time, and all together stay within its budget.
+// Most or all routers are killed and start anew at once, some time after a server started cold: each of them meets the
+// server for the first time, and all together stay within its budget.
 func TestColdNodeAndManyRestarts(t *testing.T) {
 	start := time.Minute
 	for _, routers := range []int{4, 20, 300} {
