--- a/policy/routing/attribution.go
+++ b/policy/routing/attribution.go
@@ -24,8 +24,6 @@
 	case failureEndpoint:
 		r.attributeToEndpoint(req, att, event.Outcome)
 		return
-	case failureTimeout, failureRequest:
-		return
 	case failureNoCapacity:
 		answered.noFillsUntil = r.now + noFillsFor
 	case failureSource:
@@ -35,6 +33,8 @@
 		r.endpoints[att.source].lastHeardAt = r.now
 	case failureNotCached:
 		r.endpoints[att.source].lastHeardAt = r.now
+	default: // a timeout, or the request's own fault: nobody is to blame
+		return
 	}
 	answered.lastHeardAt = r.now
 }
--- a/policy/routing/bench_test.go
+++ b/policy/routing/bench_test.go
@@ -6,33 +6,35 @@
 	"time"
 )
 
-// A view through the decisions, served by a hit, by the number of caches of its location.
+// BenchmarkRequest measures the decisions for a request that is a hit, by the number of caches of its location.
 func BenchmarkRequest(b *testing.B) {
-	for _, n := range []int{4, 130, 1000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r := New(testSettings(), 1)
+	for _, caches := range []int{4, 130, 1000} {
+		b.Run(fmt.Sprint(caches), func(b *testing.B) {
+			router := New(testSettings(), 1)
 			now := time.Minute
-			acts := r.Start(now, nil)
-			e := Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Endpoints: []Endpoint{member(parentP), member(origin)}}
-			for i := range n {
-				m := member(cacheA)
-				m.ID = EndpointID(100_000 + i*7919)
-				e.Endpoints = append(e.Endpoints, m)
+			actions := router.Start(now, nil)
+			list := Event{Kind: EventEndpoints, EndpointListKind: EndpointListFull, Endpoints: members(parentP, origin)}
+			for i := range caches {
+				cache := member(cacheA)
+				cache.ID = EndpointID(100_000 + i*7919)
+				list.Endpoints = append(list.Endpoints, cache)
 			}
-			acts = r.Handle(now, &e, acts[:0])
+			actions = router.Handle(now, &list, actions[:0])
 			id := RequestID(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				id++
 				now += 100 * time.Microsecond
-				acts = r.Handle(now, &Event{Kind: EventRequest, Request: id, Object: ObjectID(id%5000 + 1), SizeKB: 30, TimeLeft: 2 * time.Second}, acts[:0])
-				if len(acts) == 0 {
-					b.Fatal("no leg")
+				actions = router.Handle(now, &Event{
+					Kind: EventRequest, Request: id, Object: ObjectID(id%5000 + 1), SizeKB: 30, TimeLeft: 2 * time.Second,
+				}, actions[:0])
+				if len(actions) == 0 {
+					b.Fatal("no attempt")
 				}
-				acts = r.Handle(now, &Event{
-					Kind: EventAttemptResult, Request: id, Endpoint: acts[len(acts)-1].Endpoint, Outcome: Succeeded, Note: NoteHit,
-					Final: true, Elapsed: 30 * time.Millisecond,
-				}, acts[:0])
+				actions = router.Handle(now, &Event{
+					Kind: EventAttemptResult, Request: id, Endpoint: actions[len(actions)-1].Endpoint, Outcome: Succeeded,
+					Note: NoteHit, Final: true, Elapsed: 30 * time.Millisecond,
+				}, actions[:0])
 			}
 		})
 	}
--- a/policy/routing/endpoints.go
+++ b/policy/routing/endpoints.go
@@ -103,7 +103,7 @@
 	}
 	index := r.allocateEndpoint()
 	r.endpointByID[listed.ID] = index
-	// One that is not ready when it is first heard of was told to leave at some time before.
+	// One that is not ready when it is first heard of began to leave at some time before.
 	r.endpoints[index] = endpoint{
 		id: listed.ID, role: role, zone: listed.Zone, cell: listed.Cell,
 		slowStart: r.slowStartOf(role), lastHeardAt: r.now, leavingSince: LongAgo,
--- a/policy/routing/endpoints_test.go
+++ b/policy/routing/endpoints_test.go
@@ -1,15 +1,15 @@
 package routing
 
-// The list by asking: asked for at the start, and again after a failure.
+// The endpoint list is requested at the start, and again after a failure.
 func Example_endpointListRetry() {
-	set := testSettings()
-	set.PollEndpoints = true
-	b := newHarness(set, cacheA)
-	b.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFailed})
-	for i := range b.actions {
-		if a := &b.actions[i]; a.Kind == ActionTimer && a.Timer == timerEndpointList {
-			b.now += a.Wait
-			b.handle(&Event{Kind: EventTimer, Timer: timerEndpointList})
+	settings := testSettings()
+	settings.PollEndpoints = true
+	harness := newHarness(settings, cacheA)
+	harness.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFailed})
+	for i := range harness.actions {
+		if action := &harness.actions[i]; action.Kind == ActionTimer && action.Timer == timerEndpointList {
+			harness.now += action.Wait
+			harness.handle(&Event{Kind: EventTimer, Timer: timerEndpointList})
 		}
 	}
 	// Output:
--- a/policy/routing/harness_test.go
+++ b/policy/routing/harness_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A bench drives one router by hand and prints what it does, in words that a person can read.
+// harness drives one router by hand and prints what it does, in words that a person can read.
 type harness struct {
 	router      *Router
 	now         time.Duration
-	actions     []Action
+	actions     []Action // of the last event
 	nextAttempt map[RequestID]AttemptNumber
 	isMuted     bool // prints nothing
 }
 
-// Nodes of the small fleet that the traces use: caches of the router's location, parents and the origin.
+// Endpoints of the small fleet that the traces use: caches of the router's location, parents and the origin.
 const (
 	cacheA EndpointID = 101 + iota
 	cacheB
@@ -34,7 +34,13 @@
 	origin: "origin", LocalCache: "local cache",
 }
 
-// testSettings are the settings that the traces start from: one harmless tariff, one write, everything told and
+// Classes of the test settings.
+const (
+	readClass ClassID = iota
+	writeClass
+)
+
+// testSettings are the settings that the traces start from: one idempotent class, one of writes, everything told and
 // allowed.
 func testSettings() Settings {
 	return Settings{
@@ -44,127 +50,157 @@
 			{LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Value: 3, Idempotency: NonIdempotent, Write: true},
 		},
 		Cancel: true, HedgedRequests: true, RetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 500 * ms,
-		DrainGrace: time.Second, SlowStartShare: 0.2, SlowStartFor: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 3 * time.Second,
+		DrainGrace:     time.Second,
+		SlowStartShare: 0.2, SlowStartFor: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 3 * time.Second,
 		ParentSlowStartShare: 0.07, ParentSlowStartFor: 20 * time.Second, ParentOverloadFactor: 2,
 		PurgeGrace: time.Second, PurgeCompleteAfter: 6 * time.Second,
 		AllowDirect: true, PeerFill: PeerFillLocation, ResponseDetail: DetailFull, FlowKBPerSecond: 1000,
 	}
 }
 
-func newHarness(set Settings, caches ...EndpointID) *harness {
-	b := &harness{router: New(set, 1), now: time.Minute, nextAttempt: map[RequestID]AttemptNumber{}}
-	b.actions = b.router.Start(b.now, nil)
-	b.list(EndpointListCached, append(caches, parentP, parentQ, origin)...)
-	return b
+// newHarness starts a router that knows the caches, both parents and the origin.
+func newHarness(settings Settings, caches ...EndpointID) *harness {
+	h := &harness{router: New(settings, 1), now: time.Minute, nextAttempt: map[RequestID]AttemptNumber{}}
+	h.actions = h.router.Start(h.now, nil)
+	h.list(EndpointListCached, append(caches, parentP, parentQ, origin)...)
+	return h
 }
 
-func member(n EndpointID) Endpoint {
-	m := Endpoint{ID: n, State: Ready, Zone: 2, Weight: 1, StartedAt: LongAgo}
+// member is an endpoint as a list has it: ready, and warm.
+func member(id EndpointID) Endpoint {
+	listed := Endpoint{ID: id, State: Ready, Zone: 2, Weight: 1, StartedAt: LongAgo}
 	switch {
-	case n == origin:
-		m.Kind, m.Zone = 2, 0
-	case n >= parentP && n < origin:
-		m.Kind, m.Zone = 1, 0
+	case id == origin:
+		listed.Kind, listed.Zone = 2, 0
+	case id >= parentP && id < origin:
+		listed.Kind, listed.Zone = 1, 0
 	}
-	return m
+	return listed
 }
 
-func (b *harness) list(k EndpointListKind, nodes ...EndpointID) {
-	e := Event{Kind: EventEndpoints, EndpointListKind: k}
-	for _, n := range nodes {
-		e.Endpoints = append(e.Endpoints, member(n))
+func members(ids ...EndpointID) []Endpoint {
+	var listed []Endpoint
+	for _, id := range ids {
+		listed = append(listed, member(id))
 	}
-	b.handle(&e)
+	return listed
+}
+
+func drainingMember(id EndpointID) Endpoint {
+	listed := member(id)
+	listed.State = Draining
+	return listed
 }
 
-// change tells of one node: its state, and when it started (LongAgo: unchanged).
-func (b *harness) change(n EndpointID, s EndpointState, started time.Duration) {
-	m := member(n)
-	m.State, m.StartedAt = s, started
-	b.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{m}})
+func (h *harness) list(kind EndpointListKind, ids ...EndpointID) {
+	h.handle(&Event{Kind: EventEndpoints, EndpointListKind: kind, Endpoints: members(ids...)})
 }
 
-func (b *harness) handle(e *Event) {
-	b.actions = b.router.Handle(b.now, e, b.actions[:0])
-	for _, a := range b.actions {
-		b.print(&a)
-		if a.Kind == ActionCancel { // it ends at once
-			b.router.Handle(b.now, &Event{Kind: EventAttemptResult, Request: a.Request, Attempt: a.Attempt, Outcome: Cancelled, Final: true}, nil)
+// change tells of one endpoint: its state, and when it started (LongAgo: unchanged).
+func (h *harness) change(id EndpointID, state EndpointState, startedAt time.Duration) {
+	listed := member(id)
+	listed.State, listed.StartedAt = state, startedAt
+	h.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{listed}})
+}
+
+// handle gives the router an event, prints its actions, and ends the attempts that it cancels.
+func (h *harness) handle(event *Event) {
+	h.actions = h.router.Handle(h.now, event, h.actions[:0])
+	for _, action := range h.actions {
+		h.print(&action)
+		if action.Kind == ActionCancel {
+			h.router.Handle(h.now, &Event{
+				Kind: EventAttemptResult, Request: action.Request, Attempt: action.Attempt,
+				Outcome: Cancelled, Final: true,
+			}, nil)
 		}
 	}
 }
 
-func (b *harness) print(a *Action) {
-	if b.isMuted {
+func (h *harness) print(action *Action) {
+	if h.isMuted {
 		return
 	}
-	at := fmt.Sprintf("%6.2fs request %d", (b.now - time.Minute).Seconds(), a.Request)
-	switch a.Kind {
+	seconds := (h.now - time.Minute).Seconds()
+	prefix := fmt.Sprintf("%6.2fs request %d", seconds, action.Request)
+	switch action.Kind {
 	case ActionLookup, ActionSend:
-		how := ""
-		if a.FillOptions&OnlyIfCached != 0 {
-			how = ", only if cached"
-		}
-		if a.MaxAge > 0 {
-			how += fmt.Sprintf(", max age %v", a.MaxAge)
-		}
-		if a.StartWithin > 0 {
-			how += fmt.Sprintf(", start within %v", a.StartWithin)
-		}
-		fmt.Printf("%s: attempt to %s, fill from %s%s\n", at, endpointNames[a.Endpoint], endpointNames[a.Source], how)
+		target, source := endpointNames[action.Endpoint], endpointNames[action.Source]
+		fmt.Printf("%s: attempt to %s, fill from %s%s\n", prefix, target, source, describeOptions(action))
 	case ActionReject:
-		fmt.Printf("%s: rejected\n", at)
+		fmt.Printf("%s: rejected\n", prefix)
 	case ActionFail:
-		fmt.Printf("%s: failed\n", at)
+		fmt.Printf("%s: failed\n", prefix)
 	case ActionCancel:
-		fmt.Printf("%s: attempt %d cancelled\n", at, a.Attempt)
+		fmt.Printf("%s: attempt %d cancelled\n", prefix, action.Attempt)
 	case ActionWatchEndpoints:
-		fmt.Printf("%6.2fs the endpoint list is requested\n", (b.now - time.Minute).Seconds())
+		fmt.Printf("%6.2fs the endpoint list is requested\n", seconds)
+	default:
+	}
+}
+
+func describeOptions(action *Action) string {
+	text := ""
+	if action.FillOptions&OnlyIfCached != 0 {
+		text = ", only if cached"
 	}
+	if action.MaxAge > 0 {
+		text += fmt.Sprintf(", max age %v", action.MaxAge)
+	}
+	if action.StartWithin > 0 {
+		text += fmt.Sprintf(", start within %v", action.StartWithin)
+	}
+	return text
 }
 
-// request brings a view of 100 KB: a tenth of a second at full pace.
-func (b *harness) request(id RequestID, tariff ClassID, o ObjectID) {
-	b.nextAttempt[id] = 0
-	b.handle(&Event{
-		Kind: EventRequest, Request: id, Class: tariff, Object: o, Group: GroupID(o % 8), SizeKB: 100, TimeLeft: 3 * time.Second,
-		Write: tariff == 1,
+// request brings a request of 100 KB: a tenth of a second at full pace.
+func (h *harness) request(id RequestID, class ClassID, object ObjectID) {
+	h.nextAttempt[id] = 0
+	h.handle(&Event{
+		Kind: EventRequest, Request: id, Class: class, Object: object, Group: GroupID(object % 8), SizeKB: 100,
+		TimeLeft: 3 * time.Second, Write: class == writeClass,
 	})
 }
 
-// result ends a view's next leg after a time.
-func (b *harness) result(id RequestID, n EndpointID, after time.Duration, o Outcome, note Note) {
-	b.advance(after)
-	b.handle(&Event{
-		Kind: EventAttemptResult, Request: id, Attempt: b.nextAttempt[id], Endpoint: n, Outcome: o, Note: note, Elapsed: after,
-		FirstByteWait: max(0, after-110*ms), Final: o == Succeeded,
+// requestUntoldSize brings a request for a read that does not tell its size.
+func (h *harness) requestUntoldSize(id RequestID, object ObjectID, timeLeft time.Duration) {
+	h.handle(&Event{Kind: EventRequest, Request: id, Object: object, TimeLeft: timeLeft})
+}
+
+// result ends a request's next attempt after a time.
+func (h *harness) result(id RequestID, endpoint EndpointID, after time.Duration, outcome Outcome, note Note) {
+	h.advance(after)
+	h.handle(&Event{
+		Kind: EventAttemptResult, Request: id, Attempt: h.nextAttempt[id], Endpoint: endpoint,
+		Outcome: outcome, Note: note, Final: outcome == Succeeded,
+		Elapsed: after, FirstByteWait: max(0, after-110*ms),
 	})
-	b.nextAttempt[id]++
+	h.nextAttempt[id]++
 }
 
-// advance lets time go by with the router's ticks.
-func (b *harness) advance(d time.Duration) {
-	for end := b.now + d; b.now < end; {
-		b.now = min(end, b.now+20*ms)
-		b.handle(&Event{Kind: EventTimer, Timer: timerTick})
+// advance lets time pass with the router's ticks.
+func (h *harness) advance(duration time.Duration) {
+	for end := h.now + duration; h.now < end; {
+		h.now = min(end, h.now+tickInterval)
+		h.handle(&Event{Kind: EventTimer, Timer: timerTick})
 	}
 }
 
-func (b *harness) ownerOf(o ObjectID) EndpointID {
-	n := b.router.caches.owner(mix(uint64(o)))
-	return b.router.endpoints[n].id
+// ownerOf is the cache whose arc holds the object.
+func (h *harness) ownerOf(object ObjectID) EndpointID {
+	return h.router.endpoints[h.router.caches.owner(mix(uint64(object)))].id
 }
 
-func (b *harness) parentOf(o ObjectID) EndpointID {
-	n := b.router.parents.owner(mix(uint64(o)))
-	return b.router.endpoints[n].id
+// parentOf is the parent whose arc holds the object.
+func (h *harness) parentOf(object ObjectID) EndpointID {
+	return h.router.endpoints[h.router.parents.owner(mix(uint64(object)))].id
 }
 
 // firstObject returns the first object from 1 on whose cache and parent are the ones named.
-func (b *harness) firstObject(cache, parent EndpointID) ObjectID {
-	for o := ObjectID(1); ; o++ {
-		if b.ownerOf(o) == cache && b.parentOf(o) == parent {
-			return o
+func (h *harness) firstObject(cache, parent EndpointID) ObjectID {
+	for object := ObjectID(1); ; object++ {
+		if h.ownerOf(object) == cache && h.parentOf(object) == parent {
+			return object
 		}
 	}
 }
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -5,31 +5,33 @@
 	"time"
 )
 
-// Where neither sizes nor ways are told, the shortest answers stand for hits: a cache with much to send gets no more,
-// but one with nothing to do always gets one, so that a slow moment is not believed for ever. Found on a deployment
-// that tells nothing: all was taken until all was late.
+// Where neither sizes nor sources are told, the shortest answers stand for hits: a busy cache gets no more, but an idle
+// one always gets a request, so that a slow moment is not believed for ever. Found on a deployment that tells nothing:
+// all requests were admitted until all were late.
 func Example_noResponseDetail() {
-	set := testSettings()
-	set.ResponseDetail, set.FlowKBPerSecond, set.AllowDirect = DetailNone, 0, false
-	set.Classes[0].ObjectiveStretch = 0
-	b := newHarness(set, cacheA)
-	ask := func(id RequestID) {
-		b.handle(&Event{Kind: EventRequest, Request: id, Object: 7, TimeLeft: 3 * time.Second})
+	settings := testSettings()
+	settings.ResponseDetail, settings.FlowKBPerSecond, settings.AllowDirect = DetailNone, 0, false
+	settings.Classes[readClass].ObjectiveStretch = 0
+	harness := newHarness(settings, cacheA)
+	request := func(id RequestID) {
+		harness.requestUntoldSize(id, 7, 3*time.Second)
 	}
 	answer := func(id RequestID, took time.Duration) {
-		b.advance(took)
-		b.handle(&Event{Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Elapsed: took, Final: true})
+		harness.advance(took)
+		harness.handle(&Event{
+			Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Elapsed: took, Final: true,
+		})
 	}
-	ask(1)
+	request(1)
 	answer(1, 900*ms)
-	ask(2)
+	request(2)
 	answer(2, 300*ms)
-	ask(3)
-	answer(3, 900*ms) // thrice as long as it needs: others are sent there too
-	ask(4)
-	b.advance(2100 * ms) // and then it may have room again
-	ask(5)
-	ask(6)
+	request(3)
+	answer(3, 900*ms) // thrice as long as it needs: other routers send there too
+	request(4)
+	harness.advance(2100 * ms) // and then it may have capacity again
+	request(5)
+	request(6)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
 	//   0.90s request 2: attempt to A, fill from P
@@ -42,20 +44,20 @@
 // Found on counter-net grown: sizes and links are guessed, the list tells the links. A fresh router takes what the link
 // carries in time, not all that comes.
 func Example_linkCapacityFromWeight() {
-	for _, told := range []bool{false, true} {
-		set, sent := testSettings(), 0
-		set.WeightIsLinkCapacity = told
-		b := newHarness(set, cacheA) // of weight 1
-		b.isMuted = true
+	for _, isLinkKnown := range []bool{false, true} {
+		settings, sent := testSettings(), 0
+		settings.WeightIsLinkCapacity = isLinkKnown
+		harness := newHarness(settings, cacheA) // of weight 1
+		harness.isMuted = true
 		for id := RequestID(1); id <= 20; id++ {
-			b.request(id, 0, ObjectID(id))
-			if b.actions[0].Kind == ActionSend {
+			harness.request(id, readClass, ObjectID(id))
+			if harness.actions[0].Kind == ActionSend {
 				sent++
 			}
 		}
-		fmt.Printf("told %v: %d of 20 at once\n", told, sent)
+		fmt.Printf("link known %v: %d of 20 at once\n", isLinkKnown, sent)
 	}
 	// Output:
-	// told false: 20 of 20 at once
-	// told true: 2 of 20 at once
+	// link known false: 20 of 20 at once
+	// link known true: 2 of 20 at once
 }
--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -5,54 +5,59 @@
 	"time"
 )
 
-// Links are reckoned whole: a router alone, with one fill at a time, finds a link that fits one free; one of twenty
-// finds it full once its own fills tell what the others have there, and asks the caches only.
+// A link is shared: a router alone, with one fill at a time, finds a link that fits one free; one of twenty finds it
+// full once its own fills tell what the others have there, and asks the caches only.
 func Example_sharedLink() {
 	for _, routers := range []int{1, 20} {
-		set, fills := testSettings(), 0
-		set.Routers, set.ZoneRouters, set.ZoneIngressKBPerSecond = routers, []int{0, 0, routers}, []float64{0, 0, 1000}
-		b := newHarness(set, cacheA, cacheB)
-		b.isMuted = true
+		settings, fills := testSettings(), 0
+		settings.Routers, settings.ZoneRouters = routers, []int{0, 0, routers}
+		settings.ZoneIngressKBPerSecond = []float64{0, 0, 1000}
+		harness := newHarness(settings, cacheA, cacheB)
+		harness.isMuted = true
 		for id := RequestID(1); id <= 30; id++ {
-			b.request(id, 0, ObjectID(id)*1000)
-			if b.actions[0].Source != b.actions[0].Endpoint {
+			harness.request(id, readClass, ObjectID(id)*1000)
+			if harness.actions[0].Source != harness.actions[0].Endpoint {
 				fills++
 			}
-			b.now += 400 * ms
-			b.handle(&Event{Kind: EventAttemptResult, Request: id, Outcome: Succeeded, Note: NoteFilled, Elapsed: 400 * ms, FirstByteWait: ms, Final: true})
+			harness.now += 400 * ms
+			harness.handle(&Event{
+				Kind: EventAttemptResult, Request: id, Outcome: Succeeded, Note: NoteFilled, Final: true,
+				Elapsed: 400 * ms, FirstByteWait: ms,
+			})
 		}
-		fmt.Printf("%d routers: %d of 30 views are filled\n", routers, fills)
+		fmt.Printf("%d routers: %d of 30 requests are filled\n", routers, fills)
 	}
 	// Output:
-	// 1 routers: 30 of 30 views are filled
-	// 20 routers: 5 of 30 views are filled
+	// 1 routers: 30 of 30 requests are filled
+	// 20 routers: 5 of 30 requests are filled
 }
 
-// On no list: load reports frozen at a full link, sizes untold. The link may not be shut for good: one fill always
+// Load reports frozen at a full link, and sizes that are not told. The link may not be closed for good: one fill always
 // goes.
 func Example_frozenReports() {
-	set := testSettings()
-	set.ReportChannel, set.ReportColumns, set.ZoneIngressKBPerSecond = ReportsWithResponses, []Signal{SignalLinkUtilization}, []float64{0, 0, 20000}
-	b := newHarness(set, cacheA, cacheB)
-	b.isMuted = true
+	settings := testSettings()
+	settings.ReportChannel, settings.ReportColumns = ReportsWithResponses, []Signal{SignalLinkUtilization}
+	settings.ZoneIngressKBPerSecond = []float64{0, 0, 20000}
+	harness := newHarness(settings, cacheA, cacheB)
+	harness.isMuted = true
 	for id := RequestID(5000); id < 5030; id++ { // hits tell the usual size
-		b.handle(&Event{Kind: EventRequest, Request: id, Object: ObjectID(id), TimeLeft: time.Second})
-		b.result(id, b.ownerOf(ObjectID(id)), 100*ms, Succeeded, NoteHit)
+		harness.requestUntoldSize(id, ObjectID(id), time.Second)
+		harness.result(id, harness.ownerOf(ObjectID(id)), 100*ms, Succeeded, NoteHit)
 	}
-	b.isMuted = false
 	for id := RequestID(1); id <= 1200; id += 12 {
 		for k := id; k < id+12; k++ {
-			b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: k, Object: ObjectID(k), TimeLeft: time.Second}, b.actions[:0])
+			harness.requestUntoldSize(k, ObjectID(k), time.Second)
 		}
-		b.now += 110 * ms
+		harness.now += 110 * ms
 		for k := id; k < id+12; k++ {
-			b.actions = b.router.Handle(b.now, &Event{
+			harness.handle(&Event{
 				Kind: EventAttemptResult, Request: k, Outcome: Succeeded, Note: NoteFilled, Elapsed: 110 * ms,
 				FirstByteWait: 10 * ms, Final: true, LoadReport: LoadReport{Count: 1, Values: [4]float64{50}},
-			}, b.actions[:0])
+			})
 		}
 	}
-	b.handle(&Event{Kind: EventRequest, Request: 2000, Object: b.firstObject(cacheA, parentP), TimeLeft: time.Second})
+	harness.isMuted = false
+	harness.requestUntoldSize(2000, harness.firstObject(cacheA, parentP), time.Second)
 	// Output:
 	// 14.00s request 2000: attempt to A, fill from P
 }
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// initialOriginLimit fits a usual load from the start on, but no herd of routers that know nothing yet.
+	// initialOriginLimit fits a usual load from the start on, but not that of many routers that start together.
 	initialOriginLimit = 8
 	// wideOriginLimit is wide. Twice what is in flight with answers in good time may be more: the limit matters when
 	// answers say so.
@@ -19,7 +19,7 @@
 	// few caches gets less, and less than a slot is a part of the time.
 	originLimiterCaches = 4
 	// originTrialInterval is the distance of trials of a whole limit while it is closed: failures may come at once, so
-	// that slots alone would let a herd through, and parents and caches try on their own.
+	// that slots alone would let all routers through at once, and parents and caches try on their own.
 	originTrialInterval = 600 * ms
 )
 
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -7,21 +7,21 @@
 // A parent that is not reached: origin fills at first, after 10 s its arc is the next parent's, with trials between;
 // once listed gone and back ready it has its arc again.
 func Example_parentLoss() {
-	b := newHarness(testSettings(), cacheA)
-	o := b.firstObject(cacheA, parentP)
+	harness := newHarness(testSettings(), cacheA)
+	object := harness.firstObject(cacheA, parentP)
 	for id := RequestID(1); id <= 3; id++ {
-		b.request(id, 0, o)
+		harness.request(id, readClass, object)
 		if id < 3 {
-			b.result(id, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
+			harness.result(id, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
 		}
-		b.result(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
+		harness.result(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	}
-	b.advance(10 * time.Second)
-	b.request(4, 0, o) // due for a trial
-	b.result(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
-	b.result(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
-	b.request(5, 0, o)
-	b.result(5, cacheA, 150*ms, Succeeded, NoteFilled)
+	harness.advance(10 * time.Second)
+	harness.request(4, readClass, object) // due for a trial
+	harness.result(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
+	harness.result(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
+	harness.request(5, readClass, object)
+	harness.result(5, cacheA, 150*ms, Succeeded, NoteFilled)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
 	//   0.02s request 1: attempt to A, fill from origin
@@ -33,37 +33,37 @@
 	//  10.66s request 5: attempt to A, fill from Q
 }
 
-// Found on depot-records: clients ask for what no node can do, and all nodes say so. Each view is turned back once two
-// have, and no node goes out; one that errs where another does not goes out, and what ends many legs at once counts
-// once.
+// Found on depot-records: clients ask for what no endpoint can do, and all endpoints say so. Each request is rejected
+// once two have, and no endpoint is ejected; one that errs where another does not is ejected, and what ends many
+// attempts at once counts once.
 func Example_requestsOwnFault() {
-	b := newHarness(testSettings(), cacheA, cacheB)
-	o := b.firstObject(cacheA, parentP)
-	b.isMuted = true
+	harness := newHarness(testSettings(), cacheA, cacheB)
+	object := harness.firstObject(cacheA, parentP)
+	harness.isMuted = true
 	for id := RequestID(1); id <= 8; id++ {
-		b.request(id, 0, o)
-		b.result(id, cacheA, ms, Failed, NoteNone)
-		b.result(id, cacheB, ms, Failed, NoteNone)
+		harness.request(id, readClass, object)
+		harness.result(id, cacheA, ms, Failed, NoteNone)
+		harness.result(id, cacheB, ms, Failed, NoteNone)
 	}
-	b.isMuted = false
-	b.request(9, 0, o)
-	b.result(9, cacheA, ms, Failed, NoteNone)
-	b.result(9, cacheB, ms, Failed, NoteNone)
-	b.isMuted = true
+	harness.isMuted = false
+	harness.request(9, readClass, object)
+	harness.result(9, cacheA, ms, Failed, NoteNone)
+	harness.result(9, cacheB, ms, Failed, NoteNone)
+	harness.isMuted = true
 	for id := RequestID(10); id <= 16; id++ {
-		b.request(id, 0, o)
+		harness.request(id, readClass, object)
 	}
 	for id := RequestID(10); id <= 16; id++ {
-		b.result(id, cacheA, 0, ConnectionBroken, NoteNone)
-		b.result(id, cacheB, 0, Succeeded, NoteHit)
+		harness.result(id, cacheA, 0, ConnectionBroken, NoteNone)
+		harness.result(id, cacheB, 0, Succeeded, NoteHit)
 	}
-	b.isMuted = false
+	harness.isMuted = false
 	for id := RequestID(17); id <= 21; id++ {
-		b.request(id, 0, o)
+		harness.request(id, readClass, object)
 		if id < 20 {
-			b.result(id, cacheA, ms, Failed, NoteNone)
+			harness.result(id, cacheA, ms, Failed, NoteNone)
 		}
-		b.result(id, cacheB, 100*ms, Succeeded, NoteHit)
+		harness.result(id, cacheB, 100*ms, Succeeded, NoteHit)
 	}
 	// Output:
 	//   0.02s request 9: attempt to A, fill from P
@@ -79,23 +79,23 @@
 	//   0.42s request 21: attempt to B, fill from P
 }
 
-// Found on branch-library grown: all caches break some connections, none is lost. They go out one by one, and then
-// health is not asked; one that answers from a kept copy is not taken for restarted.
+// Found on branch-library grown: all caches break some connections, none is lost. They are ejected one by one, and then
+// all are asked all the same; one that answers from a cached copy is not taken for restarted.
 func Example_brokenEverywhere() {
-	set := testSettings()
-	set.AllowDirect = false
-	b := newHarness(set, cacheA, cacheB)
-	b.isMuted = true
-	o := b.firstObject(cacheA, parentP)
+	settings := testSettings()
+	settings.AllowDirect = false
+	harness := newHarness(settings, cacheA, cacheB)
+	harness.isMuted = true
+	object := harness.firstObject(cacheA, parentP)
 	for id := RequestID(1); id <= 4; id++ {
-		b.request(id, 0, o)
-		b.result(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
-		b.result(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
+		harness.request(id, readClass, object)
+		harness.result(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
+		harness.result(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
 	}
-	b.isMuted = false
+	harness.isMuted = false
 	for id := RequestID(5); id <= 8; id++ {
-		b.request(id, 0, o)
-		b.result(id, cacheA, 300*ms, Succeeded, NoteHit)
+		harness.request(id, readClass, object)
+		harness.result(id, cacheA, 300*ms, Succeeded, NoteHit)
 	}
 	// Output:
 	//   0.08s request 5: attempt to A, fill from P
@@ -104,15 +104,15 @@
 	//   0.98s request 8: attempt to A, fill from P
 }
 
-// Found on branch-library: a parent that begins its fills in good time, and then drags, counts as failing.
+// Found on branch-library: a parent that begins its fills in good time, and then is slow, counts as failing.
 func Example_draggingParent() {
-	b := newHarness(testSettings(), cacheA)
+	harness := newHarness(testSettings(), cacheA)
 	for id := RequestID(1); id <= 6; id++ {
-		b.request(id, 0, 7+ObjectID(id)*1000)
-		b.advance(2 * time.Second)
-		b.handle(&Event{
-			Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled, Elapsed: 2 * time.Second,
-			FirstByteWait: 20 * ms, Final: true,
+		harness.request(id, readClass, 7+ObjectID(id)*1000)
+		harness.advance(2 * time.Second)
+		harness.handle(&Event{
+			Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled,
+			Elapsed: 2 * time.Second, FirstByteWait: 20 * ms, Final: true,
 		})
 	}
 	// Output:
--- a/policy/routing/relay_test.go
+++ b/policy/routing/relay_test.go
@@ -4,20 +4,20 @@
 	"time"
 )
 
-// A slot that moved is filled from its former owner for 30 s, holds-only, then the parent is named.
+// Objects of an arc that moved are filled from its previous owner for 30 s, if that has a copy, then from the parent.
 func Example_relay() {
-	b := newHarness(testSettings(), cacheA, cacheB)
-	o := b.firstObject(cacheA, parentP)
-	b.change(cacheA, Draining, LongAgo)
-	b.request(1, 0, o)
-	b.result(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
-	b.result(1, cacheB, 150*ms, Succeeded, NoteFilled)
-	b.change(cacheA, Ready, LongAgo) // back before its grace ran out: the slot moves again
-	b.request(2, 0, o)
-	b.result(2, cacheA, 120*ms, Succeeded, NoteFilled)
-	b.advance(31 * time.Second)
-	b.request(3, 0, o)
-	b.result(3, cacheA, 110*ms, Succeeded, NoteHit)
+	harness := newHarness(testSettings(), cacheA, cacheB)
+	object := harness.firstObject(cacheA, parentP)
+	harness.change(cacheA, Draining, LongAgo)
+	harness.request(1, readClass, object)
+	harness.result(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
+	harness.result(1, cacheB, 150*ms, Succeeded, NoteFilled)
+	harness.change(cacheA, Ready, LongAgo) // back before its grace ran out: the arc moves again
+	harness.request(2, readClass, object)
+	harness.result(2, cacheA, 120*ms, Succeeded, NoteFilled)
+	harness.advance(31 * time.Second)
+	harness.request(3, readClass, object)
+	harness.result(3, cacheA, 110*ms, Succeeded, NoteHit)
 	// Output:
 	//   0.00s request 1: attempt to B, fill from A, only if cached
 	//   0.02s request 1: attempt to B, fill from P
--- a/policy/routing/router_test.go
+++ b/policy/routing/router_test.go
@@ -7,30 +7,30 @@
 )
 
 func Example_ordinaryPath() {
-	b := newHarness(testSettings(), cacheA, cacheB)
-	o := b.firstObject(cacheA, parentP)
-	b.request(1, 0, o)
-	b.result(1, cacheA, 150*ms, Succeeded, NoteFilled)
-	b.request(2, 0, o) // the same object: the same cache and source
-	b.result(2, cacheA, 110*ms, Succeeded, NoteHit)
-	b.request(3, 0, b.firstObject(cacheB, parentQ))
-	b.result(3, cacheB, 150*ms, Succeeded, NoteFilled)
+	harness := newHarness(testSettings(), cacheA, cacheB)
+	object := harness.firstObject(cacheA, parentP)
+	harness.request(1, readClass, object)
+	harness.result(1, cacheA, 150*ms, Succeeded, NoteFilled)
+	harness.request(2, readClass, object) // the same object: the same cache and source
+	harness.result(2, cacheA, 110*ms, Succeeded, NoteHit)
+	harness.request(3, readClass, harness.firstObject(cacheB, parentQ))
+	harness.result(3, cacheB, 150*ms, Succeeded, NoteFilled)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
 	//   0.15s request 2: attempt to A, fill from P
 	//   0.26s request 3: attempt to B, fill from Q
 }
 
-// Rule 1: one final answer, at once when the last leg has failed, and nothing after it.
+// Rule 1: one final answer, at once when the last attempt has failed, and nothing after it.
 func Example_oneAnswer() {
-	b := newHarness(testSettings(), cacheA)
-	b.request(1, 0, 7)
-	b.result(1, cacheA, 200*ms, TimedOut, NoteNone)
-	b.handle(&Event{Kind: EventClientGone, Request: 1}) // an id no longer held
-	b.advance(time.Second)
-	b.request(2, 0, b.firstObject(cacheA, parentQ))
-	b.handle(&Event{Kind: EventClientGone, Request: 2}) // the client left: nothing more is owed
-	b.result(2, cacheA, 10*ms, Cancelled, NoteNone)
+	harness := newHarness(testSettings(), cacheA)
+	harness.request(1, readClass, 7)
+	harness.result(1, cacheA, 200*ms, TimedOut, NoteNone)
+	harness.handle(&Event{Kind: EventClientGone, Request: 1}) // an id that is not open any more
+	harness.advance(time.Second)
+	harness.request(2, readClass, harness.firstObject(cacheA, parentQ))
+	harness.handle(&Event{Kind: EventClientGone, Request: 2}) // the client left: nothing more is owed
+	harness.result(2, cacheA, 10*ms, Cancelled, NoteNone)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
 	//   0.20s request 1: rejected
@@ -38,19 +38,19 @@
 	//   1.20s request 2: attempt 0 cancelled
 }
 
-// Found on depot-records and counter-net: all caches lost. Views go straight to a parent, by way of the origin, and
-// count on the location's link: once that is full, they are turned back.
+// Found on depot-records and counter-net: all caches lost. Requests go straight to a parent, by way of the origin, and
+// count on the location's link: once that is full, they are rejected.
 func Example_bypassCaches() {
-	set := testSettings()
-	set.ZoneIngressKBPerSecond = []float64{0, 0, 1000} // one transfer at full pace
-	b := newHarness(set, cacheA)
+	settings := testSettings()
+	settings.ZoneIngressKBPerSecond = []float64{0, 0, 1000} // one transfer at full pace
+	harness := newHarness(settings, cacheA)
 	for id := RequestID(1); id <= 2; id++ {
-		b.request(id, 0, b.firstObject(cacheA, parentP))
-		b.result(id, cacheA, 20*ms, ConnectFailed, NoteNone)
-		b.result(id, parentP, 110*ms, Succeeded, NoteFilled)
+		harness.request(id, readClass, harness.firstObject(cacheA, parentP))
+		harness.result(id, cacheA, 20*ms, ConnectFailed, NoteNone)
+		harness.result(id, parentP, 110*ms, Succeeded, NoteFilled)
 	}
 	for id := RequestID(3); id <= 8; id++ {
-		b.request(id, 0, b.firstObject(cacheA, parentQ))
+		harness.request(id, readClass, harness.firstObject(cacheA, parentQ))
 	}
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
@@ -65,44 +65,50 @@
 	//   0.26s request 8: rejected
 }
 
-// Many list changes, purges, objects and views leave the state bounded: places are used again.
+// Many list changes, purges, objects and requests leave the state bounded: slots are used again.
 func Example_boundedState() {
-	b := newHarness(testSettings(), cacheA)
-	b.isMuted = true
+	harness := newHarness(testSettings(), cacheA)
+	harness.isMuted = true
 	for i := range 5000 {
-		n := EndpointID(10000 + i)
-		b.change(n, Ready, LongAgo)
-		b.handle(&Event{Kind: EventPurge, Object: ObjectID(i + 1)})
-		b.handle(&Event{Kind: EventRequest, Request: RequestID(i + 1), Object: ObjectID(i), SizeKB: 10, TimeLeft: time.Second})
-		b.handle(&Event{Kind: EventAttemptResult, Request: RequestID(i + 1), Outcome: Succeeded, Note: NoteHit, Elapsed: 10 * ms, Final: true})
-		b.change(n, Gone, LongAgo)
-		b.now += 2 * time.Second
+		id := EndpointID(10000 + i)
+		harness.change(id, Ready, LongAgo)
+		harness.handle(&Event{Kind: EventPurge, Object: ObjectID(i + 1)})
+		harness.handle(&Event{
+			Kind: EventRequest, Request: RequestID(i + 1), Object: ObjectID(i), SizeKB: 10, TimeLeft: time.Second,
+		})
+		harness.handle(&Event{
+			Kind: EventAttemptResult, Request: RequestID(i + 1), Outcome: Succeeded, Note: NoteHit,
+			Elapsed: 10 * ms, Final: true,
+		})
+		harness.change(id, Gone, LongAgo)
+		harness.now += 2 * time.Second
 	}
-	r := b.router
-	fmt.Println(len(r.endpoints), len(r.endpointByID), len(r.purges), len(r.requests.slots), len(r.requests.slotByID), len(r.previousRings), len(r.history.records))
+	r := harness.router
+	fmt.Println(len(r.endpoints), len(r.endpointByID), len(r.purges), len(r.requests.slots), len(r.requests.slotByID),
+		len(r.previousRings), len(r.history.records))
 	// Output:
 	// 35 35 4 1 0 3 16384
 }
 
-// The ordinary path allocates nothing once the slab has grown.
+// The ordinary path allocates nothing once the request table has grown.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
-	b := newHarness(testSettings(), cacheA, cacheB)
+	harness := newHarness(testSettings(), cacheA, cacheB)
 	id := RequestID(0)
-	view, end := Event{Kind: EventRequest, SizeKB: 100, TimeLeft: time.Second}, Event{
-		Kind: EventAttemptResult, Outcome: Succeeded,
-		Note: NoteHit, Elapsed: 100 * ms, Final: true,
+	request := Event{Kind: EventRequest, SizeKB: 100, TimeLeft: time.Second}
+	result := Event{
+		Kind: EventAttemptResult, Outcome: Succeeded, Note: NoteHit, Elapsed: 100 * ms, Final: true,
 	}
 	got := testing.AllocsPerRun(1000, func() {
 		id++
-		view.Request, view.Object, end.Request = id, ObjectID(id%50), id
-		b.actions = b.router.Handle(b.now, &view, b.actions[:0])
-		if len(b.actions) != 1 || b.actions[0].Kind != ActionSend {
-			t.Fatal("the view was not sent")
+		request.Request, request.Object, result.Request = id, ObjectID(id%50), id
+		harness.actions = harness.router.Handle(harness.now, &request, harness.actions[:0])
+		if len(harness.actions) != 1 || harness.actions[0].Kind != ActionSend {
+			t.Fatal("the request was not sent")
 		}
-		b.now += 100 * ms
-		b.actions = b.router.Handle(b.now, &end, b.actions[:0])
+		harness.now += 100 * ms
+		harness.actions = harness.router.Handle(harness.now, &result, harness.actions[:0])
 	})
 	if got != 0 {
-		t.Errorf("the ordinary path allocates %v times a view", got)
+		t.Errorf("the ordinary path allocates %v times a request", got)
 	}
 }
--- a/policy/routing/shedding_test.go
+++ b/policy/routing/shedding_test.go
@@ -1,23 +1,23 @@
 package routing
 
-// What the caches cannot give in time, a copy of the router's own may: it is asked last, and not for a
-// view that may not run twice; after a purge no copy from before it will do.
+// What the caches cannot give in time, a copy of the router's own may: it is asked last, and not for a request that may
+// not run twice; after a purge no copy from before it will do.
 func Example_localCache() {
-	set := testSettings()
-	set.LocalCacheCapacity, set.AllowDirect = 1, false
-	b := newHarness(set, cacheA)
-	b.request(1, 0, 7)
-	b.result(1, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
-	b.handle(&Event{Kind: EventStreamStarted, Request: 1, Attempt: 1})
-	b.handle(&Event{Kind: EventPurge, Object: 8, Age: 100 * ms})
-	b.request(2, 0, 8)
-	b.result(2, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
-	b.result(2, LocalCache, 0, CacheMiss, NoteNone)
-	b.result(1, LocalCache, 100*ms, Succeeded, NoteNone)
-	b.request(3, 1, 9)
-	b.result(3, cacheA, 20*ms, Failed, NoteNone)
-	b.list(EndpointListFull)
-	b.request(4, 0, 7)
+	settings := testSettings()
+	settings.LocalCacheCapacity, settings.AllowDirect = 1, false
+	harness := newHarness(settings, cacheA)
+	harness.request(1, readClass, 7)
+	harness.result(1, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
+	harness.handle(&Event{Kind: EventStreamStarted, Request: 1, Attempt: 1})
+	harness.handle(&Event{Kind: EventPurge, Object: 8, Age: 100 * ms})
+	harness.request(2, readClass, 8)
+	harness.result(2, cacheA, 20*ms, Overloaded, NoteNoFillCapacity)
+	harness.result(2, LocalCache, 0, CacheMiss, NoteNone)
+	harness.result(1, LocalCache, 100*ms, Succeeded, NoteNone)
+	harness.request(3, writeClass, 9)
+	harness.result(3, cacheA, 20*ms, Failed, NoteNone)
+	harness.list(EndpointListFull)
+	harness.request(4, readClass, 7)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
 	//   0.02s request 1: attempt to local cache, fill from local cache
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -1,7 +1,7 @@
 package routing
 
-// Many routers that share nothing, driven side by side in one clock, with one cold node among them: what all of them
-// send to it together, against what it bears.
+// Many routers that share nothing, driven side by side by one clock, with one cold endpoint among them: what all of
+// them send to it together, against what it bears.
 
 import (
 	"fmt"
@@ -11,245 +11,329 @@
 	"time"
 )
 
-// arrival is one request, or fill, that reached the cold node.
+// coldFleet describes a run of many routers with one cold endpoint: uneven traffic, and a burst of it at the moment
+// when the endpoint's neighbours are lost.
+type coldFleet struct {
+	routers  int
+	link     float64 // transfers that each endpoint's link carries when it is warm
+	isParent bool    // the cold endpoint is a parent, else a cache
+	lostAt   time.Duration
+	quiet    float64 // of the usual traffic until then
+	failing  bool    // what reaches the endpoint fails, so that requests are retried
+	seed     uint64
+
+	restartAt time.Duration // when restarted of ten routers are killed and start anew at once, 0: never
+	restarted int
+}
+
+// arrival is one request, or fill, that reached the cold endpoint.
 type arrival struct {
 	at   time.Duration
 	work float64 // over the mean
 }
 
-// coldFleet is a day of many routers round one cold node: uneven traffic, and a burst of it at the moment when the
-// node's neighbour is lost.
-type coldFleet struct {
-	routers int
-	link    float64 // transfers that each node's link carries when it is warm
-	parent  bool    // the cold node is a parent, else a cache
-	lostAt  time.Duration
-	quiet   float64 // of the usual traffic until then
-	failing bool    // what reaches the node fails, so that views go again
-	seed    uint64
+// pendingResult is an attempt whose result is to come.
+type pendingResult struct {
+	at       time.Duration
+	router   int
+	request  RequestID
+	attempt  AttemptNumber
+	endpoint EndpointID
+	note     Note
+	fails    bool
+}
 
-	restartAt time.Duration // when restarted of ten routers are killed and start anew at once, 0: never
-	restarted int
+const fleetTurn = 10 * ms
+
+// fleetRun is a run of a coldFleet.
+type fleetRun struct {
+	coldFleet
+	settings Settings
+	random   pcg
+	start    time.Duration
+	now      time.Duration
+	cold     EndpointID
+	lost     []EndpointID // the neighbours that are lost
+
+	routers   []*harness
+	startedAt []time.Duration // by router
+	share     []float64       // of the traffic, by router
+	pending   []pendingResult
+	cached    map[EndpointID]map[ObjectID]bool
+
+	arrivals         []arrival
+	requests, served float64
+}
+
+// play returns what reached the cold endpoint, and the part of all requests that was served.
+func (f *coldFleet) play(settings Settings, start time.Duration) (arrivals []arrival, served float64) {
+	run := newFleetRun(*f, settings, start)
+	length := settings.SlowStartFor
+	if f.isParent {
+		length = settings.ParentSlowStartFor
+	}
+	for run.now = start; run.now < start+length; run.now += fleetTurn {
+		run.turn()
+	}
+	return run.arrivals, run.served / run.requests
 }
 
-// play returns what reached the cold node, and the part of all views that was served.
-func (f *coldFleet) play(set Settings, start time.Duration) (got []arrival, served float64) {
-	rng := newPCG(f.seed)
-	set.Routers = f.routers
-	set.ZoneRouters = []int{0, 0, f.routers}
-	cold := cacheA
-	if f.parent {
-		cold = parentP
+func newFleetRun(fleet coldFleet, settings Settings, start time.Duration) *fleetRun {
+	settings.Routers = fleet.routers
+	settings.ZoneRouters = []int{0, 0, fleet.routers}
+	f := &fleetRun{
+		coldFleet: fleet, settings: settings, random: newPCG(fleet.seed), start: start, now: start,
+		cold: cacheA, lost: []EndpointID{cacheB, cacheC, cacheD},
+		startedAt: make([]time.Duration, fleet.routers), cached: map[EndpointID]map[ObjectID]bool{},
+	}
+	if fleet.isParent {
+		f.cold, f.lost = parentP, []EndpointID{parentQ}
+	}
+	for _, cache := range []EndpointID{cacheA, cacheB, cacheC, cacheD} {
+		f.cached[cache] = map[ObjectID]bool{}
 	}
-	var fleet []*harness
-	var share []float64
 	total := 0.0
-	// A process has a clock of its own, which stands at 0 when it starts; since is that moment on the test's clock.
-	process := func(i int, since, now time.Duration) *harness {
-		b := &harness{router: New(set, f.seed*1000+uint64(i)+uint64(since)), now: now - since, nextAttempt: map[RequestID]AttemptNumber{}, isMuted: true}
-		b.actions = b.router.Start(b.now, nil)
-		e := Event{Kind: EventEndpoints, EndpointListKind: EndpointListCached, Age: time.Hour}
-		for _, n := range []EndpointID{cacheA, cacheB, cacheC, cacheD, parentP, parentQ, origin} {
-			m := member(n)
-			m.Weight = f.link
-			if n == cold {
-				m.StartedAt = start - since
-			}
-			e.Endpoints = append(e.Endpoints, m)
+	for i := range fleet.routers {
+		f.routers = append(f.routers, f.startRouter(i, 0))
+		weight := math.Exp(f.random.float()*3 - 1.5) // some get twenty times what others do
+		f.share = append(f.share, weight)
+		total += weight
+	}
+	for i := range f.share {
+		f.share[i] /= total
+	}
+	return f
+}
+
+// startRouter starts a router's process, which has a clock of its own that stands at 0 when it starts; startedAt is
+// that moment on the test's clock.
+func (f *fleetRun) startRouter(number int, startedAt time.Duration) *harness {
+	seed := f.seed*1000 + uint64(number) + uint64(startedAt)
+	started := &harness{
+		router: New(f.settings, seed), now: f.now - startedAt,
+		nextAttempt: map[RequestID]AttemptNumber{}, isMuted: true,
+	}
+	started.actions = started.router.Start(started.now, nil)
+	list := Event{Kind: EventEndpoints, EndpointListKind: EndpointListCached, Age: time.Hour}
+	for _, id := range []EndpointID{cacheA, cacheB, cacheC, cacheD, parentP, parentQ, origin} {
+		listed := member(id)
+		listed.Weight = f.link
+		if id == f.cold {
+			listed.StartedAt = f.start - startedAt
+		}
+		list.Endpoints = append(list.Endpoints, listed)
+	}
+	started.handle(&list)
+	return started
+}
+
+// isTurnOf reports whether a moment after the start falls into this turn.
+func (f *fleetRun) isTurnOf(moment time.Duration) bool {
+	age := f.now - f.start
+	return moment > 0 && age >= moment && age < moment+fleetTurn
+}
+
+func (f *fleetRun) turn() {
+	if f.isTurnOf(f.restartAt) {
+		f.restartRouters()
+	}
+	if f.isTurnOf(f.lostAt) {
+		f.loseNeighbours()
+	}
+	for i, router := range f.routers {
+		router.now = f.now - f.startedAt[i]
+		if (f.now/tickInterval)*tickInterval == f.now {
+			router.handle(&Event{Kind: EventTimer, Timer: timerTick})
+			f.carryOut(i)
 		}
-		b.handle(&e)
-		return b
+		f.sendRequests(i)
 	}
-	begun := make([]time.Duration, f.routers)
+	f.pending = slices.DeleteFunc(f.pending, func(p pendingResult) bool {
+		if p.at > f.now {
+			return false
+		}
+		f.deliver(&p)
+		return true
+	})
+}
+
+func (f *fleetRun) restartRouters() {
 	for i := range f.routers {
-		fleet = append(fleet, process(i, 0, start))
-		x := math.Exp(rng.float()*3 - 1.5) // some get twenty times what others do
-		share = append(share, x)
-		total += x
-	}
-	for i := range share {
-		share[i] /= total
-	}
-	type due struct {
-		at     time.Duration
-		router int
-		view   RequestID
-		leg    AttemptNumber
-		node   EndpointID
-		note   Note
-		fails  bool
-	}
-	var dues []due
-	holds := map[EndpointID]map[ObjectID]bool{}
-	for _, n := range []EndpointID{cacheA, cacheB, cacheC, cacheD} {
-		holds[n] = map[ObjectID]bool{}
-	}
-	views, good := 0.0, 0.0
-	id := RequestID(0)
-	length := set.SlowStartFor
-	if f.parent {
-		length = set.ParentSlowStartFor
-	}
-	const turn = 10 * ms
-	for now := start; now < start+length; now += turn {
-		if f.restartAt > 0 && now-start >= f.restartAt && now-start < f.restartAt+turn {
-			for i := range fleet {
-				if i%10 < f.restarted {
-					begun[i] = now
-					fleet[i] = process(i, now, now)
-				}
-			}
-			dues = slices.DeleteFunc(dues, func(d due) bool { return d.router%10 < f.restarted })
+		if i%10 < f.restarted {
+			f.startedAt[i] = f.now
+			f.routers[i] = f.startRouter(i, f.now)
 		}
-		if f.lostAt > 0 && now-start >= f.lostAt && now-start < f.lostAt+turn {
-			for _, b := range fleet { // all hear of it at once
-				b.now = now - begun[slices.Index(fleet, b)]
-				lost := []EndpointID{cacheB, cacheC, cacheD}
-				if f.parent {
-					lost = []EndpointID{parentQ}
-				}
-				for _, n := range lost {
-					b.change(n, Gone, LongAgo)
-				}
-			}
+	}
+	f.pending = slices.DeleteFunc(f.pending, func(p pendingResult) bool { return p.router%10 < f.restarted })
+}
+
+// loseNeighbours tells all routers at once.
+func (f *fleetRun) loseNeighbours() {
+	for i, router := range f.routers {
+		router.now = f.now - f.startedAt[i]
+		for _, id := range f.lost {
+			router.change(id, Gone, LongAgo)
 		}
-		take := func(i int, acts []Action) {
-			for _, a := range acts {
-				if a.Kind != ActionSend {
-					continue
-				}
-				v := fleet[i].router.requests.find(a.Request)
-				work := float64(v.transferTime) / float64(100*ms)
-				filled := a.Source != a.Endpoint && !holds[a.Endpoint][v.object]
-				if a.Endpoint == cold || a.Source == cold && filled {
-					got = append(got, arrival{now, work})
-				}
-				fails := f.failing && (a.Endpoint == cold || a.Source == cold && filled)
-				note := NoteHit
-				if filled && !fails {
-					note, holds[a.Endpoint][v.object] = NoteFilled, true
-				}
-				took := time.Duration(float64(v.transferTime) * 1.1)
-				dues = append(dues, due{now + took, i, a.Request, AttemptNumber(v.attemptCount - 1), a.Endpoint, note, fails})
-			}
+	}
+}
+
+// sendRequests brings a router its requests of a turn.
+func (f *fleetRun) sendRequests(router int) {
+	rate := f.share[router] * 60 * f.link * fleetTurn.Seconds()
+	if f.lostAt > f.now-f.start {
+		rate *= f.quiet
+	}
+	for sent := f.random.float(); sent < rate; sent++ {
+		f.requests++
+		f.routers[router].handle(&Event{
+			Kind: EventRequest, Request: RequestID(f.requests), TimeLeft: 3 * time.Second,
+			Object: ObjectID(f.random.float() * 30000 * f.link), SizeKB: 20 + 160*f.random.float(),
+		})
+		f.carryOut(router)
+	}
+}
+
+// carryOut carries out the attempts that a router wants sent.
+func (f *fleetRun) carryOut(router int) {
+	for _, action := range f.routers[router].actions {
+		if action.Kind != ActionSend {
+			continue
 		}
-		for i, b := range fleet {
-			b.now = now - begun[i]
-			if (now/(20*ms))*(20*ms) == now {
-				b.handle(&Event{Kind: EventTimer, Timer: timerTick})
-				take(i, b.actions)
-			}
-			rate := share[i] * 60 * f.link * turn.Seconds()
-			if f.lostAt > now-start {
-				rate *= f.quiet
-			}
-			for n := rng.float(); n < rate; n++ {
-				id++
-				views++
-				b.handle(&Event{Kind: EventRequest, Request: id, Object: ObjectID(rng.float() * 30000 * f.link), SizeKB: 20 + 160*rng.float(), TimeLeft: 3 * time.Second})
-				take(i, b.actions)
-			}
+		req := f.routers[router].router.requests.find(action.Request)
+		needsFill := action.Source != action.Endpoint && !f.cached[action.Endpoint][req.object]
+		reachesCold := action.Endpoint == f.cold || action.Source == f.cold && needsFill
+		if reachesCold {
+			f.arrivals = append(f.arrivals, arrival{f.now, float64(req.transferTime) / float64(100*ms)})
 		}
-		dues = slices.DeleteFunc(dues, func(d due) bool {
-			if d.at > now {
-				return false
-			}
-			b := fleet[d.router]
-			e := Event{Kind: EventAttemptResult, Request: d.view, Attempt: d.leg, Endpoint: d.node, Outcome: Succeeded, Note: d.note, Final: true, Elapsed: 100 * ms}
-			if d.fails {
-				e.Outcome, e.Note, e.Final = Failed, NoteSourceUnreachable, false
-			} else if v := b.router.requests.find(d.view); v != nil && v.open {
-				good++
-			}
-			b.handle(&e)
-			take(d.router, b.actions)
-			return true
+		fails := f.failing && reachesCold
+		note := NoteHit
+		if needsFill && !fails {
+			note = NoteFilled
+			f.cached[action.Endpoint][req.object] = true
+		}
+		took := time.Duration(float64(req.transferTime) * 1.1)
+		f.pending = append(f.pending, pendingResult{
+			at: f.now + took, router: router, request: action.Request, attempt: AttemptNumber(req.attemptCount - 1),
+			endpoint: action.Endpoint, note: note, fails: fails,
 		})
 	}
-	return got, good / views
 }
 
-// worst is the highest ratio, over all windows, of the work that reached the node to what it bears without falling: N
-// and twice its root and two more, N as the settings allow it at the window's end.
-func (f *coldFleet) worst(set Settings, start time.Duration, got []arrival) (worst float64) {
-	least, over, multiple := set.SlowStartShare, set.SlowStartFor, set.OverloadFactor
-	if f.parent {
-		least, over, multiple = set.ParentSlowStartShare, set.ParentSlowStartFor, set.ParentOverloadFactor
+// deliver tells a router the result of an attempt.
+func (f *fleetRun) deliver(p *pendingResult) {
+	router := f.routers[p.router]
+	event := Event{
+		Kind: EventAttemptResult, Request: p.request, Attempt: p.attempt, Endpoint: p.endpoint,
+		Outcome: Succeeded, Note: p.note, Final: true, Elapsed: 100 * ms,
+	}
+	if p.fails {
+		event.Outcome, event.Note, event.Final = Failed, NoteSourceUnreachable, false
+	} else if req := router.router.requests.find(p.request); req != nil && req.open {
+		f.served++
+	}
+	router.handle(&event)
+	f.carryOut(p.router)
+}
+
+// worst is the highest ratio, over all windows, of the work that reached the endpoint to what it bears without
+// falling: N and twice its root and two more, N as the settings allow it at the window's end.
+func (f *coldFleet) worst(settings Settings, start time.Duration, arrivals []arrival) (worst float64) {
+	initial, duration, multiple := settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor
+	if f.isParent {
+		initial, duration = settings.ParentSlowStartShare, settings.ParentSlowStartFor
+		multiple = settings.ParentOverloadFactor
 	}
-	from, sum := 0, 0.0
-	for _, a := range got {
-		sum += a.work
-		for got[from].at <= a.at-set.OverloadWindow {
-			sum -= got[from].work
-			from++
+	first, sum := 0, 0.0
+	for _, last := range arrivals {
+		sum += last.work
+		for arrivals[first].at <= last.at-settings.OverloadWindow {
+			sum -= arrivals[first].work
+			first++
 		}
-		warm := least + (1-least)*float64(a.at-start)/float64(over)
-		n := multiple * warm * f.link / 0.1 * set.OverloadWindow.Seconds() // requests of mean work, a tenth of a second each
-		worst = math.Max(worst, sum/(n+2*math.Sqrt(n)+2))
+		warm := initial + (1-initial)*float64(last.at-start)/float64(duration)
+		// Requests of mean work, a tenth of a second each.
+		bearable := multiple * warm * f.link / 0.1 * settings.OverloadWindow.Seconds()
+		worst = math.Max(worst, sum/(bearable+2*math.Sqrt(bearable)+2))
 	}
 	return worst
 }
 
-// Rule 4 over the fleet: however many routers there are, however uneven their traffic, and when a neighbour of the
-// cold node is lost at any moment, all of them together stay within its budget. The cost is seen in the part of views
+// fleetSettings are settings that tell the links, and allow no way past the caches.
+func fleetSettings() Settings {
+	settings := testSettings()
+	settings.WeightIsLinkCapacity, settings.AllowDirect = true, false
+	return settings
+}
+
+// run plays the fleet, and returns the worst ratio and a text for the log.
+func (f *coldFleet) run() (ratio float64, text string) {
+	start, settings := time.Minute, fleetSettings()
+	arrivals, served := f.play(settings, start)
+	ratio = f.worst(settings, start, arrivals)
+	return ratio, fmt.Sprintf("%.2f of what it bears, %.2f served", ratio, served)
+}
+
+// Rule 4 over the fleet: however many routers there are, however uneven their traffic, and when a neighbour of the cold
+// endpoint is lost at any moment, all of them together stay within its budget. The cost is seen in the part of requests
 // that is served.
-func TestColdNodeAndManyRouters(t *testing.T) {
-	start := time.Minute
+func TestColdEndpointAndManyRouters(t *testing.T) {
 	for _, routers := range []int{1, 4, 20, 300} {
 		for _, link := range []float64{1, 60} {
-			for _, parent := range []bool{false, true} {
+			for _, isParent := range []bool{false, true} {
 				for _, failing := range []bool{false, true} {
-					text, worst := "", 0.0
-					for seed, lost := range []time.Duration{0, 3 * time.Second, 9 * time.Second, 13 * time.Second} {
-						set := testSettings()
-						set.WeightIsLinkCapacity, set.AllowDirect = true, false
-						f := coldFleet{routers: routers, link: link, parent: parent, lostAt: lost, quiet: 0.1, failing: failing, seed: uint64(seed + 1)}
-						got, served := f.play(set, start)
-						ratio := f.worst(set, start, got)
-						worst = max(worst, ratio)
-						text += fmt.Sprintf("  lost at %2.0f s: %.2f of what it bears, %.2f served", lost.Seconds(), ratio, served)
-					}
-					what := fmt.Sprintf("%3d routers, link of %2g, parent %-5v failing %-5v", routers, link, parent, failing)
-					t.Logf("%s%s", what, text)
-					if worst > 1 {
-						t.Errorf("%s: the cold node falls, at %.2f of what it bears", what, worst)
-					}
+					name := fmt.Sprintf("%d routers, link of %g, parent %v, failing %v", routers, link, isParent, failing)
+					fleet := coldFleet{routers: routers, link: link, isParent: isParent, quiet: 0.1, failing: failing}
+					t.Run(name, func(t *testing.T) { testLostNeighbours(t, fleet) })
 				}
 			}
 		}
 	}
 }
 
-// Most or all routers are killed and start anew at once, some time after a server started cold: each of them meets the
-// server for the first time, and all together stay within its budget.
-func TestColdNodeAndManyRestarts(t *testing.T) {
-	start := time.Minute
+func testLostNeighbours(t *testing.T, fleet coldFleet) {
+	t.Helper()
+	for seed, lostAt := range []time.Duration{0, 3 * time.Second, 9 * time.Second, 13 * time.Second} {
+		fleet.lostAt, fleet.seed = lostAt, uint64(seed+1)
+		ratio, text := fleet.run()
+		t.Logf("lost at %2.0f s: %s", lostAt.Seconds(), text)
+		if ratio > 1 {
+			t.Errorf("lost at %v: the cold endpoint falls, at %.2f of what it bears", lostAt, ratio)
+		}
+	}
+}
+
+// Most or all routers are killed and start anew at once, some time after an endpoint started cold: each of them meets
+// it for the first time, and all together stay within its budget.
+func TestColdEndpointAndManyRestarts(t *testing.T) {
 	for _, routers := range []int{4, 20, 300} {
 		for _, link := range []float64{1, 10, 60} {
-			for _, parent := range []bool{false, true} {
-				text, worst := "", 0.0
-				for seed, c := range []struct {
-					at        time.Duration
-					restarted int
-					quiet     float64
-				}{{500 * ms, 7, 1}, {time.Second, 10, 1}, {3 * time.Second, 10, 1}, {6 * time.Second, 7, 0.1}} {
-					set := testSettings()
-					set.WeightIsLinkCapacity, set.AllowDirect = true, false
-					f := coldFleet{
-						routers: routers, link: link, parent: parent, lostAt: c.at + 2*time.Second, quiet: c.quiet,
-						seed: uint64(seed + 1), restartAt: c.at, restarted: c.restarted,
-					}
-					got, served := f.play(set, start)
-					ratio := f.worst(set, start, got)
-					worst = max(worst, ratio)
-					text += fmt.Sprintf("  %d of 10 at %.1f s: %.2f of what it bears, %.2f served", c.restarted, c.at.Seconds(), ratio, served)
-				}
-				what := fmt.Sprintf("%3d routers, link of %2g, parent %-5v", routers, link, parent)
-				t.Logf("%s%s", what, text)
-				if worst > 1 {
-					t.Errorf("%s: the cold node falls, at %.2f of what it bears", what, worst)
-				}
+			for _, isParent := range []bool{false, true} {
+				name := fmt.Sprintf("%d routers, link of %g, parent %v", routers, link, isParent)
+				fleet := coldFleet{routers: routers, link: link, isParent: isParent}
+				t.Run(name, func(t *testing.T) { testRestartedRouters(t, fleet) })
 			}
 		}
 	}
 }
+
+func testRestartedRouters(t *testing.T, fleet coldFleet) {
+	t.Helper()
+	for seed, restart := range []struct {
+		at        time.Duration
+		restarted int
+		quiet     float64
+	}{
+		{500 * ms, 7, 1},
+		{time.Second, 10, 1},
+		{3 * time.Second, 10, 1},
+		{6 * time.Second, 7, 0.1},
+	} {
+		fleet.lostAt, fleet.quiet, fleet.seed = restart.at+2*time.Second, restart.quiet, uint64(seed+1)
+		fleet.restartAt, fleet.restarted = restart.at, restart.restarted
+		ratio, text := fleet.run()
+		t.Logf("%d of 10 at %.1f s: %s", restart.restarted, restart.at.Seconds(), text)
+		if ratio > 1 {
+			t.Errorf("restart at %v: the cold endpoint falls, at %.2f of what it bears", restart.at, ratio)
+		}
+	}
+}
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -5,38 +5,41 @@
 	"time"
 )
 
-// Rule 4: a cache that just started has a fifth of its slots, and a budget besides; the rest goes to its neighbour.
+// Rule 4: a cache that just started has a fifth of its objects, and a budget besides; the rest goes to its neighbour.
 func Example_coldCache() {
-	b := newHarness(testSettings(), cacheA, cacheB)
-	b.change(cacheA, Ready, b.now)
+	harness := newHarness(testSettings(), cacheA, cacheB)
+	harness.change(cacheA, Ready, harness.now)
 	toA, sent := 0, 0
-	for o := ObjectID(1); sent < 20; o++ {
-		if b.ownerOf(o) != cacheA {
+	for object := ObjectID(1); sent < 20; object++ {
+		if harness.ownerOf(object) != cacheA {
 			continue
 		}
 		sent++
-		b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, SizeKB: 100, TimeLeft: time.Second}, b.actions[:0])
-		if b.actions[0].Endpoint == cacheA {
+		harness.actions = harness.router.Handle(harness.now, &Event{
+			Kind: EventRequest, Request: RequestID(object), Object: object, SizeKB: 100, TimeLeft: time.Second,
+		}, harness.actions[:0])
+		if harness.actions[0].Endpoint == cacheA {
 			toA++
 		}
 	}
-	b.now += 17 * time.Second
-	b.request(1000, 0, b.firstObject(cacheA, parentP))
+	harness.now += 17 * time.Second
+	harness.request(1000, readClass, harness.firstObject(cacheA, parentP))
 	fmt.Printf("%d of 20 went to A while it was cold\n", toA)
 	// Output:
 	//  17.00s request 1000: attempt to A, fill from B, only if cached
 	// 1 of 20 went to A while it was cold
 }
 
-// Rule 4, found by a hunt on counter-net: a fresh router that knows no sizes, and a location that is all cold. Until
-// sizes are known a view weighs its due time, so that few go before anything is learned.
+// Rule 4, found on counter-net: a fresh router that knows no sizes, and a location that is all cold. Until
+// sizes are known a request weighs its objective, so that few go before anything is learned.
 func Example_coldCacheAndUnknownSizes() {
-	b := newHarness(testSettings(), cacheA)
-	b.change(cacheA, Ready, b.now)
+	harness := newHarness(testSettings(), cacheA)
+	harness.isMuted = true
+	harness.change(cacheA, Ready, harness.now)
 	sent := 0
-	for o := ObjectID(1); o <= 200; o++ {
-		b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.actions[:0])
-		if b.actions[0].Endpoint == cacheA {
+	for object := ObjectID(1); object <= 200; object++ {
+		harness.requestUntoldSize(RequestID(object), object, time.Second)
+		if harness.actions[0].Endpoint == cacheA {
 			sent++
 		}
 	}
@@ -45,22 +48,22 @@
 	// 1 of 200 went to A at once
 }
 
-// Rule 4, found on branch-library grown: twenty routers share a location, and each is less than one view of a cold
-// cache's budget. They take turns, from a start by chance, in place of one view each at once.
+// Rule 4, found on branch-library grown: twenty routers share a location, and each has less than one request of a
+// cold cache's budget. They take turns, from a random start, in place of one request each at once.
 func Example_coldCacheAndManyRouters() {
-	set := testSettings()
-	set.Routers, set.ZoneRouters = 20, []int{0, 0, 20}
+	settings := testSettings()
+	settings.Routers, settings.ZoneRouters = 20, []int{0, 0, 20}
 	sent := 0
 	for seed := range 20 {
-		b := newHarness(set, cacheA)
-		b.router.random, b.isMuted = newPCG(uint64(seed)), true
-		b.change(cacheA, Ready, b.now)
-		for o := ObjectID(1); o <= 300; o++ {
-			b.actions = b.router.Handle(b.now, &Event{Kind: EventRequest, Request: RequestID(o), Object: o, TimeLeft: time.Second}, b.actions[:0])
-			if b.actions[0].Endpoint == cacheA {
+		harness := newHarness(settings, cacheA)
+		harness.router.random, harness.isMuted = newPCG(uint64(seed)), true
+		harness.change(cacheA, Ready, harness.now)
+		for object := ObjectID(1); object <= 300; object++ {
+			harness.requestUntoldSize(RequestID(object), object, time.Second)
+			if harness.actions[0].Endpoint == cacheA {
 				sent++
 			}
-			b.now += 20 * ms
+			harness.now += 20 * ms
 		}
 	}
 	fmt.Printf("%d in 6 s; 3 within 3 s would push it over\n", sent)
@@ -68,17 +71,17 @@
 	// 4 in 6 s; 3 within 3 s would push it over
 }
 
-// Settings without the figures of cold nodes: nothing is known to be borne, so a cold cache gets no herd.
+// Settings without the figures of slow start: a cold cache is not known to bear anything, so it gets almost nothing.
 func Example_slowStartSettingsMissing() {
-	set := testSettings()
-	set.SlowStartShare, set.OverloadFactor = 0, 0
-	b := newHarness(set, cacheA)
-	b.isMuted = true
-	b.change(cacheA, Ready, b.now)
+	settings := testSettings()
+	settings.SlowStartShare, settings.OverloadFactor = 0, 0
+	harness := newHarness(settings, cacheA)
+	harness.isMuted = true
+	harness.change(cacheA, Ready, harness.now)
 	sent := 0
 	for id := RequestID(1); id <= 50; id++ {
-		b.request(id, 0, ObjectID(id))
-		if b.actions[0].Endpoint == cacheA {
+		harness.request(id, readClass, ObjectID(id))
+		if harness.actions[0].Endpoint == cacheA {
 			sent++
 		}
 	}
