--- /dev/null
+++ b/policy/routing/outlier_test.go
@@ -0,0 +1,127 @@
+package routing
+
+import (
+	"time"
+)
+
+// A parent that is not reached: origin fills at first, after 10 s its arc is the next parent's, with trials between;
+// once listed gone and back ready it has its arc again.
+func Example_parentLoss() {
+	harness := newHarness(testSettings(), cacheA)
+	object := harness.firstObject(cacheA, parentP)
+	for id := RequestID(1); id <= 3; id++ {
+		harness.request(id, readClass, object)
+		if id < 3 {
+			harness.result(id, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
+		}
+		harness.result(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
+	}
+	harness.advance(10 * time.Second)
+	harness.request(4, readClass, object) // due for a trial
+	harness.result(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
+	harness.result(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
+	harness.request(5, readClass, object)
+	harness.result(5, cacheA, 150*ms, Succeeded, NoteFilled)
+	// Output:
+	//   0.00s request 1: attempt to A, fill from P
+	//   0.02s request 1: attempt to A, fill from origin
+	//   0.17s request 2: attempt to A, fill from P
+	//   0.19s request 2: attempt to A, fill from origin
+	//   0.34s request 3: attempt to A, fill from origin
+	//  10.49s request 4: attempt to A, fill from P
+	//  10.51s request 4: attempt to A, fill from origin
+	//  10.66s request 5: attempt to A, fill from Q
+}
+
+// Found on depot-records: clients ask for what no endpoint can do, and all endpoints say so. Each request is rejected
+// once two have, and no endpoint is ejected; one that errs where another does not is ejected, and what ends many
+// attempts at once counts once.
+func Example_requestsOwnFault() {
+	harness := newHarness(testSettings(), cacheA, cacheB)
+	object := harness.firstObject(cacheA, parentP)
+	harness.isMuted = true
+	for id := RequestID(1); id <= 8; id++ {
+		harness.request(id, readClass, object)
+		harness.result(id, cacheA, ms, Failed, NoteNone)
+		harness.result(id, cacheB, ms, Failed, NoteNone)
+	}
+	harness.isMuted = false
+	harness.request(9, readClass, object)
+	harness.result(9, cacheA, ms, Failed, NoteNone)
+	harness.result(9, cacheB, ms, Failed, NoteNone)
+	harness.isMuted = true
+	for id := RequestID(10); id <= 16; id++ {
+		harness.request(id, readClass, object)
+	}
+	for id := RequestID(10); id <= 16; id++ {
+		harness.result(id, cacheA, 0, ConnectionBroken, NoteNone)
+		harness.result(id, cacheB, 0, Succeeded, NoteHit)
+	}
+	harness.isMuted = false
+	for id := RequestID(17); id <= 21; id++ {
+		harness.request(id, readClass, object)
+		if id < 20 {
+			harness.result(id, cacheA, ms, Failed, NoteNone)
+		}
+		harness.result(id, cacheB, 100*ms, Succeeded, NoteHit)
+	}
+	// Output:
+	//   0.02s request 9: attempt to A, fill from P
+	//   0.02s request 9: attempt to B, fill from P
+	//   0.02s request 9: rejected
+	//   0.02s request 17: attempt to A, fill from P
+	//   0.02s request 17: attempt to B, fill from P
+	//   0.12s request 18: attempt to A, fill from P
+	//   0.12s request 18: attempt to B, fill from P
+	//   0.22s request 19: attempt to A, fill from P
+	//   0.22s request 19: attempt to B, fill from P
+	//   0.32s request 20: attempt to B, fill from P
+	//   0.42s request 21: attempt to B, fill from P
+}
+
+// Found on branch-library grown: all caches break some connections, none is lost. They are ejected one by one, and then
+// all are asked all the same; one that answers from a cached copy is not taken for restarted.
+func Example_brokenEverywhere() {
+	settings := testSettings()
+	settings.AllowDirect = false
+	harness := newHarness(settings, cacheA, cacheB)
+	harness.isMuted = true
+	object := harness.firstObject(cacheA, parentP)
+	for id := RequestID(1); id <= 4; id++ {
+		harness.request(id, readClass, object)
+		harness.result(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
+		harness.result(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
+	}
+	harness.isMuted = false
+	for id := RequestID(5); id <= 8; id++ {
+		harness.request(id, readClass, object)
+		harness.result(id, cacheA, 300*ms, Succeeded, NoteHit)
+	}
+	// Output:
+	//   0.08s request 5: attempt to A, fill from P
+	//   0.38s request 6: attempt to A, fill from P
+	//   0.68s request 7: attempt to A, fill from P
+	//   0.98s request 8: attempt to A, fill from P
+}
+
+// Found on branch-library: a parent that begins its fills in good time, and then is slow, counts as failing.
+func Example_draggingParent() {
+	harness := newHarness(testSettings(), cacheA)
+	for id := RequestID(1); id <= 6; id++ {
+		harness.request(id, readClass, 7+ObjectID(id)*1000)
+		harness.advance(2 * time.Second)
+		harness.handle(&Event{
+			Kind: EventAttemptResult, Request: id, Endpoint: cacheA, Outcome: Succeeded, Note: NoteFilled,
+			Elapsed: 2 * time.Second, FirstByteWait: 20 * ms, Final: true,
+		})
+	}
+	// Output:
+	//   0.00s request 1: attempt to A, fill from P
+	//   2.00s request 2: attempt to A, fill from Q
+	//   2.36s request 2: attempt to A, fill from origin
+	//   4.00s request 2: attempt 1 cancelled
+	//   4.00s request 3: attempt to A, fill from P
+	//   6.00s request 4: attempt to A, fill from Q
+	//   8.00s request 5: attempt to A, fill from origin
+	//  10.00s request 6: attempt to A, fill from P
+}
--- /dev/null
+++ b/policy/routing/relay_test.go
@@ -0,0 +1,26 @@
+package routing
+
+import (
+	"time"
+)
+
+// Objects of an arc that moved are filled from its previous owner for 30 s, if that has a copy, then from the parent.
+func Example_relay() {
+	harness := newHarness(testSettings(), cacheA, cacheB)
+	object := harness.firstObject(cacheA, parentP)
+	harness.change(cacheA, Draining, LongAgo)
+	harness.request(1, readClass, object)
+	harness.result(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
+	harness.result(1, cacheB, 150*ms, Succeeded, NoteFilled)
+	harness.change(cacheA, Ready, LongAgo) // back before its grace ran out: the arc moves again
+	harness.request(2, readClass, object)
+	harness.result(2, cacheA, 120*ms, Succeeded, NoteFilled)
+	harness.advance(31 * time.Second)
+	harness.request(3, readClass, object)
+	harness.result(3, cacheA, 110*ms, Succeeded, NoteHit)
+	// Output:
+	//   0.00s request 1: attempt to B, fill from A, only if cached
+	//   0.02s request 1: attempt to B, fill from P
+	//   0.17s request 2: attempt to A, fill from B, only if cached
+	//  31.29s request 3: attempt to A, fill from P
+}
