--- /dev/null
+++ b/internal/resp/decoder_test.go
@@ -0,0 +1,139 @@
+package resp
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// threeFrames is a ping, a frame that ends in an empty string, and one whose string looks like a frame.
+const threeFrames = "*2\r\n$4\r\nPING\r\n$1\r\n8\r\n" +
+	"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n$0\r\n\r\n" +
+	"*1\r\n$6\r\n\r\n*1\r\n\r\n"
+
+// smallRing is a bound that several frames in a row do not fit.
+const smallRing = 64
+
+// decode feeds a stream in pieces that end at the cuts, and returns the frames as text.
+func decode(stream string, bound int, cuts ...int) (string, error) {
+	ring := Ring{Bound: bound}
+	decoder := Decoder{Args: 4, Size: 40, Most: bound}
+	var frames []string
+	joined := func() string { return strings.Join(frames, " | ") }
+	from := 0
+	for _, to := range append(cuts, len(stream)) {
+		for piece := []byte(stream[from:to]); len(piece) > 0; {
+			n := ring.Append(piece)
+			if n == 0 {
+				return joined(), fmt.Errorf("%d bytes found no room", len(piece))
+			}
+			piece = piece[n:]
+			for {
+				args, err := decoder.Next(&ring)
+				if err != nil {
+					return joined(), err
+				}
+				if args == nil {
+					break
+				}
+				frames = append(frames, fmt.Sprintf("%q", args))
+			}
+		}
+		from = to
+	}
+	return joined(), nil
+}
+
+// Frames are the same in whatever pieces they come, and in a ring that they wrap around.
+func TestDecoderSplits(t *testing.T) {
+	stream := strings.Repeat(threeFrames, 3)
+	want, err := decode(stream, 1<<10)
+	if err != nil || strings.Count(want, "|") != 8 || !strings.Contains(want, `["DO" "9" ""]`) {
+		t.Fatalf("whole: %s, %v", want, err)
+	}
+	everyByte := make([]int, len(stream)-1)
+	for i := range everyByte {
+		everyByte[i] = i + 1
+		for _, bound := range []int{smallRing, 1 << 10} {
+			if got, err := decode(stream, bound, i+1); got != want || err != nil {
+				t.Errorf("cut at %d, ring of %d: %s, %v", i+1, bound, got, err)
+			}
+		}
+	}
+	if got, err := decode(stream, smallRing, everyByte...); got != want || err != nil {
+		t.Errorf("byte by byte: %s, %v", got, err)
+	}
+}
+
+// What breaks the framing is an error when it is announced, and no frame comes of it.
+func TestMalformedFrames(t *testing.T) {
+	for name, stream := range map[string]string{
+		"no array":            "PING\r\n",
+		"empty array":         "*0\r\n",
+		"null array":          "*-1\r\n",
+		"too many strings":    "*5\r\n",
+		"null string":         "*1\r\n$-1\r\n",
+		"string too long":     "*1\r\n$41\r\n",
+		"string far too long": "*1\r\n$99999999999999\r\n",
+		"frame too long":      "*3\r\n$40\r\n" + strings.Repeat("x", 40) + "\r\n$30\r\n",
+		"no count":            "*\r\n",
+		"no CR":               "*1\n",
+		"no LF":               "*1\r\r",
+		"length is no number": "*1\r\n$1x\r\n",
+		"string without end":  "*1\r\n$1\r\nab\r\n",
+		"number for a string": "*1\r\n:1\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got, err := decode(stream, smallRing); got != "" || !errors.Is(err, ErrFraming) {
+				t.Errorf("%q: %s, %v", stream, got, err)
+			}
+		})
+	}
+}
+
+func TestPartialFrame(t *testing.T) {
+	for stream, want := range map[string]string{
+		"":                                    `[]`,
+		"*3\r\n$2\r\nDO\r\n$1\r\n9":           `["DO"]`,
+		"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n":       `["DO" "9"]`,
+		"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n$4\r\n": `["DO" "9"]`,
+		"PING":                                `[]`,
+	} {
+		ring := Ring{Bound: smallRing}
+		ring.Append([]byte(stream))
+		decoder := Decoder{Args: 4, Size: 40, Most: smallRing}
+		if got := fmt.Sprintf("%q", decoder.Partial(&ring)); got != want {
+			t.Errorf("%q: %s, not %s", stream, got, want)
+		}
+	}
+}
+
+func ExampleField() {
+	for rest := []byte("how=local,slow=1.5,,bare,a=b=c"); len(rest) > 0; {
+		var name, value []byte
+		name, value, rest = Field(rest)
+		fmt.Printf("%s:%s\n", name, value)
+	}
+	// Output:
+	// how:local
+	// slow:1.5
+	// :
+	// bare:
+	// a:b=c
+}
+
+// FuzzDecoder feeds any stream: none may crash the decoder, and a cut changes nothing.
+func FuzzDecoder(f *testing.F) {
+	f.Add(threeFrames, 5)
+	f.Add("*2\r\n$1\r\na\r\n$41\r\n", 9)
+	f.Add("*1\r\n$", 3)
+	f.Fuzz(func(t *testing.T, stream string, cut int) {
+		whole, err := decode(stream, smallRing)
+		if cut = min(max(cut, 0), len(stream)); cut > 0 {
+			if split, other := decode(stream, smallRing, cut); split != whole || (err == nil) != (other == nil) {
+				t.Errorf("whole: %s, %v; cut at %d: %s, %v", whole, err, cut, split, other)
+			}
+		}
+	})
+}
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -1,13 +1,11 @@
 package resp
 
-// This file owns the framing of the answers of a store: RESP2 replies out of a ring, each whole or not at all. A length is
-// checked against the bounds when it is announced. It must never touch a socket or know a command.
-
 import "strconv"
 
-// Kind is what a reply is.
+// Kind is what a reply is: the sign with which it begins.
 type Kind byte
 
+// The kinds of RESP2.
 const (
 	Simple Kind = '+'
 	Error  Kind = '-'
@@ -16,125 +14,173 @@
 	Array  Kind = '*'
 )
 
+// nullLength is the length that announces a null.
+const nullLength = -1
+
+// maxNumberBytes is the longest text of a number.
+const maxNumberBytes = 24
+
 // Reply is one reply, or one part of an array; its bytes hold until the next call.
 type Reply struct {
 	Kind Kind
-	Null bool // a bulk string or an array that is none
+	Null bool // a bulk string or an array that is null
 	Text []byte
 	Int  int64
 	Len  int // parts of an array, which follow it
 }
 
-// Replies finds whole replies in a ring. The zero value must be given its bounds.
+// Replies finds whole replies of RESP2 in a ring, each whole or not at all. It checks a length when it is announced,
+// not when its bytes have come. The zero value must be given its bounds.
 type Replies struct {
 	Size  int // most bytes in a string
 	Line  int // most bytes in a line
 	Parts int // most parts in a reply, those of arrays in arrays counted
 
-	at    int // where the next part begins; heads before it were looked at
-	left  int // parts to come
-	drop  int // bytes of the reply handed out last
-	parts []place
-	out   []Reply
+	position  int // of the next part; those before it have been parsed
+	remaining int // parts to come
+	taken     int // bytes of the reply handed out last
+	parts     []part
+	replies   []Reply
 }
 
-type place struct {
+// part is a reply, or one part of an array: its kind and where in the ring its text lies.
+type part struct {
 	kind     Kind
-	null     bool
+	isNull   bool
 	from, to int
-	n        int64
+	number   int64 // its value, or the length that it announces
 }
 
 // Next returns the parts of the next whole reply, an array before its parts, or none if more bytes are needed.
 func (d *Replies) Next(r *Ring) ([]Reply, error) {
-	if d.drop > 0 {
-		r.Drop(d.drop)
-		d.drop = 0
+	if d.taken > 0 {
+		r.Drop(d.taken)
+		d.taken = 0
 	}
-	if d.at == 0 {
-		d.left, d.parts = 1, d.parts[:0]
+	if d.position == 0 {
+		d.remaining, d.parts = 1, d.parts[:0]
 	}
-	for d.left > 0 {
-		p, used, err := d.part(r)
+	for d.remaining > 0 {
+		next, used, err := d.parsePart(r)
 		if err != nil || used == 0 {
 			return nil, err
 		}
-		d.at += used
-		d.left--
-		if p.kind == Array && !p.null {
-			d.left += int(p.n)
+		d.position += used
+		d.remaining--
+		if next.kind == Array && !next.isNull {
+			d.remaining += int(next.number)
 		}
-		if d.parts = append(d.parts, p); len(d.parts)+d.left > d.Parts {
+		d.parts = append(d.parts, next)
+		if len(d.parts)+d.remaining > d.Parts {
 			return nil, ErrFraming
 		}
 	}
-	whole := r.First(d.at)
-	d.out = d.out[:0]
-	for _, p := range d.parts {
-		d.out = append(d.out, Reply{Kind: p.kind, Null: p.null, Text: whole[p.from:p.to], Int: p.n, Len: int(p.n)})
+	whole := r.First(d.position)
+	d.replies = d.replies[:0]
+	for i := range d.parts {
+		p := &d.parts[i]
+		d.replies = append(d.replies, Reply{
+			Kind: p.kind,
+			Null: p.isNull,
+			Text: whole[p.from:p.to],
+			Int:  p.number,
+			Len:  int(p.number),
+		})
 	}
-	d.drop, d.at = d.at, 0
-	return d.out, nil
+	d.taken, d.position = d.position, 0
+	return d.replies, nil
 }
 
-// part reads one part at the place come to; used is 0 while it is not whole.
-func (d *Replies) part(r *Ring) (p place, used int, err error) {
-	if d.at >= r.Len() {
-		return p, 0, nil
-	}
-	p.kind = Kind(r.At(d.at))
-	end := d.at + 1
-	for ; ; end++ {
-		if end-d.at > d.Line {
-			return p, 0, ErrFraming
-		}
-		if end+1 >= r.Len() {
-			return p, 0, nil
-		}
-		if r.At(end) == '\r' {
-			break
-		}
+// parsePart reads the part at the current position; used is 0 while it is not whole.
+func (d *Replies) parsePart(r *Ring) (next part, used int, err error) {
+	lineLength, isWhole, err := d.findLine(r)
+	if !isWhole || err != nil {
+		return part{}, 0, err
 	}
-	if r.At(end+1) != '\n' {
-		return p, 0, ErrFraming
+	next = part{
+		kind: Kind(r.At(d.position)),
+		from: d.position + 1,
+		to:   d.position + lineLength,
 	}
-	p.from, p.to = d.at+1, end
-	used = end + 2 - d.at
-	switch p.kind {
+	used = lineLength + len(lineEnd)
+	switch next.kind {
 	case Simple, Error:
-		return p, used, nil
+		return next, used, nil
 	case Int, Bulk, Array:
 	default:
-		return p, 0, ErrFraming
+		return part{}, 0, ErrFraming
 	}
-	var line [24]byte
-	if p.to-p.from > len(line) || p.to == p.from {
-		return p, 0, ErrFraming
+	if next.number, err = parseNumber(r, next.from, next.to); err != nil {
+		return part{}, 0, err
 	}
-	for i := p.from; i < p.to; i++ {
-		line[i-p.from] = r.At(i)
+	switch {
+	case next.kind == Int:
+	case next.number == nullLength:
+		next.isNull, next.to = true, next.from
+	case next.number < 0:
+		return part{}, 0, ErrFraming
+	case next.kind == Bulk:
+		return d.parseBulk(r, next, used)
+	case next.number > int64(d.Parts):
+		return part{}, 0, ErrFraming
 	}
-	if p.n, err = strconv.ParseInt(string(line[:p.to-p.from]), 10, 64); err != nil {
-		return p, 0, ErrFraming
+	return next, used, nil
+}
+
+// findLine looks for the end of the line at the current position; its length is that before CR and LF.
+func (d *Replies) findLine(r *Ring) (length int, isWhole bool, err error) {
+	if d.position >= r.Len() {
+		return 0, false, nil
 	}
-	switch {
-	case p.kind == Int:
-	case p.n == -1:
-		p.null, p.to = true, p.from
-	case p.n < 0 || p.kind == Bulk && p.n > int64(d.Size) || p.kind == Array && p.n > int64(d.Parts):
-		return p, 0, ErrFraming
-	case p.kind == Bulk:
-		p.from = d.at + used
-		p.to = p.from + int(p.n)
-		if used += int(p.n) + 2; d.at+used > r.Bound {
-			return p, 0, ErrFraming // it could never be whole
+	for length = 1; ; length++ {
+		if length > d.Line {
+			return 0, false, ErrFraming
 		}
-		if r.Len() < d.at+used {
-			return p, 0, nil
+		if d.position+length+1 >= r.Len() {
+			return 0, false, nil
 		}
-		if r.At(p.to) != '\r' || r.At(p.to+1) != '\n' {
-			return p, 0, ErrFraming
+		if r.At(d.position+length) == '\r' {
+			break
 		}
 	}
-	return p, used, nil
+	if r.At(d.position+length+1) != '\n' {
+		return 0, false, ErrFraming
+	}
+	return length, true, nil
+}
+
+// parseBulk finds the bytes of a bulk string behind its line, which used so many bytes.
+func (d *Replies) parseBulk(r *Ring, next part, used int) (part, int, error) {
+	if next.number > int64(d.Size) {
+		return part{}, 0, ErrFraming
+	}
+	next.from = d.position + used
+	next.to = next.from + int(next.number)
+	used += int(next.number) + len(lineEnd)
+	if d.position+used > r.Bound {
+		return part{}, 0, ErrFraming // it could never be whole
+	}
+	if r.Len() < d.position+used {
+		return part{}, 0, nil
+	}
+	if r.At(next.to) != '\r' || r.At(next.to+1) != '\n' {
+		return part{}, 0, ErrFraming
+	}
+	return next, used, nil
+}
+
+// parseNumber reads the number between two positions.
+func parseNumber(r *Ring, from, to int) (int64, error) {
+	var text [maxNumberBytes]byte
+	if to-from > len(text) || to == from {
+		return 0, ErrFraming
+	}
+	for i := from; i < to; i++ {
+		text[i-from] = r.At(i)
+	}
+	number, err := strconv.ParseInt(string(text[:to-from]), 10, 64)
+	if err != nil {
+		return 0, ErrFraming
+	}
+	return number, nil
 }
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -10,22 +10,23 @@
 	return Replies{Size: 64, Line: 40, Parts: 8}, Ring{Bound: 128}
 }
 
-// Replies come whole however their bytes come, and a length out of bounds ends it when it is announced.
+// Replies come whole in whatever pieces their bytes come, and a length out of bounds is an error when it is announced.
 func ExampleReplies() {
 	for _, text := range []string{
-		"+OK\r\n", "-OOM no memory\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$-1\r\n", "*2\r\n$1\r\na\r\n*1\r\n:3\r\n+PONG\r\n",
-		"$65\r\n", "*9\r\n", "$1\r\nab\r\n", "!\r\n", "+" + strings.Repeat("x", 41), "$x\r\n", "*3\r\n*3\r\n*3\r\n",
+		"+OK\r\n", "-OOM no memory\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$-1\r\n",
+		"*2\r\n$1\r\na\r\n*1\r\n:3\r\n+PONG\r\n", "$65\r\n", "*9\r\n", "$1\r\nab\r\n", "!\r\n",
+		"+" + strings.Repeat("x", 41), "$x\r\n", "*3\r\n*3\r\n*3\r\n",
 	} {
-		d, r := newReplies()
+		replies, ring := newReplies()
 		for i := range len(text) {
-			r.Append([]byte{text[i]})
-			parts, err := d.Next(&r)
+			ring.Append([]byte{text[i]})
+			parts, err := replies.Next(&ring)
 			if err != nil {
 				fmt.Printf("%.20q: %v\n", text, err)
 				break
 			}
-			for _, p := range parts {
-				fmt.Printf("%c %q %d %v; ", p.Kind, p.Text, p.Int, p.Null)
+			for _, part := range parts {
+				fmt.Printf("%c %q %d %v; ", part.Kind, part.Text, part.Int, part.Null)
 			}
 			if parts != nil {
 				fmt.Println("whole")
@@ -49,38 +50,51 @@
 	// "*3\r\n*3\r\n*3\r\n": not an array of bulk strings within the bounds
 }
 
-// Bytes in any pieces give the same replies, and never more than the bounds.
+// parseInPieces returns what replies come of a text as text, and how it ends.
+func parseInPieces(t *testing.T, text []byte, pieceBytes int) (parsed string) {
+	t.Helper()
+	replies, ring := newReplies()
+	for len(text) > 0 {
+		n := ring.Append(text[:min(len(text), pieceBytes)])
+		if n == 0 {
+			return parsed + "full"
+		}
+		text = text[n:]
+		all, err := nextReplies(t, &replies, &ring)
+		parsed += all
+		if err != nil {
+			return parsed + "malformed"
+		}
+	}
+	return parsed
+}
+
+// nextReplies returns all replies that are whole as text.
+func nextReplies(t *testing.T, replies *Replies, ring *Ring) (parsed string, err error) {
+	t.Helper()
+	for {
+		parts, err := replies.Next(ring)
+		if parts == nil || err != nil {
+			return parsed, err
+		}
+		if len(parts) > replies.Parts {
+			t.Fatal("more parts than the bound")
+		}
+		for _, part := range parts {
+			parsed += fmt.Sprintf("%c%q ", part.Kind, part.Text)
+		}
+	}
+}
+
+// FuzzReplies feeds any bytes: in whatever pieces they come, they give the same replies, and never more than the
+// bounds.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n:3\r\n+OK\r\n"), 3)
 	f.Add([]byte("$-1\r\n-ERR x\r\n"), 1)
-	f.Fuzz(func(t *testing.T, text []byte, piece int) {
-		run := func(piece int) (out string) {
-			d, r := newReplies()
-			for rest := text; len(rest) > 0; {
-				n := r.Append(rest[:min(len(rest), piece)])
-				if rest = rest[n:]; n == 0 {
-					return out + "full"
-				}
-				for {
-					parts, err := d.Next(&r)
-					if err != nil {
-						return out + "bad"
-					}
-					if parts == nil {
-						break
-					}
-					if len(parts) > d.Parts {
-						t.Fatal("more parts than the bound")
-					}
-					for _, p := range parts {
-						out += fmt.Sprintf("%c%q ", p.Kind, p.Text)
-					}
-				}
-			}
-			return out
-		}
-		if a, b := run(1), run(max(1, piece%50)); a != b {
-			t.Errorf("%q and %q", a, b)
+	f.Fuzz(func(t *testing.T, text []byte, pieceBytes int) {
+		one, other := parseInPieces(t, text, 1), parseInPieces(t, text, max(1, pieceBytes%50))
+		if one != other {
+			t.Errorf("%q and %q", one, other)
 		}
 	})
 }
--- a/internal/resp/ring.go
+++ b/internal/resp/ring.go
@@ -1,20 +1,21 @@
-// Package resp frames RESP arrays over ring buffers. This file owns the ring: the bytes of one direction of one
-// connection. It grows to its bound and no further, gives its memory back when it is empty for long, and must
-// never know what the bytes mean or where they come from.
+// Package resp frames messages of RESP2 over ring buffers: a Decoder finds arrays of bulk strings in a Ring, Replies
+// finds the replies of a store, and a Writer puts frames into one. It touches no socket and knows no command; calls
+// on bytes are those of package redcon.
 package resp
 
-// least is the first size of a ring that is used at all.
-const least = 4 << 10
+// minBufferBytes is the first size of a ring that is used at all.
+const minBufferBytes = 4 << 10
 
-// Ring is a byte queue of bounded size. The zero value holds nothing; Bound must be set before use.
+// Ring is a byte queue of bounded size, for one direction of one connection. It grows to its bound and no further. The
+// zero value holds nothing; Bound must be set before use.
 type Ring struct {
-	Bound int
-	buf   []byte
-	head  int
-	size  int
+	Bound  int // most bytes that it holds
+	buffer []byte
+	head   int // index of the first byte
+	size   int
 }
 
-// Len is how many bytes wait.
+// Len is how many bytes it holds.
 func (r *Ring) Len() int { return r.size }
 
 // Room is how many more bytes fit within the bound.
@@ -23,36 +24,36 @@
 // grow makes room for n more bytes, within the bound.
 func (r *Ring) grow(n int) {
 	want := min(r.Bound, r.size+n)
-	if want <= len(r.buf) {
+	if want <= len(r.buffer) {
 		return
 	}
-	to := max(least, len(r.buf))
-	for to < want {
-		to *= 2
+	capacity := max(minBufferBytes, len(r.buffer))
+	for capacity < want {
+		capacity *= 2
 	}
-	r.move(make([]byte, min(to, r.Bound)))
+	r.moveTo(make([]byte, min(capacity, r.Bound)))
 }
 
-func (r *Ring) move(to []byte) {
-	n := copy(to, r.Head())
-	copy(to[n:], r.buf[:r.size-n])
-	r.buf, r.head = to, 0
+// moveTo copies all bytes into another buffer, in one piece, and goes on with it.
+func (r *Ring) moveTo(buffer []byte) {
+	n := copy(buffer, r.Head())
+	copy(buffer[n:], r.buffer[:r.size-n])
+	r.buffer, r.head = buffer, 0
 }
 
-// Tail is a free stretch to read into: some of what fits, none if the ring is full. Commit says how much of it
-// was filled.
+// Tail is free memory to read into: some of what fits, none if the ring is full. Commit says how much of it was filled.
 func (r *Ring) Tail() []byte {
-	if r.size == len(r.buf) {
-		r.grow(max(least, len(r.buf)))
+	if r.size == len(r.buffer) {
+		r.grow(max(minBufferBytes, len(r.buffer)))
 	}
-	if r.size == len(r.buf) {
+	if r.size == len(r.buffer) {
 		return nil
 	}
-	from := (r.head + r.size) % len(r.buf)
+	from := (r.head + r.size) % len(r.buffer)
 	if from < r.head {
-		return r.buf[from:r.head]
+		return r.buffer[from:r.head]
 	}
-	return r.buf[from:]
+	return r.buffer[from:]
 }
 
 // Commit adds the n bytes that were put into Tail.
@@ -63,66 +64,67 @@
 	n := min(len(p), r.Room())
 	r.grow(n)
 	for done := 0; done < n; {
-		k := copy(r.Tail(), p[done:n])
-		r.size += k
-		done += k
+		copied := copy(r.Tail(), p[done:n])
+		r.size += copied
+		done += copied
 	}
 	return n
 }
 
 // Copy is a ring of its own that holds the same bytes.
 func (r *Ring) Copy() Ring {
-	c := Ring{Bound: r.Bound}
+	duplicate := Ring{Bound: r.Bound}
 	if r.size > 0 {
-		c.buf, c.size = make([]byte, len(r.buf)), r.size
-		copy(c.buf[copy(c.buf, r.Head()):], r.buf[:max(0, r.head+r.size-len(r.buf))])
+		duplicate.buffer, duplicate.size = make([]byte, len(r.buffer)), r.size
+		n := copy(duplicate.buffer, r.Head())
+		copy(duplicate.buffer[n:], r.buffer[:r.size-n])
 	}
-	return c
+	return duplicate
 }
 
-// Head is the longest stretch of waiting bytes that lies in one piece.
+// Head is the longest run of bytes from the first on that lies in one piece.
 func (r *Ring) Head() []byte {
 	if r.size == 0 {
 		return nil
 	}
-	return r.buf[r.head:min(len(r.buf), r.head+r.size)]
+	return r.buffer[r.head:min(len(r.buffer), r.head+r.size)]
 }
 
-// At is the waiting byte at place i.
+// At is the byte at index i.
 func (r *Ring) At(i int) byte {
-	if i += r.head; i >= len(r.buf) {
-		i -= len(r.buf)
+	if i += r.head; i >= len(r.buffer) {
+		i -= len(r.buffer)
 	}
-	return r.buf[i]
+	return r.buffer[i]
 }
 
-// First is the first n waiting bytes in one piece; it holds until the ring is next added to or drained.
+// First is the first n bytes in one piece; it holds until the ring is next added to or dropped from.
 func (r *Ring) First(n int) []byte {
-	if r.head+n > len(r.buf) {
-		r.move(make([]byte, len(r.buf)))
+	if r.head+n > len(r.buffer) {
+		r.moveTo(make([]byte, len(r.buffer)))
 	}
-	return r.buf[r.head : r.head+n]
+	return r.buffer[r.head : r.head+n]
 }
 
-// Drop takes n bytes off the front.
+// Drop takes the first n bytes off.
 func (r *Ring) Drop(n int) {
 	if r.size -= n; r.size == 0 {
 		r.head = 0
 		return
 	}
-	r.head = (r.head + n) % len(r.buf)
+	r.head = (r.head + n) % len(r.buffer)
 }
 
-// Release gives the memory of an empty ring back.
+// Release frees the memory of an empty ring.
 func (r *Ring) Release() {
 	if r.size == 0 {
-		r.buf, r.head = nil, 0
+		r.buffer, r.head = nil, 0
 	}
 }
 
-// Shrink gives the memory of an empty ring back if it grew past its first size.
+// Shrink frees the memory of an empty ring that has grown past its first size.
 func (r *Ring) Shrink() {
-	if len(r.buf) > least {
+	if len(r.buffer) > minBufferBytes {
 		r.Release()
 	}
 }
--- /dev/null
+++ b/internal/resp/writer_test.go
@@ -0,0 +1,38 @@
+package resp
+
+import (
+	"strings"
+	"testing"
+)
+
+// Frames go through a small ring in parts, and each knows where in the stream it ends.
+func TestWriter(t *testing.T) {
+	const bound = 7
+	writer := Writer{Ring: Ring{Bound: bound}}
+	frames := [][]string{{"7", "OK", "", strings.Repeat("x", 30)}, {"8", "FAILED", "", ""}}
+	var want, got string
+	more := func() bool {
+		if len(frames) == 0 {
+			return false
+		}
+		words := frames[0]
+		frames = frames[1:]
+		want += string(AppendWords(nil, words...))
+		end := writer.Put([]byte(words[3]), []byte(words[0]), []byte(words[1]), []byte(words[2]))
+		if int(end) != len(want) {
+			t.Errorf("ends at %d, not %d", end, len(want))
+		}
+		return true
+	}
+	for next := writer.Next(more); len(next) > 0; next = writer.Next(more) {
+		if writer.Empty() || len(next) > bound {
+			t.Fatalf("%d bytes to be written", len(next))
+		}
+		n := min(3, len(next))
+		got += string(next[:n])
+		writer.Wrote(n)
+	}
+	if got != want || !writer.Empty() || int(writer.Written) != len(want) {
+		t.Errorf("%q, not %q", got, want)
+	}
+}
