--- /dev/null
+++ b/internal/sharedstore/benchmark_test.go
@@ -0,0 +1,84 @@
+package sharedstore
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"fennelarch/internal/fake/redis"
+	"fennelarch/policy/routing"
+
+	goredis "github.com/redis/go-redis/v9"
+	"go.uber.org/zap"
+)
+
+// What a get of 20 KB costs through the transport, and through the client library that was weighed against it.
+func BenchmarkGetTransport(b *testing.B) {
+	f := newFixture(b, zap.NewNop())
+	time.Sleep(copyProvedAfter)
+	f.request(7)
+	f.result(b)
+	time.Sleep(50 * time.Millisecond)
+	b.ReportAllocs()
+	b.SetBytes(20_000)
+	for b.Loop() {
+		f.request(7)
+		if result := f.result(b); result.Note != routing.NoteHit {
+			b.Fatal(result.Note)
+		}
+	}
+}
+
+func BenchmarkGetLibrary(b *testing.B) {
+	store, err := redis.Start(redis.Config{Age: time.Hour})
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer store.Close()
+	client := goredis.NewClient(&goredis.Options{
+		Addr: store.Address(), Protocol: 2, MaxRetries: -1, DisableIdentity: true,
+	})
+	defer func() { _ = client.Close() }()
+	ctx := context.Background()
+	if err := client.Set(ctx, "k", strings.Repeat("x", 20_000), 0).Err(); err != nil {
+		b.Fatal(err)
+	}
+	b.ReportAllocs()
+	b.SetBytes(20_000)
+	for b.Loop() {
+		ctx, cancel := context.WithTimeout(ctx, time.Second)
+		if _, err := client.Get(ctx, "k").Bytes(); err != nil {
+			b.Fatal(err)
+		}
+		cancel()
+	}
+}
+
+// A get that is abandoned: the library holds the caller's connection until its time is up, the transport goes on at
+// once.
+func TestAbortedGetReturnsAtOnce(t *testing.T) {
+	store, err := redis.Start(redis.Config{Age: time.Hour})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer store.Close()
+	store.Set(redis.Fault{Silent: true})
+	client := goredis.NewClient(&goredis.Options{
+		Addr: store.Address(), Protocol: 2, MaxRetries: -1, DisableIdentity: true,
+		ReadTimeout: 300 * time.Millisecond,
+	})
+	defer func() { _ = client.Close() }()
+	ctx, cancel := context.WithCancel(context.Background())
+	time.AfterFunc(20*time.Millisecond, cancel)
+	startedAt := time.Now()
+	err = client.Get(ctx, "k").Err()
+	t.Logf("the library returns %v after %v", err, time.Since(startedAt).Round(time.Millisecond))
+	f := newFixture(t, zap.NewNop())
+	f.redis.Set(redis.Fault{Silent: true})
+	startedAt = time.Now()
+	f.Abort(f.request(1))
+	if elapsed := time.Since(startedAt); elapsed > 10*time.Millisecond {
+		t.Errorf("aborting took %v", elapsed)
+	}
+}
--- /dev/null
+++ b/internal/sharedstore/discovery.go
@@ -0,0 +1,127 @@
+package sharedstore
+
+import (
+	"slices"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/policy/routing"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+// ObserveDiscovery sees every message of the discovery service before the engine does, and returns the message that the
+// engine is to get instead: one with the stores that the endpoint list does not name.
+func (t *Transport) ObserveDiscovery(message engine.Message) engine.Message {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	switch m := message.(type) {
+	case engine.Purge:
+		t.recordPurge(&m)
+	case engine.EndpointList:
+		if m.Complete {
+			m.Endpoints = t.withUnlistedStores(m.Endpoints)
+			return m
+		}
+	}
+	return message
+}
+
+func (t *Transport) recordPurge(purge *engine.Purge) {
+	isNews := t.coordinator.RecordInvalidation(t.now(), decide.Invalidation{
+		Object: purge.Object, Group: purge.Group, IssuedAt: decide.Timestamp(purge.Issued.UnixMilli()),
+	})
+	if !isNews {
+		return
+	}
+	for _, server := range t.servers {
+		server.syncLog()
+	}
+}
+
+func (t *Transport) withUnlistedStores(endpoints []engine.Endpoint) []engine.Endpoint {
+	endpoints = slices.Clone(endpoints)
+	for _, server := range t.servers {
+		if !server.config.Listed {
+			endpoints = append(endpoints, t.member(server))
+		}
+	}
+	return endpoints
+}
+
+// member is the endpoint of a store that this router adds to the list.
+func (t *Transport) member(server *server) engine.Endpoint {
+	if endpoint, known := t.members[server.id]; known {
+		return endpoint
+	}
+	endpoint := engine.Endpoint{UID: server.config.UID, Endpoint: routing.Endpoint{
+		ID: server.id, State: routing.Ready, Zone: t.routing.Zone, Weight: server.config.Weight,
+	}}
+	for endpoint.Kind == t.routing.ParentKind || endpoint.Kind == t.routing.OriginKind {
+		endpoint.Kind++
+	}
+	return endpoint
+}
+
+// UpdateEndpoints keeps what the endpoint list says of stores, and passes the rest on to the inner transport.
+func (t *Transport) UpdateEndpoints(endpoints []engine.Endpoint, isComplete bool) {
+	t.mu.Lock()
+	defer t.unlockAndWake()
+	others := make([]engine.Endpoint, 0, len(endpoints))
+	isListed := map[routing.EndpointID]bool{}
+	for i := range endpoints {
+		endpoint := &endpoints[i]
+		isListed[endpoint.ID] = true
+		if !t.updateEndpoint(endpoint) {
+			others = append(others, *endpoint)
+		}
+	}
+	if isComplete {
+		for id := range t.kinds {
+			if !isListed[id] {
+				delete(t.kinds, id)
+				t.handle(&decide.Event{Kind: decide.EventEndpointState, Endpoint: id, State: routing.Gone})
+			}
+		}
+	}
+	t.inner.UpdateEndpoints(others, isComplete)
+}
+
+// updateEndpoint says whether the endpoint is a store.
+func (t *Transport) updateEndpoint(endpoint *engine.Endpoint) bool {
+	t.kinds[endpoint.ID] = endpoint.Kind
+	if endpoint.Kind == t.routing.OriginKind && endpoint.State == routing.Ready {
+		t.origin = endpoint.ID
+	}
+	t.handle(&decide.Event{Kind: decide.EventEndpointState, Endpoint: endpoint.ID, State: endpoint.State})
+	if server := t.servers[endpoint.ID]; server != nil {
+		t.members[endpoint.ID] = *endpoint
+		server.setAddress(endpoint.Address)
+		return true
+	}
+	if endpoint.State == routing.Gone {
+		delete(t.kinds, endpoint.ID)
+	}
+	return false
+}
+
+// DiscoveryCurrent says that every purge issued before a time has been observed.
+func (t *Transport) DiscoveryCurrent(asOf time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.coordinator.DiscoveryCurrent(decide.Timestamp(asOf.UnixMilli()))
+}
+
+// DiscoveryGap says that purges may have been missed for ever.
+func (t *Transport) DiscoveryGap() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.coordinator.DiscoveryGap(t.now())
+}
+
+// ClockStepped says that the wall clock was set by so much.
+func (t *Transport) ClockStepped(by time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.coordinator.ClockStepped(t.now(), by)
+}
--- /dev/null
+++ b/internal/sharedstore/keys.go
@@ -0,0 +1,73 @@
+package sharedstore
+
+import (
+	"strconv"
+
+	"fennelarch/policy/routing"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+// copyKey identifies a copy.
+type copyKey struct {
+	object routing.ObjectID
+	part   int
+}
+
+// keys are the keys of one store. They are the same at every router and release: "v:" and "l:" with the object and the
+// part for values and leases, "purges" for the invalidation log.
+type keys struct{ prefix string }
+
+func (k *keys) value(key copyKey) []byte { return k.of("v:", key) }
+func (k *keys) lease(key copyKey) []byte { return k.of("l:", key) }
+func (k *keys) invalidationLog() []byte  { return []byte(k.prefix + "purges") }
+
+func (k *keys) of(kind string, key copyKey) []byte {
+	name := append([]byte(k.prefix), kind...)
+	name = strconv.AppendUint(name, uint64(key.object), 16)
+	name = append(name, ':')
+	return strconv.AppendInt(name, int64(key.part), 10)
+}
+
+// The invalidation log is a sorted set: a member for each purge, scored by its time, and the ends of the range from
+// which to which it is complete.
+const (
+	memberCompleteFrom = "floor"
+	memberCompleteTo   = "seen"
+	memberObjectPrefix = 'o' // "o:" and the object, hexadecimal
+	memberGroupPrefix  = 'g' // "g:" and the group, decimal
+)
+
+// appendMember appends the member of a purge.
+func appendMember(name []byte, entry decide.Invalidation) []byte {
+	if entry.Object != 0 {
+		return strconv.AppendUint(append(name, memberObjectPrefix, ':'), uint64(entry.Object), 16)
+	}
+	return strconv.AppendUint(append(name, memberGroupPrefix, ':'), uint64(entry.Group), 10)
+}
+
+// parseMember reads a member and its score. Foreign members are ignored.
+func parseMember(name, score []byte) (entry decide.Invalidation, ok bool) {
+	issuedAt, err := strconv.ParseFloat(string(score), 64)
+	if err != nil || len(name) < 3 || name[1] != ':' {
+		return entry, false
+	}
+	entry.IssuedAt = decide.Timestamp(issuedAt)
+	switch id := string(name[2:]); name[0] {
+	case memberObjectPrefix:
+		object, err := strconv.ParseUint(id, 16, 64)
+		entry.Object = routing.ObjectID(object)
+		return entry, err == nil && object != 0
+	case memberGroupPrefix:
+		group, err := strconv.ParseUint(id, 10, 32)
+		entry.Group = routing.GroupID(group)
+		return entry, err == nil
+	}
+	return entry, false
+}
+
+// parseTimestamp reads a score; a missing one is 0.
+func parseTimestamp(score []byte) decide.Timestamp {
+	milliseconds, _ := strconv.ParseFloat(string(score), 64)
+	return decide.Timestamp(milliseconds)
+}
--- /dev/null
+++ b/internal/sharedstore/operation.go
@@ -0,0 +1,251 @@
+package sharedstore
+
+import (
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+// operation is one attempt at a store, as the decisions number it.
+type operation struct {
+	attempt       *engine.Attempt
+	store         *server
+	source        routing.EndpointID // fills come from here, 0: none
+	isRelay       bool               // another cache was to be filled from the store
+	isComplete    bool
+	fill          *engine.Attempt // in flight, or nil
+	fillStartedAt time.Time
+	copy          Copy
+	generatedAt   time.Time // of the copy, as exact as the source gave it
+}
+
+func (op *operation) key() copyKey {
+	return copyKey{op.attempt.Request.Object, op.attempt.Request.Part}
+}
+
+// unsentCommand is a command that found no connection.
+type unsentCommand struct {
+	command command
+	store   *server
+}
+
+// start begins an operation.
+func (t *Transport) start(op *operation) {
+	t.mu.Lock()
+	defer t.unlockAndWake()
+	attempt, request := op.attempt, op.attempt.Request
+	if request.Write {
+		t.post(engine.AttemptResult{
+			Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity,
+		})
+		return
+	}
+	t.lastOperation++
+	t.operations[t.lastOperation] = op
+	t.byAttempt[attempt] = t.lastOperation
+	class := &t.routing.Classes[request.Class]
+	event := decide.Event{
+		Kind:           decide.EventRequest,
+		Operation:      t.lastOperation,
+		Endpoint:       op.store.id,
+		Source:         op.source,
+		Object:         request.Object,
+		Part:           request.Part,
+		Group:          request.Group,
+		OnlyIfCached:   attempt.FillOptions&routing.OnlyIfCached != 0,
+		UntilObjective: t.untilObjective(request, class),
+		UntilDeadline:  time.Until(attempt.Deadline),
+		MaxAge:         attempt.MaxAge,
+	}
+	if event.MaxAge == 0 {
+		event.MaxAge = class.FreshFor
+	}
+	if class.FreshFor > 0 {
+		event.TTL = class.FreshFor + class.MaxStale
+	}
+	t.handle(&event)
+}
+
+// untilObjective is the time left until a request's latency objective, which grows with its size.
+func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
+	sending := time.Duration(0)
+	if t.routing.FlowKBPerSecond > 0 {
+		seconds := request.SizeKB / t.routing.FlowKBPerSecond * class.ObjectiveStretch
+		sending = time.Duration(seconds * float64(time.Second))
+	}
+	return min(class.LatencyObjective+sending, request.Timeout) - time.Since(request.ReceivedAt)
+}
+
+// handle passes an event to the decisions and carries their actions out. A command that finds no connection is answered
+// after that.
+func (t *Transport) handle(event *decide.Event) {
+	t.decide(event)
+	for len(t.unsent) > 0 {
+		unsent := t.unsent[0]
+		t.unsent = t.unsent[1:]
+		result := commandResult{command: unsent.command, reply: decide.ReplyDisconnected}
+		failure := result.event(unsent.store.id)
+		t.decide(&failure)
+	}
+	t.unsent = nil
+}
+
+func (t *Transport) decide(event *decide.Event) {
+	t.actions = t.coordinator.Handle(t.now(), event, t.actions[:0])
+	for i := range t.actions {
+		t.perform(&t.actions[i])
+	}
+}
+
+// perform carries an action out.
+func (t *Transport) perform(action *decide.Action) {
+	switch action.Kind {
+	case decide.ActionSetTimer:
+		t.setTimer(action)
+	case decide.ActionAnnounceStart:
+		t.announceStart(action)
+	case decide.ActionLog:
+		t.log.Info(action.Message, zap.String("uid", t.servers[action.Endpoint].config.UID))
+	default:
+		if op := t.operations[action.Operation]; op != nil {
+			t.performFor(op, action)
+		}
+	}
+}
+
+// performFor carries an action of an operation out.
+func (t *Transport) performFor(op *operation, action *decide.Action) {
+	keys := &op.store.keys
+	switch action.Kind {
+	case decide.ActionGet:
+		t.send(op, getCommand(keys, action.Operation, op.key()))
+	case decide.ActionAcquireLease:
+		t.send(op, acquireLeaseCommand(keys, action.Operation, op.key(), action.TTL))
+	case decide.ActionReleaseLease:
+		op.store.send(releaseLeaseCommand(keys, op.key()))
+	case decide.ActionSet:
+		op.copy.ValidFrom = action.ValidFrom
+		t.send(op, setCommand(keys, action.Operation, op.key(), action.TTL, &op.copy))
+	case decide.ActionStartFill:
+		t.startFill(op, action)
+	case decide.ActionAbortFill:
+		t.abortFill(op)
+	case decide.ActionComplete:
+		t.complete(op, action)
+	case decide.ActionForget:
+		delete(t.operations, action.Operation)
+		delete(t.byAttempt, op.attempt)
+	default:
+	}
+}
+
+func (t *Transport) send(op *operation, command command) {
+	if !op.store.send(command) {
+		t.unsent = append(t.unsent, unsentCommand{command, op.store})
+	}
+}
+
+// announceStart tells the engine that a store has just started, so that routing limits it as it does a cache.
+func (t *Transport) announceStart(action *decide.Action) {
+	endpoint, known := t.members[action.Endpoint]
+	if !known || endpoint.State != routing.Ready {
+		return
+	}
+	endpoint.BootTime = time.Now().Add(-action.Uptime)
+	t.members[action.Endpoint] = endpoint
+	t.post(engine.EndpointList{Endpoints: []engine.Endpoint{endpoint}})
+}
+
+// startFill asks the source in the store's stead: a parent fetches from the origin what it has not cached, unless it
+// is to serve only what it has; any other cache serves what it has.
+func (t *Transport) startFill(op *operation, action *decide.Action) {
+	request := *op.attempt.Request
+	request.HeldETag = "" // the store needs the bytes
+	const notForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
+	fill := &engine.Attempt{
+		Request:     &request,
+		Number:      op.attempt.Number,
+		Endpoint:    op.source,
+		Deadline:    op.attempt.Deadline,
+		NotAfter:    op.attempt.NotAfter,
+		MaxAge:      action.MaxAge,
+		FillOptions: op.attempt.FillOptions &^ notForSource,
+	}
+	if t.kinds[op.source] == t.routing.ParentKind && op.attempt.FillOptions&routing.OnlyIfCached == 0 {
+		fill.Source = t.origin
+	}
+	op.fill, op.fillStartedAt = fill, time.Now()
+	t.byAttempt[fill] = action.Operation
+	t.inner.Send(fill)
+}
+
+func (t *Transport) abortFill(op *operation) {
+	if op.fill == nil {
+		return
+	}
+	t.inner.Abort(op.fill)
+	delete(t.byAttempt, op.fill)
+	op.fill = nil
+}
+
+// finishFill takes the end of an attempt at the inner transport, and says whether it was a fill.
+func (t *Transport) finishFill(result *engine.AttemptResult, at time.Time) bool {
+	defer t.flush()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	id, known := t.byAttempt[result.Attempt]
+	if !known {
+		return false
+	}
+	delete(t.byAttempt, result.Attempt)
+	op := t.operations[id]
+	if op.fill != result.Attempt {
+		return true // abandoned
+	}
+	op.fill = nil
+	event := decide.Event{
+		Kind: decide.EventFillDone, Operation: id, Outcome: result.Outcome, Note: result.Note,
+		FirstByteWait: result.FirstByteWait, Elapsed: at.Sub(op.fillStartedAt), BodyBytes: len(result.Body),
+	}
+	if result.Outcome == routing.Succeeded {
+		request := op.attempt.Request
+		op.generatedAt = result.GeneratedAt
+		op.copy = Copy{
+			Object: request.Object, Part: request.Part, Group: request.Group, ETag: result.ETag, Body: result.Body,
+		}
+		if !result.GeneratedAt.IsZero() {
+			event.GeneratedAt = decide.Timestamp(result.GeneratedAt.UnixMilli())
+			op.copy.GeneratedAt = event.GeneratedAt
+		}
+	}
+	t.handle(&event)
+	return true
+}
+
+// complete tells the engine how the attempt ended.
+func (t *Transport) complete(op *operation, action *decide.Action) {
+	op.isComplete = true
+	delete(t.byAttempt, op.attempt)
+	result := engine.AttemptResult{
+		Attempt: op.attempt, Outcome: action.Outcome, Note: action.Note, FirstByteWait: action.FirstByteWait,
+	}
+	from := t.operations[action.CopyFrom]
+	switch {
+	case action.Outcome == routing.Succeeded && from != nil:
+		result.ETag, result.GeneratedAt, result.Body = from.copy.ETag, from.generatedAt, from.copy.Body
+		if heldETag := op.attempt.Request.HeldETag; heldETag != "" && heldETag == result.ETag {
+			result.NotModified, result.Body = true, nil
+		}
+		if op.isRelay {
+			result.Note = routing.NoteFilled
+		}
+	case op.isRelay:
+		result.Outcome, result.Note = routing.CacheMiss, routing.NoteSourceMiss
+	}
+	t.post(result)
+}
--- /dev/null
+++ b/internal/sharedstore/results.go
@@ -0,0 +1,100 @@
+package sharedstore
+
+import (
+	"strconv"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+// handleResults takes what the connection to a store reports.
+func (t *Transport) handleResults(server *server, results []result) {
+	if len(results) == 0 {
+		return
+	}
+	defer t.flush()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, result := range results {
+		switch r := result.(type) {
+		case connectedResult:
+			t.handleConnected(server, r)
+		case commandResult:
+			t.handleCommandResult(server, &r)
+		case healthResult:
+			t.handleHealthResult(server, r)
+		case logRangeResult:
+			server.handleLogRange(r)
+		case logPageResult:
+			server.handleLogPage(&r)
+		case logWrittenResult:
+			server.handleLogWritten(&r)
+		}
+	}
+}
+
+func (t *Transport) handleConnected(server *server, connected connectedResult) {
+	server.isSyncingLog, server.isDisconnected = false, false
+	t.log.Info("store connected",
+		zap.String("uid", server.config.UID), zap.Duration("uptime", connected.uptime))
+	t.handle(&decide.Event{
+		Kind: decide.EventConnected, Endpoint: server.id, RunID: connected.runID, Uptime: connected.uptime,
+	})
+	server.syncLog()
+}
+
+// handleDisconnected takes the end of a connection, or of the attempt to connect. Only the first in a row is logged.
+func (t *Transport) handleDisconnected(server *server, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !server.isDisconnected {
+		t.log.Warn("store not connected", zap.String("uid", server.config.UID), zap.Error(err))
+	}
+	server.isDisconnected = true
+	t.handle(&decide.Event{Kind: decide.EventDisconnected, Endpoint: server.id})
+}
+
+func (t *Transport) handleCommandResult(server *server, r *commandResult) {
+	t.logProblem(server, r)
+	event := r.event(server.id)
+	isHit := r.reply == decide.ReplyHit && r.command.kind == commandGet
+	if op := t.operations[event.Operation]; op != nil && !op.isComplete && isHit {
+		event.GeneratedAt, event.ValidFrom = r.copy.GeneratedAt, r.copy.ValidFrom
+		op.copy, op.generatedAt = r.copy, time.UnixMilli(int64(r.copy.GeneratedAt))
+	}
+	t.handle(&event)
+}
+
+// logProblem logs values that cannot be used and unknown errors, though not each: one line would drown the others.
+func (t *Transport) logProblem(server *server, r *commandResult) {
+	if r.reply != decide.ReplyCorrupt && r.reply != decide.ReplyUnknownError {
+		return
+	}
+	if time.Since(server.lastProblemAt) < t.limits.BackoffMax {
+		return
+	}
+	server.lastProblemAt = time.Now()
+	uid := zap.String("uid", server.config.UID)
+	if r.reply == decide.ReplyUnknownError {
+		t.log.Warn("store refuses", uid, zap.Error(r.err))
+		return
+	}
+	object := strconv.FormatUint(uint64(r.command.key.object), 16)
+	t.log.Warn("store value cannot be used", uid, zap.Error(r.err),
+		zap.String("object", object), zap.Int("part", r.command.key.part))
+}
+
+func (t *Transport) handleHealthResult(server *server, health healthResult) {
+	result := engine.HealthCheckResult{
+		Endpoint: server.id, Outcome: routing.ConnectFailed, Elapsed: health.elapsed,
+	}
+	if health.isHealthy {
+		result.Outcome = routing.Succeeded
+	}
+	t.post(result)
+}
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/server.go
@@ -1,8 +1,5 @@
 package sharedstore
 
-// This file owns the connection to one store: the goroutines that dial, read and write it, one address after the other,
-// and its ledger's beat. It must never decide anything: what came goes to the carrier.
-
 import (
 	"context"
 	"crypto/tls"
@@ -18,154 +15,154 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// server is one store as this router speaks to it.
+// server keeps one connection to a store: it dials its addresses in turn, and reads and writes.
 type server struct {
-	carrier *Transport
-	id      routing.EndpointID
-	conf    Store
-	keys    keys
-
-	mu    sync.Mutex
-	link  *link    // nothing while there is no connection
-	up    net.Conn // the same
-	wake  chan struct{}
-	addrs []string
-
-	// Under the carrier's lock.
-	reading    bool // the ledger is being read or written
-	lost       bool // the last attempt to connect failed, or the connection ended
-	taken      []decide.Invalidation
-	complained time.Time // when its answers were last logged
+	transport *Transport
+	id        routing.EndpointID
+	config    Store
+	keys      keys
+	wake      chan struct{} // the writer has something to do
+
+	mu         sync.Mutex
+	connection *connection // nil while there is none
+	socket     net.Conn    // the same
+	addresses  []string
+
+	// Guarded by the lock of the transport.
+	isSyncingLog   bool // the invalidation log is being read or written
+	isDisconnected bool // the connection ended, or the last attempt to connect failed
+	logEntries     []decide.Invalidation
+	lastProblemAt  time.Time // when its replies were last logged
+}
+
+func newServer(transport *Transport, id routing.EndpointID, config Store) *server {
+	return &server{
+		transport: transport, id: id, config: config, keys: keys{config.Prefix}, wake: make(chan struct{}, 1),
+		addresses: config.Addresses,
+	}
 }
 
-// send puts a command on the connection, and says whether there is one.
-func (s *server) send(c command) bool {
+// send queues a command on the connection, and says whether there is one.
+func (s *server) send(command command) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.link == nil {
+	if s.connection == nil {
 		return false
 	}
-	s.link.send(c)
-	s.stir()
-	return true
-}
-
-func (s *server) stir() {
+	s.connection.send(command)
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
+	return true
 }
 
-// at makes it use another address.
-func (s *server) at(address string) {
+// setAddress is the address of the endpoint list. It counts where the operator named none; a new one ends the
+// connection.
+func (s *server) setAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conf.Addresses) > 0 || address == "" || slices.Equal(s.addrs, []string{address}) {
+	if len(s.config.Addresses) > 0 || address == "" || slices.Equal(s.addresses, []string{address}) {
 		return
 	}
-	s.addrs = []string{address}
-	if s.up != nil {
-		_ = s.up.Close()
+	s.addresses = []string{address}
+	if s.socket != nil {
+		_ = s.socket.Close()
 	}
 }
 
 // run keeps one connection up until the context ends.
 func (s *server) run(ctx context.Context) {
-	l := &s.carrier.limits
-	wait := l.BackoffMin
-	for i := 0; ctx.Err() == nil; i++ {
+	bounds := &s.transport.limits
+	backoff := bounds.BackoffMin
+	for attempt := 0; ctx.Err() == nil; attempt++ {
 		s.mu.Lock()
-		addrs := s.addrs
+		addresses := s.addresses
 		s.mu.Unlock()
-		begun := time.Now()
-		if len(addrs) > 0 {
-			if err := s.stay(ctx, addrs[i%len(addrs)]); err != nil {
-				s.carrier.down(s, err)
+		startedAt := time.Now()
+		if len(addresses) > 0 {
+			if err := s.connect(ctx, addresses[attempt%len(addresses)]); err != nil {
+				s.transport.handleDisconnected(s, err)
 			}
 		}
-		if time.Since(begun) > l.BackoffMax {
-			wait = l.BackoffMin
+		if time.Since(startedAt) > bounds.BackoffMax {
+			backoff = bounds.BackoffMin
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(wait/2 + rand.N(wait)):
+		case <-time.After(backoff/2 + rand.N(backoff)):
 		}
-		wait = min(2*wait, l.BackoffMax)
+		backoff = min(2*backoff, bounds.BackoffMax)
 	}
 }
 
 func (s *server) dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, end := context.WithTimeout(ctx, s.carrier.limits.ConnectTimeout)
-	defer end()
-	up, err := system.DialContext(ctx, "tcp", address)
-	if err != nil || s.conf.TLS == nil {
-		return up, err
+	ctx, cancel := context.WithTimeout(ctx, s.transport.limits.ConnectTimeout)
+	defer cancel()
+	socket, err := system.DialContext(ctx, "tcp", address)
+	if err != nil || s.config.TLS == nil {
+		return socket, err
 	}
-	t := tls.Client(up, s.conf.TLS)
-	if err := t.HandshakeContext(ctx); err != nil {
-		_ = up.Close()
+	secure := tls.Client(socket, s.config.TLS)
+	if err := secure.HandshakeContext(ctx); err != nil {
+		_ = socket.Close()
 		return nil, err
 	}
-	return t, nil
+	return secure, nil
 }
 
-// stay dials an address and serves the connection until it ends.
-func (s *server) stay(ctx context.Context, address string) error {
-	up, err := s.dial(ctx, address)
+// connect dials an address and serves the connection until it ends.
+func (s *server) connect(ctx context.Context, address string) error {
+	socket, err := s.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	l := &s.carrier.limits
-	k := newLink(l, s.conf.Login, time.Now())
+	current := newConnection(&s.transport.limits, s.config.Login, time.Now())
 	s.mu.Lock()
-	s.link, s.up = k, up
+	s.connection, s.socket = current, socket
 	s.mu.Unlock()
-	ended := make(chan error, 1)
-	go func() { ended <- s.read(up, k) }()
-	err = s.write(ctx, up, k, ended)
-	_ = up.Close()
+
+	readError := make(chan error, 1)
+	var reader sync.WaitGroup
+	reader.Go(func() { readError <- s.read(socket, current) })
+	err = s.write(ctx, socket, current, readError)
+	_ = socket.Close()
+
 	s.mu.Lock()
-	s.link, s.up = nil, nil
-	k.over(time.Now())
-	ends := k.take()
+	s.connection, s.socket = nil, nil
+	current.close(time.Now())
+	results := current.takeResults()
 	s.mu.Unlock()
-	s.carrier.took(s, ends)
+	s.transport.handleResults(s, results)
+	reader.Wait()
 	return err
 }
 
-func (s *server) write(ctx context.Context, up net.Conn, k *link, ended chan error) error {
-	l := &s.carrier.limits
-	look := time.NewTicker(l.PollTimeout / 8)
-	defer look.Stop()
-	beat := time.NewTimer(rand.N(decide.LogSyncInterval))
-	defer beat.Stop()
+// write sends what is queued, until the connection or the context ends. It has the invalidation log synchronized at
+// random intervals, so that routers do not keep in step, and ends a connection that has fallen silent.
+func (s *server) write(ctx context.Context, socket net.Conn, current *connection, readError <-chan error) error {
+	bounds := &s.transport.limits
+	silenceCheck := time.NewTicker(bounds.PollTimeout / 8)
+	defer silenceCheck.Stop()
+	logSync := time.NewTimer(rand.N(decide.LogSyncInterval))
+	defer logSync.Stop()
 	for {
-		now := time.Now()
-		s.mu.Lock()
-		out, silent := k.outgoing(now), k.silent(now, l.StoreSilenceTimeout)
-		s.mu.Unlock()
-		switch {
-		case silent:
-			return errSilent
-		case len(out) > 0:
-			_ = up.SetWriteDeadline(now.Add(l.WriteStallTimeout))
-			n, err := up.Write(out)
-			s.mu.Lock()
-			k.out.Wrote(n)
-			s.mu.Unlock()
-			if err != nil {
-				return err
-			}
+		wrote, err := s.writePending(socket, current)
+		if err != nil {
+			return err
+		}
+		if wrote {
 			continue
 		}
 		select {
 		case <-s.wake:
-		case <-look.C:
-		case <-beat.C:
-			beat.Reset(decide.LogSyncInterval*3/4 + rand.N(decide.LogSyncInterval/2))
-			s.beat()
-		case err := <-ended:
+		case <-silenceCheck.C:
+		case <-logSync.C:
+			logSync.Reset(decide.LogSyncInterval*3/4 + rand.N(decide.LogSyncInterval/2))
+			s.transport.mu.Lock()
+			s.syncLog()
+			s.transport.mu.Unlock()
+		case err := <-readError:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
@@ -173,34 +170,45 @@
 	}
 }
 
-func (s *server) read(up net.Conn, k *link) error {
+// writePending writes once, and says whether there was anything to write.
+func (s *server) writePending(socket net.Conn, current *connection) (bool, error) {
+	bounds := &s.transport.limits
+	now := time.Now()
+	s.mu.Lock()
+	output := current.pendingOutput(now)
+	isSilent := current.isSilent(now, bounds.StoreSilenceTimeout)
+	s.mu.Unlock()
+	if isSilent {
+		return false, errStoreSilent
+	}
+	if len(output) == 0 {
+		return false, nil
+	}
+	_ = socket.SetWriteDeadline(now.Add(bounds.WriteStallTimeout))
+	count, err := socket.Write(output)
+	s.mu.Lock()
+	current.output.Wrote(count)
+	s.mu.Unlock()
+	return true, err
+}
+
+// read reads until the connection ends.
+func (s *server) read(socket net.Conn, current *connection) error {
 	for {
 		s.mu.Lock()
-		space := k.space()
+		buffer := current.readBuffer()
 		s.mu.Unlock()
-		n, err := up.Read(space)
+		count, readErr := socket.Read(buffer)
 		s.mu.Lock()
-		bad := k.got(n, time.Now())
-		ends := k.take()
+		err := current.handleRead(count, time.Now())
+		results := current.takeResults()
 		s.mu.Unlock()
-		s.carrier.took(s, ends)
-		if bad != nil {
-			return bad
-		}
+		s.transport.handleResults(s, results)
 		if err != nil {
 			return err
 		}
-	}
-}
-
-// beat begins to read the ledger's interval, if it is not being read or written already.
-func (s *server) beat() {
-	s.carrier.mu.Lock()
-	defer s.carrier.mu.Unlock()
-	if !s.reading && !s.lost {
-		s.reading = s.send(command{
-			verb: verbInterval,
-			args: [][]byte{[]byte("ZMSCORE"), s.keys.ledger(), []byte(memberSeen), []byte(memberFloor)},
-		})
+		if readErr != nil {
+			return readErr
+		}
 	}
 }
--- /dev/null
+++ b/internal/sharedstore/timer.go
@@ -0,0 +1,59 @@
+package sharedstore
+
+import (
+	"container/heap"
+	"time"
+
+	"fennelarch/policy/routing"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+// timer is one that the decisions have set.
+type timer struct {
+	at        time.Duration
+	operation decide.OperationID
+	endpoint  routing.EndpointID
+	id        uint64
+}
+
+// timerQueue is a heap of timers, the earliest first.
+type timerQueue []timer
+
+func (q timerQueue) Len() int           { return len(q) }
+func (q timerQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q timerQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+
+// Push implements heap.Interface.
+func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
+
+// Pop implements heap.Interface.
+func (q *timerQueue) Pop() any {
+	last := len(*q) - 1
+	popped := (*q)[last]
+	*q = (*q)[:last]
+	return popped
+}
+
+func (t *Transport) setTimer(action *decide.Action) {
+	heap.Push(&t.timers, timer{
+		at: t.now() + action.Delay, operation: action.Operation, endpoint: action.Endpoint, id: action.TimerID,
+	})
+	if t.timers[0].id == action.TimerID {
+		t.wakeRun() // it is the first to fire
+	}
+}
+
+// fireTimers handles the timers that are due, and sets the alarm for the next.
+func (t *Transport) fireTimers(alarm *time.Timer) {
+	now := t.now()
+	for len(t.timers) > 0 && t.timers[0].at <= now {
+		due := heap.Pop(&t.timers).(timer)
+		t.handle(&decide.Event{
+			Kind: decide.EventTimer, Operation: due.operation, Endpoint: due.endpoint, TimerID: due.id,
+		})
+	}
+	if len(t.timers) > 0 {
+		alarm.Reset(max(0, t.timers[0].at-t.now()))
+	}
+}
--- /dev/null
+++ b/internal/sharedstore/transport_test.go
@@ -0,0 +1,216 @@
+package sharedstore
+
+import (
+	"bytes"
+	"context"
+	"strings"
+	"testing"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/internal/fake/redis"
+	"fennelarch/internal/limits"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+const (
+	storeUID  = "s-redis"
+	parentUID = "s-parent"
+
+	// copyProvedAfter is how long after a router's start a copy must be generated to be proved without the store's log.
+	copyProvedAfter = 600 * time.Millisecond
+)
+
+func testLimits() limits.Limits {
+	return limits.From(limits.Inputs{
+		Cores: 1, MemoryMB: 64, Sockets: 256, DrainGrace: time.Second, LongestDeadline: 3 * time.Second,
+	})
+}
+
+// fakeParent answers fills at once.
+type fakeParent struct {
+	post  func(time.Time, engine.Message)
+	body  []byte
+	fills int
+}
+
+func (p *fakeParent) UpdateEndpoints([]engine.Endpoint, bool) {}
+func (p *fakeParent) CheckHealth(routing.EndpointID)          {}
+func (p *fakeParent) Abort(*engine.Attempt) bool              { return true }
+func (p *fakeParent) Send(attempt *engine.Attempt) {
+	p.fills++
+	go p.post(time.Now(), engine.AttemptResult{
+		Attempt: attempt, Outcome: routing.Succeeded, Note: routing.NoteHit, Body: p.body, ETag: "5",
+		GeneratedAt: time.Now(),
+	})
+}
+
+// fixture is a transport over a store; what reaches the engine comes on a channel.
+type fixture struct {
+	*Transport
+	redis   *redis.Store
+	parent  *fakeParent
+	results chan engine.AttemptResult
+}
+
+func newFixture(tb testing.TB, log *zap.Logger) *fixture {
+	tb.Helper()
+	store, err := redis.Start(redis.Config{Age: time.Hour, User: "u", Word: "w"})
+	if err != nil {
+		tb.Fatal(err)
+	}
+	f := &fixture{redis: store, results: make(chan engine.AttemptResult, 64)}
+	f.Transport = NewTransport(Options{
+		Limits: testLimits(),
+		Routing: routing.Settings{
+			ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000,
+			Classes: []routing.Class{{LatencyObjective: time.Second}},
+		},
+		Decisions: decide.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
+		Seed:      1,
+		Stores: []Store{{
+			UID: storeUID, Addresses: []string{store.Address()}, Weight: 1, Prefix: "t:",
+			Login: Credentials{User: "u", Password: "w", Database: 1},
+		}},
+		StartedAt: time.Now().Add(-time.Second),
+		Deliver: func(_ time.Time, message engine.Message) {
+			if result, is := message.(engine.AttemptResult); is {
+				f.results <- result
+			}
+		},
+		Log: log,
+	})
+	f.parent = &fakeParent{post: f.Post, body: []byte(strings.Repeat("x", 20_000))}
+	f.SetInner(f.parent)
+	f.start(tb)
+	f.listParent()
+	for until := time.Now().Add(5 * time.Second); store.Counts().Commands < 3 && time.Now().Before(until); {
+		time.Sleep(time.Millisecond)
+	}
+	time.Sleep(20 * time.Millisecond)
+	return f
+}
+
+// start runs the transport until the test ends, and checks that its goroutines end then.
+func (f *fixture) start(tb testing.TB) {
+	tb.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() {
+		f.Run(ctx)
+		close(ended)
+	}()
+	tb.Cleanup(func() {
+		cancel()
+		select {
+		case <-ended:
+		case <-time.After(5 * time.Second):
+			tb.Error("the transport does not end with its context")
+		}
+		f.redis.Close()
+	})
+}
+
+// listParent delivers an endpoint list with the parent alone, to which the transport adds the store.
+func (f *fixture) listParent() {
+	parent := routing.Endpoint{ID: engine.EndpointID(parentUID), State: routing.Ready, Kind: 1}
+	list := engine.EndpointList{
+		Complete: true, Endpoints: []engine.Endpoint{{UID: parentUID, Endpoint: parent}},
+	}
+	f.UpdateEndpoints(f.ObserveDiscovery(list).(engine.EndpointList).Endpoints, true)
+}
+
+func (f *fixture) request(object routing.ObjectID) *engine.Attempt {
+	now := time.Now()
+	attempt := &engine.Attempt{
+		Request: &engine.Request{
+			Object: object, Group: 1, SizeKB: 10, Timeout: time.Second, ReceivedAt: now,
+		},
+		Endpoint: engine.EndpointID(storeUID), Source: engine.EndpointID(parentUID),
+		Deadline: now.Add(time.Second), SentAt: now,
+	}
+	f.Send(attempt)
+	return attempt
+}
+
+func (f *fixture) result(tb testing.TB) engine.AttemptResult {
+	tb.Helper()
+	select {
+	case result := <-f.results:
+		return result
+	case <-time.After(5 * time.Second):
+		tb.Fatal("no result")
+		return engine.AttemptResult{}
+	}
+}
+
+// A miss is filled and stored, then it is a hit with the same bytes; after a purge it is filled anew.
+func TestFillHitAndPurge(t *testing.T) {
+	f := newFixture(t, zap.NewNop())
+	time.Sleep(copyProvedAfter)
+	f.request(7)
+	result := f.result(t)
+	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled ||
+		!bytes.Equal(result.Body, f.parent.body) {
+		t.Fatalf("%v %v, %d bytes", result.Outcome, result.Note, len(result.Body))
+	}
+	time.Sleep(30 * time.Millisecond)
+	f.request(7)
+	result = f.result(t)
+	if result.Note != routing.NoteHit || !bytes.Equal(result.Body, f.parent.body) || result.ETag != "5" {
+		t.Fatalf("%v, %d bytes", result.Note, len(result.Body))
+	}
+	f.ObserveDiscovery(engine.Purge{Object: 7, Issued: time.Now()})
+	time.Sleep(5 * time.Millisecond)
+	f.request(7)
+	if result := f.result(t); result.Note != routing.NoteFilled {
+		t.Fatalf("%v after a purge", result.Note)
+	}
+	time.Sleep(30 * time.Millisecond) // it is stored again
+	f.checkNothingLeft(t)
+}
+
+// An attempt that is abandoned while the store is silent has no result, and leaves nothing.
+func TestAbortLeavesNothing(t *testing.T) {
+	f := newFixture(t, zap.NewNop())
+	f.redis.Set(redis.Fault{Silent: true})
+	if attempt := f.request(8); !f.Abort(attempt) {
+		t.Error("not abandoned")
+	}
+	select {
+	case result := <-f.results:
+		t.Errorf("a result after all: %v", result.Outcome)
+	case <-time.After(50 * time.Millisecond):
+	}
+	f.checkNothingLeft(t)
+}
+
+// checkNothingLeft waits for what is on its way still, such as a set.
+func (f *fixture) checkNothingLeft(tb testing.TB) {
+	tb.Helper()
+	var attempts, operations int
+	for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
+		f.mu.Lock()
+		attempts, operations = len(f.byAttempt), len(f.operations)
+		f.mu.Unlock()
+		if attempts == 0 && operations == 0 {
+			return
+		}
+	}
+	tb.Errorf("%d attempts and %d operations are left", attempts, operations)
+}
+
+// Where no store can be reached, the fill begins at once.
+func TestUnreachableStoreIsBypassed(t *testing.T) {
+	f := newFixture(t, zap.NewNop())
+	f.redis.Close()
+	time.Sleep(20 * time.Millisecond)
+	f.request(9)
+	if result := f.result(t); result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
+		t.Errorf("%v %v", result.Outcome, result.Note)
+	}
+}
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -1,13 +1,7 @@
 package sharedstore
 
-// This file owns the form in which a copy stands in a store, and the names of keys. A value says whose it is, of which
-// form, when the origin gave it out, and what it must add up to; one that fails in any of it is no copy. It must never
-// decide whether a copy will do.
-
 import (
 	"encoding/binary"
-	"errors"
-	"strconv"
 
 	"fennelarch/policy/routing"
 
@@ -16,114 +10,79 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// Copy is what a value holds.
+// Copy is what a stored value holds.
 type Copy struct {
-	Object routing.ObjectID
-	Part   int
-	Group  routing.GroupID
-	Born   decide.Timestamp // when the origin gave it out
-	Valid  decide.Timestamp // no purge before this can have been missed on its way here
-	Sum    string           // the tag of the bytes
-	Body   []byte
+	Object      routing.ObjectID
+	Part        int
+	Group       routing.GroupID
+	GeneratedAt decide.Timestamp // when the origin generated it
+	ValidFrom   decide.Timestamp // no purge before this can have been missed on its way here
+	ETag        string
+	Body        []byte
 }
 
-// What a value can be besides a copy.
-var (
-	ErrForeign = errors.New("not a value of ours")
-	ErrForm    = errors.New("of a newer form")
-	ErrCut     = errors.New("cut off")
-	ErrCorrupt = errors.New("its bytes do not add up")
-	ErrOther   = errors.New("a copy of something else")
-)
-
-// A value is "FA", the form, the length of the tag, then eight bytes each of object, part and group, birth, and validity,
-// the tag, the body, and eight bytes of a hash over all before.
+// The stored form, all numbers big-endian:
+//
+//	0   "FA"
+//	2   format
+//	3   length of the ETag
+//	4   object, 8 bytes
+//	12  part and group, 4 bytes each
+//	20  GeneratedAt, 8 bytes
+//	28  ValidFrom, 8 bytes
+//	36  ETag, body
+//	end xxhash of all before, 8 bytes
 const (
-	form     = 1
-	headSize = 4 + 4*8
-	overhead = headSize + 8
+	valueFormat       = 1
+	objectOffset      = 4
+	partGroupOffset   = 12
+	generatedAtOffset = 20
+	validFromOffset   = 28
+	headerBytes       = 36
+	checksumBytes     = 8
+	valueOverhead     = headerBytes + checksumBytes
 )
 
-// Encode appends a copy's value.
-func (c *Copy) Encode(b []byte) []byte {
-	at := len(b)
-	b = append(b, 'F', 'A', form, byte(len(c.Sum)))
-	b = binary.BigEndian.AppendUint64(b, uint64(c.Object))
-	b = binary.BigEndian.AppendUint64(b, uint64(c.Part)<<32|uint64(c.Group))
-	b = binary.BigEndian.AppendUint64(b, uint64(c.Born))
-	b = binary.BigEndian.AppendUint64(b, uint64(c.Valid))
-	b = append(b, c.Sum...)
-	b = append(b, c.Body...)
-	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b[at:]))
+// encodedBytes is the length of the stored form.
+func (c *Copy) encodedBytes() int { return valueOverhead + len(c.ETag) + len(c.Body) }
+
+// Encode appends the stored form of a copy.
+func (c *Copy) Encode(value []byte) []byte {
+	start := len(value)
+	value = append(value, 'F', 'A', valueFormat, byte(len(c.ETag)))
+	value = binary.BigEndian.AppendUint64(value, uint64(c.Object))
+	value = binary.BigEndian.AppendUint64(value, uint64(c.Part)<<32|uint64(c.Group))
+	value = binary.BigEndian.AppendUint64(value, uint64(c.GeneratedAt))
+	value = binary.BigEndian.AppendUint64(value, uint64(c.ValidFrom))
+	value = append(value, c.ETag...)
+	value = append(value, c.Body...)
+	return binary.BigEndian.AppendUint64(value, xxhash.Sum64(value[start:]))
 }
 
-// Decode reads a value; the copy's bytes are those of b.
-func Decode(b []byte) (c Copy, err error) {
+// Decode reads a stored value. The copy's body is part of the value, not cloned. The error is one of ErrForeignValue,
+// ErrUnknownFormat, ErrTruncatedValue and ErrChecksum.
+func Decode(value []byte) (Copy, error) {
 	switch {
-	case len(b) < 3 || b[0] != 'F' || b[1] != 'A':
-		return c, ErrForeign
-	case b[2] != form:
-		return c, ErrForm
-	case len(b) < overhead || len(b) < overhead+int(b[3]):
-		return c, ErrCut
-	}
-	end := len(b) - 8
-	if binary.BigEndian.Uint64(b[end:]) != xxhash.Sum64(b[:end]) {
-		return c, ErrCorrupt
-	}
-	at := binary.BigEndian.Uint64(b[12:])
-	c = Copy{
-		Object: routing.ObjectID(binary.BigEndian.Uint64(b[4:])), Part: int(at >> 32), Group: routing.GroupID(at),
-		Born: decide.Timestamp(binary.BigEndian.Uint64(b[20:])), Valid: decide.Timestamp(binary.BigEndian.Uint64(b[28:])),
-	}
-	tag := headSize + int(b[3])
-	c.Sum, c.Body = string(b[headSize:tag]), b[tag:end]
-	return c, nil
-}
-
-// names are the keys of one store.
-type keys struct{ prefix string }
-
-func (k keys) of(kind string, o routing.ObjectID, part int) []byte {
-	b := append([]byte(k.prefix), kind...)
-	b = strconv.AppendUint(b, uint64(o), 16)
-	b = append(b, ':')
-	return strconv.AppendInt(b, int64(part), 10)
-}
-
-func (k keys) value(o routing.ObjectID, part int) []byte { return k.of("v:", o, part) }
-func (k keys) lease(o routing.ObjectID, part int) []byte { return k.of("l:", o, part) }
-func (k keys) ledger() []byte                            { return []byte(k.prefix + "purges") }
-
-// The ledger is a sorted set: a member for each purge, scored by its time, and the ends of the interval.
-const (
-	memberFloor = "floor"
-	memberSeen  = "seen"
-)
-
-func member(b []byte, m decide.Invalidation) []byte {
-	if m.Object != 0 {
-		return strconv.AppendUint(append(b, "o:"...), uint64(m.Object), 16)
-	}
-	return strconv.AppendUint(append(b, "g:"...), uint64(m.Group), 10)
-}
-
-// readMember reads a member and its score; a foreign one is passed over.
-func readMember(name, score []byte) (m decide.Invalidation, known bool) {
-	at, err := strconv.ParseFloat(string(score), 64)
-	if err != nil || len(name) < 3 || name[1] != ':' {
-		return m, false
+	case len(value) < 3 || value[0] != 'F' || value[1] != 'A':
+		return Copy{}, ErrForeignValue
+	case value[2] != valueFormat:
+		return Copy{}, ErrUnknownFormat
+	case len(value) < valueOverhead || len(value) < valueOverhead+int(value[3]):
+		return Copy{}, ErrTruncatedValue
 	}
-	m.IssuedAt = decide.Timestamp(at)
-	switch name[0] {
-	case 'o':
-		n, err := strconv.ParseUint(string(name[2:]), 16, 64)
-		m.Object = routing.ObjectID(n)
-		return m, err == nil && n != 0
-	case 'g':
-		n, err := strconv.ParseUint(string(name[2:]), 10, 32)
-		m.Group = routing.GroupID(n)
-		return m, err == nil
+	end := len(value) - checksumBytes
+	if binary.BigEndian.Uint64(value[end:]) != xxhash.Sum64(value[:end]) {
+		return Copy{}, ErrChecksum
 	}
-	return m, false
+	partGroup := binary.BigEndian.Uint64(value[partGroupOffset:])
+	bodyOffset := headerBytes + int(value[3])
+	return Copy{
+		Object:      routing.ObjectID(binary.BigEndian.Uint64(value[objectOffset:])),
+		Part:        int(partGroup >> 32),
+		Group:       routing.GroupID(partGroup),
+		GeneratedAt: decide.Timestamp(binary.BigEndian.Uint64(value[generatedAtOffset:])),
+		ValidFrom:   decide.Timestamp(binary.BigEndian.Uint64(value[validFromOffset:])),
+		ETag:        string(value[headerBytes:bodyOffset]),
+		Body:        value[bodyOffset:end],
+	}, nil
 }
