--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -84,18 +84,19 @@
 // handle passes an event to the decisions and carries their actions out. A command that finds no connection is answered
 // after that.
 func (t *Transport) handle(event *decide.Event) {
-	t.decide(event)
+	t.handleOne(event)
 	for len(t.unsent) > 0 {
 		unsent := t.unsent[0]
 		t.unsent = t.unsent[1:]
 		result := commandResult{command: unsent.command, reply: decide.ReplyDisconnected}
 		failure := result.event(unsent.store.id)
-		t.decide(&failure)
+		t.handleOne(&failure)
 	}
 	t.unsent = nil
 }
 
-func (t *Transport) decide(event *decide.Event) {
+// handleOne does that for one event.
+func (t *Transport) handleOne(event *decide.Event) {
 	t.actions = t.coordinator.Handle(t.now(), event, t.actions[:0])
 	for i := range t.actions {
 		t.perform(&t.actions[i])
