--- /dev/null
+++ b/internal/frontend/inflight_test.go
@@ -0,0 +1,117 @@
+package frontend
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"fennelarch/internal/engine"
+)
+
+// The id of a request in flight stands for its object on all connections, and for no other until the request is over.
+func TestRequestIDStandsForOneObject(t *testing.T) {
+	first := newTestSession()
+	second := anotherSession(first)
+	otherObject := frame("DO", "1", "clip", strings.Replace(testFields, "piece=3", "piece=4", 1))
+	_, _ = first.feed(do(1, "")+do(2, ""), 1<<16)
+	for _, respond := range []func(){func() {}, func() { first.respond(1, engine.Response{}) }} {
+		respond()
+		if len(second.writtenResponses()) > 0 {
+			t.Fatal("a response to nobody")
+		}
+		if got, _ := second.feed(otherObject, 1<<16); got != "1 FAILED  " {
+			t.Errorf("another object under an id in use: %s", got)
+		}
+	}
+	if got, _ := second.feed(do(2, ""), 1<<16); !strings.HasPrefix(got, "request 2") {
+		t.Errorf("the same object under an id in use: %s", got)
+	}
+	_, _ = first.feed(frame("UNDO", "2"), 1<<16)
+	second.close()
+	if len(first.shared.inFlight) > 0 {
+		t.Errorf("%d ids are kept", len(first.shared.inFlight))
+	}
+}
+
+func TestTooManyInFlight(t *testing.T) {
+	var stream string
+	for tag := range 34 {
+		stream += do(tag+1, "")
+	}
+	got, err := newTestSession().feed(stream, 1000)
+	if err != nil || strings.Count(got, "request") != 32 || !strings.Contains(got, "33 FAILED") ||
+		!strings.Contains(got, "34 FAILED") {
+		t.Errorf("%s, %v", got, err)
+	}
+}
+
+// A cancel and the response may cross: nothing is written for a request that was given up, and never two responses.
+func TestCancelAndResponseCross(t *testing.T) {
+	client := newTestSession()
+	if got, err := client.feed(do(1, "")+do(2, ""), 1<<16); err != nil || strings.Count(got, "request") != 2 {
+		t.Errorf("%s, %v", got, err)
+	}
+	got, err := client.feed(frame("UNDO", "1")+frame("UNDO", "1")+frame("UNDO", "7"), 1<<16)
+	if err != nil || got != "gone 1" {
+		t.Errorf("%s, %v", got, err)
+	}
+	client.respond(1, engine.Response{Body: []byte("late")})
+	client.respond(2, engine.Response{Body: []byte("in time")})
+	got, err = client.feed(frame("UNDO", "2"), 1<<16)
+	if backlog := client.shared.backlogBytes.Load(); got != "" || err != nil || !client.isIdle() || backlog != 0 {
+		t.Errorf("%q, %v, %d bytes held", got, err, backlog)
+	}
+}
+
+// A client that reads nothing holds a ring, the responses to its open requests and no more: its input waits, and past
+// the memory for all responses requests fail.
+func TestSlowReaderIsBounded(t *testing.T) {
+	client := newTestSession()
+	for tag := range 32 {
+		mustReceive(t, client, do(tag+1, ""))
+		client.respond(engine.Tag(tag+1), engine.Response{Body: make([]byte, 100_000)})
+		client.nextOutput()
+	}
+	bounds, backlog := client.shared.limits, client.shared.backlogBytes.Load()
+	if backlog > bounds.ResponseBacklogBytes || client.output.Len() > bounds.ClientWriteBuffer {
+		t.Errorf("%d bytes of responses held, %d in the ring", backlog, client.output.Len())
+	}
+	for i := 0; i < 200 && !client.isBackpressured(); i++ {
+		mustReceive(t, client, frame("PING", fmt.Sprint(100+i)))
+	}
+	if !client.isBackpressured() || len(client.pendingResponses) > bounds.PendingResponses {
+		t.Errorf("%d responses wait", len(client.pendingResponses))
+	}
+	all := strings.Join(client.writtenResponses(), ";")
+	served, failed := strings.Count(all, "OK"), strings.Count(all, "FAILED")
+	if served < 8 || failed+served != 32 {
+		t.Errorf("%d OK, %d FAILED", served, failed)
+	}
+	if backlog := client.shared.backlogBytes.Load(); backlog != 0 {
+		t.Errorf("%d bytes held at the end", backlog)
+	}
+}
+
+// A client that reads nothing has most of the memory for responses; one that reads has its responses all the same.
+func TestSlowReaderLeavesRoomForOthers(t *testing.T) {
+	lastStatus := func(s *session, tag int) string {
+		s.respond(engine.Tag(tag), engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
+		return s.pendingResponses[len(s.pendingResponses)-1].status
+	}
+	slow, tag := newTestSession(), 0
+	for status := statusOK; status == statusOK; {
+		tag++
+		mustReceive(t, slow, do(tag, ""))
+		status = lastStatus(slow, tag)
+	}
+	if tag < 8 {
+		t.Errorf("a client that reads nothing yet has %d responses", tag-1)
+	}
+	reading := anotherSession(slow)
+	reading.input.Release()
+	mustReceive(t, reading,
+		frame("DO", "1", "clip", "req=00000000000000aa,timeout=1500,subject=7f3a9c21e0b4d655"))
+	if status := lastStatus(reading, 1); status != statusOK || len(reading.pendingResponses) != 1 {
+		t.Errorf("a client that reads has %s", status)
+	}
+}
--- a/internal/frontend/requestfields.go
+++ b/internal/frontend/requestfields.go
@@ -31,7 +31,8 @@
 		return nil
 	}
 	request := &engine.Request{Class: class, Write: s.shared.classSettings[class].isWrite, Timeout: noTimeout}
-	if !s.parseFields(request, args[1]) {
+	fields := fieldParser{shared: s.shared, request: request}
+	if !fields.parseList(args[1]) {
 		return nil
 	}
 	if len(args) <= bodyArgument {
@@ -47,10 +48,17 @@
 	return request
 }
 
-// parseFields reads a list of fields. No name may come twice, and those without which a request can't be routed must
+// fieldParser reads the fields of one request.
+type fieldParser struct {
+	shared    *sharedState
+	request   *engine.Request
+	hasID     bool
+	hasObject bool
+}
+
+// parseList reads a list of fields. No name may come twice, and those without which a request can't be routed must
 // come.
-func (s *session) parseFields(request *engine.Request, list []byte) bool {
-	hasID, hasObject := false, false
+func (p *fieldParser) parseList(list []byte) bool {
 	names := make([][]byte, 0, usualFieldCount) // as they lie in the ring
 	var name, value []byte
 	for rest := list; len(rest) > 0; {
@@ -59,31 +67,30 @@
 			return false
 		}
 		names = append(names, name)
-		if !s.parseField(request, name, value) {
+		if !p.parse(name, value) {
 			return false
 		}
-		hasID = hasID || string(name) == fieldRequestID
-		hasObject = hasObject || string(name) == fieldObject
 	}
-	return hasID && hasObject && request.Timeout >= 0
+	return p.hasID && p.hasObject && p.request.Timeout >= 0
 }
 
-// parseField reads one field into a request, and says whether its value can be used. Unknown fields are passed over:
-// clients may be newer than the router.
-func (s *session) parseField(request *engine.Request, name, value []byte) (isValid bool) {
+// parse reads one field, and says whether its value can be used. Unknown fields are passed over: clients may be newer
+// than the router.
+func (p *fieldParser) parse(name, value []byte) (isValid bool) {
 	var number uint64
+	request := p.request
 	switch string(name) {
 	case fieldRequestID:
 		number, isValid = parseID(value)
-		request.ClientRequestID = engine.ClientRequestID(number)
+		request.ClientRequestID, p.hasID = engine.ClientRequestID(number), true
 	case fieldTimeout:
-		number, isValid = parseNumber(value, uint64(s.shared.limits.MaxRequestTimeout.Milliseconds()))
+		number, isValid = parseNumber(value, uint64(p.shared.limits.MaxRequestTimeout.Milliseconds()))
 		request.Timeout = time.Duration(number) * time.Millisecond
 	case fieldRepeat:
 		request.Repeat, isValid = true, string(value) == repeatValue
 	case fieldObject:
 		number, isValid = parseID(value)
-		request.Object = routing.ObjectID(number)
+		request.Object, p.hasObject = routing.ObjectID(number), true
 	case fieldPart:
 		number, isValid = parseNumber(value, maxPart)
 		request.Part = int(number)
@@ -91,9 +98,9 @@
 		number, isValid = parseNumber(value, maxGroup)
 		request.Group = routing.GroupID(number)
 	case fieldSizeKB:
-		request.SizeKB, isValid = s.parseSizeKB(value)
+		request.SizeKB, isValid = p.shared.parseSizeKB(value)
 	case fieldTenant:
-		request.Tenant, isValid = s.shared.parseTenant(value)
+		request.Tenant, isValid = p.shared.parseTenant(value)
 	case fieldIdempotencyKey:
 		request.IdempotencyKey, isValid = string(value), isIdempotencyKey(value)
 	case fieldHeldETag:
@@ -105,9 +112,9 @@
 	return isValid
 }
 
-func (s *session) parseSizeKB(value []byte) (sizeKB float64, isValid bool) {
+func (s *sharedState) parseSizeKB(value []byte) (sizeKB float64, isValid bool) {
 	sizeKB, err := strconv.ParseFloat(string(value), 64)
-	return sizeKB, err == nil && sizeKB >= 0 && sizeKB <= s.shared.limits.MaxSizeKB
+	return sizeKB, err == nil && sizeKB >= 0 && sizeKB <= s.limits.MaxSizeKB
 }
 
 // parseTenant looks a tenant up by its name. A deployment without tenants takes any name.
--- /dev/null
+++ b/internal/frontend/tls_test.go
@@ -0,0 +1,186 @@
+package frontend
+
+import (
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/tls"
+	"crypto/x509"
+	"crypto/x509/pkix"
+	"encoding/pem"
+	"io"
+	"math/big"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"fennelarch/policy/admission"
+)
+
+// testAuthority signs certificates and writes them, with their keys, to a folder.
+type testAuthority struct {
+	t           *testing.T
+	folder      string
+	certificate *x509.Certificate
+	key         *ecdsa.PrivateKey
+}
+
+func newTestAuthority(t *testing.T) *testAuthority {
+	t.Helper()
+	a := &testAuthority{t: t, folder: t.TempDir()}
+	a.certificate = &x509.Certificate{
+		Subject: pkix.Name{CommonName: "ca"}, IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	}
+	a.key = a.write("ca", a.certificate)
+	return a
+}
+
+func (a *testAuthority) path(name string) string { return filepath.Join(a.folder, name) }
+
+// write signs a certificate and writes it with a new key, which it returns.
+func (a *testAuthority) write(name string, template *x509.Certificate) *ecdsa.PrivateKey {
+	a.t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	signer := a.key
+	if signer == nil {
+		signer = key
+	}
+	template.SerialNumber = big.NewInt(time.Now().UnixNano())
+	if template.NotAfter.IsZero() {
+		template.NotAfter = time.Now().Add(time.Hour)
+	}
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, &key.PublicKey, signer)
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	secret, err := x509.MarshalECPrivateKey(key)
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	a.writePEM(name+".crt", "CERTIFICATE", der)
+	a.writePEM(name+".key", "EC PRIVATE KEY", secret)
+	return key
+}
+
+func (a *testAuthority) writePEM(name, kind string, der []byte) {
+	a.t.Helper()
+	text := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
+	if err := os.WriteFile(a.path(name), text, 0o600); err != nil {
+		a.t.Fatal(err)
+	}
+}
+
+// writeServer writes a server's pair; one that is expired has been for an hour.
+func (a *testAuthority) writeServer(name string, notAfter time.Time) {
+	a.t.Helper()
+	a.write(name, &x509.Certificate{
+		Subject: pkix.Name{CommonName: name}, DNSNames: []string{"router"}, NotAfter: notAfter,
+	})
+}
+
+// writeClient writes a client's pair and returns it.
+func (a *testAuthority) writeClient(name string) tls.Certificate {
+	a.t.Helper()
+	a.write(name, &x509.Certificate{
+		Subject: pkix.Name{CommonName: name}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
+	})
+	pair, err := tls.LoadX509KeyPair(a.path(name+".crt"), a.path(name+".key"))
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	return pair
+}
+
+// dial connects to a server and returns the common name of its certificate.
+func (a *testAuthority) dial(address net.Addr, shown ...tls.Certificate) (conn *tls.Conn, commonName string) {
+	a.t.Helper()
+	pool := x509.NewCertPool()
+	text, err := os.ReadFile(a.path("ca.crt"))
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	pool.AppendCertsFromPEM(text)
+	conn, err = tls.Dial("tcp", address.String(), &tls.Config{RootCAs: pool, ServerName: "router", Certificates: shown})
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	a.t.Cleanup(func() { _ = conn.Close() })
+	return conn, conn.ConnectionState().PeerCertificates[0].Subject.CommonName
+}
+
+// ping returns what a client reads after a ping.
+func ping(conn net.Conn) string {
+	_, _ = io.WriteString(conn, frame("PING", "1"))
+	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
+	buffer := make([]byte, 100)
+	n, _ := conn.Read(buffer)
+	return string(buffer[:n])
+}
+
+// Keys are loaded again without a connection lost; a pair that cannot be used leaves the old one in force.
+func TestTLSKeysAreReloaded(t *testing.T) {
+	authority := newTestAuthority(t)
+	at := authority.path
+	authority.writeServer("one", time.Time{})
+	authority.writeServer("two", time.Time{})
+	authority.writeServer("old", time.Now().Add(-time.Hour))
+	client := authority.writeClient("client")
+	keys, err := LoadTLSKeys(TLSFiles{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("ca.crt")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	address, _ := startServer(t, Options{Keys: keys, Admission: admission.Settings{SendRetryAfter: true}})
+	before, name := authority.dial(address, client)
+	if got := ping(before); got != pong("1") || name != "one" {
+		t.Fatalf("%q of %s", got, name)
+	}
+	for _, unusable := range []TLSFiles{
+		{Cert: at("none.crt"), Key: at("one.key")},
+		{Cert: at("one.crt"), Key: at("two.key")},
+		{Cert: at("old.crt"), Key: at("old.key")},
+		{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("one.key")},
+	} {
+		if err := keys.Load(unusable); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%v", err)
+		}
+	}
+	if _, name := authority.dial(address); name != "one" {
+		t.Errorf("%s is in force after an unusable pair", name)
+	}
+	if err := keys.Load(TLSFiles{Cert: at("two.crt"), Key: at("two.key"), ClientCA: at("ca.crt")}); err != nil {
+		t.Fatal(err)
+	}
+	if after, name := authority.dial(address); name != "two" || ping(after) != pong("1") {
+		t.Errorf("%s is in force", name)
+	}
+	if got := ping(before); got != pong("1") {
+		t.Errorf("a connection from before the reload gets %q", got)
+	}
+}
+
+// A client that never finishes its handshake is closed in time.
+func TestUnfinishedHandshakeIsClosed(t *testing.T) {
+	authority := newTestAuthority(t)
+	authority.writeServer("one", time.Time{})
+	keys, err := LoadTLSKeys(TLSFiles{Cert: authority.path("one.crt"), Key: authority.path("one.key")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	address, server := startServer(t, Options{Keys: keys})
+	conn := dial(t, address)
+	begun := time.Now()
+	write(t, conn, "\x16\x03\x01")
+	if _, err := io.ReadAll(conn); os.IsTimeout(err) || time.Since(begun) > 4*time.Second {
+		t.Errorf("half a handshake is held for %v", time.Since(begun))
+	}
+	await(t, "no connection is left", func() bool { return server.ConnectionCount() == 0 })
+	if count := server.shared.invalidTransitions.Load(); count > 0 {
+		t.Errorf("%d invalid transitions", count)
+	}
+}
