--- /dev/null
+++ b/cmd/fennelarch/discovery_test.go
@@ -0,0 +1,154 @@
+package main
+
+import (
+	"syscall"
+	"testing"
+	"time"
+
+	"fennelarch/internal/fake/site"
+)
+
+// A router starts with events that tell of a drained and of a departed cache server. Neither is an attempt's target or
+// a fill's source, from the first request on.
+func TestKnownEventsExcludeDepartedServers(t *testing.T) {
+	ready := newFakeServer(t, "s-1", "std", respondMiss)
+	draining, gone := newFakeServer(t, "s-2", "std", respondMiss), newFakeServer(t, "s-3", "std", respondMiss)
+	cluster := newCluster(t, ready, draining, gone)
+	cluster.discovery.publish(stateDraining, draining)
+	cluster.discovery.publish(stateGone, gone)
+	time.Sleep(400 * time.Millisecond) // past the grace of 0.3 s
+	cluster.setKnownEvents(cluster.discovery.Known())
+	cluster.start()
+	client := cluster.connect()
+	for object := range 60 {
+		client.awaitAnswer(client.request("clip", object+1, 500, ""))
+	}
+	if count := draining.receivedCount(verbFetch) + gone.receivedCount(verbFetch); count > 0 {
+		t.Errorf("%d attempts reached servers that had left", count)
+	}
+	for _, request := range ready.received(verbFetch) {
+		if next := request.fields["next"]; next == draining.uid || next == gone.uid {
+			t.Errorf("%s is named as a source after it had left", next)
+		}
+	}
+}
+
+// Known events that can't be read are skipped, and do not stop the start: the discovery server tells the rest.
+func TestUnreadableKnownEventsAreSkipped(t *testing.T) {
+	for name, known := range map[string]string{
+		"events of a wrong form": `{"no":2,"items":[{"no":1,"roster":{"targets":7}},{"no":2,"recall":{"item":"x"}}]}`,
+		"page of a wrong form":   `{"no":"two"}`,
+		"no page":                `[]`,
+		"null":                   `null`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			cluster := newCluster(t)
+			cache := newFakeServer(t, "s-1", "std", respondHit)
+			cluster.setKnownEvents(known)
+			cluster.start()
+			cluster.discovery.publish(stateReady, cache)
+			cluster.discovery.publishAll(stateReady, cache, cluster.parent, cluster.origin)
+			client := cluster.connect()
+			await(t, "the list of the discovery server", func() bool {
+				client.awaitAnswer(client.request("clip", 1, 2000, "")) // rejected until it has come
+				return cache.receivedCount(verbFetch) > 0
+			})
+		})
+	}
+}
+
+// The discovery server can't be reached for a while. No event is missed.
+func TestNoEventIsMissedWhileDiscoveryIsDown(t *testing.T) {
+	first, second := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
+	cluster := startCluster(t, first)
+	client := cluster.connect()
+	cluster.discovery.Mute(true)
+	cluster.discovery.publish(stateReady, second)
+	client.expectServed(1)
+	cluster.discovery.Mute(false)
+	client.awaitRequestAt(second)
+}
+
+// After a purge, servers are told an age limit. A server then takes over the address of one that is gone: it gets
+// connections of its own. Once it drains, it gets nothing.
+func TestPurgeAddressReuseAndDrain(t *testing.T) {
+	former, successor := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
+	cluster := startCluster(t, former)
+	client := cluster.connect()
+	client.expectServed(1)
+	cluster.discovery.publishPurge(1)
+	await(t, "an age limit", func() bool {
+		client.expectServed(1)
+		requests := former.received(verbFetch)
+		return requests[len(requests)-1].fields["agelim"] != ""
+	})
+
+	formerConn := former.received(verbFetch)[0].conn
+	successor.address = former.address
+	listener := former // it accepts for both
+	cluster.discovery.publish(stateGone, former)
+	cluster.discovery.publish(stateReady, successor)
+	await(t, "the end of the former server's connection", func() bool {
+		client.expectServed(2)
+		requests := listener.received(verbFetch)
+		return requests[len(requests)-1].conn != formerConn
+	})
+
+	cluster.discovery.publish(stateDraining, successor)
+	published := time.Now()
+	await(t, "the drain", func() bool {
+		before := listener.receivedCount(verbFetch)
+		client.awaitAnswer(client.request("clip", 3, 2000, ""))
+		return listener.receivedCount(verbFetch) == before
+	})
+	drained := listener.receivedCount(verbFetch)
+	for time.Since(published) < 400*time.Millisecond {
+		client.awaitAnswer(client.request("clip", 4, 2000, ""))
+	}
+	if got := listener.receivedCount(verbFetch); got != drained {
+		t.Errorf("%d attempts after the grace", got-drained)
+	}
+}
+
+// A drain is published while the discovery server can't be reached, and another server with lower event numbers takes
+// its place: the complete list is read, and the drained cache server gets nothing after its grace.
+func TestDrainAcrossDiscoveryServers(t *testing.T) {
+	drained, ready := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
+	cluster := startCluster(t, drained, ready)
+	client := cluster.connect()
+	expectServed := func(firstObject int) {
+		t.Helper()
+		for i := range 20 {
+			client.expectServed(firstObject + i)
+		}
+	}
+	expectServed(1)
+	for range 3 {
+		cluster.discovery.Tell(`"other":{}`) // so that the numbers of the other server are lower
+	}
+	time.Sleep(100 * time.Millisecond)
+	cluster.discovery.Mute(true)
+	other := newFakeDiscovery(t)
+	other.List(true, append([]site.Line{drained.line(stateDraining)},
+		lines(stateReady, []*fakeServer{ready, cluster.parent, cluster.origin})...)...)
+	cluster.configure(other)
+	cluster.signal(syscall.SIGHUP)
+
+	isDrained := func() bool {
+		before := drained.receivedCount(verbFetch)
+		expectServed(1)
+		return drained.receivedCount(verbFetch) == before
+	}
+	await(t, "the drain", isDrained)
+	time.Sleep(300 * time.Millisecond) // the grace
+	before := ready.receivedCount(verbFetch)
+	if !isDrained() {
+		t.Error("an attempt at a drained cache server after its grace")
+	}
+	expectServed(100)
+	for _, request := range ready.received(verbFetch)[before:] {
+		if request.fields["next"] == drained.uid {
+			t.Fatalf("%s was named as the source of a fill after its grace", drained.uid)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/fennelarch/idempotency_test.go
@@ -0,0 +1,52 @@
+package main
+
+import "testing"
+
+// A request that is not idempotent runs once at the most, wherever its attempt breaks, and is retried once it provably
+// did not run.
+func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
+	cluster := startCluster(t, newFakeServer(t, "s-1", "std", respondHit))
+	origin, client := cluster.origin, cluster.connect()
+	run := func(request serverRequest) (string, bool) {
+		return request.respond("200", "sum=5,t0=1", "done "+request.body), false
+	}
+	for index, test := range []struct {
+		name   string
+		handle handler
+		runs   int
+		want   string
+	}{
+		{"served", run, 1, "OK  done body"},
+		{"connection closed", func(serverRequest) (string, bool) { return "", true }, 1, "FAILED"},
+		{"response cut off", func(request serverRequest) (string, bool) {
+			return "*4\r\n$16\r\n" + request.id, true
+		}, 1, "FAILED"},
+		{"response malformed", func(serverRequest) (string, bool) { return "*4\r\nrubbish", false }, 1, "FAILED"},
+		{"server error", func(request serverRequest) (string, bool) {
+			return request.respond("500", "-", ""), false
+		}, 1, "FAILED"},
+		{"rejected, so not run", func(request serverRequest) (string, bool) {
+			origin.setHandler(run)
+			return request.respond("503", "-", ""), false
+		}, 2, "OK  done body"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			before := origin.receivedCount(verbFetch)
+			origin.setHandler(test.handle)
+			client.expectAnswer(client.request("signoff", index+1, 2000, "body"), test.want)
+			if got := origin.receivedCount(verbFetch) - before; got != test.runs {
+				t.Errorf("ran %d times, not %d", got, test.runs)
+			}
+		})
+	}
+	t.Run("connection refused, so not run", func(t *testing.T) {
+		origin.stopListening(t)
+		before := origin.receivedCount(verbFetch)
+		client.expectAnswer(client.request("signoff", 8, 2000, "body"), "BUSY")
+		origin.listen(t)
+		client.expectAnswer(client.request("signoff", 9, 2000, "body"), "OK  done body")
+		if got := origin.receivedCount(verbFetch) - before; got != 1 {
+			t.Errorf("ran %d times after the refusal", got)
+		}
+	})
+}
--- /dev/null
+++ b/cmd/fennelarch/shutdown_test.go
@@ -0,0 +1,194 @@
+package main
+
+// Shutdowns while something is still owed: the fake servers force the order of events, and the program must end by
+// itself afterwards. docs/endings.md has the table.
+
+import (
+	"fmt"
+	"io"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// SIGTERM, twice and with a SIGHUP between, while one request is at a slow cache server, half of one has come, one
+// connection is new, one is idle and one is about to send another request. What comes in time is served, each request
+// has one answer and each connection an orderly end, and nothing is forwarded after that.
+func TestShutdownWithConnectionsInEachState(t *testing.T) {
+	release := make(chan struct{})
+	cache := newFakeServer(t, "s-1", "std", respondHitButDelay(objectKey(1), release))
+	cluster := startCluster(t, cache)
+	inFlight, halfSent, active := cluster.connect(), cluster.connect(), cluster.connect()
+	idle, unused := cluster.connect(), cluster.connect()
+	inFlight.write(message("1", 1))
+	halfSent.write(message("1", 2)[:50])
+	idle.write(frame("PING", "1"))
+	idle.expectAnswer("1", "UP")
+	active.write(message("1", 3))
+	active.expectAnswer("1", "OK")
+	await(t, "the slow request", func() bool { return cache.receivedCount(verbFetch) == 2 })
+
+	begun := time.Now()
+	cluster.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
+	time.Sleep(100 * time.Millisecond)
+	halfSent.write(message("1", 2)[50:])
+	unused.write(message("1", 4))
+	active.write(message("2", 5))
+	late := cluster.connect()
+	late.write(message("1", 6))
+	for _, client := range []*testClient{halfSent, unused, late} {
+		client.expectAnswer("1", "OK")
+	}
+	active.expectAnswer("2", "OK")
+	idle.expectClose()
+
+	forwarded := cache.receivedCount(verbFetch)
+	_, _ = io.WriteString(idle.conn, message("2", 7)) // crosses the end
+	inFlight.write(message("2", 8))
+	inFlight.expectAnswer("2", "BUSY")
+	close(release)
+	inFlight.expectAnswer("1", "OK  slow")
+	for _, client := range []*testClient{inFlight, halfSent, unused, active, late} {
+		client.expectClose()
+		_ = client.conn.Close()
+	}
+	_ = idle.conn.Close()
+	cluster.expectShutdown(begun, 2500*time.Millisecond)
+	if got := cache.receivedCount(verbFetch); got != forwarded {
+		t.Errorf("%d requests were forwarded that came after the end", got-forwarded)
+	}
+	expectNoSecondAnswer(t, map[string]*testClient{
+		"in flight": inFlight, "half sent": halfSent, "active": active, "idle": idle, "unused": unused, "late": late,
+	})
+}
+
+// respondHitButDelay serves all objects at once but one, which waits for a channel to be closed.
+func respondHitButDelay(delayedKey string, release <-chan struct{}) handler {
+	return func(request serverRequest) (string, bool) {
+		if request.fields["key"] != delayedKey {
+			return respondHit(request)
+		}
+		go func() {
+			<-release
+			_, _ = io.WriteString(request.conn, request.respond("200", "sum=5,t0=1,how=local", "slow"))
+		}()
+		return "", false
+	}
+}
+
+// message is a client's request with a tag of its own choice.
+func message(tag string, object int) string {
+	fields := fmt.Sprintf("req=%016x,timeout=2500,subject=%016x,need=30", 77+object, object)
+	return frame("DO", tag, "clip", fields, "")
+}
+
+func expectNoSecondAnswer(t *testing.T, clients map[string]*testClient) {
+	t.Helper()
+	for name, client := range clients {
+		for _, tag := range []string{"1", "2"} {
+			if count := client.answerCount(tag); count > 1 {
+				t.Errorf("client %q has %d answers under %s", name, count, tag)
+			}
+		}
+	}
+}
+
+// At SIGTERM all requests that have been taken are answered, and those that come for a while after it, and then the
+// program ends by itself.
+func TestShutdownUnderLoad(t *testing.T) {
+	cache := newFakeServer(t, "s-1", "std", func(request serverRequest) (string, bool) {
+		if request.fields["key"] != objectKey(1) {
+			go func() {
+				time.Sleep(100 * time.Millisecond) // a slow server
+				_, _ = io.WriteString(request.conn, request.respond("200", "how=local", "late"))
+			}()
+		}
+		return "", false
+	})
+	cluster := startCluster(t, cache)
+	cluster.parent.setHandler(respondNothing)
+	cluster.origin.setHandler(respondNothing)
+	client := cluster.connect()
+	var tags []string
+	for object := range 10 {
+		tags = append(tags, client.request("clip", object+1, 5000, ""))
+	}
+	await(t, "ten attempts", func() bool { return cache.receivedCount(verbFetch) >= 10 })
+	begun := time.Now()
+	cluster.signal(syscall.SIGTERM, syscall.SIGTERM)
+	var late []*testClient
+	for object := range 5 {
+		lateClient := cluster.connect()
+		lateClient.request("clip", object+2, 5000, "")
+		late = append(late, lateClient)
+	}
+	for _, lateClient := range late {
+		lateClient.expectAnswer("1", "OK")
+	}
+	client.expectAnswer(tags[0], "") // the server never answers it
+	for _, tag := range tags[1:] {
+		client.expectAnswer(tag, "OK")
+	}
+	cluster.awaitExit()
+	took := time.Since(begun)
+	if cluster.exitErr != nil || took < 700*time.Millisecond || took > 3700*time.Millisecond {
+		t.Errorf("ended after %v with %v", took, cluster.exitErr)
+	}
+}
+
+// SIGTERM while nobody responds: cache server, parent and origin are silent, and connections to another cache server
+// never come up. Each request has its answer when its time is up, and the program ends in its time.
+func TestShutdownWhileNoServerResponds(t *testing.T) {
+	cache := newFakeServer(t, "s-1", "std", respondNothing)
+	unreachable := &fakeServer{uid: "s-2", kind: "std", address: unreachableAddress(t)}
+	cluster := startCluster(t, cache, unreachable)
+	cluster.parent.setHandler(respondNothing)
+	cluster.origin.setHandler(respondNothing)
+	client := cluster.connect()
+	var tags []string
+	for object := range 20 { // some of them at the unreachable server
+		tags = append(tags, client.request("clip", object+1, 800, ""))
+	}
+	write, long := client.request("signoff", 2, 2900, "body"), client.request("clip", 3, 5000, "")
+	await(t, "attempts", func() bool {
+		return cache.receivedCount(verbFetch) >= 5 && cluster.origin.receivedCount(verbFetch) >= 1
+	})
+	begun := time.Now()
+	cluster.signal(syscall.SIGTERM)
+	for _, tag := range tags {
+		client.expectAnswer(tag, "BUSY")
+	}
+	client.expectAnswer(write, "FAILED")
+	client.expectAnswer(long, "")
+	client.expectClose()
+	_ = client.conn.Close()
+	cluster.expectShutdown(begun, 3700*time.Millisecond)
+	writes := 0
+	for _, request := range cluster.origin.received(verbFetch) {
+		if request.fields["class"] == "signoff" {
+			writes++
+		}
+	}
+	if writes != 1 {
+		t.Errorf("a request that is not idempotent was sent %d times", writes)
+	}
+}
+
+// SIGTERM before the first endpoint list has come, and SIGHUP after it: the program listens, rejects what it has no
+// server for, and ends.
+func TestShutdownBeforeFirstEndpointList(t *testing.T) {
+	cluster := newCluster(t, newFakeServer(t, "s-1", "std", respondHit))
+	cluster.discovery.Mute(true)
+	cluster.setKnownEvents(`{"no":0,"items":[]}`)
+	cluster.start()
+	client := cluster.connect()
+	cluster.signal(syscall.SIGTERM, syscall.SIGHUP)
+	client.expectAnswer(client.request("clip", 1, 2000, ""), "BUSY")
+	client.expectAnswer(client.request("signoff", 1, 2000, "body"), "BUSY")
+	client.expectClose()
+	_ = client.conn.Close()
+	cluster.awaitExit()
+	if cluster.exitErr != nil {
+		t.Error(cluster.exitErr)
+	}
+}
--- a/cmd/fennelarch/stall_test.go
+++ b/cmd/fennelarch/stall_test.go
@@ -7,37 +7,42 @@
 	"time"
 )
 
-// The program stands still for a while, as on a starved core. A request that came meanwhile lay in the system's buffer:
-// its time counts from then, so the deadline that goes to the server has shrunk by it. One that was cancelled or left
-// behind meanwhile goes nowhere.
-func TestRequestsThatCameWhileStopped(t *testing.T) {
-	cache := newNode(t, "s-1", "std", hit)
-	f := newFleet(t, cache)
-	c, cancels, leaves := f.client().read(), f.client().read(), f.client()
-	c.expect(c.view("clip", 1, 2000, ""), "OK")
-	cancels.expect(cancels.view("clip", 1, 2000, ""), "OK")
-	leaves.view("clip", 1, 2000, "")
-	await(t, "three attempts", func() bool { return len(cache.got("fetch")) >= 3 })
+// The process is stopped for a while, as on a machine without a free core. A request that arrived meanwhile was in a
+// buffer of the system: its time counts from its arrival, so the server is told a shorter timeout. A request that was
+// cancelled meanwhile, or whose client has gone, reaches no server.
+func TestRequestsThatArriveWhileStopped(t *testing.T) {
+	const (
+		timeoutMS    = 1500
+		stopped      = 600 * time.Millisecond
+		maxTimeoutMS = 900 + 150 // what is left after the stop, and a tolerance
+	)
+	cache := newFakeServer(t, "s-1", "std", respondHit)
+	cluster := startCluster(t, cache)
+	staying, cancelling, leaving := cluster.connect(), cluster.connect(), cluster.connectWithoutReading()
+	staying.expectServed(1)
+	cancelling.expectServed(1)
+	leaving.request("clip", 1, 2000, "")
+	await(t, "three attempts", func() bool { return cache.receivedCount(verbFetch) >= 3 })
 	for range 3 {
-		before := len(cache.got("fetch"))
-		_ = f.router.Process.Signal(syscall.SIGSTOP)
+		before := cache.receivedCount(verbFetch)
+		cluster.signal(syscall.SIGSTOP)
 		time.Sleep(20 * time.Millisecond)
-		tag := c.view("clip", 2, 1500, "")
-		cancels.write(frame("UNDO", cancels.view("clip", 3, 1500, "")))
+		tag := staying.request("clip", 2, timeoutMS, "")
+		cancelling.write(frame("UNDO", cancelling.request("clip", 3, timeoutMS, "")))
 		if before == 3 {
-			leaves.view("clip", 4, 1500, "")
-			_ = leaves.conn.Close()
+			leaving.request("clip", 4, timeoutMS, "")
+			_ = leaving.conn.Close()
 		}
-		time.Sleep(600 * time.Millisecond)
-		_ = f.router.Process.Signal(syscall.SIGCONT)
-		c.expect(tag, "")
+		time.Sleep(stopped)
+		cluster.signal(syscall.SIGCONT)
+		staying.expectAnswer(tag, "")
 		time.Sleep(50 * time.Millisecond)
-		for _, q := range cache.got("fetch")[before:] {
-			if q.fields["key"] != "0000000000000002" {
-				t.Errorf("a request for %s, whose client had gone, reached a server", q.fields["key"])
+		for _, request := range cache.received(verbFetch)[before:] {
+			if key := request.fields["key"]; key != objectKey(2) {
+				t.Errorf("a request for %s, whose client had gone, reached a server", key)
 				continue
 			}
-			if ms, _ := strconv.Atoi(q.fields["wait"]); ms > 900+150 {
+			if ms, _ := strconv.Atoi(request.fields["wait"]); ms > maxTimeoutMS {
 				t.Errorf("the server is told %d ms, the client has at most 900 ms left", ms)
 			}
 		}
