--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -131,11 +131,15 @@
 
 // newWatcher returns the watcher of the discovery server, which keeps the shared stores informed.
 func (r *router) newWatcher() *discovery.Watcher {
-	watcher := discovery.New(r.limits, r.config.Names, r.config.DiscoveryAddress, r.log)
-	watcher.Stalls = r.monitor.Watch()
-	watcher.OnCurrent = r.stores.discoveryCurrent
-	watcher.OnGap = r.stores.discoveryGap
-	return watcher
+	return discovery.New(discovery.Options{
+		Limits:    r.limits,
+		Names:     r.config.Names,
+		Address:   r.config.DiscoveryAddress,
+		Log:       r.log,
+		OnCurrent: r.stores.discoveryCurrent,
+		OnGap:     r.stores.discoveryGap,
+		Stalls:    r.monitor.Watch(),
+	})
 }
 
 // applyKnownEvents applies the discovery events that the configuration holds. Unreadable ones are skipped: the
--- /dev/null
+++ b/internal/discovery/event.go
@@ -0,0 +1,226 @@
+package discovery
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"io"
+	"slices"
+	"strconv"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+)
+
+// The types of this file are the wire form of discovery events. The keys are those of the discovery server's protocol:
+//
+//	no             the number of an event; of a page: the number of the last event there is
+//	items          the events of a page
+//	roster         an endpoint list: complete (all), or only the endpoints that have changed
+//	targets        its endpoints
+//	endpoint       an endpoint's address
+//	az             its zone
+//	model          its kind
+//	pod_group      its cell
+//	capacity_hint  its weight
+//	boot_ms        when it started, in Unix milliseconds; 0: not known
+//	recall         a purge of an object (item, hexadecimal) or a group (lot) at a time (issued, in Unix milliseconds)
+
+// Page is what a poll returns, and what the configuration holds of earlier events.
+type Page struct {
+	lastEvent int64
+	events    []event
+}
+
+type event struct {
+	Number int64         `json:"no"`
+	List   *endpointList `json:"roster"`
+	Purge  *purge        `json:"recall"`
+
+	err error // why it can't be decoded, apart from its number
+}
+
+type endpointList struct {
+	IsComplete bool       `json:"all"`
+	Endpoints  []endpoint `json:"targets"`
+}
+
+type endpoint struct {
+	UID      string  `json:"uid"`
+	Address  string  `json:"endpoint"`
+	Zone     string  `json:"az"`
+	Kind     string  `json:"model"`
+	Cell     int     `json:"pod_group"`
+	State    string  `json:"state"`
+	Weight   float64 `json:"capacity_hint"`
+	BootTime float64 `json:"boot_ms"`
+
+	err error // why it can't be decoded; the others of its event can
+}
+
+type purge struct {
+	Object string `json:"item"`
+	Group  int    `json:"lot"`
+	Issued int64  `json:"issued"`
+}
+
+// endpointStates are the values of an endpoint's state.
+var endpointStates = map[string]routing.EndpointState{
+	"gone":     routing.Gone,
+	"ready":    routing.Ready,
+	"draining": routing.Draining,
+}
+
+// UnmarshalJSON decodes one endpoint of a list. A failure is kept, and costs this endpoint, not the event.
+func (e *endpoint) UnmarshalJSON(text []byte) error {
+	type plain endpoint // without this method
+	var decoded plain
+	err := json.Unmarshal(text, &decoded)
+	*e = endpoint(decoded)
+	e.err = err
+	return nil
+}
+
+// ParseKnown reads the events that a configuration holds. What can't be read of them comes from the discovery server.
+func ParseKnown(text []byte) (Page, error) { return readPage(bytes.NewReader(text)) }
+
+// readPage reads a page event by event. Of one that breaks off it returns the complete events, and no last number.
+func readPage(r io.Reader) (page Page, err error) {
+	decoder := json.NewDecoder(r)
+	lastEvent := int64(0)
+	if err := expectDelimiter(decoder, '{'); err != nil {
+		return page, err
+	}
+	for decoder.More() {
+		name, err := decoder.Token()
+		switch {
+		case err != nil:
+		case name == "no":
+			err = decoder.Decode(&lastEvent)
+		case name == "items":
+			err = readEvents(decoder, &page.events)
+		default:
+			err = decoder.Decode(new(json.RawMessage))
+		}
+		if err != nil {
+			return page, err
+		}
+	}
+	if _, err := decoder.Token(); err != nil {
+		return page, err
+	}
+	page.lastEvent = lastEvent
+	return page, nil
+}
+
+func expectDelimiter(decoder *json.Decoder, want json.Delim) error {
+	if token, err := decoder.Token(); err != nil || token != want {
+		return cmp.Or(err, errNotPage)
+	}
+	return nil
+}
+
+func readEvents(decoder *json.Decoder, events *[]event) error {
+	if err := expectDelimiter(decoder, '['); err != nil {
+		return err
+	}
+	for decoder.More() {
+		var text json.RawMessage
+		if err := decoder.Decode(&text); err != nil {
+			return err
+		}
+		read, err := parseEvent(text)
+		if err != nil {
+			return err
+		}
+		*events = append(*events, read)
+	}
+	_, err := decoder.Token()
+	return err
+}
+
+// parseEvent decodes an event. One of which only the number can be read is returned with the failure in it: it must not
+// hide the events after it.
+func parseEvent(text []byte) (event, error) {
+	var parsed event
+	err := json.Unmarshal(text, &parsed)
+	if err == nil {
+		return parsed, nil
+	}
+	var numbered struct {
+		Number int64 `json:"no"`
+	}
+	if json.Unmarshal(text, &numbered) != nil || numbered.Number <= 0 {
+		return event{}, err
+	}
+	return event{Number: numbered.Number, err: err}, nil
+}
+
+// message returns what the engine gets for an event, nil for an event of an unknown type.
+func (w *Watcher) message(e *event) (engine.Message, error) {
+	switch {
+	case e.err != nil:
+		return nil, e.err
+	case e.List != nil:
+		return w.listMessage(e.List), nil
+	case e.Purge != nil:
+		return e.Purge.message()
+	}
+	return nil, nil
+}
+
+// listMessage returns the endpoints of a list. Those that can't be read or used are logged and left out.
+func (w *Watcher) listMessage(list *endpointList) engine.EndpointList {
+	message := engine.EndpointList{Complete: list.IsComplete}
+	for i := range list.Endpoints {
+		listed := &list.Endpoints[i]
+		if listed.err != nil {
+			w.log.Warn("endpoint unreadable", zap.String("uid", listed.UID), zap.Error(listed.err))
+			continue
+		}
+		endpoint, isUsable := w.endpoint(listed)
+		if !isUsable {
+			w.log.Warn("endpoint unusable", zap.String("uid", listed.UID), zap.String("state", listed.State),
+				zap.String("kind", listed.Kind), zap.String("zone", listed.Zone))
+			continue
+		}
+		message.Endpoints = append(message.Endpoints, endpoint)
+	}
+	return message
+}
+
+// endpoint translates an endpoint. It is not usable with a state, kind or zone that the settings lack.
+func (w *Watcher) endpoint(listed *endpoint) (translated engine.Endpoint, isUsable bool) {
+	state, isKnown := endpointStates[listed.State]
+	kind, zone := slices.Index(w.names.Kinds, listed.Kind), slices.Index(w.names.Zones, listed.Zone)
+	if !isKnown || listed.UID == "" || kind < 0 || zone < 0 {
+		return engine.Endpoint{}, false
+	}
+	translated = engine.Endpoint{UID: listed.UID, Address: listed.Address, Endpoint: routing.Endpoint{
+		ID:     engine.EndpointID(listed.UID),
+		State:  state,
+		Kind:   routing.KindID(kind),
+		Zone:   routing.ZoneID(zone),
+		Cell:   routing.CellID(listed.Cell),
+		Weight: listed.Weight,
+	}}
+	if listed.BootTime > 0 {
+		translated.BootTime = time.UnixMilli(int64(listed.BootTime)).UTC()
+	}
+	return translated, true
+}
+
+func (p *purge) message() (engine.Message, error) {
+	message := engine.Purge{Group: routing.GroupID(p.Group), Issued: time.UnixMilli(p.Issued).UTC()}
+	if p.Object != "" {
+		object, err := strconv.ParseUint(p.Object, 16, 64)
+		if err != nil {
+			return nil, err
+		}
+		message.Object = routing.ObjectID(object)
+	}
+	return message, nil
+}
