--- a/internal/sharedstore/connection.go
+++ b/internal/sharedstore/connection.go
@@ -37,7 +37,6 @@
 // connection is the state machine of one connection to a store: it greets, puts commands into the output, matches
 // replies to them in their order, and reports results. It is fed bytes and times, and never touches a socket.
 type connection struct {
-	limits  *limits.Limits
 	state   connectionState
 	input   resp.Ring
 	replies resp.Replies
@@ -60,7 +59,6 @@
 
 func newConnection(bounds *limits.Limits, login Credentials, now time.Time) *connection {
 	c := &connection{
-		limits: bounds,
 		replies: resp.Replies{
 			Size: bounds.UpstreamReadBuffer, Line: bounds.FieldBytes, Parts: 2*logPageMembers + 8,
 		},
--- a/internal/sharedstore/logsync.go
+++ b/internal/sharedstore/logsync.go
@@ -45,7 +45,11 @@
 	}
 	s.isSyncingLog = false
 	t := s.transport
-	t.coordinator.MergeInvalidations(t.now(), s.id, s.logEntries, page.ok && page.isLast)
+	if page.ok && page.isLast {
+		t.coordinator.MergeInvalidations(t.now(), s.id, s.logEntries)
+	} else {
+		t.coordinator.AbandonMerge(s.id)
+	}
 	s.logEntries = nil
 }
 
--- a/policy/sharedstore/completion.go
+++ b/policy/sharedstore/completion.go
@@ -58,9 +58,9 @@
 
 // close releases what a completed operation still has in flight.
 func (c *Coordinator) close(op *operation) {
-	if op.isFilling {
+	if op.fillState == fillInFlight {
 		c.fillLimit(op.source).inFlight--
-		op.isFilling = false
+		op.fillState = fillNone
 		c.emit(Action{Kind: ActionAbortFill, Operation: op.id})
 	}
 	c.releaseLease(op)
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -239,7 +239,7 @@
 	case effectHedge:
 		c.hedge(op)
 	case effectAwaitGet:
-		op.hasFailedFill = true
+		op.fillState = fillFailed
 	case effectServeCopy:
 		note, wait := c.successNote(op, routing.NoteHit, 0)
 		c.complete(op, op.id, routing.Succeeded, note, wait)
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -19,7 +19,7 @@
 // fill starts a fill, or answers that there can be none.
 func (c *Coordinator) fill(op *operation) {
 	switch {
-	case op.hasFailedFill:
+	case op.fillState == fillFailed:
 		c.failFill(op)
 	case c.startFill(op):
 	case op.source == 0:
@@ -31,15 +31,18 @@
 
 // startFill asks the source, where that is still allowed and its limit has room. It says whether a fill is in flight.
 func (c *Coordinator) startFill(op *operation) bool {
-	if op.source == 0 || op.isFilling || c.now >= op.deadline || !c.canAskSource(op) {
-		return op.isFilling
+	if op.fillState == fillInFlight {
+		return true
+	}
+	if op.source == 0 || c.now >= op.deadline || !c.canAskSource(op) {
+		return false
 	}
 	limit := c.fillLimit(op.source)
 	if !limit.hasRoom() {
 		return false
 	}
 	limit.inFlight++
-	op.isFilling, op.fillStartedAt = true, c.now
+	op.fillState, op.fillStartedAt = fillInFlight, c.now
 	c.Counts.Fills++
 	c.emit(Action{Kind: ActionStartFill, Operation: op.id, MaxAge: c.fillMaxAge(op)})
 	return true
@@ -65,7 +68,7 @@
 }
 
 func (c *Coordinator) handleFillDone(op *operation, event *Event) {
-	op.isFilling = false
+	op.fillState = fillNone
 	op.fill = fillResult{event.Outcome, event.Note, event.FirstByteWait}
 	c.recordFill(op.source, event)
 	if event.Outcome != routing.Succeeded {
--- a/policy/sharedstore/lease.go
+++ b/policy/sharedstore/lease.go
@@ -16,7 +16,7 @@
 // another router's fill would come too late, or where nothing can be stored.
 func (c *Coordinator) acquireLease(op *operation) {
 	switch {
-	case op.hasFailedFill:
+	case op.fillState == fillFailed:
 		c.failFill(op)
 	case op.source == 0:
 		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
@@ -48,7 +48,7 @@
 		op.hasLease = true
 		if op.state == stateAcquiringLease {
 			c.input(op, inputLeaseAcquired)
-		} else if !op.isFilling {
+		} else if op.fillState != fillInFlight {
 			c.releaseLease(op) // it came too late to be of use
 		}
 	case ReplyLeaseHeld:
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -57,7 +57,7 @@
 	completeTo   Timestamp
 	writtenUpTo  int  // position in this router's log up to which the store has all
 	isReadingAll bool // all entries of the store are being read
-	isTooLarge   bool // they are more than can be kept
+	isTooLarge   bool // they are more than can be read or kept
 }
 
 // RecordInvalidation records a purge, and says whether the stores are to be told of it now.
@@ -126,6 +126,7 @@
 	sync.completeFrom, sync.completeTo = stored.CompleteFrom, stored.CompleteTo
 	c.consumeBudget(store, logSyncCommands)
 	if isLost {
+		// This is no call of Handle: the actions that follow are not carried out.
 		c.handleConnection(store, &Event{Kind: EventDataLost, Endpoint: store.id})
 	}
 }
@@ -175,25 +176,32 @@
 }
 
 // MergeInvalidations takes all entries of a store's log, read after its range on the same connection: from now on this
-// router knows what the store knew. Where they were not read to the end, or are more than can be kept, what was stored
-// before this router's start stays unproved here.
-func (c *Coordinator) MergeInvalidations(
-	now time.Duration, id routing.EndpointID, entries []Invalidation, isComplete bool,
-) {
+// router knows what the store knew. Where they are more than can be kept, what was stored before this router's start
+// stays unproved here.
+func (c *Coordinator) MergeInvalidations(now time.Duration, id routing.EndpointID, entries []Invalidation) {
 	c.now = max(now, c.now)
 	store := c.storeByID[id]
 	if store == nil || !store.logSync.isReadingAll {
 		return
 	}
 	sync := &store.logSync
-	sync.isReadingAll = false
-	if !isComplete || len(entries)+len(c.log.entries) > maxInvalidations {
-		sync.isTooLarge = true
+	if len(entries)+len(c.log.entries) > maxInvalidations {
+		c.AbandonMerge(id)
 		return
 	}
+	sync.isReadingAll = false
 	for _, entry := range entries {
 		c.log.add(entry)
 	}
 	oldest := max(sync.completeFrom, c.log.horizon(c.wallClock()))
 	c.log.completeFrom = min(c.log.completeFrom, oldest)
 }
+
+// AbandonMerge says that the entries of a store's log could not be read to the end. It is not tried again on this
+// connection.
+func (c *Coordinator) AbandonMerge(id routing.EndpointID) {
+	store := c.storeByID[id]
+	if store != nil && store.logSync.isReadingAll {
+		store.logSync.isReadingAll, store.logSync.isTooLarge = false, true
+	}
+}
--- a/policy/sharedstore/logsync_model_test.go
+++ b/policy/sharedstore/logsync_model_test.go
@@ -77,7 +77,7 @@
 		if m.store.purgedAt > 0 {
 			entries = []Invalidation{{Object: modelObject, IssuedAt: m.store.purgedAt}}
 		}
-		coordinator.MergeInvalidations(m.now, storeS, entries, true)
+		coordinator.MergeInvalidations(m.now, storeS, entries)
 		return true
 	}
 	for _, entry := range update.Invalidations {
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -33,7 +33,7 @@
 	stored.CompleteTo = epoch + 62_000
 	show("younger", younger.PlanLogUpdate(63*time.Second, storeS, stored))
 	fmt.Println("copies from before its start are proved:", younger.log.proves(8, 0, epoch+40_000, 0))
-	younger.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}}, true)
+	younger.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
 	fmt.Println("then:", younger.log.proves(8, 0, epoch+40_000, 0),
 		"but not one from before a purge:", younger.log.proves(7, 0, epoch+20_000, 0))
 	// Output:
--- a/policy/sharedstore/operation.go
+++ b/policy/sharedstore/operation.go
@@ -14,7 +14,6 @@
 	isComplete      bool // it was answered or cancelled; only a set can remain
 	hasLease        bool
 	waitedForHolder bool // it has waited for another router's fill
-	isFilling       bool
 	onlyIfCached    bool
 	source          routing.EndpointID
 	key             copyKey
@@ -31,8 +30,8 @@
 	nextFollower    *operation // next in the leader's list
 	generatedAt     Timestamp  // of the copy
 	bodyBytes       int
+	fillState       fillState
 	fill            fillResult
-	hasFailedFill   bool // the fill failed while a get was still in flight
 }
 
 // copyKey identifies a copy: operations with the same key can share one.
@@ -41,6 +40,15 @@
 	part   int
 }
 
+// fillState is how far the operation's fill has come.
+type fillState uint8
+
+const (
+	fillNone     fillState = iota // not started, or its result has been used
+	fillInFlight                  // the source has not answered
+	fillFailed                    // it failed while a get was in flight: there will be no other
+)
+
 // fillResult is how a source answered.
 type fillResult struct {
 	outcome       routing.Outcome
