--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,7 @@
+// Package config reads the configuration that the platform gives to a router: its environment, the file that it names,
+// and the settings in it, which the simulator gives alike. It checks that all of it can be used, and decides nothing.
 package config
 
-// This file owns the configuration that a router of the service finds at its start: its environment and the file
-// that it names. It checks that the whole can be used, and decides nothing.
-
 import (
 	"encoding/json"
 	"errors"
@@ -14,7 +13,23 @@
 	"fennelarch/policy/routing"
 )
 
-// Config is what a router of the service is told at its start.
+// Environment variables of the platform.
+const (
+	configVariable = "RELAY_CONFIG"
+	nameVariable   = "RELAY_NAME"
+	listenVariable = "RELAY_LISTEN"
+)
+
+// The least that a router can work with.
+const (
+	minMemoryMB = 16
+	minSockets  = 32
+)
+
+// mutableKeys are the keys that may change while a router runs.
+var mutableKeys = []string{"bulletin", "known", "seed"}
+
+// Config is the configuration of a router.
 type Config struct {
 	Name               string
 	Listen             string
@@ -23,17 +38,17 @@
 	Cores              float64
 	MemoryMB           int
 	Sockets            int
-	FlowBytesPerSecond float64         // bytes a second of one transfer from the router's own memory
-	LinkBytesPerSecond float64         // and of all together
-	KnownEvents        json.RawMessage // the bulletin's events so far
+	FlowBytesPerSecond float64         // of one response from the local cache
+	LinkBytesPerSecond float64         // of all responses from the local cache together
+	KnownEvents        json.RawMessage // the discovery events so far
 	Routing            routing.Settings
 	Names              Names
-	Immutable          string // all that holds until the next start, as text
+	Immutable          string // all that has no effect before the next start, as text
 }
 
 // Load reads the environment and the file that it names.
 func Load(env func(string) string) (*Config, error) {
-	path := env("RELAY_CONFIG")
+	path := env(configVariable)
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG is not set")
 	}
@@ -41,71 +56,86 @@
 	if err != nil {
 		return nil, err
 	}
-	return Read(text, env("RELAY_NAME"), env("RELAY_LISTEN"))
+	return Read(text, env(nameVariable), env(listenVariable))
 }
 
-// Read takes the text of a configuration; a name and an address from the environment go before its own.
+// Read takes the text of a configuration. A name and an address from the environment, if any, replace those of the
+// text.
 func Read(text []byte, name, listen string) (*Config, error) {
-	var f struct {
-		Name     string `json:"name"`
-		Listen   string `json:"listen"`
-		Seed     string `json:"seed"`
-		Bulletin string `json:"bulletin"`
-		Limits   struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int     `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		Flow     float64         `json:"flow_bytes_per_s"`
-		Link     float64         `json:"link_bytes_per_s"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, plain("configuration", text, err)
-	}
-	c := &Config{
-		Name: f.Name, Listen: f.Listen, DiscoveryAddress: f.Bulletin, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, FlowBytesPerSecond: f.Flow, LinkBytesPerSecond: f.Link, KnownEvents: f.Known,
+	var keys configurationKeys
+	if err := json.Unmarshal(text, &keys); err != nil {
+		return nil, describeJSONError("configuration", text, err)
+	}
+	config := &Config{
+		Name:               keys.Name,
+		Listen:             keys.Listen,
+		DiscoveryAddress:   keys.Bulletin,
+		Cores:              keys.Limits.Cores,
+		MemoryMB:           keys.Limits.MemoryMB,
+		Sockets:            keys.Limits.Sockets,
+		FlowBytesPerSecond: keys.Flow,
+		LinkBytesPerSecond: keys.Link,
+		KnownEvents:        keys.Known,
 	}
 	if name != "" {
-		c.Name = name
+		config.Name = name
 	}
 	if listen != "" {
-		c.Listen = listen
+		config.Listen = listen
 	}
-	var all map[string]json.RawMessage
-	err := json.Unmarshal(text, &all)
-	if err != nil {
+	var err error
+	if config.Immutable, err = immutablePart(text); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	for _, moves := range []string{"bulletin", "known", "seed"} {
-		delete(all, moves)
+	if config.Seed, err = strconv.ParseUint(keys.Seed, 16, 64); err != nil {
+		return nil, fmt.Errorf("configuration: seed %q is not hexadecimal", keys.Seed)
 	}
-	fixed, err := json.Marshal(all)
-	if err != nil {
+	if err := config.check(); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c.Immutable = string(fixed)
-	if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("configuration: seed %q is not hexadecimal", f.Seed)
+	if err := config.decodeSettings(keys.Settings); err != nil {
+		return nil, err
 	}
-	for _, a := range []struct{ what, address string }{{"listen", c.Listen}, {"bulletin", c.DiscoveryAddress}} {
-		if _, _, err := net.SplitHostPort(a.address); err != nil {
-			return nil, fmt.Errorf("configuration: %s: %w", a.what, err)
-		}
+	return config, nil
+}
+
+// immutablePart returns the text of the keys that have no effect before the next start.
+func immutablePart(text []byte) (string, error) {
+	var values map[string]json.RawMessage
+	if err := json.Unmarshal(text, &values); err != nil {
+		return "", err
 	}
-	if c.Cores <= 0 || c.MemoryMB < 16 || c.Sockets < 32 {
-		return nil, fmt.Errorf("configuration: limits of %g cores, %d MB, %d sockets are too small", c.Cores, c.MemoryMB, c.Sockets)
+	for _, key := range mutableKeys {
+		delete(values, key)
 	}
-	if len(f.Settings) == 0 {
-		return nil, errors.New("configuration: settings are missing")
+	immutable, err := json.Marshal(values)
+	return string(immutable), err
+}
+
+// check finds addresses and limits that no router can work with.
+func (c *Config) check() error {
+	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
+		return fmt.Errorf("listen: %w", err)
 	}
-	if c.Routing, c.Names, err = Decode(f.Settings); err != nil {
-		return nil, err
+	if _, _, err := net.SplitHostPort(c.DiscoveryAddress); err != nil {
+		return fmt.Errorf("bulletin: %w", err)
+	}
+	if c.Cores <= 0 || c.MemoryMB < minMemoryMB || c.Sockets < minSockets {
+		return fmt.Errorf("limits of %g cores, %d MB, %d sockets are too small", c.Cores, c.MemoryMB, c.Sockets)
+	}
+	return nil
+}
+
+// decodeSettings reads the settings, which must have a request class.
+func (c *Config) decodeSettings(text json.RawMessage) (err error) {
+	if len(text) == 0 {
+		return errors.New("configuration: settings are missing")
+	}
+	if c.Routing, c.Names, err = Decode(text); err != nil {
+		return err
 	}
 	if len(c.Routing.Classes) == 0 {
-		return nil, errors.New("settings: no classes")
+		return errors.New("settings: no classes")
 	}
-	return c, nil
+	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,51 +1,106 @@
 package config
 
 import (
-	"fmt"
+	"reflect"
 	"strings"
+	"testing"
+	"time"
+
+	"fennelarch/policy/routing"
+)
+
+const (
+	clipClass  = `{"name":"clip","effect":"retryable","deadline_ms":5000}`
+	configText = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964",
+ "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"bulletin":"127.0.0.1:7070","known":{"no":0,"items":[]},
+ "settings":{"az":1,"dcs":["west","east"],"shapes":["std","parent","origin"],
+  "caps":{"conn_idle_ms":30000,"multiplex":100},
+  "classes":[` + clipClass + `],"report":{"columns":["util","x1"],"via":"probe"}}}`
 )
 
-const confText = `{"name":"n3","listen":"127.0.0.1:9090","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
- "bulletin":"127.0.0.1:7070","known":{"no":0,"items":[]},
- "settings":{"az":1,"dcs":["west","east"],"shapes":["std","parent","origin"],"caps":{"conn_idle_ms":30000,"multiplex":100},
-  "classes":[{"name":"clip","effect":"retryable","deadline_ms":5000}],"report":{"columns":["util","x1"],"via":"probe"}}}`
+func TestReadTakesNameFromEnvironment(t *testing.T) {
+	got, err := Read([]byte(configText), "n4", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := Names{
+		Classes: []string{"clip"}, Zones: []string{"west", "east"}, Kinds: []string{"std", "parent", "origin"},
+		Columns: []string{"util", "x1"}, IdleTimeout: 30 * time.Second, StreamsPerConnection: 100,
+	}
+	if !reflect.DeepEqual(got.Names, names) {
+		t.Errorf("names %+v, not %+v", got.Names, names)
+	}
+	const seed = 10096842570142050660
+	if got.Name != "n4" || got.Listen != "127.0.0.1:9090" || got.Seed != seed {
+		t.Errorf("name %q, listen %q, seed %d", got.Name, got.Listen, got.Seed)
+	}
+	if got.Cores != 1 || got.MemoryMB != 192 || got.Sockets != 1024 {
+		t.Errorf("%g cores, %d MB, %d sockets", got.Cores, got.MemoryMB, got.Sockets)
+	}
+}
 
-// What cannot be used ends in one plain line.
-func ExampleRead() {
-	c, err := Read([]byte(confText), "n4", "")
-	fmt.Println(c.Name, c.Listen, c.Seed, c.Cores, c.MemoryMB, c.Sockets, c.Names, err)
-	for _, odd := range [][2]string{
-		{`{"name"`, `"name"`},
-		{"8c1f", "xx"},
-		{"127.0.0.1:9090", "nowhere"},
-		{`"memory_mb":192`, `"memory_mb":1`},
-		{"retryable", "odd"},
-		{`"deadline_ms":5000`, `"deadline_ms":0`},
-		{`"deadline_ms":5000}`, `"deadline_ms":5000},{"name":"clip","effect":"fragile","deadline_ms":1}`},
-		{`"via":"probe"`, `"via":"probe",`},
-		{`"sockets":1024`, `"sockets":"many"`},
-		{`"settings"`, `"settinks"`},
-		{`{"name":"clip","effect":"retryable","deadline_ms":5000}`, ""},
-		{`"az":1`, `"az":"x"`},
+func TestReadRejectsInOneLine(t *testing.T) {
+	for name, test := range map[string]struct{ old, replacement, want string }{
+		"missing brace": {
+			`{"name"`, `"name"`,
+			"configuration: line 1, column 7: invalid character ':' after top-level value",
+		},
+		"seed":   {"8c1f", "xx", `configuration: seed "xx30d27a5be964" is not hexadecimal`},
+		"listen": {"127.0.0.1:9090", "nowhere", "configuration: listen: address nowhere: missing port in address"},
+		"discovery address": {
+			"127.0.0.1:7070", "nowhere",
+			"configuration: bulletin: address nowhere: missing port in address",
+		},
+		"limits": {
+			`"memory_mb":192`, `"memory_mb":1`,
+			"configuration: limits of 1 cores, 1 MB, 1024 sockets are too small",
+		},
+		"effect":   {"retryable", "odd", `settings.classes.0: the unknown effect "odd"`},
+		"deadline": {`"deadline_ms":5000`, `"deadline_ms":0`, "settings.classes.0: a deadline of 0 ms"},
+		"class twice": {
+			clipClass, clipClass + `,{"name":"clip","effect":"fragile","deadline_ms":1}`,
+			`settings.classes.1: there is a class "clip" before it`,
+		},
+		"comma at an end": {
+			`"via":"probe"`, `"via":"probe",`,
+			"configuration: line 5, column 119: invalid character '}' looking for beginning of object key string",
+		},
+		"text for a number": {
+			`"sockets":1024`, `"sockets":"many"`,
+			"configuration.limits.sockets: a string where a value of type int belongs",
+		},
+		"no settings": {`"settings"`, `"settinks"`, "configuration: settings are missing"},
+		"no classes":  {clipClass, "", "settings: no classes"},
+		"zone":        {`"az":1`, `"az":"x"`, "settings.az: a string where a value of type int belongs"},
 	} {
-		_, err := Read([]byte(strings.Replace(confText, odd[0], odd[1], 1)), "", "")
-		fmt.Println(err)
-	}
-	_, err = Load(func(string) string { return "" })
-	fmt.Println(err)
-	// Output:
-	// n4 127.0.0.1:9090 10096842570142050660 1 192 1024 {[clip] [] [west east] [std parent origin] [util x1] 30s 100} <nil>
-	// configuration: line 1, column 7: invalid character ':' after top-level value
-	// configuration: seed "xx30d27a5be964" is not hexadecimal
-	// configuration: listen: address nowhere: missing port in address
-	// configuration: limits of 1 cores, 1 MB, 1024 sockets are too small
-	// settings.classes.0: the unknown effect "odd"
-	// settings.classes.0: a deadline of 0 ms
-	// settings.classes.1: there is a class "clip" before it
-	// configuration: line 4, column 119: invalid character '}' looking for beginning of object key string
-	// configuration.limits.sockets: a string where a value of type int belongs
-	// configuration: settings are missing
-	// settings: no classes
-	// settings.az: a string where a value of type int belongs
-	// RELAY_CONFIG is not set
+		t.Run(name, func(t *testing.T) {
+			text := strings.Replace(configText, test.old, test.replacement, 1)
+			if text == configText {
+				t.Fatalf("the configuration has no %s", test.old)
+			}
+			if _, err := Read([]byte(text), "", ""); err == nil || err.Error() != test.want {
+				t.Errorf("%v, not %s", err, test.want)
+			}
+		})
+	}
+}
+
+func TestLoadNeedsEnvironment(t *testing.T) {
+	_, err := Load(func(string) string { return "" })
+	if err == nil || err.Error() != "RELAY_CONFIG is not set" {
+		t.Error(err)
+	}
+}
+
+// A class whose servers drop repeats by a key needs to say where they do: a retry must not go elsewhere.
+func TestDedupNeedsScope(t *testing.T) {
+	for group, want := range map[string]routing.Idempotency{
+		"zone": routing.IdempotentWithKey, "": routing.NonIdempotent, "odd": routing.NonIdempotent,
+	} {
+		text := `{"classes":[{"name":"clip","effect":"dedup","deadline_ms":5000,"group":"` + group + `"}]}`
+		settings, _, err := Decode([]byte(text))
+		if err != nil || settings.Classes[0].Idempotency != want {
+			t.Errorf("group %q: %+v, %v", group, settings.Classes, err)
+		}
+	}
 }
