--- /dev/null
+++ b/internal/limits/limits_test.go
@@ -0,0 +1,44 @@
+package limits
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDescriptorsLeaveReserve(t *testing.T) {
+	for _, sockets := range []int{32, 256, 1024, 65536} {
+		lim := From(Inputs{Sockets: sockets})
+		if used := lim.ClientConnections + lim.RejectedConnections + lim.UpstreamConnections; used > sockets*9/10 {
+			t.Errorf("%d of %d descriptors are given to connections", used, sockets)
+		}
+	}
+}
+
+// The platform kills a router 0.7 s after the longest deadline, or after 3 s if that is less.
+func TestShutdownEndsBeforeThePlatformKills(t *testing.T) {
+	for _, deadline := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
+		lim := From(Inputs{LongestDeadline: deadline})
+		killed := min(deadline, 3*time.Second) + 700*time.Millisecond
+		if ends := lim.ShutdownGrace + lim.FlushTimeout; ends >= killed {
+			t.Errorf("with a deadline of %v it ends after %v, and is killed after %v", deadline, ends, killed)
+		}
+	}
+}
+
+func TestAttemptsStartWithinTheShorterGrace(t *testing.T) {
+	for name, test := range map[string]struct {
+		drain, purge, want time.Duration
+	}{
+		"drain":    {time.Second, 5 * time.Second, 900 * time.Millisecond},
+		"purge":    {5 * time.Second, time.Second, 900 * time.Millisecond},
+		"no purge": {5 * time.Second, 0, 4500 * time.Millisecond},
+		"neither":  {0, 0, 1800 * time.Millisecond}, // two connect timeouts
+	} {
+		t.Run(name, func(t *testing.T) {
+			lim := From(Inputs{DrainGrace: test.drain, PurgeGrace: test.purge})
+			if lim.AttemptStartWithin != test.want {
+				t.Errorf("%v, not %v", lim.AttemptStartWithin, test.want)
+			}
+		})
+	}
+}
