--- a/cmd/fennelarch/summary.go
+++ b/cmd/fennelarch/summary.go
@@ -54,9 +54,9 @@
 		zap.Uint64("fills", counts.Fills),
 		zap.Uint64("bypassed", counts.Passed),
 		zap.Uint64("coalesced", counts.Joined),
-		zap.Uint64("leases", counts.Leases),
-		zap.Uint64("lease_waits", counts.Waits),
-		zap.Uint64("overdue", counts.Overdue),
+		zap.Uint64("lease_attempts", counts.Leases),
+		zap.Uint64("fill_waits", counts.Waits),
+		zap.Uint64("timeouts", counts.Overdue),
 		zap.Uint64("rejected", counts.Refused))
 }
 
