--- a/cmd/fennelarch/operatorfile_test.go
+++ b/cmd/fennelarch/operatorfile_test.go
@@ -44,10 +44,10 @@
 		return cluster.parent.receivedCount(verbFetch) == fills && store.Counts().Given > 0
 	})
 	for _, text := range []string{
-		strings.Replace(valid, "true", "false", 1),
+		strings.Replace(valid, `"lease": true`, `"lease": false`, 1),
 		valid[:40],
-		strings.Replace(valid, "s-redis", "s-other", 1),
-		strings.Replace(valid, "50", "0", 1),
+		strings.Replace(valid, `"uid": "s-redis"`, `"uid": "s-other"`, 1),
+		strings.Replace(valid, `"per_address": 50`, `"per_address": 0`, 1),
 	} {
 		writeFile(text)
 		cluster.signal(syscall.SIGHUP)
