--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -174,3 +174,27 @@
 		t.Errorf("%+v", list)
 	}
 }
+
+// OnGap is called for each event that will never be delivered, and at a new server, which may not tell them all.
+func TestOnGapForEachLostEvent(t *testing.T) {
+	gaps := 0
+	watcher := newTestWatcher(func(options *Options) { options.OnGap = func() { gaps++ } })
+	for _, step := range []struct {
+		name string
+		page string
+		gaps int
+	}{
+		{"the first events", pageText(2, purgeEvent(1), purgeEvent(2)), 0},
+		{"3 is missing", pageText(4, purgeEvent(4)), 0},
+		{"3 is still missing", pageText(4, purgeEvent(4)), 1},
+		{"an unreadable event", pageText(5, `{"no":5,"recall":{"item":"x"}}`), 1},
+		{"an event of an unknown type", pageText(6, `{"no":6,"other":{}}`), 0},
+		{"a new server", pageText(1, purgeEvent(1)), 1},
+	} {
+		gaps = 0
+		_ = watcher.Apply(mustReadPage(t, step.page), 0, func(engine.Message) {})
+		if gaps != step.gaps {
+			t.Errorf("%s: %d gaps, not %d", step.name, gaps, step.gaps)
+		}
+	}
+}
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -123,3 +123,35 @@
 		t.Errorf("while the process was stopped: %v", got)
 	}
 }
+
+// OnCurrent is called with the start of a poll whose page ends with the last event, not where a number is missing.
+func TestOnCurrentOnceCaughtUp(t *testing.T) {
+	current := make(chan time.Time, 100)
+	watcher := newTestWatcher(func(options *Options) {
+		options.OnCurrent = func(asOf time.Time) { current <- asOf }
+	})
+	var polls atomic.Int64
+	polledAt := make(chan time.Time, 2) // the first two polls
+	groups := runWatcher(t, watcher, startServer(t, func(w http.ResponseWriter, _ *http.Request) {
+		switch polls.Add(1) {
+		case 1: // not current: 2 to 4 are missing
+			polledAt <- time.Now()
+			_, _ = fmt.Fprint(w, pageText(5, purgeEvent(1), purgeEvent(5)))
+		case 2:
+			polledAt <- time.Now()
+			_, _ = fmt.Fprint(w, pageText(2, purgeEvent(2)))
+		default:
+			_, _ = fmt.Fprint(w, pageText(2))
+		}
+	}))
+	expectGroup(t, groups, 1)
+	expectGroup(t, groups, 2)
+	select {
+	case asOf := <-current:
+		if first, second := <-polledAt, <-polledAt; !asOf.After(first) || asOf.After(second) {
+			t.Errorf("it is current as of %v, polls came at %v and %v", asOf, first, second)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("it never counts as current")
+	}
+}
