--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -82,7 +82,7 @@
 // mayAttempt holds the guards of rules 1 to 4; sendAction sets the bound of rule 5.
 func (r *Router) mayAttempt(req *request, plan attemptPlan) bool {
 	// Rule 1: nothing for a request that is answered, nor so late that its answer cannot come back.
-	if !req.open || req.streaming || req.attemptCount >= r.settings.MaxAttempts || req.deadline-r.now < minTimeLeft {
+	if req.state != requestOpen || req.attemptCount >= r.settings.MaxAttempts || req.deadline-r.now < minTimeLeft {
 		return false
 	}
 	// Rule 2: what may have run is sent again only as its class allows.
@@ -156,7 +156,7 @@
 		r.attributeFailure(req, att, event, failure)
 	}
 	switch {
-	case !req.open:
+	case !req.isOpen():
 		r.requests.release(req)
 	case event.Final:
 		r.closeRequest(req)
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -11,7 +11,7 @@
 func (r *Router) checkOverdueAttempts() {
 	for i := range r.requests.slots {
 		req := &r.requests.slots[i]
-		if !req.open || req.streaming {
+		if req.state != requestOpen {
 			continue
 		}
 		if req.retryWriteAt > 0 && r.now >= req.retryWriteAt {
--- a/policy/routing/request.go
+++ b/policy/routing/request.go
@@ -5,6 +5,33 @@
 	"time"
 )
 
+// requestState follows a request from its arrival to the end of its last attempt.
+type requestState uint8
+
+const (
+	requestOpen            requestState = iota
+	requestStreaming                    // open; its answer is on its way to the client
+	requestClosed                       // answered or given up; attempts in flight are cancelled
+	requestClosedStreaming              // closed after its answer began: attempts in flight are let run
+	requestStateCount
+)
+
+// afterStreamStarted is the state of a request once an answer is on its way.
+var afterStreamStarted = [requestStateCount]requestState{
+	requestOpen:            requestStreaming,
+	requestStreaming:       requestStreaming,
+	requestClosed:          requestClosedStreaming,
+	requestClosedStreaming: requestClosedStreaming,
+}
+
+// afterClose is the state of a request once it has its final answer or its client has left.
+var afterClose = [requestStateCount]requestState{
+	requestOpen:            requestClosed,
+	requestStreaming:       requestClosedStreaming,
+	requestClosed:          requestClosed,
+	requestClosedStreaming: requestClosedStreaming,
+}
+
 // request is an open request, or a closed one whose last attempts have yet to end.
 type request struct {
 	id           RequestID
@@ -19,8 +46,7 @@
 	sizeTold     bool          // the request told its size
 	sizeKnown    bool          // the request told its size, or the history has it
 	overQuota    bool          // its tenant is over its quota
-	open         bool
-	streaming    bool // its answer is on its way to the client
+	state        requestState
 	stage        fillStage
 	cache        endpointIndex // the cache whose turn it is
 	failedBy     endpointIndex // the endpoint that failed it without saying why
@@ -29,6 +55,9 @@
 	inFlight     int // attempts that have not ended
 }
 
+// isOpen reports whether the client is still owed an answer, or the end of one.
+func (q *request) isOpen() bool { return q.state == requestOpen || q.state == requestStreaming }
+
 // hasTriedSource reports whether the request's cache has asked a source for more than a cached copy.
 func (q *request) hasTriedSource(source endpointIndex) bool {
 	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool {
@@ -85,7 +114,7 @@
 
 // release frees the slot of a request that is closed and whose attempts have all ended.
 func (t *requestTable) release(req *request) {
-	if slot, isKnown := t.slotByID[req.id]; isKnown && !req.open && req.inFlight == 0 {
+	if slot, isKnown := t.slotByID[req.id]; isKnown && !req.isOpen() && req.inFlight == 0 {
 		delete(t.slotByID, req.id)
 		t.free = append(t.free, slot)
 	}
@@ -93,8 +122,8 @@
 
 // closeRequest ends a request: attempts in flight are cancelled, and its slot is used again when they have ended.
 func (r *Router) closeRequest(req *request) {
-	req.open = false
-	if r.settings.Cancel && !req.streaming {
+	req.state = afterClose[req.state]
+	if r.settings.Cancel && req.state == requestClosed {
 		for i := range req.sentAttempts() {
 			if req.attempts[i].isInFlight() {
 				r.emit(Action{Kind: ActionCancel, Request: req.id, Attempt: AttemptNumber(i)})
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -103,7 +103,7 @@
 		r.handleAttemptResult(r.requests.find(event.Request), event)
 	case EventStreamStarted:
 		if req := r.requests.find(event.Request); req != nil {
-			req.streaming = true
+			req.state = afterStreamStarted[req.state]
 		}
 	case EventClientGone:
 		if req := r.requests.find(event.Request); req != nil {
@@ -176,7 +176,6 @@
 	req := r.requests.add(event.Request)
 	req.class, req.object, req.group = event.Class, event.Object, event.Group
 	req.hash = event.objectHash()
-	req.open = true
 	req.deadline = r.now + event.TimeLeft
 	req.cache, req.failedBy = noEndpoint, noEndpoint
 	r.estimateTransfer(req, event.SizeKB)
--- a/policy/routing/shedding.go
+++ b/policy/routing/shedding.go
@@ -35,7 +35,7 @@
 
 // giveUp ends a request that no attempt is left for, unless one in flight may still answer it.
 func (r *Router) giveUp(req *request) {
-	if !req.open || req.inFlight > 0 {
+	if !req.isOpen() || req.inFlight > 0 {
 		return
 	}
 	if r.sendToLocalCache(req) {
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -228,7 +228,7 @@
 	}
 	if p.fails {
 		event.Outcome, event.Note, event.Final = Failed, NoteSourceUnreachable, false
-	} else if req := router.router.requests.find(p.request); req != nil && req.open {
+	} else if req := router.router.requests.find(p.request); req != nil && req.isOpen() {
 		f.served++
 	}
 	router.handle(&event)
