--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -2,9 +2,88 @@
 
 import (
 	"fmt"
+	"math"
+	"testing"
 	"time"
 )
 
+func isNear(got, want float64) bool { return math.Abs(got-want) < 1e-9 }
+
+func TestLinkLearnsItsCapacity(t *testing.T) {
+	for name, test := range map[string]struct {
+		slowdown, beside float64
+		least, most      float64
+	}{
+		"congested":             {2, 10, 4.5, 5.5},
+		"of less than one":      {5, 1, 0.15, 0.25},
+		"never below the least": {100, 1, 0.1, 0.11},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var learned link
+			now := time.Minute
+			for range 100 {
+				now += time.Second
+				learned.observe(test.slowdown, test.beside, leastOfCacheLink, now)
+			}
+			if learned.capacity < test.least || learned.capacity > test.most {
+				t.Errorf("capacity %v, want %v to %v", learned.capacity, test.least, test.most)
+			}
+		})
+	}
+}
+
+func TestLinkAtFullPaceGrowsWhereItIsBusy(t *testing.T) {
+	idle, busy := link{capacity: 10}, link{capacity: 10}
+	idle.observe(1, 3, leastOfCacheLink, time.Minute)
+	busy.observe(1, 12, leastOfCacheLink, time.Minute)
+	if idle.capacity != 10 {
+		t.Errorf("an idle link grew to %v", idle.capacity)
+	}
+	if busy.capacity <= 10 {
+		t.Errorf("a busy link stayed at %v", busy.capacity)
+	}
+}
+
+func TestTransfersOfOtherRouters(t *testing.T) {
+	now := time.Minute
+	shared := link{concurrency: concurrency{current: 2, average: 2, changedAt: now}, capacity: 10}
+	reported := shared
+	reported.observeReport(4, now) // a first report counts a quarter: the link is full
+	dedicated := shared
+	dedicated.dedicated = true
+	for name, test := range map[string]struct {
+		link  link
+		share float64
+		want  float64
+	}{
+		"alone":                     {shared, 1, 2},
+		"as many as each other one": {shared, 0.25, 8},
+		"half way to the report":    {reported, 0.25, 2 + (6+8)/2},
+		"nobody else's link":        {dedicated, 0.25, 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := test.link.transfers(test.share, now); !isNear(got, test.want) {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestConcurrencyAverageDecays(t *testing.T) {
+	var counted concurrency
+	counted.add(4, time.Minute)
+	if got := counted.averageAt(time.Minute); got != 0 {
+		t.Errorf("average %v at once", got)
+	}
+	if got, want := counted.averageAt(time.Minute+concurrencySpan), 4*(1-math.Exp(-1)); !isNear(got, want) {
+		t.Errorf("average %v after a span, want %v", got, want)
+	}
+	counted.add(-4, time.Hour)
+	if got := counted.averageAt(2 * time.Hour); !isNear(got, 0) {
+		t.Errorf("average %v long after the end", got)
+	}
+}
+
 // A link is shared: a router alone, with one fill at a time, finds a link that fits one free; one of twenty finds it
 // full once its own fills tell what the others have there, and asks the caches only.
 func Example_sharedLink() {
--- /dev/null
+++ b/policy/routing/objecthistory_test.go
@@ -0,0 +1,51 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestObjectHistoryFindsWhatItRecorded(t *testing.T) {
+	history := newObjectHistory()
+	if history.find(7) != nil {
+		t.Error("a record of an object that was never seen")
+	}
+	record := history.ensure(7)
+	if record.holder != noEndpoint || history.find(7) != record || history.ensure(7) != record {
+		t.Error("the record was not found again")
+	}
+	history.ensure(7 + historySize) // takes its slot
+	if history.find(7) != nil {
+		t.Error("a record that was replaced is still found")
+	}
+}
+
+func TestObjectIsCachedWhereItWasAnswered(t *testing.T) {
+	record := objectRecord{holder: 3, seenAt: time.Minute}
+	for name, test := range map[string]struct {
+		index          endpointIndex
+		startedAt, now time.Duration
+		want           bool
+	}{
+		"at its holder":            {3, 0, time.Minute + time.Second, true},
+		"at another endpoint":      {2, 0, time.Minute + time.Second, false},
+		"after too long":           {3, 0, time.Minute + expectedCachedFor, false},
+		"its holder was restarted": {3, time.Minute + 1, time.Minute + time.Second, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := record.isCachedAt(test.index, test.startedAt, test.now); got != test.want {
+				t.Errorf("got %v", got)
+			}
+		})
+	}
+}
+
+func TestRequestCounterIsBounded(t *testing.T) {
+	var record objectRecord
+	for range 1000 {
+		record.countRequest()
+	}
+	if record.requests != maxCountedRequests {
+		t.Errorf("%d requests counted", record.requests)
+	}
+}
--- a/policy/routing/originlimit_test.go
+++ b/policy/routing/originlimit_test.go
@@ -2,9 +2,76 @@
 
 import (
 	"fmt"
+	"testing"
 	"time"
 )
 
+func TestOriginLimiterClosesAndOpens(t *testing.T) {
+	now := time.Minute
+	limiter := originLimiter{limit: initialOriginLimit, share: 1}
+	for range 20 {
+		now += originFailureInterval
+		limiter.recordFailure(now)
+	}
+	if !limiter.isClosed() || !limiter.updateClosed() || !limiter.closed {
+		t.Fatalf("not closed at a limit of %v", limiter.limit)
+	}
+	for limiter.limit < initialOriginLimit {
+		if limiter.updateClosed() {
+			t.Fatalf("logged as open at a limit of %v", limiter.limit)
+		}
+		now += 100 * ms
+		limiter.observe(50*ms, false, now)
+	}
+	if !limiter.updateClosed() || limiter.closed {
+		t.Errorf("still closed at a limit of %v", limiter.limit)
+	}
+}
+
+func TestFailuresTogetherCountOnce(t *testing.T) {
+	limiter := originLimiter{limit: 16, share: 1}
+	for range 10 {
+		limiter.recordFailure(time.Minute)
+	}
+	if limiter.limit != 12 {
+		t.Errorf("the limit is %v, want 12", limiter.limit)
+	}
+}
+
+func TestClosedLimiterLetsTrialsThrough(t *testing.T) {
+	now := time.Minute
+	limiter := originLimiter{limit: minOriginLimit, share: 0.5}
+	if !limiter.hasCapacity(minOriginLimit, now) {
+		t.Fatal("no first trial")
+	}
+	limiter.begin(1, 0.5, now)
+	limiter.end(1, now)
+	interval := 2 * originTrialInterval // half a limit tries half as often
+	if limiter.hasCapacity(minOriginLimit, now+interval-1) {
+		t.Error("a second trial too soon")
+	}
+	if !limiter.hasCapacity(minOriginLimit, now+interval) {
+		t.Error("no second trial")
+	}
+	limiter.begin(1, 0.5, now+interval)
+	if limiter.hasCapacity(minOriginLimit, now+time.Hour) {
+		t.Error("a trial beside one in flight")
+	}
+}
+
+func TestOpenLimiterCountsWhatIsInFlight(t *testing.T) {
+	limiter := originLimiter{limit: 8, share: 1}
+	for range 8 {
+		if !limiter.hasCapacity(limiter.limit, time.Minute) {
+			t.Fatal("no capacity below the limit")
+		}
+		limiter.begin(1, 0, time.Minute)
+	}
+	if limiter.hasCapacity(limiter.limit, time.Minute) {
+		t.Error("capacity at the limit")
+	}
+}
+
 // Found on depot-records at tight objectives: the usual wait for the origin is a little too long, so half of all fills
 // would come in time. They go while the limit is wide, and with a narrow one the parent is asked for what it has
 // cached.
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -1,9 +1,128 @@
 package routing
 
 import (
+	"testing"
 	"time"
 )
 
+func TestOutlierIsEjectedByFailures(t *testing.T) {
+	for name, test := range map[string]struct {
+		severity float64
+		want     int
+	}{
+		"lost connections": {hardFailure, 2},
+		"errors":           {softFailure, 4},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var detector outlierDetector
+			failures := 1
+			for ; !detector.recordFailure(test.severity, time.Minute); failures++ {
+				if failures > 100 {
+					t.Fatal("never ejected")
+				}
+			}
+			if failures != test.want {
+				t.Errorf("ejected after %d failures, want %d", failures, test.want)
+			}
+		})
+	}
+}
+
+func TestSuccessesKeepAnEndpointIn(t *testing.T) {
+	var detector outlierDetector
+	for range 1000 {
+		if detector.recordFailure(softFailure, time.Minute) {
+			t.Fatal("ejected though most answers are good")
+		}
+		for range 3 {
+			detector.recordSuccess(time.Minute, false)
+		}
+	}
+}
+
+func ejectedDetector(now time.Duration) outlierDetector {
+	var detector outlierDetector
+	for !detector.recordFailure(hardFailure, now) {
+	}
+	return detector
+}
+
+func TestTrialsGoAtGrowingDistance(t *testing.T) {
+	now := time.Minute
+	detector := ejectedDetector(now)
+	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
+		if got := detector.nextTrial - now; got != want {
+			t.Errorf("next trial after %v, want %v", got, want)
+		}
+		if detector.allowsAttempt(detector.nextTrial - 1) {
+			t.Error("an attempt is allowed before the trial")
+		}
+		now = detector.nextTrial
+		if !detector.allowsAttempt(now) {
+			t.Error("the trial is not allowed")
+		}
+		detector.beginTrial(now)
+		if detector.allowsAttempt(now) {
+			t.Error("a second attempt is allowed beside the trial")
+		}
+		detector.recordFailure(hardFailure, now)
+	}
+}
+
+func TestThreeSuccessesEndAnEjection(t *testing.T) {
+	ejectedAt := time.Minute
+	for name, test := range map[string]struct {
+		severity  float64
+		sentAt    time.Duration
+		fromCache bool
+		want      recovery
+	}{
+		"after errors":                     {softFailure, ejectedAt + time.Second, false, recoveryReturned},
+		"after silence":                    {hardFailure, ejectedAt + time.Second, false, recoveryRestarted},
+		"after silence, from a copy":       {hardFailure, ejectedAt + time.Second, true, recoveryReturned},
+		"after silence, sent before it":    {hardFailure, ejectedAt - time.Second, false, recoveryReturned},
+		"after silence, sent as it began ": {hardFailure, ejectedAt, false, recoveryRestarted},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var detector outlierDetector
+			for !detector.recordFailure(test.severity, ejectedAt) {
+			}
+			for i := range successesToReturn {
+				got := detector.recordSuccess(test.sentAt, test.fromCache)
+				want := recoveryNone
+				if i == successesToReturn-1 {
+					want = test.want
+				}
+				if got != want {
+					t.Errorf("success %d: got %v, want %v", i+1, got, want)
+				}
+			}
+			if detector.ejected {
+				t.Error("still ejected")
+			}
+		})
+	}
+}
+
+func TestParentIsRemappedButForTrials(t *testing.T) {
+	detector := ejectedDetector(time.Minute)
+	detector.nextTrial = 2 * time.Minute
+	for name, test := range map[string]struct {
+		now  time.Duration
+		want bool
+	}{
+		"brief failure":   {time.Minute + parentRemapAfter - 1, false},
+		"long failure":    {time.Minute + parentRemapAfter, true},
+		"due for a trial": {2 * time.Minute, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := detector.isRemapped(test.now); got != test.want {
+				t.Errorf("got %v", got)
+			}
+		})
+	}
+}
+
 // A parent that is not reached: origin fills at first, after 10 s its arc is the next parent's, with trials between;
 // once listed gone and back ready it has its arc again.
 func Example_parentLoss() {
--- a/policy/routing/retry_test.go
+++ b/policy/routing/retry_test.go
@@ -1,9 +1,62 @@
 package routing
 
 import (
+	"testing"
 	"time"
 )
 
+func TestRetryBudgetIsLimited(t *testing.T) {
+	budget := newRetryBudget()
+	spent := 0
+	for budget.spend() {
+		spent++
+	}
+	if spent != maxRetryTokens {
+		t.Errorf("a burst of %d, want %d", spent, maxRetryTokens)
+	}
+	for range 40 {
+		budget.earn()
+	}
+	for spent = 0; budget.canSpend(); spent++ {
+		budget.spend()
+	}
+	if spent != 10 {
+		t.Errorf("40 requests earned %d retries, want 10", spent)
+	}
+}
+
+func TestRetryBudgetSavesNoMoreThanABurst(t *testing.T) {
+	budget := newRetryBudget()
+	for range 1000 {
+		budget.earn()
+	}
+	if budget.tokens != maxRetryTokens {
+		t.Errorf("%v tokens, want %d", budget.tokens, maxRetryTokens)
+	}
+}
+
+func TestInDedupScope(t *testing.T) {
+	here := endpoint{zone: 1, cell: 1}
+	for name, test := range map[string]struct {
+		scope DedupScope
+		other endpoint
+		want  bool
+	}{
+		"all, another zone":    {ScopeAll, endpoint{zone: 2, cell: 1}, true},
+		"zone, another zone":   {ScopeZone, endpoint{zone: 2, cell: 1}, false},
+		"zone, another cell":   {ScopeZone, endpoint{zone: 1, cell: 2}, true},
+		"cell, another cell":   {ScopeCell, endpoint{zone: 1, cell: 2}, false},
+		"cell, the same":       {ScopeCell, endpoint{zone: 1, cell: 1}, true},
+		"cell, only by number": {ScopeCell, endpoint{zone: 2, cell: 1}, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := inDedupScope(test.scope, &here, &test.other); got != test.want {
+				t.Errorf("got %v", got)
+			}
+		})
+	}
+}
+
 // Rule 2: a write that is not idempotent is retried, after a backoff, only if it provably did not run.
 func Example_nonIdempotentWrite() {
 	harness := newHarness(testSettings(), cacheA)
--- /dev/null
+++ b/policy/routing/ring_test.go
@@ -0,0 +1,84 @@
+package routing
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+func evenRing(weights ...float64) ring {
+	var members []ringMember
+	for i, weight := range weights {
+		members = append(members, ringMember{endpointIndex(i), EndpointID(1000 + 7919*i), weight})
+	}
+	return newRing(members)
+}
+
+// sharesOf counts which part of many objects each member owns.
+func sharesOf(built *ring) []float64 {
+	const objects = 20000
+	shares := make([]float64, len(built.members))
+	for object := range uint64(objects) {
+		shares[built.owner(mix(object))] += 1.0 / objects
+	}
+	return shares
+}
+
+func TestRingSharesObjectsByWeight(t *testing.T) {
+	for name, weights := range map[string][]float64{
+		"equal weights":   {1, 1, 1, 1},
+		"one is heavier":  {1, 1, 2},
+		"no weights told": {0, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			built, total := evenRing(weights...), 0.0
+			for _, weight := range weights {
+				total += weight
+			}
+			for i, share := range sharesOf(&built) {
+				want := 1 / float64(len(weights))
+				if total > 0 {
+					want = weights[i] / total
+				}
+				if math.Abs(share-want) > want/5 {
+					t.Errorf("member %d owns %.3f of the objects, want about %.3f", i, share, want)
+				}
+			}
+		})
+	}
+}
+
+func TestRingMovesOnlyObjectsOfALostMember(t *testing.T) {
+	before, after := evenRing(1, 1, 1, 1), evenRing(1, 1, 1)
+	for object := range uint64(5000) {
+		owner := before.owner(mix(object))
+		if owner < 3 && after.owner(mix(object)) != owner {
+			t.Fatalf("object %d moved from member %d, which is still there", object, owner)
+		}
+	}
+}
+
+func TestRingFindVisitsEachMemberOnce(t *testing.T) {
+	built := evenRing(1, 1, 1, 1, 1)
+	for range 3 {
+		var visited []endpointIndex
+		found := built.find(42, func(index endpointIndex) bool {
+			visited = append(visited, index)
+			return false
+		})
+		if found != noEndpoint {
+			t.Errorf("found %d though none was accepted", found)
+		}
+		slices.Sort(visited)
+		if !slices.Equal(visited, []endpointIndex{0, 1, 2, 3, 4}) {
+			t.Errorf("visited %v", visited)
+		}
+	}
+}
+
+func TestRingWithoutMembersOwnsNothing(t *testing.T) {
+	built := newRing(nil)
+	if owner := built.owner(7); owner != noEndpoint {
+		t.Errorf("owner %d", owner)
+	}
+}
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -2,9 +2,92 @@
 
 import (
 	"fmt"
+	"testing"
 	"time"
 )
 
+// testSlowStart is the slow start of an endpoint that started after a minute.
+func testSlowStart() slowStart {
+	return slowStart{
+		settings: &slowStartSettings{
+			initialShare: 0.2, duration: 10 * time.Second, overloadFactor: 2, overloadWindow: 3 * time.Second,
+		},
+		startedAt: time.Minute, budgetStart: LongAgo,
+	}
+}
+
+func TestWarmFractionGrowsToOne(t *testing.T) {
+	ramp := testSlowStart()
+	for name, test := range map[string]struct {
+		age  time.Duration
+		want float64
+	}{
+		"before its start":  {-time.Second, 0.2},
+		"at its start":      {0, 0.2},
+		"half way":          {5 * time.Second, 0.6},
+		"warmed up":         {10 * time.Second, 1},
+		"long warmed up":    {time.Hour, 1},
+		"one step too soon": {10*time.Second - 1, 0.99999999992},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := ramp.warmFraction(time.Minute + test.age); !isNear(got, test.want) {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestEndpointWithoutSlowStartIsWarm(t *testing.T) {
+	ramp := slowStart{startedAt: time.Minute}
+	if got := ramp.warmFraction(time.Minute); got != 1 {
+		t.Errorf("got %v", got)
+	}
+}
+
+func TestBudgetBeginsOncePerStart(t *testing.T) {
+	ramp := testSlowStart()
+	if !ramp.beginBudget(time.Minute) || ramp.beginBudget(time.Minute+time.Second) {
+		t.Error("the budget did not begin once")
+	}
+	ramp.startedAt = 2 * time.Minute
+	if !ramp.beginBudget(2 * time.Minute) {
+		t.Error("the budget did not begin again with a new start")
+	}
+}
+
+func TestConsumeKeepsTheRate(t *testing.T) {
+	now := time.Minute
+	ramp := testSlowStart()
+	ramp.beginBudget(now)
+	// 0.6 of twice a fifth of one transfer at a time: one of 100 ms each 417 ms.
+	const requests = 50
+	for range requests {
+		ramp.consume(1, 100*ms, 1, now)
+	}
+	gap := (ramp.nextAllowed - now) / requests
+	if gap < 410*ms || gap > 420*ms {
+		t.Errorf("one request each %v", gap)
+	}
+}
+
+func TestConsumeSavesUpLessThanAWindow(t *testing.T) {
+	now := time.Minute
+	ramp := testSlowStart()
+	ramp.beginBudget(now)
+	now += 9 * time.Second // nothing was asked of it
+	atOnce := 0
+	for ; now >= ramp.nextAllowed; atOnce++ {
+		ramp.consume(1, 100*ms, 1, now)
+	}
+	warm := ramp.warmFraction(now)
+	if most := 2 * warm * 3 / 0.1; float64(atOnce) > most {
+		t.Errorf("%d requests at once, but a window bears %.1f", atOnce, most)
+	}
+	if atOnce < 2 {
+		t.Errorf("nothing was saved up: %d at once", atOnce)
+	}
+}
+
 // Rule 4: a cache that just started has a fifth of its objects, and a budget besides; the rest goes to its neighbour.
 func Example_coldCache() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
--- /dev/null
+++ b/policy/routing/tokenbucket_test.go
@@ -0,0 +1,31 @@
+package routing
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTokenBucketLimitsARate(t *testing.T) {
+	for name, test := range map[string]struct {
+		rate     float64
+		interval time.Duration
+		want     int // of 100 takes
+	}{
+		"a burst has one second's tokens": {10, 0, 10},
+		"at its rate all are taken":       {10, 100 * ms, 100},
+		"at twice its rate about half":    {10, 50 * ms, 59},
+	} {
+		t.Run(name, func(t *testing.T) {
+			bucket, now, taken := tokenBucket{}, time.Minute, 0
+			for range 100 {
+				if bucket.take(test.rate, now) {
+					taken++
+				}
+				now += test.interval
+			}
+			if taken < test.want-1 || taken > test.want+1 {
+				t.Errorf("%d taken, want %d", taken, test.want)
+			}
+		})
+	}
+}
