--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -61,3 +61,18 @@
 	pool.wantResult(routing.ConnectFailed, waiting)
 	close(released)
 }
+
+// A retired connection is closed once its last attempt is aborted, though no response comes.
+func TestRetiredConnectionClosesAfterAbort(t *testing.T) {
+	old, current := newScriptedServer(t), newScriptedServer(t)
+	pool := newTestPool(t, nil)
+	pool.listEndpoint(1, routing.Ready, old.Addr().String())
+	attempt := pool.sendAttempt(1, 1)
+	receive(t, old.verbs)
+	pool.listEndpoint(1, routing.Ready, current.Addr().String())
+	if pool.ConnectionCount() != 1 {
+		t.Errorf("%d connections with an attempt in flight", pool.ConnectionCount())
+	}
+	pool.Abort(attempt)
+	pool.waitForConnectionCount(0)
+}
--- a/internal/upstream/reassign_test.go
+++ b/internal/upstream/reassign_test.go
@@ -65,3 +65,38 @@
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, busy)
 }
+
+// Only a connection that is up, idle and not suspect, and that had a response since the dial began, takes what waits
+// for an overdue dial.
+func TestProvenConnection(t *testing.T) {
+	dialStarted := time.Now()
+	proven := func() *connection {
+		return &connection{
+			state:        stateOpen,
+			session:      newTestSession(),
+			lastResponse: dialStarted.Add(time.Millisecond),
+		}
+	}
+	for name, test := range map[string]struct {
+		change func(c *connection)
+		want   bool
+	}{
+		"proven":                   {func(*connection) {}, true},
+		"writing":                  {func(c *connection) { c.state = stateWriting }, true},
+		"dialling":                 {func(c *connection) { c.state = stateDialing }, false},
+		"retired":                  {func(c *connection) { c.state = stateRetired }, false},
+		"closed":                   {func(c *connection) { c.state = stateClosed }, false},
+		"closed during a write":    {func(c *connection) { c.state = stateClosingWrite }, false},
+		"response before the dial": {func(c *connection) { c.lastResponse = dialStarted }, false},
+		"busy":                     {func(c *connection) { c.session.enqueue(exchange{attempt: newAttempt(1)}) }, false},
+		"suspect":                  {func(c *connection) { c.session.hasSilentAbort = true }, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := proven()
+			test.change(c)
+			if got := c.isProvenSince(dialStarted); got != test.want {
+				t.Errorf("%v, not %v", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/upstream/selection_test.go
+++ b/internal/upstream/selection_test.go
@@ -35,6 +35,24 @@
 	}
 }
 
+// A suspect connection on which nothing is pending is closed when the next attempt is sent.
+func TestIdleSuspectConnectionIsClosed(t *testing.T) {
+	server := newScriptedServer(t)
+	pool := newTestPool(t, nil)
+	pool.listEndpoint(1, routing.Ready, server.Addr().String())
+	suspect := pool.sendAttempt(1, 1)
+	receive(t, server.verbs)
+	pool.Abort(suspect)
+	server.answers <- false
+	second := pool.sendAttempt(2, 1)
+	server.answers <- true
+	pool.wantResult(routing.Succeeded, second)
+	pool.waitForConnectionCount(1)
+	if receive(t, server.accepted) == receive(t, server.accepted) {
+		t.Error("the suspect connection was used again")
+	}
+}
+
 // What ends a connection fails one attempt, as long as there is capacity; an attempt without any connection was never
 // sent.
 func TestConnectionEndFailsOneAttempt(t *testing.T) {
--- a/internal/upstream/state_test.go
+++ b/internal/upstream/state_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// What ends a connection ends it in each state, and what retires or closes it once more changes nothing.
+// What ends a connection ends it in each state, and what comes after that opens it no more.
 func TestClosedStaysClosed(t *testing.T) {
 	for state := range connectionStates {
 		closed := transitions[eventClose][state]
@@ -28,6 +28,40 @@
 				t.Errorf("%v, then %v: %v", closed, event, next)
 			}
 		}
+		for event := range connectionEvents {
+			if next := transitions[event][closed]; next != impossible && !next.isClosed() {
+				t.Errorf("%v, then %v: %v", closed, event, next)
+			}
+		}
+	}
+}
+
+// A dial that succeeds brings the connection up, however late, unless it was closed meanwhile.
+func TestConnectedIsUp(t *testing.T) {
+	for _, state := range []connectionState{
+		stateDialing, stateDialOverdue, stateRetiredDialing, stateRetiredDialOverdue,
+	} {
+		connected := transitions[eventConnected][state]
+		if !connected.isUp() || connected.isDialOverdue() || connected.isRetired() != state.isRetired() {
+			t.Errorf("%v is %v when connected", state, connected)
+		}
+	}
+	if next := transitions[eventConnected][stateClosed]; next != stateClosed {
+		t.Errorf("closed is %v when connected", next)
+	}
+}
+
+// A write that has finished leaves the connection as it was before, or closed if it was closed meanwhile.
+func TestFinishedWrite(t *testing.T) {
+	for _, state := range []connectionState{stateOpen, stateRetired} {
+		writing := transitions[eventWriteStarted][state]
+		if !writing.isWriting() || transitions[eventWriteFinished][writing] != state {
+			t.Errorf("%v is %v during a write, and %v after it", state, writing, transitions[eventWriteFinished][writing])
+		}
+		closing := transitions[eventClose][writing]
+		if next := transitions[eventWriteFinished][closing]; next != stateClosed {
+			t.Errorf("%v, closed during a write, is %v after it", state, next)
+		}
 	}
 }
 
