--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed plays experiments on real routers among stand-ins, on this machine's loopback alone. This file owns its
-// command line; the experiments are those of internal/testbed.
+// Command testbed runs experiments on real routers among fake servers, on this machine's loopback alone. The
+// experiments are those of internal/testbed.
 package main
 
 import (
@@ -17,106 +17,143 @@
 	"github.com/alecthomas/kong"
 )
 
-type listCmd struct{}
+// Exit codes besides 0.
+const (
+	exitFailed = 1
+	exitUsage  = 2
+)
+
+// Bounds of the flags.
+const (
+	maxScale   = 10
+	maxRouters = 200
+)
 
-type runCmd struct {
+type listCommand struct{}
+
+type runCommand struct {
 	Name    string  `arg:"" help:"The experiment; 'testbed list' names them."`
 	Seed    uint64  `default:"1" help:"What chance is drawn from; the same seed gives the same script."`
-	Scale   float64 `default:"1" help:"Of rates and durations; 1 is what docs/results.md tells."`
+	Scale   float64 `default:"1" help:"Of rates and durations; 1 is the scale of docs/results.md."`
 	Routers int     `help:"How many routers, where the experiment leaves it open; 0: its own choice."`
-	Plan    string  `type:"path" placeholder:"FILE" help:"The plan of a soak, a trouble a line; none: by the seed."`
+	Plan    string  `type:"path" placeholder:"FILE" help:"The plan of a soak, a fault a line; none: by the seed."`
 	Out     string  `type:"path" placeholder:"DIR" help:"Where the result is written, as NAME-SEED.json."`
 	JSON    bool    `name:"json" help:"Print the result as JSON."`
 }
 
-type upCmd struct {
-	Bulletin string `default:"127.0.0.1:7070" help:"Where the bulletin listens."`
+type upCommand struct {
+	Bulletin string `default:"127.0.0.1:7070" help:"Where discovery listens."`
 }
 
-func (listCmd) Run() error {
-	for _, e := range testbed.Experiments() {
-		fmt.Printf("%-20s %s\n", e.Name, e.Shows)
-	}
-	return nil
-}
+// usageError is a flag that cannot be used.
+type usageError struct{ err error }
 
-// usageError is a flag that can't be used.
-type usageError struct{ error }
+func (e usageError) Error() string { return e.err.Error() }
 
-var errClaim = errors.New("a claim did not hold")
+func (e usageError) Unwrap() error { return e.err }
 
-func (c runCmd) Run() error {
-	o := testbed.Options{Seed: c.Seed, Scale: c.Scale, Routers: c.Routers, Out: c.Out}
-	if c.Scale <= 0 || c.Scale > 10 {
-		return usageError{fmt.Errorf("--scale: %g is not between 0 and 10", c.Scale)}
-	}
-	if c.Routers < 0 || c.Routers > 200 {
-		return usageError{fmt.Errorf("--routers: %d is not between 0 and 200", c.Routers)}
-	}
-	if c.Plan != "" {
-		text, err := os.ReadFile(c.Plan)
-		if err != nil {
-			return usageError{fmt.Errorf("--plan: %w", err)}
+var errAssertion = errors.New("an assertion failed")
+
+// Run lists the experiments.
+func (listCommand) Run() error {
+	for _, experiment := range testbed.Experiments() {
+		if _, err := fmt.Printf("%-20s %s\n", experiment.Name, experiment.Shows); err != nil {
+			return err
 		}
-		o.Plan = string(text)
 	}
-	if !c.JSON {
-		o.Note = os.Stderr
+	return nil
+}
+
+// Run runs an experiment.
+func (c runCommand) Run() error {
+	options, err := c.options()
+	if err != nil {
+		return err
 	}
-	r, err := testbed.Run(c.Name, o)
+	result, err := testbed.Run(c.Name, options)
 	if err != nil {
 		return err
 	}
-	text, err := json.MarshalIndent(r, "", "  ")
+	text, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
 		return err
 	}
-	if c.Out != "" {
-		if err := os.MkdirAll(c.Out, 0o755); err != nil {
-			return err
-		}
-		if err := os.WriteFile(filepath.Join(c.Out, fmt.Sprintf("%s-%d.json", c.Name, c.Seed)), append(text, '\n'), 0o644); err != nil {
-			return err
-		}
+	if err := c.write(text); err != nil {
+		return err
 	}
 	if c.JSON {
 		fmt.Println(string(text))
 	} else {
-		print(r)
+		printResult(result)
 	}
-	if !r.Held() {
-		return errClaim
+	if !result.Passed() {
+		return errAssertion
 	}
 	return nil
 }
 
-func print(r *testbed.Result) {
-	for _, name := range slices.Sorted(maps.Keys(r.Figures)) {
-		fmt.Printf("  %-44s %10.3f\n", name, r.Figures[name])
+func (c runCommand) options() (testbed.Options, error) {
+	options := testbed.Options{Seed: c.Seed, Scale: c.Scale, Routers: c.Routers, Out: c.Out}
+	if c.Scale <= 0 || c.Scale > maxScale {
+		return options, usageError{fmt.Errorf("--scale: %g is not between 0 and %d", c.Scale, maxScale)}
+	}
+	if c.Routers < 0 || c.Routers > maxRouters {
+		return options, usageError{fmt.Errorf("--routers: %d is not between 0 and %d", c.Routers, maxRouters)}
 	}
-	for _, c := range r.Claims {
-		word := "held"
-		if !c.Held {
-			word = "FAILED"
+	if c.Plan != "" {
+		text, err := os.ReadFile(c.Plan)
+		if err != nil {
+			return options, usageError{fmt.Errorf("--plan: %w", err)}
 		}
-		fmt.Printf("%-6s %s: %s\n", word, c.Name, c.Told)
+		options.Plan = string(text)
 	}
+	if !c.JSON {
+		options.Log = os.Stderr
+	}
+	return options, nil
 }
 
-func (c upCmd) Run() error { return testbed.Up(c.Bulletin, os.Stdout) }
+// write writes the result, where it is to be written.
+func (c runCommand) write(text []byte) error {
+	if c.Out == "" {
+		return nil
+	}
+	if err := os.MkdirAll(c.Out, 0o755); err != nil {
+		return err
+	}
+	path := filepath.Join(c.Out, fmt.Sprintf("%s-%d.json", c.Name, c.Seed))
+	return os.WriteFile(path, append(text, '\n'), 0o644)
+}
+
+func printResult(result *testbed.Result) {
+	for _, name := range slices.Sorted(maps.Keys(result.Figures)) {
+		fmt.Printf("  %-44s %10.3f\n", name, result.Figures[name])
+	}
+	for _, assertion := range result.Assertions {
+		outcome := "passed"
+		if !assertion.Passed {
+			outcome = "FAILED"
+		}
+		fmt.Printf("%-6s %s: %s\n", outcome, assertion.Name, assertion.Detail)
+	}
+}
+
+// Run starts the fake servers of the example configuration.
+func (c upCommand) Run() error { return testbed.ServeExample(c.Bulletin, os.Stdout) }
 
 func main() {
-	var cli struct {
-		List listCmd `cmd:"" help:"List the experiments."`
-		Run  runCmd  `cmd:"" help:"Run an experiment; exit code 0 only if every claim held."`
-		Up   upCmd   `cmd:"" help:"Start the stand-ins of deploy/example.json and of deploy/operator.example.json, until interrupted."`
-	}
-	ctx := kong.Parse(&cli, kong.Name("testbed"), kong.Description("Experiments on real routers among stand-ins, on loopback."))
-	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "testbed:", err)
+	var commands struct {
+		List listCommand `cmd:"" help:"List the experiments."`
+		Run  runCommand  `cmd:"" help:"Run an experiment; exit code 0 only if every assertion passed."`
+		Up   upCommand   `cmd:"" help:"Start the fake servers of the example files in deploy/, until interrupted."`
+	}
+	context := kong.Parse(&commands, kong.Name("testbed"),
+		kong.Description("Experiments on real routers among fake servers, on loopback."))
+	if err := context.Run(); err != nil {
+		_, _ = fmt.Fprintln(os.Stderr, "testbed:", err)
 		if errors.As(err, &usageError{}) || errors.As(err, &soak.PlanError{}) {
-			os.Exit(2)
+			os.Exit(exitUsage)
 		}
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 }
--- /dev/null
+++ b/internal/testbed/admission_handshakes.go
@@ -0,0 +1,33 @@
+package testbed
+
+import (
+	"syscall"
+	"time"
+)
+
+var _ = Register(Experiment{
+	Name:  "admission-handshakes",
+	Shows: "half handshakes by the thousand; and keys read again meanwhile",
+	Run:   runAdmissionHandshakes,
+})
+
+func runAdmissionHandshakes(options Options, result *Result) error {
+	const knownClient = "crew"
+	keys, err := newKeyring(knownClient)
+	if err != nil {
+		return err
+	}
+	defer keys.close()
+	operator := admissionRules()
+	operator["tls"] = keys.operatorPart()
+	half := floodArm{
+		name: "half", operator: operator, keys: keys, knownClient: knownClient,
+		flood: flood{from: loopbackAddresses(200), mode: floodHalfHandshakes},
+		pace:  floodPace{connections: options.count(4000), connectionsPerSecond: 1500, workers: floodWorkers},
+		meanwhile: func(cluster *Cluster) {
+			time.Sleep(300 * time.Millisecond)
+			cluster.Routers[0].Signal(syscall.SIGHUP) // keys are read again meanwhile
+		},
+	}
+	return half.runAsserted(options, result)
+}
--- /dev/null
+++ b/internal/testbed/admission_restart.go
@@ -0,0 +1,110 @@
+package testbed
+
+import (
+	"fmt"
+	"sync"
+	"syscall"
+	"time"
+)
+
+var _ = Register(Experiment{
+	Name:  "admission-restart",
+	Shows: "known clients that return all at once after a restart, among a flood",
+	Run:   runAdmissionRestart,
+})
+
+const (
+	returningClients = 60
+	// A client that is rejected tries again, retryInterval later.
+	returnAttempts = 5
+	retryInterval  = 150 * time.Millisecond
+	// floodRate is the flood's connections a second.
+	floodRate = 2500
+)
+
+// returnCounts is how many known clients connected each time, lost no request, and were served.
+type returnCounts struct{ connected, answered, served int }
+
+func runAdmissionRestart(options Options, result *Result) error {
+	calm, err := playReturn(options, result, "calm", 0)
+	if err != nil {
+		return err
+	}
+	counts, err := playReturn(options, result, "flood", options.count(8000))
+	if err != nil {
+		return err
+	}
+	result.Assert(counts.connected == returningClients && counts.answered == returningClients,
+		"all known clients are back within a second, and each request has its answer",
+		"%d connected, %d answered of 60", counts.connected, counts.answered)
+	result.Assert(counts.served >= calm.served-2, "as many are served as without a flood", "%d of 60, calm %d",
+		counts.served, calm.served)
+	return nil
+}
+
+// playReturn restarts the router among a flood, and has all known clients return.
+func playReturn(options Options, result *Result, name string, connections int) (returnCounts, error) {
+	cluster, err := startCluster(options.Seed, admissionConfig(admissionRules()), 1)
+	if err != nil {
+		return returnCounts{}, err
+	}
+	address := cluster.Routers[0].Address
+	strangers := &flood{address: address, from: loopbackAddresses(500)}
+	flooded := make(chan struct{})
+	go func() {
+		defer close(flooded)
+		strangers.run(floodPace{connections: connections, connectionsPerSecond: floodRate, workers: floodWorkers})
+	}()
+	cluster.inBackground(func() {
+		cluster.Play(Load{RequestsPerSecond: 20, Duration: options.duration(3 * time.Second)})
+	})
+	time.Sleep(500 * time.Millisecond)
+	cluster.Restart(0)
+	restartedAt := time.Now()
+	counts := runReturningClients(address)
+	result.Figure(name+" until the last known client is served s", time.Since(restartedAt).Seconds())
+	<-flooded
+	// A reload and a shutdown while the flood goes on.
+	cluster.Routers[0].Signal(syscall.SIGHUP)
+	time.Sleep(100 * time.Millisecond)
+	floodedAgain := make(chan struct{})
+	go func() {
+		defer close(floodedAgain)
+		strangers.run(floodPace{connections: connections / 8, connectionsPerSecond: floodRate, workers: 16})
+	}()
+	seen := cluster.End()
+	<-floodedAgain
+	strangers.end()
+	result.assertRules(name, seen)
+	return counts, nil
+}
+
+// runReturningClients has all known clients connect at once, and try again where they are rejected.
+func runReturningClients(address string) (counts returnCounts) {
+	var clients []*knownClient
+	var returning sync.WaitGroup
+	for i := range returningClients {
+		client := &knownClient{address: address, from: fmt.Sprintf("127.0.1.%d", i+1)}
+		clients = append(clients, client)
+		returning.Go(func() {
+			for range returnAttempts {
+				if client.send(uint64(i)).status == StatusOK {
+					return
+				}
+				time.Sleep(retryInterval)
+			}
+		})
+	}
+	returning.Wait()
+	for _, client := range clients {
+		summary := client.summary()
+		if summary.connected == summary.requests {
+			counts.connected++
+		}
+		if summary.lost == 0 {
+			counts.answered++
+		}
+		counts.served += summary.served
+	}
+	return counts
+}
--- /dev/null
+++ b/internal/testbed/checker_test.go
@@ -0,0 +1,114 @@
+package testbed
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"fennelarch/internal/fake/site"
+)
+
+// checkerTests are requests that break one rule each, or none.
+var checkerTests = []struct {
+	name   string
+	change func(request *Request)
+	want   func(seen *Observations) bool
+}{
+	{"good", func(*Request) {}, func(seen *Observations) bool {
+		return seen.InTime == 1 && seen.Stale+seen.WrongBytes+seen.Lost+seen.AnsweredTwice+seen.Late == 0
+	}},
+	{"later than its latency objective", func(r *Request) {
+		r.AnsweredAt = r.SentAt.Add(500 * time.Millisecond)
+	}, func(seen *Observations) bool { return seen.Served == 1 && seen.InTime == 0 }},
+	{"no answer", func(r *Request) { r.Answers, r.Status = 0, "" }, func(seen *Observations) bool {
+		return seen.Lost == 1
+	}},
+	{"connection ended while in flight", func(r *Request) {
+		r.Answers, r.EndedAt = 0, r.SentAt.Add(80*time.Millisecond)
+	}, func(seen *Observations) bool { return seen.Lost == 1 }},
+	{"crossed the close of a connection", func(r *Request) {
+		r.Answers, r.EndedAt = 0, r.SentAt.Add(time.Millisecond)
+	}, func(seen *Observations) bool { return seen.Lost == 0 && seen.Crossed == 1 }},
+	{"two answers", func(r *Request) { r.Answers = 2 }, func(seen *Observations) bool {
+		return seen.AnsweredTwice == 1
+	}},
+	{"after its deadline", func(r *Request) {
+		r.AnsweredAt = r.SentAt.Add(2 * time.Second)
+	}, func(seen *Observations) bool { return seen.Late == 1 }},
+	{"from before a purge", func(r *Request) {
+		r.Response = site.Body(r.Object, r.SentAt.Add(-4*time.Second), 100)
+	}, func(seen *Observations) bool { return seen.Stale == 1 }},
+	{"one byte wrong", func(r *Request) { r.Response = r.Response[:99] + "?" }, func(seen *Observations) bool {
+		return seen.WrongBytes == 1
+	}},
+	{"another object", func(r *Request) {
+		r.Response = site.Body(site.Object{ID: 2}, r.SentAt, 100)
+	}, func(seen *Observations) bool { return seen.WrongBytes == 1 }},
+}
+
+// The checker sees each kind of breach: an assertion that cannot fail shows nothing.
+func TestCheckerSeesEachBreach(t *testing.T) {
+	now := time.Now()
+	cluster := &Cluster{
+		ClusterConfig: ClusterConfig{Settings: DefaultSettings(1), Groups: 4}, killsOf: map[int][]time.Time{},
+		sizesKB: []float64{1, 1, 1}, purges: []purge{{object: 1, at: now.Add(-3 * time.Second)}},
+	}
+	cluster.Site = site.New(func(site.Object) int { return 100 }, cluster.group)
+	defer cluster.Site.Close()
+	for _, test := range checkerTests {
+		t.Run(test.name, func(t *testing.T) {
+			object := site.Object{ID: 1}
+			request := &Request{
+				RequestSpec: RequestSpec{
+					Class: classClip, Object: object, ScheduledAt: now, Timeout: time.Second,
+					LatencyObjective: 400 * time.Millisecond,
+				},
+				SentAt: now, Answers: 1, AnsweredAt: now.Add(50 * time.Millisecond), Status: StatusOK,
+				Response: site.Body(object, now.Add(-time.Second), 100),
+			}
+			test.change(request)
+			seen := newObservations()
+			cluster.checkRequest(seen, request)
+			if !test.want(seen) {
+				t.Errorf("%+v", *seen)
+			}
+		})
+	}
+}
+
+func TestResultPassesOnlyWithAssertionsThatAllPass(t *testing.T) {
+	result := &Result{Figures: map[string]float64{}}
+	if result.Passed() {
+		t.Error("a result without assertions passed")
+	}
+	result.Assert(true, "one", "")
+	if !result.Passed() {
+		t.Error("a result whose only assertion passed did not pass")
+	}
+	result.Assert(false, "two", "")
+	if result.Passed() {
+		t.Error("a result with an assertion that failed passed")
+	}
+}
+
+// Every experiment has a name.
+func ExampleExperiments() {
+	for _, experiment := range Experiments() {
+		fmt.Println(experiment.Name)
+	}
+	// Output:
+	// admission-burst
+	// admission-descriptors
+	// admission-handshakes
+	// admission-many
+	// admission-restart
+	// admission-shared
+	// store-cold
+	// store-cost
+	// store-drain
+	// store-faults
+	// store-lease
+	// store-none
+	// store-purge
+	// store-slow
+}
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -1,15 +1,11 @@
 package testbed
 
-// This file owns the clients: views sent when they are due to be sent, whatever became of those before, over connections
-// that are kept; and the record of what came back. A time counts from when the view was meant to go.
-
 import (
 	"crypto/tls"
 	"fmt"
 	"math/rand/v2"
 	"net"
 	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -18,219 +14,252 @@
 	"github.com/tidwall/redcon"
 )
 
-func frame(words ...string) []byte {
-	b := redcon.AppendArray(nil, len(words))
-	for _, w := range words {
-		b = redcon.AppendBulkString(b, w)
-	}
-	return b
+const (
+	clientDialTimeout  = time.Second
+	clientWriteTimeout = time.Second
+	// maxInFlight is how many requests a connection carries before another one is opened.
+	maxInFlight = 16
+	// A connection with more requests than keptRequests forgets those that were answered answeredKept ago.
+	keptRequests = 64
+	answeredKept = 2 * time.Second
+	// settleTimeout is how long clients wait for what is in flight at the end.
+	settleTimeout = 7 * time.Second
+)
+
+// RequestSpec is what a client is to request, and when.
+type RequestSpec struct {
+	ScheduledAt      time.Time
+	Class            string
+	Object           site.Object
+	Group            int // in which the object is purged
+	SizeKB           float64
+	Timeout          time.Duration
+	LatencyObjective time.Duration
+	Body             string
 }
 
-// View is one view and what became of it.
-type View struct {
-	Router  int
-	Req     string
-	Tariff  string
-	Object  site.Object
-	KB      float64
-	Meant   time.Time
-	Sent    time.Time // zero: it never went
-	Timeout time.Duration
-	Due     time.Duration
+// Request is one request and what became of it.
+type Request struct {
+	RequestSpec
+	Router int
+	ID     string
+	SentAt time.Time // zero: it could not be sent
 
-	Answers  int
-	Answered time.Time // of the first
-	Word     string
-	Holdoff  bool
-	Body     string
-	Failed   bool // the connection ended first
-	Ended    time.Time
+	Answers    int
+	AnsweredAt time.Time // the first of them
+	Status     string
+	Response   string
+	EndedAt    time.Time // when the connection ended before the answer, zero: it did not
 }
 
-// Took is the time from when it was meant to go.
-func (v *View) Took() time.Duration { return v.Answered.Sub(v.Meant) }
+// ResponseTime counts from when the request was scheduled.
+func (r *Request) ResponseTime() time.Duration { return r.AnsweredAt.Sub(r.ScheduledAt) }
 
-// InTime says whether it was served by its due time.
-func (v *View) InTime() bool { return v.Word == "OK" && v.Took() <= v.Due }
-
-// conn is one connection; up to 32 views are open on it.
-type conn struct {
-	mu   sync.Mutex
-	c    net.Conn
-	tag  int
-	open map[string]*View // those answered stay for a while: a second answer is seen then
-	wait int              // that have no answer
-	over bool
+// IsInTime says whether it was served within its latency objective.
+func (r *Request) IsInTime() bool {
+	return r.Status == StatusOK && r.ResponseTime() <= r.LatencyObjective
 }
 
-// Clients are the clients of one router.
+// Clients are the clients of one router. They send requests when those are scheduled, whatever became of earlier ones,
+// over connections that are kept.
 type Clients struct {
 	address string
 	router  int
-	keys    *tls.Config // none: plainly
+	tls     *tls.Config // nil: plain connections
+
+	readers sync.WaitGroup
 
-	mu    sync.Mutex
-	conns []*conn
-	views []*View
-	rng   *rand.Rand
+	mu          sync.Mutex
+	connections []*connection
+	requests    []*Request
+	rng         *rand.Rand
 }
 
-// NewClients returns clients of a router that have not asked for anything.
-func NewClients(router int, address string, seed uint64) *Clients {
+// newClients returns clients of a router that have not requested anything.
+func newClients(router int, address string, seed uint64) *Clients {
 	return &Clients{address: address, router: router, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// Views are all views so far; they may still change until Settle.
-func (k *Clients) Views() []*View {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return append([]*View(nil), k.views...)
-}
-
-// Ask sends a view that was meant to go at a time.
-func (k *Clients) Ask(meant time.Time, tariff string, o site.Object, group int, kb float64, timeout, due time.Duration, body string) *View {
-	v := &View{Router: k.router, Tariff: tariff, Object: o, KB: kb, Meant: meant, Timeout: timeout, Due: due}
-	k.mu.Lock()
-	v.Req = fmt.Sprintf("%016x", k.rng.Uint64()|1)
-	k.views = append(k.views, v)
-	k.mu.Unlock()
-	for range 3 {
-		c := k.find()
-		if c == nil {
-			break
-		}
-		if k.write(c, v, group, body) {
-			return v
-		}
-	}
-	v.Failed = true
-	return v
+// Requests are all requests so far; they may still change until the clients have settled.
+func (c *Clients) Requests() []*Request {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]*Request(nil), c.requests...)
 }
 
-func (k *Clients) write(c *conn, v *View, group int, body string) bool {
+// Send sends a request.
+func (c *Clients) Send(spec RequestSpec) {
+	request := &Request{RequestSpec: spec, Router: c.router}
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.over {
-		return false
-	}
-	c.tag++
-	tag := strconv.Itoa(c.tag)
-	fields := fmt.Sprintf("req=%s,timeout=%d,subject=%016x,piece=%d,lot=%d,need=%.1f", v.Req, v.Timeout.Milliseconds(), v.Object.ID,
-		v.Object.Part, group, v.KB)
-	c.open[tag] = v
-	c.wait++
-	_ = c.c.SetWriteDeadline(time.Now().Add(time.Second))
-	if _, err := c.c.Write(frame("DO", tag, v.Tariff, fields, body)); err != nil {
-		delete(c.open, tag)
-		c.over = true
-		_ = c.c.Close()
-		return false
+	request.ID = fmt.Sprintf("%016x", c.rng.Uint64()|1)
+	c.requests = append(c.requests, request)
+	c.mu.Unlock()
+	const attempts = 3
+	for range attempts {
+		connection := c.pickConnection()
+		if connection == nil || connection.send(request) {
+			return
+		}
 	}
-	v.Sent = time.Now()
-	return true
 }
 
-// find is a connection with room, or a new one.
-func (k *Clients) find() *conn {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	rest := k.conns[:0]
-	var found *conn
-	for _, c := range k.conns {
-		c.mu.Lock()
-		n, over := c.wait, c.over
-		c.mu.Unlock()
-		if over {
+// pickConnection is a connection with capacity, or a new one; nil if there is none to be had.
+func (c *Clients) pickConnection() *connection {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	open := c.connections[:0]
+	var found *connection
+	for _, candidate := range c.connections {
+		inFlight, isClosed := candidate.load()
+		if isClosed {
 			continue
 		}
-		rest = append(rest, c)
-		if found == nil && n < 16 {
-			found = c
+		open = append(open, candidate)
+		if found == nil && inFlight < maxInFlight {
+			found = candidate
 		}
 	}
-	k.conns = rest
+	c.connections = open
 	if found != nil {
 		return found
 	}
-	up, err := net.DialTimeout("tcp", k.address, time.Second)
+	stream, err := net.DialTimeout("tcp", c.address, clientDialTimeout)
 	if err != nil {
 		return nil
 	}
-	if k.keys != nil {
-		up = tls.Client(up, k.keys)
+	if c.tls != nil {
+		stream = tls.Client(stream, c.tls)
+	}
+	dialled := &connection{stream: stream, requests: map[string]*Request{}}
+	c.connections = append(c.connections, dialled)
+	c.readers.Go(dialled.read)
+	return dialled
+}
+
+// settle waits until every request that was sent has its answer or is long past its deadline, then closes the
+// connections.
+func (c *Clients) settle() {
+	WaitFor(settleTimeout, func() bool { return c.inFlight() == 0 })
+	time.Sleep(100 * time.Millisecond) // for an answer too many
+	c.mu.Lock()
+	for _, connection := range c.connections {
+		_ = connection.stream.Close()
+	}
+	c.mu.Unlock()
+	c.readers.Wait()
+}
+
+func (c *Clients) inFlight() (count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, connection := range c.connections {
+		count += connection.awaited()
 	}
-	c := &conn{c: up, open: map[string]*View{}}
-	k.conns = append(k.conns, c)
-	go c.read()
-	return c
+	return count
 }
 
-func (c *conn) read() {
-	for r := redcon.NewReader(c.c); ; {
-		cmd, err := r.ReadCommand()
+// connection is one connection of a client.
+type connection struct {
+	stream net.Conn
+
+	mu       sync.Mutex
+	lastTag  int
+	requests map[string]*Request // by tag; those answered stay for a while: a second answer is seen then
+	inFlight int
+	isClosed bool
+}
+
+// load is how many requests have no answer.
+func (c *connection) load() (inFlight int, isClosed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.inFlight, c.isClosed
+}
+
+// awaited is how many requests may still get an answer.
+func (c *connection) awaited() (count int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.isClosed {
+		return 0
+	}
+	for _, request := range c.requests {
+		if request.Answers == 0 && time.Since(request.SentAt) < request.Timeout+100*time.Millisecond {
+			count++
+		}
+	}
+	return count
+}
+
+// send writes a request; it fails where the connection has ended.
+func (c *connection) send(request *Request) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.isClosed {
+		return false
+	}
+	c.lastTag++
+	tag := strconv.Itoa(c.lastTag)
+	message := ClientRequest{
+		ID: request.ID, Class: request.Class, Object: request.Object, Group: request.Group, SizeKB: request.SizeKB,
+		Timeout: request.Timeout, Body: request.Body,
+	}
+	c.requests[tag] = request
+	c.inFlight++
+	_ = c.stream.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+	if _, err := c.stream.Write(message.Frame(tag)); err != nil {
+		delete(c.requests, tag)
+		c.isClosed = true
+		_ = c.stream.Close()
+		return false
+	}
+	request.SentAt = time.Now()
+	return true
+}
+
+func (c *connection) read() {
+	reader := redcon.NewReader(c.stream)
+	for {
+		command, err := reader.ReadCommand()
 		now := time.Now()
-		c.mu.Lock()
 		if err != nil {
-			c.over = true
-			for _, v := range c.open {
-				v.Failed, v.Ended = v.Answers == 0, now
-			}
-			c.mu.Unlock()
-			_ = c.c.Close()
+			c.close(now)
 			return
 		}
-		if len(cmd.Args) >= 2 {
-			if v := c.open[string(cmd.Args[0])]; v != nil {
-				if v.Answers++; v.Answers == 1 {
-					c.wait--
-					v.Answered, v.Word = now, string(cmd.Args[1])
-					if len(cmd.Args) > 2 {
-						v.Holdoff = strings.Contains(string(cmd.Args[2]), "holdoff=")
-					}
-					if len(cmd.Args) > 3 {
-						v.Body = string(cmd.Args[3])
-					}
-				}
-			}
-			// A second answer would still be counted: the view stays, but is not open any more.
-			if len(c.open) > 64 {
-				for tag, v := range c.open {
-					if v.Answers > 0 && now.Sub(v.Answered) > 2*time.Second {
-						delete(c.open, tag)
-					}
-				}
-			}
+		c.receive(command.Args, now)
+	}
+}
+
+// close records that the connection has ended under what is in flight.
+func (c *connection) close(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isClosed = true
+	for _, request := range c.requests {
+		if request.Answers == 0 {
+			request.EndedAt = now
 		}
-		c.mu.Unlock()
 	}
+	_ = c.stream.Close()
 }
 
-// Settle waits until every view that went has its answer or its time is long over, then closes the connections.
-func (k *Clients) Settle() {
-	for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if k.open() == 0 {
-			break
+// receive records a response. An answered request is still known for a while, as a second answer would be counted.
+func (c *connection) receive(words [][]byte, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	tag, response := ParseResponse(words)
+	if request := c.requests[tag]; request != nil {
+		if request.Answers++; request.Answers == 1 {
+			c.inFlight--
+			request.AnsweredAt, request.Status, request.Response = now, response.Status, response.Body
 		}
 	}
-	time.Sleep(100 * time.Millisecond) // for an answer too many
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, c := range k.conns {
-		_ = c.c.Close()
-	}
-}
-
-func (k *Clients) open() (n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, c := range k.conns {
-		c.mu.Lock()
-		for _, v := range c.open {
-			if v.Answers == 0 && !c.over && time.Since(v.Sent) < v.Timeout+100*time.Millisecond {
-				n++
-			}
+	if len(c.requests) <= keptRequests {
+		return
+	}
+	for tag, request := range c.requests {
+		if request.Answers > 0 && now.Sub(request.AnsweredAt) > answeredKept {
+			delete(c.requests, tag)
 		}
-		c.mu.Unlock()
 	}
-	return n
 }
--- /dev/null
+++ b/internal/testbed/cluster.go
@@ -0,0 +1,301 @@
+package testbed
+
+import (
+	"crypto/tls"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"os"
+	"sync"
+	"time"
+
+	"fennelarch/internal/fake/redis"
+	"fennelarch/internal/fake/site"
+
+	"gonum.org/v1/gonum/stat/distuv"
+)
+
+const (
+	storeUID     = "s-redis"
+	parentCount  = 2
+	serverWeight = 8
+	maxObjectKB  = 1500
+	// socketBytesPerKB is an object's size on the socket: a fifteenth of what it stands for, as on the bench's platform.
+	socketBytesPerKB = 1024.0 / 15
+	minObjectBytes   = 80
+)
+
+// ClusterConfig says what a cluster is made of.
+type ClusterConfig struct {
+	Settings       Settings
+	StoreConfig    *redis.Config  // nil: there is no shared store
+	SharedStore    map[string]any // the operator's file on the shared store
+	IsStoreListed  bool           // the endpoint list names the store
+	OperatorExtra  map[string]any // of the operator's file besides
+	ClientTLS      *tls.Config    // with which clients connect, nil: plain connections
+	CacheCount     int
+	Objects        int
+	Groups         int     // in which objects are purged
+	PopularitySkew float64 // over 1
+	MedianSizeKB   float64
+	FixedBytes     int // of each object, 0: by its size
+	OriginTime     site.ServiceTime
+	ParentTime     site.ServiceTime
+	Descriptors    int // that each router may open, 0: the system's limit
+}
+
+// Cluster is what one arm of an experiment runs on: cache servers, a store, routers and clients.
+type Cluster struct {
+	ClusterConfig
+	Seed    uint64
+	Site    *site.Site
+	Store   *redis.Store
+	Origin  *site.CacheServer
+	Parents []*site.CacheServer
+	Caches  []*site.CacheServer
+	Routers []*Router
+	Clients []*Clients
+
+	startedAt  time.Time
+	folder     string
+	sizesKB    []float64 // by object
+	background sync.WaitGroup
+
+	mu      sync.Mutex
+	purges  []purge
+	drains  map[string]time.Time // by server: when it was published
+	killsOf map[int][]time.Time  // by router
+	errs    []error
+}
+
+// purge is a purge of an object, or of a group where the object is 0.
+type purge struct {
+	object uint64
+	group  int
+	at     time.Time
+}
+
+// NewCluster starts everything but the routers.
+func NewCluster(seed uint64, config ClusterConfig) (*Cluster, error) {
+	cluster := &Cluster{
+		ClusterConfig: config, Seed: seed, drains: map[string]time.Time{}, killsOf: map[int][]time.Time{},
+	}
+	sizes := distuv.LogNormal{Mu: math.Log(max(1, config.MedianSizeKB)), Sigma: 0.6, Src: rand.NewPCG(seed, 4)}
+	for range config.Objects + 1 {
+		cluster.sizesKB = append(cluster.sizesKB, min(maxObjectKB, sizes.Rand()))
+	}
+	cluster.Site = site.New(func(object site.Object) int { return cluster.sizeBytes(object.ID) }, cluster.group)
+	var err error
+	if cluster.folder, err = os.MkdirTemp("", "testbed"); err != nil {
+		return nil, err
+	}
+	endpoints, err := cluster.startServers()
+	if err != nil {
+		return nil, err
+	}
+	if config.StoreConfig != nil {
+		storeConfig := *config.StoreConfig
+		storeConfig.Seed = seed
+		if cluster.Store, err = redis.Start(storeConfig); err != nil {
+			return nil, err
+		}
+		if config.IsStoreListed {
+			endpoints = append(endpoints, cluster.storeEndpoint(site.StateReady))
+		}
+	}
+	cluster.Site.Discovery.PublishList(endpoints...)
+	return cluster, nil
+}
+
+// startServers starts the origin, the parents and the caches, and returns their endpoints.
+func (c *Cluster) startServers() ([]site.Endpoint, error) {
+	var err error
+	if c.Origin, err = c.addServer("s-origin", site.Origin, c.OriginTime, 1); err != nil {
+		return nil, err
+	}
+	endpoints := []site.Endpoint{c.Origin.Endpoint(site.StateReady)}
+	for i := range parentCount {
+		parent, err := c.addServer(fmt.Sprintf("s-parent-%d", i), site.Parent, c.ParentTime, 2+uint64(i))
+		if err != nil {
+			return nil, err
+		}
+		c.Parents = append(c.Parents, parent)
+		endpoints = append(endpoints, parent.Endpoint(site.StateReady))
+	}
+	for i := range c.CacheCount {
+		serviceTime := site.ServiceTime{Base: time.Millisecond}
+		cache, err := c.addServer(fmt.Sprintf("s-box-%d", i), site.Cache, serviceTime, 5+uint64(i))
+		if err != nil {
+			return nil, err
+		}
+		c.Caches = append(c.Caches, cache)
+		endpoints = append(endpoints, cache.Endpoint(site.StateReady))
+	}
+	return endpoints, nil
+}
+
+func (c *Cluster) addServer(uid string, kind site.Kind, serviceTime site.ServiceTime, stream uint64) (
+	*site.CacheServer, error,
+) {
+	return c.Site.Add(site.CacheServerOptions{
+		UID: uid, Kind: kind, Weight: serverWeight, ServiceTime: serviceTime, Seed: c.Seed + stream,
+	})
+}
+
+// storeEndpoint is the store's entry in the endpoint list.
+func (c *Cluster) storeEndpoint(state string) site.Endpoint {
+	return site.Endpoint{
+		UID: storeUID, Address: c.Store.Address(), Zone: site.Zone, Kind: site.Cache, State: state, Weight: serverWeight,
+	}
+}
+
+func (c *Cluster) sizeBytes(object uint64) int {
+	if c.FixedBytes > 0 {
+		return c.FixedBytes
+	}
+	return max(minObjectBytes, int(c.sizeKB(object)*socketBytesPerKB))
+}
+
+func (c *Cluster) sizeKB(object uint64) float64 { return c.sizesKB[int(object)%len(c.sizesKB)] }
+
+func (c *Cluster) group(object uint64) int { return int(object) % max(1, c.Groups) }
+
+// operatorFile is the text of the operator's file, "" where there is none.
+func (c *Cluster) operatorFile() string {
+	if c.Store == nil && c.OperatorExtra == nil {
+		return ""
+	}
+	file := map[string]any{}
+	maps.Copy(file, c.OperatorExtra)
+	if c.Store != nil {
+		file["stores"] = []map[string]any{{
+			"uid": storeUID, "addresses": []string{c.Store.Address()}, "listed": c.IsStoreListed,
+			"weight": serverWeight, "prefix": "lab:",
+		}}
+		file["shared"] = c.SharedStore
+	}
+	text, _ := json.Marshal(file)
+	return string(text)
+}
+
+// StartRouters starts so many more routers, side by side.
+func (c *Cluster) StartRouters(count int) error {
+	program, err := FindProgram()
+	if err != nil {
+		return err
+	}
+	first := len(c.Routers)
+	for i := first; i < first+count; i++ {
+		seed := c.Seed*1000 + uint64(i)
+		router, err := NewRouter(RouterOptions{
+			Program: program, Folder: c.folder, Name: fmt.Sprintf("n%d", i), OperatorFile: c.operatorFile(),
+			SpeaksTLS: c.ClientTLS != nil, DescriptorLimit: c.Descriptors,
+		}, c.configuration(seed))
+		if err != nil {
+			return err
+		}
+		c.Routers = append(c.Routers, router)
+		clients := newClients(i, router.Address, seed)
+		clients.tls = c.ClientTLS
+		c.Clients = append(c.Clients, clients)
+	}
+	errs := make(chan error, count)
+	for _, router := range c.Routers[first:] {
+		go func() { errs <- router.Start() }()
+	}
+	for range count {
+		err = errors.Join(err, <-errs)
+	}
+	c.startedAt = time.Now()
+	return err
+}
+
+func (c *Cluster) configuration(seed uint64) Configuration {
+	return Configuration{
+		Seed: seed, Settings: c.Settings, DiscoveryAddress: c.Site.Discovery.Address,
+		KnownEvents: c.Site.Discovery.Known(),
+	}
+}
+
+// startCluster starts a cluster with routers, for a script that ends it; one that cannot start is ended here.
+func startCluster(seed uint64, config ClusterConfig, routers int) (*Cluster, error) {
+	cluster, err := NewCluster(seed, config)
+	if err != nil {
+		return nil, err
+	}
+	if err := cluster.StartRouters(routers); err != nil {
+		cluster.End()
+		return nil, err
+	}
+	return cluster, nil
+}
+
+// inBackground runs part of a script beside the rest; the cluster does not end before it has.
+func (c *Cluster) inBackground(run func()) { c.background.Go(run) }
+
+// fail takes note of an error that fails the arm, if there is one.
+func (c *Cluster) fail(err error) {
+	if err == nil {
+		return
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.errs = append(c.errs, err)
+}
+
+// Kill ends a router at once.
+func (c *Cluster) Kill(router int) {
+	c.Routers[router].Kill()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.killsOf[router] = append(c.killsOf[router], time.Now())
+}
+
+// Restart kills a router and starts it again. It is told only of what discovery still lists: the servers.
+func (c *Cluster) Restart(router int) {
+	c.Kill(router)
+	c.StartAgain(router)
+}
+
+// StartAgain starts a killed router as a new one under its old address.
+func (c *Cluster) StartAgain(router int) {
+	successor := c.Routers[router].successor()
+	if err := successor.Configure(c.configuration(c.Seed*1000 + uint64(len(c.Routers)))); err != nil {
+		c.fail(err)
+		return
+	}
+	c.fail(successor.Start())
+	c.Routers[router] = successor
+}
+
+// PurgeObject purges an object.
+func (c *Cluster) PurgeObject(object uint64) {
+	c.recordPurge(purge{object: object, at: c.Site.PurgeObject(object)})
+}
+
+// PurgeGroup purges a group.
+func (c *Cluster) PurgeGroup(group int) {
+	c.recordPurge(purge{group: group, at: c.Site.PurgeGroup(group)})
+}
+
+func (c *Cluster) recordPurge(done purge) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.purges = append(c.purges, done)
+}
+
+// DrainStore publishes that the store is draining.
+func (c *Cluster) DrainStore() {
+	c.Site.Discovery.PublishChanges(c.storeEndpoint(site.StateDraining))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drains[storeUID] = time.Now()
+}
+
+// pickObject is a seeded choice among the most popular objects.
+func (c *Cluster) pickObject(rng *rand.Rand, mostPopular int) uint64 {
+	return uint64(1 + rng.IntN(max(1, min(mostPopular, c.Objects))))
+}
--- /dev/null
+++ b/internal/testbed/report.go
@@ -0,0 +1,64 @@
+package testbed
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Assertion is one thing that an experiment must show.
+type Assertion struct {
+	Name   string `json:"name"`
+	Passed bool   `json:"passed"`
+	Detail string `json:"detail"`
+}
+
+// Result is the outcome of an experiment: assertions that passed or failed, and figures.
+type Result struct {
+	Experiment string             `json:"experiment"`
+	Seed       uint64             `json:"seed"`
+	Scale      float64            `json:"scale"`
+	Assertions []Assertion        `json:"assertions"`
+	Figures    map[string]float64 `json:"figures"`
+}
+
+// Passed says whether every assertion did; an experiment without assertions shows nothing.
+func (r *Result) Passed() bool {
+	hasFailed := slices.ContainsFunc(r.Assertions, func(a Assertion) bool { return !a.Passed })
+	return len(r.Assertions) > 0 && !hasFailed
+}
+
+// Assert records an assertion and whether it passed.
+func (r *Result) Assert(passed bool, name, format string, args ...any) {
+	r.Assertions = append(r.Assertions, Assertion{name, passed, fmt.Sprintf(format, args...)})
+}
+
+// Figure records a figure.
+func (r *Result) Figure(name string, value float64) { r.Figures[name] = value }
+
+// assertRules asserts what must hold in every arm of an experiment.
+func (r *Result) assertRules(arm string, seen *Observations) {
+	r.Assert(seen.Requests > 0 && seen.Lost == 0 && seen.AnsweredTwice == 0 && seen.Late == 0,
+		arm+": one final answer in time for each request",
+		"%d requests, %d lost, %d answered twice, %d after their deadline %s", seen.Requests, seen.Lost,
+		seen.AnsweredTwice, seen.Late, seen.LastLoss)
+	r.Assert(seen.RanTwice == 0 && seen.WrongBytes == 0, arm+": nothing runs twice, every byte is right",
+		"%d ran twice, %d with wrong bytes", seen.RanTwice, seen.WrongBytes)
+	r.Assert(seen.AfterDrain == 0, arm+": drains are respected", "%d attempts or sources past the grace", seen.AfterDrain)
+	r.Assert(seen.Stale == 0, arm+": purges are respected", "%d answers from before a purge past the grace", seen.Stale)
+	r.Assert(len(seen.Errors) == 0, arm+": no router crashed", "%v", seen.Errors)
+	r.recordFigures(arm, seen)
+}
+
+// recordFigures records an arm without an assertion: a baseline may break any rule.
+func (r *Result) recordFigures(arm string, seen *Observations) {
+	r.Figure(arm+" lost", float64(seen.Lost))
+	r.Figure(arm+" requests", float64(seen.Requests))
+	r.Figure(arm+" in time share", seen.InTimeShare())
+	r.Figure(arm+" rejected", float64(seen.Rejected))
+	r.Figure(arm+" p50 ms", seen.PercentileMS(50))
+	r.Figure(arm+" p99 ms", seen.PercentileMS(99))
+	r.Figure(arm+" origin fills", float64(seen.OriginFills))
+	r.Figure(arm+" cpu us a request", float64(seen.CPU.Microseconds())/float64(max(1, seen.Requests)))
+	r.Figure(arm+" peak MB", seen.PeakMB)
+	r.Figure(arm+" files", float64(seen.Files))
+}
--- a/internal/testbed/soak/fault_router.go
+++ b/internal/testbed/soak/fault_router.go
@@ -36,7 +36,7 @@
 func (c *cluster) restart(r *router) {
 	address := c.discovery.port(r.index).listener.Addr().String()
 	seed := c.routerSeed(r.index) + uint64(time.Now().UnixNano()%997)
-	c.fail(r.Configure(seed, r.settings, address, c.discovery.known()))
+	c.fail(r.Configure(c.configuration(r, seed, address)))
 	c.record.update(func() { c.record.polledPast[r.index] = map[int]time.Time{} })
 	started := time.Now()
 	c.fail(r.Start())
@@ -111,7 +111,7 @@
 			c.fail(err)
 			return
 		}
-		c.fail(r.Configure(c.routerSeed(r.index), r.settings, address, c.discovery.known()))
+		c.fail(r.Configure(c.configuration(r, c.routerSeed(r.index), address)))
 		r.Signal(syscall.SIGHUP)
 		old.shutDown()
 	}
--- a/internal/testbed/soak/report.go
+++ b/internal/testbed/soak/report.go
@@ -38,19 +38,19 @@
 	c.printSummary(report)
 	served := report.Answered[testbed.StatusOK]
 	crossed := report.Excused[string(ExcuseCrossedClose)]
-	result.Claim(len(report.Breaches) == 0, "no rule is broken, as clients and servers see it",
+	result.Assert(len(report.Breaches) == 0, "no rule is broken, as clients and servers see it",
 		"%d requests, %d breaches %v", report.Requests, len(report.Breaches), countKinds(report.Breaches))
-	result.Claim(len(report.Violations) == 0, "no router counts a violation of an invariant", "%v", report.Violations)
-	result.Claim(len(report.Errors) == 0, "no router crashes, or fails to start or to end", "%v", report.Errors)
-	result.Claim(served*3 > report.Requests, "a third of all requests is served all the same", "%d of %d", served,
+	result.Assert(len(report.Violations) == 0, "no router counts a violation of an invariant", "%v", report.Violations)
+	result.Assert(len(report.Errors) == 0, "no router crashes, or fails to start or to end", "%v", report.Errors)
+	result.Assert(served*3 > report.Requests, "a third of all requests is served all the same", "%d of %d", served,
 		report.Requests)
-	result.Claim(crossed*200 <= report.Requests, "ends of connections that cross a request are few", "%d of %d", crossed,
+	result.Assert(crossed*200 <= report.Requests, "ends of connections that cross a request are few", "%d of %d", crossed,
 		report.Requests)
 	result.Figure("requests", float64(report.Requests))
 	result.Figure("faults", float64(len(plan)))
 	result.Figure("served", float64(served))
 	result.Figure("breaches", float64(len(report.Breaches)))
-	c.writeReport(report, result.Held())
+	c.writeReport(report, result.Passed())
 }
 
 func (c *cluster) newReport(plan []Fault) *Report {
@@ -105,7 +105,7 @@
 	if !report.hasPassed() {
 		outcome = "FAILED"
 	}
-	c.options.Say("seed %d: %s, %d requests %v, excused %v, %d faults, breaches %v, violations %v, %d errors, "+
+	c.options.Logf("seed %d: %s, %d requests %v, excused %v, %d faults, breaches %v, violations %v, %d errors, "+
 		"longest delay %v",
 		report.Seed, outcome, report.Requests, report.Answered, report.Excused, len(report.Plan),
 		countKinds(report.Breaches), report.Violations, len(report.Errors), report.LongestDelay.Round(time.Millisecond))
@@ -119,7 +119,7 @@
 	}
 	out := filepath.Join(c.options.Out, fmt.Sprintf("soak-%d", c.options.Seed))
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		c.options.Say("  the report can't be written: %v", err)
+		c.options.Logf("  the report can't be written: %v", err)
 		return
 	}
 	text, _ := json.MarshalIndent(report, "", "  ")
@@ -143,14 +143,14 @@
 		}
 	}
 	for _, breach := range report.Breaches[:min(len(report.Breaches), maxBreachesPrinted)] {
-		c.options.Say("  %s: request %s, router n%d: %s", breach.Kind, breach.Request, breach.Router, breach.Detail)
+		c.options.Logf("  %s: request %s, router n%d: %s", breach.Kind, breach.Request, breach.Router, breach.Detail)
 	}
 	plan := filepath.Join(out, "plan.txt")
-	c.options.Say("  kept in %s; the same plan again: --seed %d, or --plan %s", out, c.options.Seed, plan)
+	c.options.Logf("  kept in %s; the same plan again: --seed %d, or --plan %s", out, c.options.Seed, plan)
 }
 
 func (c *cluster) writeFile(path string, text []byte) {
 	if err := os.WriteFile(path, text, 0o644); err != nil {
-		c.options.Say("  %v", err)
+		c.options.Logf("  %v", err)
 	}
 }
--- a/internal/testbed/soak/router.go
+++ b/internal/testbed/soak/router.go
@@ -44,26 +44,33 @@
 	if err != nil {
 		return nil, err
 	}
-	settings := testbed.Usual(routers)
-	settings.Grace, settings.FlowKB = drainGrace, transferKBPerSecond
-	settings.ColdMS, settings.ColdShare = float64(coldDuration.Milliseconds()), coldCapacityShare
+	settings := testbed.DefaultSettings(routers)
+	settings.Grace, settings.TransferKBPerSecond = drainGrace, transferKBPerSecond
+	settings.SlowStart, settings.ColdCapacityShare = coldDuration, coldCapacityShare
 	settings.Sockets, settings.MemoryMB = 512, 96
-	settings.Change = changeSettings
-	seed := c.routerSeed(index)
+	settings.Override = changeSettings
 	r := &router{index: index, settings: settings}
-	r.Router, err = testbed.NewRouter(program, c.folder, routerName(index), seed, settings, address,
-		c.discovery.known(), "")
+	r.Router, err = testbed.NewRouter(testbed.RouterOptions{
+		Program: program, Folder: c.folder, Name: routerName(index),
+		Environment: []string{"FENNELARCH_FAULTS=" + c.systemFaults(index), "RELAY_RECORDER=" + c.folder},
+	}, c.configuration(r, c.routerSeed(index), address))
 	if err != nil {
 		return nil, err
 	}
-	r.Env = []string{"FENNELARCH_FAULTS=" + c.systemFaults(index), "RELAY_RECORDER=" + c.folder}
 	r.clients = &clientGroup{
 		router: index, address: r.Address, record: c.record, behaviour: &c.behaviour, objects: objects,
-		rng: rand.New(rand.NewPCG(seed, clientStream)),
+		rng: rand.New(rand.NewPCG(c.routerSeed(index), clientStream)),
 	}
 	return r, nil
 }
 
+// configuration is what a router is told of its deployment at the moment.
+func (c *cluster) configuration(r *router, seed uint64, discoveryAddress string) testbed.Configuration {
+	return testbed.Configuration{
+		Seed: seed, Settings: r.settings, DiscoveryAddress: discoveryAddress, KnownEvents: c.discovery.known(),
+	}
+}
+
 // changeSettings has the deployment's settings describe the soak's classes.
 func changeSettings(settings map[string]any) {
 	var list []map[string]any
--- /dev/null
+++ b/internal/testbed/store_cold.go
@@ -0,0 +1,77 @@
+package testbed
+
+import (
+	"fmt"
+	"time"
+
+	"fennelarch/internal/fake/site"
+)
+
+var _ = Register(Experiment{
+	Name:  "store-cold",
+	Shows: "a store that restarts empty in a busy minute is not overloaded by 1, 4 or 16 routers",
+	Run:   runStoreCold,
+})
+
+// coldStoreLoad is what all routers together request a second: more than a cold store can serve.
+const coldStoreLoad = 1600
+
+func runStoreCold(options Options, result *Result) error {
+	counts := []int{1, 4, 16}
+	if options.Routers > 0 {
+		counts = []int{options.Routers}
+	}
+	for _, routers := range counts {
+		name := fmt.Sprintf("%d routers", routers)
+		peak, err := playColdStore(options, result, name, routers, coldStoreConfig(routers))
+		if err != nil {
+			return err
+		}
+		result.Assert(peak <= 1, name+": never sent more than its capacity",
+			"at most %.2f of its capacity, in any second since a start", peak)
+	}
+	listed := coldStoreConfig(4)
+	listed.IsStoreListed = true
+	peak, err := playColdStore(options, result, "4 routers, told by the list", 4, listed)
+	if err != nil {
+		return err
+	}
+	result.Assert(peak <= 1, "told by the list: never sent more than its capacity", "at most %.2f", peak)
+	routers := counts[len(counts)-1]
+	unlimited := coldStoreConfig(routers)
+	unlimited.SharedStore["cold_ms"] = 0 // nothing is known of how it starts: the decisions have nothing to go by
+	peak, err = playColdStore(options, result, fmt.Sprintf("%d routers, no budget", routers), routers, unlimited)
+	result.Assert(peak > 1, "without a budget the same script overloads it", "%.2f of its capacity", peak)
+	return err
+}
+
+// playColdStore restarts the store empty under load, and returns the highest load as a multiple of its capacity.
+func playColdStore(options Options, result *Result, name string, routers int, config ClusterConfig) (float64, error) {
+	peak := 0.0
+	seen, err := arm{
+		name: name, seed: options.Seed + uint64(routers), config: config, routers: routers,
+		load: Load{
+			RequestsPerSecond: coldStoreLoad / float64(routers), Duration: options.duration(10 * time.Second),
+			WriteShare: 0.02,
+		},
+		script: func(cluster *Cluster) {
+			time.Sleep(options.duration(3 * time.Second))
+			peak = cluster.Store.Counts().Peak
+			cluster.Store.Stop(false)
+			time.Sleep(200 * time.Millisecond)
+			cluster.fail(cluster.Store.Again(false))
+			if config.IsStoreListed {
+				endpoint := cluster.storeEndpoint(site.StateReady)
+				endpoint.Boot = time.Now()
+				cluster.Site.Discovery.PublishChanges(endpoint)
+			}
+		},
+	}.run(result)
+	if err != nil {
+		return 0, err
+	}
+	peak = max(peak, seen.Store.Peak)
+	result.Figure(name+" peak multiple", peak)
+	result.Figure(name+" store hits", float64(seen.Store.Given))
+	return peak, nil
+}
--- /dev/null
+++ b/internal/testbed/store_cost.go
@@ -0,0 +1,37 @@
+package testbed
+
+import "time"
+
+var _ = Register(Experiment{
+	Name:  "store-cost",
+	Shows: "what a request costs by way of a store, beside one by way of a cache",
+	Run:   runStoreCost,
+})
+
+// maxStoreMB is how much more memory a router with a store may use.
+const maxStoreMB = 16
+
+func runStoreCost(options Options, result *Result) error {
+	const routers = 2
+	load := Load{RequestsPerSecond: 300, Duration: options.duration(6 * time.Second)}
+	cacheConfig := noStoreConfig(routers)
+	cacheConfig.CacheCount = 1
+	base, err := arm{
+		name: "cache", seed: options.Seed, config: cacheConfig, routers: routers, load: load,
+	}.run(result)
+	if err != nil {
+		return err
+	}
+	seen, err := arm{
+		name: "store", seed: options.Seed, config: warmStoreConfig(routers), routers: routers, load: load,
+	}.run(result)
+	if err != nil {
+		return err
+	}
+	result.Assert(seen.InTimeShare() >= base.InTimeShare()-0.01, "a store is as good as a cache",
+		"%.4f of requests in time, by a cache %.4f", seen.InTimeShare(), base.InTimeShare())
+	result.Assert(seen.CPU <= 2*base.CPU, "and costs less than twice its processor time", "%v and %v", seen.CPU, base.CPU)
+	result.Assert(seen.PeakMB <= base.PeakMB+maxStoreMB, "and no more than 16 MB besides", "%.0f MB and %.0f MB",
+		seen.PeakMB, base.PeakMB)
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/store_drain.go
@@ -0,0 +1,50 @@
+package testbed
+
+import (
+	"time"
+
+	"fennelarch/internal/fake/redis"
+	"fennelarch/internal/fake/site"
+)
+
+var _ = Register(Experiment{
+	Name:  "store-drain",
+	Shows: "a store that is drained and gone while sets are in flight gets nothing past the grace",
+	Run:   runStoreDrain,
+})
+
+func runStoreDrain(options Options, result *Result) error {
+	const routers = 3
+	config := warmStoreConfig(routers)
+	config.IsStoreListed, config.CacheCount = true, 1
+	load := Load{RequestsPerSecond: 120, Duration: options.duration(8 * time.Second), WriteShare: 0.02}
+	commandsAtGrace, commandsLater := 0, 0
+	seen, err := arm{
+		name: "drain", seed: options.Seed, config: config, routers: routers, load: load,
+		script: func(cluster *Cluster) {
+			discovery := cluster.Site.Discovery
+			time.Sleep(load.Duration / 4)
+			cluster.Store.Set(redis.Fault{Delay: 20 * time.Millisecond, Verbs: []string{"PSETEX"}})
+			time.Sleep(300 * time.Millisecond)
+			cluster.DrainStore()
+			time.Sleep(cluster.Settings.Grace + slack)
+			commandsAtGrace = cluster.Store.Values()
+			time.Sleep(load.Duration / 4)
+			commandsLater = cluster.Store.Values()
+			discovery.PublishChanges(cluster.storeEndpoint(site.StateGone))
+			time.Sleep(500 * time.Millisecond)
+			if cluster.Store.Values() != commandsLater {
+				commandsLater = -1
+			}
+			discovery.PublishChanges(cluster.storeEndpoint(site.StateReady))
+		},
+	}.run(result)
+	if err != nil {
+		return err
+	}
+	result.Assert(commandsAtGrace > 0 && commandsLater == commandsAtGrace, "no get, lease or set past the grace",
+		"%d before, %d later", commandsAtGrace, commandsLater)
+	result.Assert(seen.Store.Given > 0 && seen.InTimeShare() >= 0.97, "requests are in time all the same", "%.4f",
+		seen.InTimeShare())
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/store_lease.go
@@ -0,0 +1,138 @@
+package testbed
+
+import (
+	"time"
+
+	"fennelarch/internal/fake/site"
+)
+
+var _ = Register(Experiment{
+	Name: "store-lease",
+	Shows: "one object missed by 16 routers at once is filled once; a lease holder that dies costs nobody a latency " +
+		"objective",
+	Run: runStoreLease,
+})
+
+const (
+	// firstLeaseObject is the first of the objects that all routers request at once.
+	firstLeaseObject = 500_000_000
+	// holdersKilled is in how many rounds the lease holder is killed.
+	holdersKilled = 3
+)
+
+// leaseArm is one arm of the experiment: routers that miss the same objects at once.
+type leaseArm struct {
+	name         string
+	usesLease    bool
+	killsHolders bool
+	routers      int
+	rounds       int
+}
+
+func runStoreLease(options Options, result *Result) error {
+	routers, rounds := options.routers(16), options.count(10)
+	for _, played := range []leaseArm{
+		{name: "lease", usesLease: true, routers: routers, rounds: rounds},
+		{name: "no lease", routers: routers, rounds: rounds},
+		{name: "holders killed", usesLease: true, killsHolders: true, routers: routers, rounds: rounds},
+	} {
+		if err := played.run(options, result); err != nil {
+			return err
+		}
+	}
+	with, without := result.Figures["lease fills an object"], result.Figures["no lease fills an object"]
+	result.Assert(with <= 2, "with the lease an object is filled once or twice", "%.1f fills", with)
+	result.Assert(without >= 2*with, "without it, by many", "%.1f fills", without)
+	return nil
+}
+
+func (a leaseArm) run(options Options, result *Result) error {
+	config := warmStoreConfig(a.routers)
+	config.SharedStore["lease"] = a.usesLease
+	config.OriginTime = site.ServiceTime{Base: 80 * time.Millisecond, Jitter: 10 * time.Millisecond}
+	cluster, err := startCluster(options.Seed, config, a.routers)
+	if err != nil {
+		return err
+	}
+	// The routers learn first how long fills take, each by objects of its own.
+	cluster.Play(Load{RequestsPerSecond: 10, Duration: 2 * time.Second, IsUnique: true})
+	time.Sleep(300 * time.Millisecond)
+	before := len(cluster.Origin.Received())
+	for round := range a.rounds {
+		a.playRound(cluster, round)
+	}
+	fills := len(cluster.Origin.Received()) - before
+	seen := cluster.End()
+	result.assertRules(a.name, seen)
+	result.Figure(a.name+" fills an object", float64(fills)/float64(a.rounds))
+	counts := cluster.countLeaseRequests()
+	result.Assert(counts.requests > 0 && counts.inTime == counts.requests,
+		a.name+": every request is in time, but those of a killed router", "%d of %d, %d died with their router",
+		counts.inTime, counts.requests, counts.killed)
+	return nil
+}
+
+// playRound has all routers miss one object at once.
+func (a leaseArm) playRound(cluster *Cluster, round int) {
+	object := uint64(firstLeaseObject + round)
+	at := time.Now()
+	for i, router := range cluster.Routers {
+		if !router.WasKilled() {
+			cluster.inBackground(func() { cluster.Fetch(i, at, object) })
+		}
+	}
+	if a.killsHolders && round < holdersKilled {
+		time.Sleep(25 * time.Millisecond)
+		cluster.killLeaseHolder(object)
+	}
+	time.Sleep(450 * time.Millisecond)
+}
+
+// leaseCounts is what became of the requests that all routers sent at once.
+type leaseCounts struct{ requests, inTime, killed int }
+
+func (c *Cluster) countLeaseRequests() (counts leaseCounts) {
+	for i, clients := range c.Clients {
+		for _, request := range clients.Requests() {
+			switch {
+			case request.Object.ID < firstLeaseObject:
+			case request.IsInTime():
+				counts.requests++
+				counts.inTime++
+			case c.Routers[i].WasKilled() && request.Answers == 0:
+				counts.killed++
+			default:
+				counts.requests++
+			}
+		}
+	}
+	return counts
+}
+
+// killLeaseHolder kills a router that has a fill of an object in flight, as the parents saw it: the first whose request
+// came to one.
+func (c *Cluster) killLeaseHolder(object uint64) {
+	for _, parent := range c.Parents {
+		for _, received := range parent.Received() {
+			if received.Object.ID != object {
+				continue
+			}
+			if holder, found := c.routerOf(received.RequestID); found {
+				c.Kill(holder)
+				return
+			}
+		}
+	}
+}
+
+// routerOf finds the router that a request was sent to, if it still runs.
+func (c *Cluster) routerOf(requestID string) (router int, found bool) {
+	for i, clients := range c.Clients {
+		for _, request := range clients.Requests() {
+			if request.ID == requestID && !c.Routers[i].WasKilled() {
+				return i, true
+			}
+		}
+	}
+	return 0, false
+}
--- /dev/null
+++ b/internal/testbed/store_none.go
@@ -0,0 +1,18 @@
+package testbed
+
+import "time"
+
+var _ = Register(Experiment{
+	Name:  "store-none",
+	Shows: "the baseline: the usual load without a store",
+	Run:   runStoreNone,
+})
+
+func runStoreNone(options Options, result *Result) error {
+	const routers = 4
+	_, err := arm{
+		name: "none", seed: options.Seed, config: noStoreConfig(routers), routers: routers,
+		load: Load{RequestsPerSecond: 60, Duration: options.duration(8 * time.Second), WriteShare: 0.05},
+	}.run(result)
+	return err
+}
--- /dev/null
+++ b/internal/testbed/store_purge.go
@@ -0,0 +1,89 @@
+package testbed
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"fennelarch/internal/fake/redis"
+)
+
+var _ = Register(Experiment{
+	Name:  "store-purge",
+	Shows: "no copy from before a purge is served past the grace, whatever fails in the store and the routers",
+	Run:   runStorePurge,
+})
+
+const (
+	// purgeCycle is after how many purges the script of faults begins again.
+	purgeCycle = 130
+	// purgedObjects is how many of the most popular objects are purged.
+	purgedObjects = 60
+)
+
+func runStorePurge(options Options, result *Result) error {
+	routers := options.routers(3)
+	config := warmStoreConfig(routers)
+	config.Objects, config.MedianSizeKB = 120, 30
+	config.Settings.SlowStart, config.SharedStore["cold_ms"] = 500*time.Millisecond, 500 // it restarts often
+	load := Load{RequestsPerSecond: 150, Duration: options.duration(24 * time.Second)}
+	purges := 0
+	seen, err := arm{
+		name: "purges", seed: options.Seed, config: config, routers: routers, load: load,
+		script: func(cluster *Cluster) {
+			rng := rand.New(rand.NewPCG(options.Seed, 9))
+			end := time.Now().Add(load.Duration - time.Second)
+			for ; time.Now().Before(end); purges++ {
+				cluster.purgeNext(rng)
+				time.Sleep(time.Duration(10+rng.IntN(25)) * time.Millisecond)
+				cluster.playPurgeStep(rng, purges)
+			}
+		},
+	}.run(result)
+	if err != nil {
+		return err
+	}
+	result.Figure("purges", float64(purges))
+	result.Figure("store hits", float64(seen.Store.Given))
+	result.Assert(seen.Store.Given > seen.Requests/20, "the store was of use meanwhile", "%d hits for %d requests",
+		seen.Store.Given, seen.Requests)
+	return nil
+}
+
+// purgeNext purges an object, or now and then a group.
+func (c *Cluster) purgeNext(rng *rand.Rand) {
+	if rng.IntN(8) == 0 {
+		c.PurgeGroup(rng.IntN(c.Groups))
+		return
+	}
+	c.PurgeObject(c.pickObject(rng, purgedObjects))
+}
+
+// playPurgeStep plays what the script has after some number of purges.
+func (c *Cluster) playPurgeStep(rng *rand.Rand, purges int) {
+	switch purges % purgeCycle {
+	case 15:
+		c.Store.Save()
+	case 30: // the store cannot be reached while purges are published
+		c.Store.Stop(false)
+	case 45: // and comes back with what it held before them
+		c.fail(c.Store.Again(true))
+	case 65: // the invalidation log is gone, the values are not
+		c.Store.DropSets()
+	case 80: // a router starts that was never told of earlier purges
+		c.Restart(purges / purgeCycle % len(c.Routers))
+	case 95:
+		c.Store.Set(redis.Fault{Delay: 40 * time.Millisecond, Spread: 40 * time.Millisecond})
+	case 105:
+		c.Store.Set(redis.Fault{Spoil: redis.Spoil(1 + rng.IntN(4))})
+	case 112:
+		c.Store.Set(redis.Fault{})
+	case 120: // all that know of the purges are gone at once
+		for i := range c.Routers {
+			c.Kill(i)
+		}
+		c.PurgeObject(c.pickObject(rng, purgedObjects))
+		for i := range c.Routers {
+			c.StartAgain(i)
+		}
+	}
+}
--- /dev/null
+++ b/internal/testbed/store_slow.go
@@ -0,0 +1,51 @@
+package testbed
+
+import (
+	"time"
+
+	"fennelarch/internal/fake/redis"
+)
+
+var _ = Register(Experiment{
+	Name:  "store-slow",
+	Shows: "a store that is slow without failing costs no request its latency objective",
+	Run:   runStoreSlow,
+})
+
+func runStoreSlow(options Options, result *Result) error {
+	routers := options.routers(4)
+	load := Load{RequestsPerSecond: 100, Duration: options.duration(12 * time.Second), WriteShare: 0.02}
+	base, err := arm{
+		name: "none", seed: options.Seed, config: noStoreConfig(routers), routers: routers, load: load,
+	}.run(result)
+	if err != nil {
+		return err
+	}
+	for _, slowness := range []struct {
+		name  string
+		fault redis.Fault
+	}{
+		{"well", redis.Fault{}},
+		{"10 ms", redis.Fault{Delay: 10 * time.Millisecond}},
+		{"300 ms", redis.Fault{Delay: 300 * time.Millisecond, Spread: 20 * time.Millisecond}},
+		{"for ever", redis.Fault{Silent: true}},
+	} {
+		seen, err := arm{
+			name: slowness.name, seed: options.Seed, config: warmStoreConfig(routers), routers: routers, load: load,
+			script: func(cluster *Cluster) {
+				time.Sleep(load.Duration / 3)
+				cluster.Store.Set(slowness.fault)
+				time.Sleep(load.Duration / 3)
+				cluster.Store.Set(redis.Fault{})
+			},
+		}.run(result)
+		if err != nil {
+			return err
+		}
+		result.Assert(seen.InTimeShare() >= base.InTimeShare()-0.01,
+			"a store that answers "+slowness.name+" costs no latency objectives",
+			"%.4f of requests in time, without a store %.4f; p99 %.0f ms and %.0f ms", seen.InTimeShare(),
+			base.InTimeShare(), seen.PercentileMS(99), base.PercentileMS(99))
+	}
+	return nil
+}
