--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -81,12 +81,20 @@
 	for _, store := range file.Stores {
 		list = append(list, sharedstore.Store{
 			UID: store.UID, Addresses: store.Addresses, Listed: store.Listed, Weight: store.Weight, Prefix: store.Prefix,
-			Login: sharedstore.NewLogin(store.User, store.Password, store.Database), TLS: store.Secure,
+			TLS:         store.Secure,
+			Credentials: sharedstore.Credentials{User: store.User, Password: store.Password, Database: store.Database},
 		})
 	}
-	settings := sharedStoreSettings(file, r.config, r.limits)
-	return sharedStores{sharedstore.New(
-		r.limits, r.config.Routing, settings, r.config.Seed, list, r.startedAt, r.post, r.log)}
+	return sharedStores{sharedstore.New(sharedstore.Options{
+		Limits:    r.limits,
+		Routing:   r.config.Routing,
+		Decisions: sharedStoreSettings(file, r.config, r.limits),
+		Seed:      r.config.Seed,
+		Stores:    list,
+		StartedAt: r.startedAt,
+		Deliver:   r.post,
+		Log:       r.log,
+	})}
 }
 
 func (r *router) newUpstreamPool() *upstream.Pool {
@@ -97,17 +105,22 @@
 }
 
 func (r *router) newEngine() *engine.Engine {
-	localCache := engine.LocalCacheSettings{
-		Bytes:              r.limits.LocalCacheBytes,
-		FlowBytesPerSecond: r.config.FlowBytesPerSecond,
-		LinkBytesPerSecond: r.config.LinkBytesPerSecond,
-		MaxInFlight:        r.limits.ForgetAfter,
-	}
-	transport := r.stores.wrap(r.upstream)
-	made := engine.New(
-		r.config.Routing, r.config.Seed, r.limits.EventQueue, r.startedAt, transport, localCache, r.log)
-	made.SetMonitor(r.monitor, r.stores.wallClockStepped)
-	return made
+	return engine.New(engine.Options{
+		Routing:     r.config.Routing,
+		Seed:        r.config.Seed,
+		QueueLength: r.limits.EventQueue,
+		StartTime:   r.startedAt,
+		Transport:   r.stores.wrap(r.upstream),
+		LocalCache: engine.LocalCacheSettings{
+			Bytes:              r.limits.LocalCacheBytes,
+			FlowBytesPerSecond: r.config.FlowBytesPerSecond,
+			LinkBytesPerSecond: r.config.LinkBytesPerSecond,
+			MaxInFlight:        r.limits.ForgetAfter,
+		},
+		Log:         r.log,
+		Monitor:     r.monitor,
+		OnClockStep: r.stores.wallClockStepped,
+	})
 }
 
 // buildFrontend makes the frontend. Reading its TLS keys is retried like any other file of a start.
--- a/cmd/fennelarch/sharedstores.go
+++ b/cmd/fennelarch/sharedstores.go
@@ -61,7 +61,7 @@
 	if s.transport == nil {
 		return upstream
 	}
-	s.transport.Over(upstream)
+	s.transport.SetInner(upstream)
 	return s.transport
 }
 
@@ -70,27 +70,27 @@
 	if s.transport == nil {
 		return message
 	}
-	return s.transport.Told(message)
+	return s.transport.ObserveDiscovery(message)
 }
 
 // wallClockStepped passes on that the wall clock was set by so much.
 func (s sharedStores) wallClockStepped(by time.Duration) {
 	if s.transport != nil {
-		s.transport.Stepped(by)
+		s.transport.ClockStepped(by)
 	}
 }
 
 // discoveryCurrent passes on that all events before a moment have been seen.
 func (s sharedStores) discoveryCurrent(asOf time.Time) {
 	if s.transport != nil {
-		s.transport.Current(asOf)
+		s.transport.DiscoveryCurrent(asOf)
 	}
 }
 
 // discoveryGap passes on that an event was lost for good.
 func (s sharedStores) discoveryGap() {
 	if s.transport != nil {
-		s.transport.Gap()
+		s.transport.DiscoveryGap()
 	}
 }
 
@@ -104,6 +104,6 @@
 // updateSettings applies what may change of the operator's file while the router runs.
 func (s sharedStores) updateSettings(file *operatorconfig.File, cfg *config.Config) {
 	if s.transport != nil {
-		s.transport.Set(sharedStoreSettings(file, cfg, s.transport.Limits()))
+		s.transport.UpdateSettings(sharedStoreSettings(file, cfg, s.transport.Limits()))
 	}
 }
--- a/cmd/fennelarch/summary.go
+++ b/cmd/fennelarch/summary.go
@@ -48,16 +48,16 @@
 		zap.Uint64("gets", counts.Gets),
 		zap.Uint64("hits", counts.Hits),
 		zap.Uint64("misses", counts.Misses),
-		zap.Uint64("stale", counts.Old),
-		zap.Uint64("corrupt", counts.Spoilt),
+		zap.Uint64("stale", counts.Stale),
+		zap.Uint64("corrupt", counts.Corrupt),
 		zap.Uint64("sets", counts.Sets),
 		zap.Uint64("fills", counts.Fills),
-		zap.Uint64("bypassed", counts.Passed),
-		zap.Uint64("coalesced", counts.Joined),
-		zap.Uint64("lease_attempts", counts.Leases),
-		zap.Uint64("fill_waits", counts.Waits),
-		zap.Uint64("timeouts", counts.Overdue),
-		zap.Uint64("rejected", counts.Refused))
+		zap.Uint64("bypassed", counts.Bypassed),
+		zap.Uint64("coalesced", counts.Coalesced),
+		zap.Uint64("lease_attempts", counts.LeaseAttempts),
+		zap.Uint64("fill_waits", counts.FillWaits),
+		zap.Uint64("timeouts", counts.Timeouts),
+		zap.Uint64("rejected", counts.Rejected))
 }
 
 // logAdmission writes a line where the operator's file limits connections, or where descriptors have run out.
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -82,7 +82,7 @@
 	switch {
 	case w.lastResponse.IsZero():
 		return engine.AgeBeforeStart
-	case now.Sub(begun) < w.limits.PollPromptWithin || w.stalls.Since(begun, now):
+	case now.Sub(begun) < w.limits.PollPromptWithin || w.stalls.StalledSince(begun, now):
 		return now.Sub(w.lastResponse)
 	}
 	return 0
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -65,7 +65,7 @@
 	attempt := e.newAttempt(request, action)
 	request.attempts = append(request.attempts, attempt)
 	request.attemptsInFlight++
-	if !request.Invariants.Open() { // its client left a moment ago, and the event that says so is on its way
+	if !request.Invariants.IsOpen() { // its client left a moment ago, and the event that says so is on its way
 		e.endAttempt(request, attempt, attemptAborted)
 		e.pending = append(e.pending, attemptResultEvent(attempt, routing.NotSent))
 		return
--- a/internal/engine/cancellation_test.go
+++ b/internal/engine/cancellation_test.go
@@ -69,7 +69,7 @@
 
 // A full queue refuses requests without waiting; that a client has gone is always accepted.
 func TestFullQueue(t *testing.T) {
-	engine := NewEngine(Options{Seed: 1, QueueLength: 2, StartTime: time.Now(), Log: zap.NewNop()})
+	engine := New(Options{Seed: 1, QueueLength: 2, StartTime: time.Now(), Log: zap.NewNop()})
 	now := time.Now()
 	for i := range 2 {
 		if !engine.Post(now, &Request{ID: routing.RequestID(i + 1)}) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -74,8 +74,8 @@
 	eventQueueDelay atomic.Int64 // of the last event, in nanoseconds
 }
 
-// NewEngine returns an engine whose clock starts at the start time of the options.
-func NewEngine(options Options) *Engine {
+// New returns an engine whose clock starts at the start time of the options.
+func New(options Options) *Engine {
 	options.Routing.LocalCacheCapacity = options.LocalCache.Capacity()
 	engine := &Engine{
 		events:           make(chan Event, options.QueueLength),
@@ -95,22 +95,6 @@
 	return engine
 }
 
-// New is NewEngine with its options as parameters, kept until its callers have moved.
-func New(
-	settings routing.Settings, seed uint64, queueLength int, startTime time.Time, transport Transport,
-	cache LocalCacheSettings, log *zap.Logger,
-) *Engine {
-	return NewEngine(Options{
-		Routing: settings, Seed: seed, QueueLength: queueLength, StartTime: startTime, Transport: transport,
-		LocalCache: cache, Log: log,
-	})
-}
-
-// SetMonitor sets the options Monitor and OnClockStep, kept until its callers have moved.
-func (e *Engine) SetMonitor(monitor *invariant.Monitor, onClockStep func(by time.Duration)) {
-	e.watchClockSteps(monitor, onClockStep)
-}
-
 func (e *Engine) watchClockSteps(monitor *invariant.Monitor, onClockStep func(by time.Duration)) {
 	e.monitor = monitor
 	e.ages.clock.onStep = func(by time.Duration) {
--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -31,7 +31,7 @@
 
 func newTestEngine(cacheSettings ...LocalCacheSettings) *testEngine {
 	engine := &testEngine{start: time.Now(), abortWritten: true}
-	engine.Engine = NewEngine(Options{
+	engine.Engine = New(Options{
 		Routing: testSettings(), Seed: 1, QueueLength: 16, StartTime: engine.start, Transport: engine,
 		LocalCache: append(cacheSettings, LocalCacheSettings{})[0], Log: zap.NewNop(),
 	})
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -60,7 +60,7 @@
 }
 
 func (e *Engine) handleRequest(request *Request) {
-	if !request.Invariants.Open() { // its client has gone while it waited in the queue
+	if !request.Invariants.IsOpen() { // its client has gone while it waited in the queue
 		e.counts.Requests++
 		e.counts.ClientCancelled++
 		return
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -80,7 +80,7 @@
 		server.unclosedCount.Add(1)
 		return c
 	}
-	server.monitor.CloseClient(uint64(c.id), invariant.CloseRejected, 0)
+	server.monitor.RecordClientClose(uint64(c.id), invariant.CloseRejected, 0)
 	server.unregister(c)
 	l.refuse(raw, decision)
 	return nil
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -104,7 +104,7 @@
 		reason, isOver = c.readStep()
 	}
 	c.mu.Lock()
-	c.server.monitor.CloseClient(uint64(c.id), reason, len(c.session.inFlight))
+	c.server.monitor.RecordClientClose(uint64(c.id), reason, len(c.session.inFlight))
 	c.session.close()
 	messages := c.session.takeMessages()
 	c.unlockChanged()
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -135,7 +135,7 @@
 // cameAt is when a connection that is accepted now may have come, and its first request with it: it has waited while
 // the process stood still, or while there was no descriptor for it.
 func (l *listener) cameAt(now time.Time) time.Time {
-	came := l.server.monitor.Watch().Arrived(now)
+	came := l.server.monitor.Watch().EarliestQueuedArrival(now)
 	if !l.shortageSince.IsZero() && l.shortageSince.Before(came) {
 		came = l.shortageSince
 	}
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -177,8 +177,8 @@
 	begun := time.Now()
 	count, err := system.Read(c.Conn, space)
 	now, stalls := time.Now(), c.server.monitor.Watch()
-	cameAt := stalls.Earliest(c.emptyAt, begun, now)
-	if count < len(space) && stalls.Arrived(now).Equal(now) {
+	cameAt := stalls.EarliestArrival(c.emptyAt, begun, now)
+	if count < len(space) && stalls.EarliestQueuedArrival(now).Equal(now) {
 		// The system holds nothing more of it; just after a stall, it may still be handing on what came meanwhile.
 		c.emptyAt = now
 	}
--- a/internal/invariant/attempt.go
+++ b/internal/invariant/attempt.go
@@ -39,7 +39,7 @@
 
 // checkWritten checks that an attempt that has just been written completely was in time.
 func (r *Request) checkWritten(attempt *sentAttempt, now time.Time) {
-	if r.monitor.Watch().Since(attempt.startedAt, now) {
+	if r.monitor.Watch().StalledSince(attempt.startedAt, now) {
 		return // the process stood still in the middle of the write
 	}
 	violate := func(kind Violation, detail ...zap.Field) {
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -126,8 +126,8 @@
 	return violations, closes
 }
 
-// CloseClient is called before a client's connection is closed on which so many requests have no final response.
-func (m *Monitor) CloseClient(connection uint64, reason CloseReason, openRequests int) {
+// RecordClientClose is called before a client's connection is closed on which so many requests have no final response.
+func (m *Monitor) RecordClientClose(connection uint64, reason CloseReason, openRequests int) {
 	if m == nil {
 		return
 	}
@@ -141,8 +141,8 @@
 	}
 }
 
-// CloseServer is called before a connection to a server is closed on which so many attempts are in flight.
-func (m *Monitor) CloseServer(endpoint uint64, reason CloseReason, openAttempts int) {
+// RecordServerClose is called before a connection to a server is closed on which so many attempts are in flight.
+func (m *Monitor) RecordServerClose(endpoint uint64, reason CloseReason, openAttempts int) {
 	if m == nil {
 		return
 	}
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -24,9 +24,9 @@
 // Ends of connections that cross requests are no violations; each is counted by its reason.
 func TestClosesAreCounted(t *testing.T) {
 	monitor := newMonitor()
-	monitor.CloseClient(1, CloseClientLeft, 3)
-	monitor.CloseClient(1, CloseClientIdle, 0)
-	monitor.CloseServer(1, CloseServerEnded, 3)
+	monitor.RecordClientClose(1, CloseClientLeft, 3)
+	monitor.RecordClientClose(1, CloseClientIdle, 0)
+	monitor.RecordServerClose(1, CloseServerEnded, 3)
 	violations, closes := monitor.Counts()
 	if len(violations) != 0 || monitor.Violations() != 0 {
 		t.Error(violations)
@@ -57,8 +57,8 @@
 	var monitor *Monitor
 	now := time.Now()
 	monitor.Violate(AnsweredLate, 1)
-	monitor.CloseClient(1, CloseClientIdle, 1)
-	monitor.CloseServer(1, CloseIdle, 1)
+	monitor.RecordClientClose(1, CloseClientIdle, 1)
+	monitor.RecordServerClose(1, CloseIdle, 1)
 	if monitor.Violations() != 0 || monitor.Watch() != nil || monitor.Recorder() != nil {
 		t.Error("a nil monitor counts something")
 	}
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -35,8 +35,8 @@
 	return &Request{monitor: m, id: id, deadline: deadline, policy: policy}
 }
 
-// Open reports whether the request has no final response and its client still waits.
-func (r *Request) Open() bool {
+// IsOpen reports whether the request has no final response and its client still waits.
+func (r *Request) IsOpen() bool {
 	if r == nil {
 		return true
 	}
@@ -72,7 +72,7 @@
 		r.monitor.Violate(RejectedThoughRan, r.id)
 	}
 	late := now.Sub(r.deadline)
-	if reason.isResponse() && late > AnswerSlack && !r.monitor.Watch().Since(r.deadline, now) {
+	if reason.isResponse() && late > AnswerSlack && !r.monitor.Watch().StalledSince(r.deadline, now) {
 		r.monitor.Violate(AnsweredLate, r.id, zap.Duration("late", late))
 	}
 }
--- a/internal/invariant/request_test.go
+++ b/internal/invariant/request_test.go
@@ -16,7 +16,7 @@
 		t.Error(denial)
 	}
 	request.Complete(0, here.Endpoint, now.Add(time.Millisecond))
-	if !request.End(EndServed, now) || request.Open() {
+	if !request.End(EndServed, now) || request.IsOpen() {
 		t.Error("the request did not end")
 	}
 	if request.End(EndClientLeft, now) || request.End(EndCancelled, now) {
@@ -61,7 +61,7 @@
 func TestNilRequestAllowsAll(t *testing.T) {
 	var request *Request
 	now := time.Now()
-	if !request.Open() || request.Begin(Attempt{}, now) != SendAllowed {
+	if !request.IsOpen() || request.Begin(Attempt{}, now) != SendAllowed {
 		t.Error("an attempt is denied")
 	}
 	for range 2 {
--- a/internal/invariant/violation_test.go
+++ b/internal/invariant/violation_test.go
@@ -81,8 +81,8 @@
 		request.Begin(plantedAttempt(0), arrival)
 		request.End(EndRejected, arrival)
 	},
-	RequestUnanswered: func(m *Monitor) { m.CloseClient(7, CloseClientIdle, 1) },
-	AttemptCutOff:     func(m *Monitor) { m.CloseServer(7, CloseIdle, 1) },
+	RequestUnanswered: func(m *Monitor) { m.RecordClientClose(7, CloseClientIdle, 1) },
+	AttemptCutOff:     func(m *Monitor) { m.RecordServerClose(7, CloseIdle, 1) },
 	StaleCopyServed:   func(m *Monitor) { m.Violate(StaleCopyServed, 7) },
 	InvalidTransition: func(m *Monitor) { m.Violate(InvalidTransition, 7) },
 }
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/server.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	current := newConnection(&s.transport.limits, s.config.Login, time.Now())
+	current := newConnection(&s.transport.limits, s.config.Credentials, time.Now())
 	s.mu.Lock()
 	s.connection, s.socket = current, socket
 	s.mu.Unlock()
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -24,13 +24,13 @@
 
 // Store is what the operator says of one store.
 type Store struct {
-	UID       string
-	Addresses []string // none: the address of the endpoint list
-	Listed    bool     // the endpoint list names it; otherwise this router adds it
-	Weight    float64
-	Prefix    string // of all keys
-	Login     Credentials
-	TLS       *tls.Config
+	UID         string
+	Addresses   []string // none: the address of the endpoint list
+	Listed      bool     // the endpoint list names it; otherwise this router adds it
+	Weight      float64
+	Prefix      string // of all keys
+	Credentials Credentials
+	TLS         *tls.Config
 }
 
 // Credentials is what a new connection authenticates with; all of it may be empty.
@@ -79,8 +79,8 @@
 	actions       []decide.Action // for reuse
 }
 
-// NewTransport returns a transport for the stores given. SetInner comes before anything else.
-func NewTransport(options Options) *Transport {
+// New returns a transport for the stores given. SetInner comes before anything else.
+func New(options Options) *Transport {
 	t := &Transport{
 		limits:     options.Limits,
 		routing:    options.Routing,
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -64,7 +64,7 @@
 		tb.Fatal(err)
 	}
 	f := &fixture{redis: store, results: make(chan engine.AttemptResult, 64)}
-	f.Transport = NewTransport(Options{
+	f.Transport = New(Options{
 		Limits: testLimits(),
 		Routing: routing.Settings{
 			ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000,
@@ -74,7 +74,7 @@
 		Seed:      1,
 		Stores: []Store{{
 			UID: storeUID, Addresses: []string{store.Address()}, Weight: 1, Prefix: "t:",
-			Login: Credentials{User: "u", Password: "w", Database: 1},
+			Credentials: Credentials{User: "u", Password: "w", Database: 1},
 		}},
 		StartedAt: time.Now().Add(-time.Second),
 		Deliver: func(_ time.Time, message engine.Message) {
--- a/internal/stalldetect/watch.go
+++ b/internal/stalldetect/watch.go
@@ -86,9 +86,9 @@
 
 func (w *Watch) time(sinceStart int64) time.Time { return w.start.Add(time.Duration(sinceStart)) }
 
-// Earliest is the earliest time at which something may have arrived that a blocking call returned now. The call was
+// EarliestArrival is the earliest time at which something may have arrived that a blocking call returned now. The call was
 // made at callStart; the queue that it reads was last known to be empty at emptyAt, before that.
-func (w *Watch) Earliest(emptyAt, callStart, now time.Time) time.Time {
+func (w *Watch) EarliestArrival(emptyAt, callStart, now time.Time) time.Time {
 	earliest := now
 	if now.Sub(callStart) < immediateReturn {
 		earliest = emptyAt // it was in the queue already when the call began
@@ -101,17 +101,17 @@
 	return earliest
 }
 
-// Arrived is the earliest time at which something may have arrived that waited in a queue of the system behind others,
+// EarliestQueuedArrival is the earliest time at which something may have arrived that waited in a queue of the system behind others,
 // and is taken now: now, or the beginning of a stall that has just ended.
-func (w *Watch) Arrived(now time.Time) time.Time {
+func (w *Watch) EarliestQueuedArrival(now time.Time) time.Time {
 	if last, found := w.lastStall(now, stallThreshold); found {
 		return last.from
 	}
 	return now
 }
 
-// Since reports whether the process stood still at any time since a moment.
-func (w *Watch) Since(moment, now time.Time) bool {
+// StalledSince reports whether the process stood still at any time since a moment.
+func (w *Watch) StalledSince(moment, now time.Time) bool {
 	last, found := w.lastStall(now, now.Sub(moment))
 	return found && last.until.After(moment)
 }
--- a/internal/stalldetect/watch_test.go
+++ b/internal/stalldetect/watch_test.go
@@ -50,7 +50,7 @@
 		{"the queue was seen empty during the stall", 650, 660, 700, 650},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			got := w.Earliest(w.at(testCase.emptyAt), w.at(testCase.callStart), w.at(testCase.now))
+			got := w.EarliestArrival(w.at(testCase.emptyAt), w.at(testCase.callStart), w.at(testCase.now))
 			if !got.Equal(w.at(testCase.want)) {
 				t.Errorf("%v, not %d ms", got.Sub(w.start), testCase.want)
 			}
@@ -64,11 +64,11 @@
 	w.beatUntil(20, 100)
 	w.beat(700, 600*time.Millisecond)
 	w.beat(720, 0)
-	if got := w.Earliest(w.at(50), w.at(60), w.at(705)); !got.Equal(w.at(100)) {
+	if got := w.EarliestArrival(w.at(50), w.at(60), w.at(705)); !got.Equal(w.at(100)) {
 		t.Errorf("just after a stall: %v", got.Sub(w.start))
 	}
 	w.beatUntil(740, 780)
-	if got := w.Earliest(w.at(50), w.at(60), w.at(790)); !got.Equal(w.at(790)) {
+	if got := w.EarliestArrival(w.at(50), w.at(60), w.at(790)); !got.Equal(w.at(790)) {
 		t.Errorf("long after a stall: %v", got.Sub(w.start))
 	}
 }
@@ -78,10 +78,10 @@
 	w.beatUntil(20, 100)
 	w.beat(700, 600*time.Millisecond)
 	w.beatUntil(720, 780)
-	if !w.Since(w.at(300), w.at(790)) {
+	if !w.StalledSince(w.at(300), w.at(790)) {
 		t.Error("a stall since then is not seen")
 	}
-	if w.Since(w.at(750), w.at(790)) {
+	if w.StalledSince(w.at(750), w.at(790)) {
 		t.Error("a stall before then is seen")
 	}
 }
@@ -89,7 +89,7 @@
 func TestNilWatchNeverStalls(t *testing.T) {
 	var none *Watch
 	now := time.Now()
-	if none.Settle() || !none.Earliest(now, now, now).Equal(now) || none.Since(now, now) {
+	if none.Settle() || !none.EarliestArrival(now, now, now).Equal(now) || none.StalledSince(now, now) {
 		t.Error("a nil watch shows a stall")
 	}
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -57,7 +57,7 @@
 	}
 	now := time.Now()
 	fault := system.Classify(err)
-	if fault == system.FaultSilent && c.pool.Monitor.Watch().Since(started, now) {
+	if fault == system.FaultSilent && c.pool.Monitor.Watch().StalledSince(started, now) {
 		fault = system.FaultLocal // this process stood still meanwhile: nobody knows what came
 	}
 	c.pool.Monitor.Record(flightrecorder.Entry{
--- a/policy/sharedstore/coalesce.go
+++ b/policy/sharedstore/coalesce.go
@@ -12,7 +12,7 @@
 
 // join has an operation wait for another one of this router that is after the same copy.
 func (c *Coordinator) join(op, leader *operation) {
-	c.Counts.Joined++
+	c.Counts.Coalesced++
 	op.state = stateJoined
 	op.leader, op.nextFollower = leader, leader.firstFollower
 	leader.firstFollower = op
--- a/policy/sharedstore/completion.go
+++ b/policy/sharedstore/completion.go
@@ -8,7 +8,7 @@
 
 // refuse answers an operation that can have neither the store nor a fill.
 func (c *Coordinator) refuse(op *operation) {
-	c.Counts.Refused++
+	c.Counts.Rejected++
 	switch {
 	case op.store.health.state == healthUnavailable:
 		c.complete(op, 0, routing.ConnectFailed, routing.NoteNone, 0)
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -159,7 +159,7 @@
 	case ReplyMiss, ReplyCorrupt:
 		c.Counts.Misses++
 		if event.Reply == ReplyCorrupt {
-			c.Counts.Spoilt++
+			c.Counts.Corrupt++
 		}
 		c.input(op, inputMiss)
 	default:
@@ -173,7 +173,7 @@
 	}
 	if !op.accepts(event.GeneratedAt) || c.isInFuture(event.GeneratedAt, event.ValidFrom) ||
 		!c.log.proves(op.key.object, op.group, event.GeneratedAt, event.ValidFrom) {
-		c.Counts.Old++
+		c.Counts.Stale++
 		c.input(op, inputMiss)
 		return
 	}
@@ -194,7 +194,7 @@
 	if op == nil || op.timerID != event.TimerID {
 		return
 	}
-	c.Counts.Overdue++
+	c.Counts.Timeouts++
 	if op.state == stateGetting || op.state == stateGettingAgain {
 		c.recordLateGet(op.store, op.id)
 	}
@@ -276,7 +276,7 @@
 		c.refuse(op)
 		return
 	}
-	c.Counts.Passed++
+	c.Counts.Bypassed++
 	op.state = stateFilling
 	c.fill(op)
 }
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -78,7 +78,7 @@
 	op.generatedAt, op.bodyBytes = event.GeneratedAt, event.BodyBytes
 	if event.GeneratedAt > 0 && !c.log.isNewer(op.key.object, op.group, event.GeneratedAt) {
 		// The source had the copy from before a purge: it must not be served, and the request finds another way.
-		c.Counts.Old++
+		c.Counts.Stale++
 		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, event.FirstByteWait)
 		return
 	}
--- a/policy/sharedstore/lease.go
+++ b/policy/sharedstore/lease.go
@@ -25,7 +25,7 @@
 		c.fill(op)
 	default:
 		c.countCommand(op.store)
-		c.Counts.Leases++
+		c.Counts.LeaseAttempts++
 		c.emit(Action{Kind: ActionAcquireLease, Operation: op.id, TTL: c.leaseTTL()})
 		c.setTimer(op, op.store.getTimeout(c.fillTime, op.objective-c.now))
 	}
@@ -67,7 +67,7 @@
 	}
 	wait = max(wait, minHolderWait)
 	op.waitedForHolder = true
-	c.Counts.Waits++
+	c.Counts.FillWaits++
 	if wait > c.maxWait(op) {
 		op.state = stateFilling
 		c.fill(op)
