--- a/internal/fake/redis/store.go
+++ b/internal/fake/redis/store.go
@@ -30,10 +30,10 @@
 	Address   string        // "" for any port of loopback
 	Memory    int           // bytes of values before the least recently used are evicted, 0: no bound
 	Capacity  float64       // commands a second when warm, 0: not measured against
-	ColdShare float64       // of Capacity just after a start
+	ColdShare float64       // of the capacity, just after a start
 	ColdFor   time.Duration // until it has all of it
 	Age       time.Duration // for which it has run at its first start
-	User      string        // needed, with Word, where Word is set
+	User      string        // needed, with the password, where that is set
 	Word      string        // the password
 	Clients   int           // connections at most, 0: no bound
 	Seed      uint64
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -11,7 +11,7 @@
 }
 
 // Replies come whole in whatever pieces their bytes come, and a length out of bounds is an error when it is announced.
-func ExampleReplies() {
+func Example_replies() {
 	for _, text := range []string{
 		"+OK\r\n", "-OOM no memory\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$-1\r\n",
 		"*2\r\n$1\r\na\r\n*1\r\n:3\r\n+PONG\r\n", "$65\r\n", "*9\r\n", "$1\r\nab\r\n", "!\r\n",
