--- a/policy/routing/ring.go
+++ b/policy/routing/ring.go
@@ -62,25 +62,45 @@
 
 // find visits each member once, in ring order from the hash on, and returns the first that is accepted.
 func (g *ring) find(hash uint64, accepts func(endpointIndex) bool) endpointIndex {
-	from, _ := slices.BinarySearchFunc(g.points, hash, func(point ringPoint, hash uint64) int {
-		return cmp.Compare(point.position, hash)
-	})
+	next := g.firstPointFrom(hash)
 	g.walks++
 	unvisited := len(g.members)
-	for i := 0; unvisited > 0 && i < len(g.points); i++ {
-		member := g.points[(from+i)%len(g.points)].member
+	for range g.points {
+		if next == len(g.points) {
+			next = 0
+		}
+		member := g.points[next].member
+		next++
 		if g.lastVisit[member] == g.walks {
 			continue
 		}
 		g.lastVisit[member] = g.walks
-		unvisited--
 		if accepts(g.members[member]) {
 			return g.members[member]
 		}
+		unvisited--
+		if unvisited == 0 {
+			break
+		}
 	}
 	return noEndpoint
 }
 
+// firstPointFrom returns the index of the first point at or after the hash. The search is written out because the calls
+// that a generic one makes took a fifth of the time of a decision.
+func (g *ring) firstPointFrom(hash uint64) int {
+	low, high := 0, len(g.points)
+	for low < high {
+		middle := int(uint(low+high) >> 1)
+		if g.points[middle].position < hash {
+			low = middle + 1
+		} else {
+			high = middle
+		}
+	}
+	return low
+}
+
 // owner returns the member whose arc holds the hash.
 func (g *ring) owner(hash uint64) endpointIndex {
 	return g.find(hash, func(endpointIndex) bool { return true })
