--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -57,7 +57,6 @@
 	if err := r.buildFrontend(retry); err != nil {
 		return err
 	}
-	r.upstream.OnDescriptorShortage = r.frontend.ReportDescriptorShortage
 	r.frontend.OnDescriptorShortage = r.upstream.CloseIdle
 	r.watcher = r.newWatcher()
 	r.applyKnownEvents()
@@ -98,10 +97,16 @@
 }
 
 func (r *router) newUpstreamPool() *upstream.Pool {
-	hasReportsInHealthChecks := r.config.Routing.ReportChannel == routing.ReportsWithHealthChecks
-	pool := upstream.New(r.limits, r.config.Names, hasReportsInHealthChecks, r.stores.upstreamPost(r.post), r.log)
-	pool.Monitor = r.monitor
-	return pool
+	return upstream.New(upstream.Options{
+		Limits:                  r.limits,
+		Names:                   r.config.Names,
+		ReportsWithHealthChecks: r.config.Routing.ReportChannel == routing.ReportsWithHealthChecks,
+		Post:                    r.stores.upstreamPost(r.post),
+		// The front end is made after the pool, and before any endpoint is known.
+		OnDescriptorShortage: func() { r.frontend.ReportDescriptorShortage() },
+		Monitor:              r.monitor,
+		Log:                  r.log,
+	})
 }
 
 func (r *router) newEngine() *engine.Engine {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -190,7 +190,7 @@
 	isFirst := c.pool.remove(c)
 	c.mu.Lock()
 	if isFirst {
-		c.pool.Monitor.RecordServerClose(uint64(c.endpoint), reason, c.session.pending())
+		c.pool.monitor.RecordServerClose(uint64(c.endpoint), reason, c.session.pending())
 	}
 	c.advance(eventClose)
 	var results []engine.Message
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -57,10 +57,10 @@
 	}
 	now := time.Now()
 	fault := system.Classify(err)
-	if fault == system.FaultSilent && c.pool.Monitor.Watch().StalledSince(started, now) {
+	if fault == system.FaultSilent && c.pool.monitor.Watch().StalledSince(started, now) {
 		fault = system.FaultLocal // this process stood still meanwhile: nobody knows what came
 	}
-	c.pool.Monitor.Record(flightrecorder.Entry{
+	c.pool.monitor.Record(flightrecorder.Entry{
 		Event:    flightrecorder.ServerDialled,
 		Endpoint: uint64(c.endpoint),
 		Reason:   uint8(fault),
@@ -87,7 +87,7 @@
 // makeRoomForDescriptor gives up what holds descriptors without need: attempts under way come first.
 func (p *Pool) makeRoomForDescriptor() {
 	p.CloseIdle()
-	if p.OnDescriptorShortage != nil {
-		p.OnDescriptorShortage()
+	if p.onDescriptorShortage != nil {
+		p.onDescriptorShortage()
 	}
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -69,7 +69,7 @@
 		return
 	}
 	e.state, e.stateSince = state, now
-	p.Monitor.Record(flightrecorder.Entry{
+	p.monitor.Record(flightrecorder.Entry{
 		Event:    flightrecorder.ServerState,
 		Endpoint: uint64(id),
 		Reason:   uint8(state),
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -126,7 +126,7 @@
 		change(&bounds)
 	}
 	pool := &testPool{t: t, results: make(chan engine.AttemptResult, 100)}
-	pool.Pool = NewPool(Options{
+	pool.Pool = New(Options{
 		Limits: bounds,
 		Names:  config.Names{Classes: []string{"clip"}},
 		Post: func(_ time.Time, message engine.Message) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -33,9 +33,8 @@
 	log    *zap.Logger
 	dial   func(network, address string, timeout time.Duration) (net.Conn, error)
 
-	// OnDescriptorShortage and Monitor are those of Options. They are exported until the callers of New have moved.
-	OnDescriptorShortage func()
-	Monitor              *invariant.Monitor
+	monitor              *invariant.Monitor
+	onDescriptorShortage func()
 
 	mu              sync.Mutex
 	endpoints       map[routing.EndpointID]*endpoint
@@ -60,15 +59,8 @@
 	Log     *zap.Logger
 }
 
-// New returns a pool that knows no endpoint. It is kept until its callers have moved to NewPool.
-func New(
-	l limits.Limits, names config.Names, reports bool, post func(at time.Time, message engine.Message), log *zap.Logger,
-) *Pool {
-	return NewPool(Options{Limits: l, Names: names, ReportsWithHealthChecks: reports, Post: post, Log: log})
-}
-
-// NewPool returns a pool that knows no endpoint.
-func NewPool(options Options) *Pool {
+// New returns a pool that knows no endpoint.
+func New(options Options) *Pool {
 	pool := &Pool{
 		limits:               options.Limits,
 		names:                protocolNames{classes: options.Names.Classes, reportColumns: options.Names.Columns},
@@ -76,8 +68,8 @@
 		post:                 options.Post,
 		log:                  options.Log,
 		dial:                 system.DialTimeout,
-		OnDescriptorShortage: options.OnDescriptorShortage,
-		Monitor:              options.Monitor,
+		onDescriptorShortage: options.OnDescriptorShortage,
+		monitor:              options.Monitor,
 		endpoints:            map[routing.EndpointID]*endpoint{},
 	}
 	if options.ReportsWithHealthChecks {
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -127,15 +127,12 @@
 	},
 }
 
-// impossibleTransition is how a transition that can't come about is counted, until the monitor has a kind for it.
-const impossibleTransition = invariant.AttemptCutOff
-
 // advance moves the connection to its state after an event. A transition that can't come about is counted as a
 // violation and changes nothing. The caller holds the connection's lock.
 func (c *connection) advance(event connectionEvent) {
 	next := transitions[event][c.state]
 	if next == impossible {
-		c.pool.Monitor.Violate(impossibleTransition, uint64(c.endpoint),
+		c.pool.monitor.Violate(invariant.InvalidTransition, uint64(c.endpoint),
 			zap.Stringer("state", c.state), zap.Stringer("event", event))
 		return
 	}
--- a/internal/upstream/state_test.go
+++ b/internal/upstream/state_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"testing"
+
+	"fennelarch/internal/invariant"
 )
 
 // Each state and event has a transition, and none leads back to the first state, which is also that of a gap in the
@@ -87,14 +89,14 @@
 // A transition that can't come about is counted, and changes nothing.
 func TestImpossibleTransitionIsCounted(t *testing.T) {
 	monitor := newTestMonitor()
-	c := &connection{pool: &Pool{Monitor: monitor}, state: stateDialing}
+	c := &connection{pool: &Pool{monitor: monitor}, state: stateDialing}
 	c.advance(eventConnected)
 	if c.state != stateOpen || monitor.Violations() != 0 {
 		t.Errorf("%v, %d violations", c.state, monitor.Violations())
 	}
 	c.advance(eventConnected)
 	counts, _ := monitor.Counts()
-	if c.state != stateOpen || monitor.Violations() != 1 || counts[impossibleTransition.String()] != 1 {
+	if c.state != stateOpen || monitor.Violations() != 1 || counts[invariant.InvalidTransition.String()] != 1 {
 		t.Errorf("%v, %v", c.state, counts)
 	}
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -25,7 +25,7 @@
 	idle := time.NewTicker(c.pool.limits.UpstreamIdleTimeout / idleChecksPerTimeout)
 	defer idle.Stop()
 	for {
-		c.pool.Monitor.Watch().Settle() // an abort of what waits here may have come while the process stood still
+		c.pool.monitor.Watch().Settle() // an abort of what waits here may have come while the process stood still
 		now := time.Now()
 		next := c.nextOutput(now)
 		for _, result := range next.results {
