--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -120,7 +120,7 @@
 			Bytes:              r.limits.LocalCacheBytes,
 			FlowBytesPerSecond: r.config.FlowBytesPerSecond,
 			LinkBytesPerSecond: r.config.LinkBytesPerSecond,
-			MaxInFlight:        r.limits.ForgetAfter,
+			MaxTransferTime:        r.limits.ForgetAfter,
 		},
 		Log:         r.log,
 		Monitor:     r.monitor,
--- a/internal/engine/ageestimator.go
+++ b/internal/engine/ageestimator.go
@@ -27,7 +27,7 @@
 // age is how old something with a timestamp may be.
 type age struct {
 	atLeast, atMost time.Duration
-	isPlausible     bool // the timestamp does not lie in the future on every reading of the clock
+	isPlausible     bool // on one reading of the clock at least, the timestamp does not lie in the future
 }
 
 // estimate is the age of a timestamp: whoever took it may have used the clock as it stands now, or as it stood before a
--- a/internal/engine/cancellation.go
+++ b/internal/engine/cancellation.go
@@ -8,7 +8,7 @@
 // cancellations are the requests whose clients have gone and that the engine has not taken yet. There is at most one
 // for each open request, so the list needs no other bound and adding to it never waits.
 type cancellations struct {
-	signal chan struct{} // has a value while the list may not be empty
+	signal chan struct{} // wakes Run after an addition
 
 	mu   sync.Mutex
 	list []ClientGone
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 )
 
-// Counts are totals since the start.
+// Counts are totals since the start, but for InFlight and EventQueueDelay.
 type Counts struct {
 	Requests        uint64
 	Succeeded       uint64
@@ -38,7 +38,7 @@
 	StartTime   time.Time // when its clock stands at 0
 	Transport   Transport
 	LocalCache  LocalCacheSettings
-	Log         *zap.Logger
+	Log         *zap.Logger // required
 
 	Monitor     *invariant.Monitor     // optional: counts violations and lets readers go first after a stall
 	OnClockStep func(by time.Duration) // optional: called when the wall clock has stepped
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -59,15 +59,17 @@
 	for _, testCase := range []struct {
 		name string
 		play func(engine *testEngine, request *activeRequest)
+
+		wantResponses, wantInFlight, wantAttempts int
 	}{
 		{"a second response", func(engine *testEngine, request *activeRequest) {
 			engine.respond(request, Response{Status: StatusOK})
 			engine.respond(request, Response{Status: StatusFailed})
-		}},
+		}, 1, 0, 1},
 		{"a second end of an attempt", func(engine *testEngine, request *activeRequest) {
 			engine.endAttempt(request, request.attempts[0], attemptCompleted)
 			engine.endAttempt(request, request.attempts[0], attemptAborted)
-		}},
+		}, 0, 1, 0},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			engine := newTestEngine()
@@ -80,9 +82,12 @@
 			if engine.monitor.Violations() != 1 || counts["invalid_transition"] != 1 {
 				t.Errorf("counted %v", counts)
 			}
-			if request.attemptsInFlight < 0 || engine.InFlight() < 0 {
+			if request.attemptsInFlight != testCase.wantAttempts || engine.InFlight() != testCase.wantInFlight {
 				t.Errorf("%d attempts in flight, %d requests in flight", request.attemptsInFlight, engine.InFlight())
 			}
+			if engine.responses != testCase.wantResponses || engine.counts.Failed != 0 {
+				t.Errorf("%d responses, %d failed", engine.responses, engine.counts.Failed)
+			}
 		})
 	}
 }
--- a/internal/engine/example_test.go
+++ b/internal/engine/example_test.go
@@ -111,7 +111,7 @@
 // body.
 func Example_localCache() {
 	engine := newTestEngine(LocalCacheSettings{
-		Bytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxInFlight: 10 * time.Second,
+		Bytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxTransferTime: 10 * time.Second,
 	})
 	engine.request(1, idempotentClass, 2*time.Second)
 	engine.end(0, routing.Succeeded, routing.NoteHit)
--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -27,6 +27,7 @@
 	attempts     []*Attempt
 	abortWritten bool // what an abort finds
 	quiet        bool
+	responses    int // that clients were given
 }
 
 func newTestEngine(cacheSettings ...LocalCacheSettings) *testEngine {
@@ -111,6 +112,7 @@
 }
 
 func (e *testEngine) Respond(tag Tag, response Response) {
+	e.responses++
 	if response.NotModified {
 		e.printf("request %d: not modified", tag)
 		return
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -16,7 +16,7 @@
 	Bytes              int           // for all copies
 	FlowBytesPerSecond float64       // of one transfer
 	LinkBytesPerSecond float64       // of all transfers together
-	MaxInFlight        time.Duration // a response older than this is no longer on its way
+	MaxTransferTime    time.Duration // a response older than this is no longer on its way
 }
 
 // Capacity is how many transfers fit on the link, 0 where no copies can be kept.
@@ -123,7 +123,7 @@
 // forgetOldPurges drops purges that no response on its way can be older than.
 func (c *localCache) forgetOldPurges(now time.Duration) {
 	c.purges = slices.DeleteFunc(c.purges, func(purge receivedPurge) bool {
-		return now-purge.receivedAt > c.settings.MaxInFlight
+		return now-purge.receivedAt > c.settings.MaxTransferTime
 	})
 }
 
--- a/internal/engine/localcache_test.go
+++ b/internal/engine/localcache_test.go
@@ -18,7 +18,7 @@
 	return &cacheTest{
 		localCache: newLocalCache(LocalCacheSettings{
 			Bytes:              3 * (1000 + entryOverheadBytes),
-			FlowBytesPerSecond: 1000, LinkBytesPerSecond: 2500, MaxInFlight: 10 * time.Second,
+			FlowBytesPerSecond: 1000, LinkBytesPerSecond: 2500, MaxTransferTime: 10 * time.Second,
 		}),
 		now: time.Hour, epoch: time.Now(),
 	}
@@ -101,7 +101,7 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			engine := newCheckedEngine(t, testCase.name, LocalCacheSettings{
-				Bytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxInFlight: time.Second,
+				Bytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxTransferTime: time.Second,
 			})
 			engine.send(engine.newRequest(1, idempotentClass, 3*time.Second))
 			engine.end(0, routing.Succeeded, routing.NoteHit)
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -9,7 +9,7 @@
 )
 
 // Message is anything that the engine can be sent. The set is closed: *Request, AttemptResult, HealthCheckResult,
-// EndpointList, Purge, ClientGone and Shutdown.
+// EndpointList, Purge, ClientGone and Shutdown; the last six are sent as values.
 type Message interface{ engineMessage() }
 
 func (*Request) engineMessage()          {}
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -39,7 +39,7 @@
 		}
 		return ""
 	})
-	for id := range uint64(4) {
+	for id := range uint64(7) { // the ring wraps
 		r.Add(Entry{Event: RequestEnded, ID: id, Endpoint: 7, Attempt: 1})
 	}
 	var text strings.Builder
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -8,7 +8,8 @@
 	"fennelarch/policy/routing"
 )
 
-// Every record begins with its code and the number of its router, and those about a request have its id next.
+// Every record begins with its code; all but an endpoint list have the number of their router next, and those about a
+// request its id.
 const (
 	codeOffset    = 0
 	routerOffset  = 1
