--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -42,7 +42,7 @@
 }
 
 type upCommand struct {
-	Bulletin string `default:"127.0.0.1:7070" help:"Where discovery listens."`
+	DiscoveryAddress string `name:"bulletin" default:"127.0.0.1:7070" help:"Where discovery listens."`
 }
 
 // usageError is a flag that cannot be used.
@@ -139,7 +139,7 @@
 }
 
 // Run starts the fake servers of the example configuration.
-func (c upCommand) Run() error { return testbed.ServeExample(c.Bulletin, os.Stdout) }
+func (c upCommand) Run() error { return testbed.ServeExample(c.DiscoveryAddress, os.Stdout) }
 
 func main() {
 	var commands struct {
--- a/internal/fake/site/discovery_server.go
+++ b/internal/fake/site/discovery_server.go
@@ -13,8 +13,9 @@
 type DiscoveryServer struct {
 	Address string
 
-	events *EventLog
-	server *http.Server
+	events  *EventLog
+	server  *http.Server
+	serving sync.WaitGroup // its listeners
 
 	mu            sync.Mutex
 	isUnavailable bool
@@ -43,10 +44,15 @@
 }
 
 // Serve answers at another address too, until the server is closed.
-func (d *DiscoveryServer) Serve(listener net.Listener) { go func() { _ = d.server.Serve(listener) }() }
+func (d *DiscoveryServer) Serve(listener net.Listener) {
+	d.serving.Go(func() { _ = d.server.Serve(listener) })
+}
 
 // Close ends the server and all its listeners.
-func (d *DiscoveryServer) Close() { _ = d.server.Close() }
+func (d *DiscoveryServer) Close() {
+	_ = d.server.Close()
+	d.serving.Wait()
+}
 
 // Suspend has every poll fail with 503, also those that wait, until Resume.
 func (d *DiscoveryServer) Suspend() { d.setUnavailable(true) }
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -33,7 +33,7 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("who waits is not told of an event")
+		t.Error("an event does not wake who waits for it")
 	}
 	events, _ := log.Events()
 	for after, want := range []string{
--- a/internal/testbed/admission_descriptors.go
+++ b/internal/testbed/admission_descriptors.go
@@ -14,7 +14,7 @@
 	reached := floodArm{
 		name: "reached", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
 		meanwhile: func(cluster *Cluster) {
-			// The system gives fewer than the router was told at its start, which it finds out with the flood.
+			// The system gives fewer than the router was configured with, which it finds out with the flood.
 			limit := unix.Rlimit{Cur: 300, Max: 20_000}
 			cluster.fail(unix.Prlimit(cluster.Routers[0].PID(), unix.RLIMIT_NOFILE, &limit, nil))
 		},
--- a/internal/testbed/admission_handshakes.go
+++ b/internal/testbed/admission_handshakes.go
@@ -12,7 +12,7 @@
 })
 
 func runAdmissionHandshakes(options Options, result *Result) error {
-	const knownClient = "crew"
+	const knownClient = "known-client"
 	keys, err := newKeyring(knownClient)
 	if err != nil {
 		return err
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -254,7 +254,7 @@
 	c.killsOf[router] = append(c.killsOf[router], time.Now())
 }
 
-// Restart kills a router and starts it again. It is told only of what discovery still lists: the servers.
+// Restart kills a router and starts it again. Its configuration has only what discovery still lists: the servers.
 func (c *Cluster) Restart(router int) {
 	c.Kill(router)
 	c.StartAgain(router)
--- a/internal/testbed/known_client.go
+++ b/internal/testbed/known_client.go
@@ -40,7 +40,7 @@
 type requestOutcome struct {
 	startedAt    time.Time
 	connectTime  time.Duration // 0: it did not connect within connectTimeout
-	isWritten    bool          // the connection was accepted and the request was written whole
+	isWritten    bool          // the connection was accepted and the request was written completely
 	status       string        // "": no answer
 	responseTime time.Duration
 	loss         string // what came in the place of an answer
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -8,7 +8,7 @@
 	classSignoff = "signoff" // a write, which must run once at most
 )
 
-// Settings are what all routers of a cluster are told of their deployment.
+// Settings are what the configuration of all routers of a cluster says of their deployment.
 type Settings struct {
 	Routers             int
 	Grace               time.Duration // of drains and purges
@@ -20,7 +20,7 @@
 	SlowStart           time.Duration // of a server
 	ColdCapacityShare   float64       // of a server's capacity, just after its start
 
-	Override func(settings map[string]any) // if set, changes what all routers are told
+	Override func(settings map[string]any) // if set, changes the settings of all routers
 }
 
 // DefaultSettings are settings of a middling site.
--- a/internal/testbed/soak/checker.go
+++ b/internal/testbed/soak/checker.go
@@ -61,7 +61,7 @@
 	jitter = 60 * time.Millisecond
 	// cancelSlack is how long after a cancel, or the client's leaving, an attempt may still begin.
 	cancelSlack = 100 * time.Millisecond
-	// deadlineSlack is how far the deadline that a server is told may exceed what the client has left.
+	// deadlineSlack is how far the timeout of an attempt may exceed what its client has left.
 	deadlineSlack = 150 * time.Millisecond
 	// answerSlack is how long after its time a final answer may come without being late, lostAfter without being lost.
 	answerSlack = 50 * time.Millisecond
@@ -155,8 +155,8 @@
 			late.Round(time.Millisecond))
 	}
 	if excess := attempt.Timeout - request.Deadline().Sub(attempt.LastByteAt); excess > deadlineSlack+slack {
-		c.addBreach(DeadlineTooLong, request, "%s was told %v, %v more than was left", attempt.Server, attempt.Timeout,
-			excess.Round(time.Millisecond))
+		c.addBreach(DeadlineTooLong, request, "the timeout at %s is %v, %v more than was left", attempt.Server,
+			attempt.Timeout, excess.Round(time.Millisecond))
 	}
 	for _, uid := range []string{attempt.Server, attempt.Source} {
 		c.checkDepartures(uid, attempt, request, slack)
--- a/internal/testbed/soak/client_connection.go
+++ b/internal/testbed/soak/client_connection.go
@@ -49,7 +49,7 @@
 
 func newClientConnection(group *clientGroup, stream net.Conn) *clientConnection {
 	c := &clientConnection{group: group, stream: stream, requests: map[string]*Request{}}
-	go c.read()
+	group.running.Go(c.read)
 	return c
 }
 
--- a/internal/testbed/soak/client_group.go
+++ b/internal/testbed/soak/client_group.go
@@ -34,6 +34,7 @@
 	behaviour *clientBehaviour
 	objects   int
 	traffic   atomic.Int32
+	running   sync.WaitGroup // the goroutines of its connections
 
 	mu          sync.Mutex
 	rng         *rand.Rand
@@ -119,7 +120,7 @@
 	request := g.newRequest()
 	cancelProbability, disconnectProbability, pausesReads := g.behaviour.current()
 	if pausesReads && g.float64() < 0.1 {
-		go connection.pauseReads()
+		g.running.Go(connection.pauseReads)
 		return
 	}
 	send := connection.send
@@ -191,6 +192,9 @@
 	}
 }
 
+// wait waits until nothing of the connections runs any more.
+func (g *clientGroup) wait() { g.running.Wait() }
+
 // inFlight is how many requests may still get an answer.
 func (g *clientGroup) inFlight() (count int) {
 	g.mu.Lock()
--- a/internal/testbed/soak/cluster.go
+++ b/internal/testbed/soak/cluster.go
@@ -38,6 +38,7 @@
 	watcher          sync.WaitGroup
 	faults           sync.WaitGroup
 	malformedClients sync.WaitGroup
+	proxying         sync.WaitGroup // the goroutines of all proxies
 
 	mu   sync.Mutex
 	rng  *rand.Rand
@@ -186,8 +187,12 @@
 	close(c.done)
 	c.watcher.Wait()
 	c.malformedClients.Wait()
+	for _, r := range c.routers {
+		r.clients.wait()
+	}
 	c.discovery.close()
 	c.servers.close()
+	c.proxying.Wait()
 }
 
 func (c *cluster) routerSeed(router int) uint64 { return c.options.Seed*1000 + uint64(router) }
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -30,6 +30,8 @@
 	record *Record
 	events *site.EventLog
 
+	serving sync.WaitGroup // the listeners of all ports
+
 	mu        sync.Mutex
 	state     discoveryState
 	recovered chan struct{}    // closed when the state is over
@@ -57,7 +59,7 @@
 	port.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.poll(router, port, w, r)
 	})}
-	go func() { _ = port.server.Serve(listener) }()
+	d.serving.Go(func() { _ = port.server.Serve(listener) })
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ports[router] = port
@@ -80,10 +82,11 @@
 // close ends all ports at once.
 func (d *discovery) close() {
 	d.mu.Lock()
-	defer d.mu.Unlock()
 	for _, port := range d.ports {
 		_ = port.server.Close()
 	}
+	d.mu.Unlock()
+	d.serving.Wait()
 }
 
 // impair puts a state in force until the end is called.
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -27,6 +27,7 @@
 	onRequest func(id string)
 	listener  net.Listener
 	upstream  string
+	running   *sync.WaitGroup // the goroutines of all proxies
 
 	mu          sync.Mutex
 	unblocked   chan struct{} // closed when the proxy passes on again; nil: it does
@@ -40,9 +41,9 @@
 	}
 	p := &proxy{
 		uid: s.uid, record: c.record, link: c.link, onRequest: func(id string) { c.servers.recordRequest(s, id) },
-		listener: listener, upstream: s.frames.Address(), connections: map[net.Conn]bool{},
+		listener: listener, upstream: s.frames.Address(), running: &c.proxying, connections: map[net.Conn]bool{},
 	}
-	go p.accept()
+	c.proxying.Go(p.accept)
 	return p, nil
 }
 
@@ -56,7 +57,7 @@
 		if err != nil {
 			return
 		}
-		go p.serve(connection)
+		p.running.Go(func() { p.serve(connection) })
 	}
 }
 
@@ -112,8 +113,8 @@
 	}
 	defer func() { _ = upstream.Close() }()
 	requests := make(chan []byte, proxyQueueLength)
-	go p.passRequests(upstream, downstream, requests)
-	go p.passResponses(upstream, downstream)
+	p.running.Go(func() { p.passRequests(upstream, downstream, requests) })
+	p.running.Go(func() { p.passResponses(upstream, downstream) })
 	p.readRequests(downstream, requests)
 	close(requests)
 }
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -58,7 +58,7 @@
 	Source      string // it names for a fill
 	FirstByteAt time.Time
 	LastByteAt  time.Time
-	Timeout     time.Duration // that the server is told
+	Timeout     time.Duration // that the attempt has
 }
 
 // interval is a span of time; a zero end says that it goes on.
--- a/internal/testbed/soak/router.go
+++ b/internal/testbed/soak/router.go
@@ -64,7 +64,7 @@
 	return r, nil
 }
 
-// configuration is what a router is told of its deployment at the moment.
+// configuration is what a router's configuration file says at the moment.
 func (c *cluster) configuration(r *router, seed uint64, discoveryAddress string) testbed.Configuration {
 	return testbed.Configuration{
 		Seed: seed, Settings: r.settings, DiscoveryAddress: discoveryAddress, KnownEvents: c.discovery.known(),
--- a/internal/testbed/store_cold.go
+++ b/internal/testbed/store_cold.go
@@ -32,11 +32,11 @@
 	}
 	listed := coldStoreConfig(4)
 	listed.IsStoreListed = true
-	peak, err := playColdStore(options, result, "4 routers, told by the list", 4, listed)
+	peak, err := playColdStore(options, result, "4 routers, notified by the list", 4, listed)
 	if err != nil {
 		return err
 	}
-	result.Assert(peak <= 1, "told by the list: never sent more than its capacity", "at most %.2f", peak)
+	result.Assert(peak <= 1, "notified by the list: never sent more than its capacity", "at most %.2f", peak)
 	routers := counts[len(counts)-1]
 	unlimited := coldStoreConfig(routers)
 	unlimited.SharedStore["cold_ms"] = 0 // nothing is known of how it starts: the decisions have nothing to go by
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -69,7 +69,7 @@
 		c.fail(c.Store.Again(true))
 	case 65: // the invalidation log is gone, the values are not
 		c.Store.DropSets()
-	case 80: // a router starts that was never told of earlier purges
+	case 80: // a router starts that has never heard of earlier purges
 		c.Restart(purges / purgeCycle % len(c.Routers))
 	case 95:
 		c.Store.Set(redis.Fault{Delay: 40 * time.Millisecond, Spread: 40 * time.Millisecond})
