--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -151,9 +151,14 @@
 		kong.Description("Experiments on real routers among fake servers, on loopback."))
 	if err := context.Run(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "testbed:", err)
-		if errors.As(err, &usageError{}) || errors.As(err, &soak.PlanError{}) {
-			os.Exit(exitUsage)
-		}
-		os.Exit(exitFailed)
+		os.Exit(exitCode(err))
+	}
+}
+
+// exitCode tells what cannot be used from what has failed.
+func exitCode(err error) int {
+	if errors.As(err, &usageError{}) || errors.As(err, &soak.PlanError{}) {
+		return exitUsage
 	}
+	return exitFailed
 }
--- /dev/null
+++ b/cmd/testbed/main_test.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"fennelarch/internal/testbed/soak"
+)
+
+func TestExitCodeTellsUsageFromFailure(t *testing.T) {
+	_, planError := soak.ParsePlan("stop-router 3")
+	for _, test := range []struct {
+		name string
+		err  error
+		want int
+	}{
+		{"an assertion that failed", errAssertion, exitFailed},
+		{"a flag", usageError{errors.New("--scale")}, exitUsage},
+		{"a plan", fmt.Errorf("soak: %w", soak.PlanError{Err: planError}), exitUsage},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := exitCode(test.err); got != test.want {
+				t.Errorf("%d, not %d", got, test.want)
+			}
+		})
+	}
+}
+
+func TestFlagsAreBounded(t *testing.T) {
+	plan := filepath.Join(t.TempDir(), "plan.txt")
+	if err := os.WriteFile(plan, []byte("at 1s for 1s stop-router 3\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, test := range []struct {
+		name     string
+		command  runCommand
+		isUsable bool
+	}{
+		{"the defaults", runCommand{Scale: 1}, true},
+		{"a plan", runCommand{Scale: 1, Plan: plan}, true},
+		{"no scale", runCommand{}, false},
+		{"a scale that is too large", runCommand{Scale: maxScale + 1}, false},
+		{"too many routers", runCommand{Scale: 1, Routers: maxRouters + 1}, false},
+		{"a plan that does not exist", runCommand{Scale: 1, Plan: plan + "x"}, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := test.command.options()
+			if (err == nil) != test.isUsable {
+				t.Fatalf("%v", err)
+			}
+			if err != nil && exitCode(err) != exitUsage {
+				t.Errorf("exit code %d for %v", exitCode(err), err)
+			}
+		})
+	}
+}
