--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -103,12 +103,12 @@
 	if att.onlyIfCached || isFromCache || r.settings.Classes[req.class].Write {
 		return
 	}
-	att.originShare = float64(r.origins.wait+ms) / float64(r.origins.wait+req.transferTime+ms)
+	att.originShare = float64(r.originLimiter.wait+ms) / float64(r.originLimiter.wait+req.transferTime+ms)
 	// After a lookup at the parent it is known that the parent does not have the object.
 	if att.source != r.origin && req.stage != stageParentCached {
-		att.originShare *= r.origins.originShare
+		att.originShare *= r.originLimiter.originShare
 	}
-	r.origins.begin(att.originShare, r.random.float(), r.now)
+	r.originLimiter.begin(att.originShare, r.random.float(), r.now)
 }
 
 // sendAction is the order to send an attempt.
@@ -170,7 +170,7 @@
 	att.state = attemptEnded
 	req.inFlight--
 	r.releaseLinks(att)
-	r.origins.end(att.originShare, r.now)
+	r.originLimiter.end(att.originShare, r.now)
 	switch outcome {
 	case Overloaded, ConnectFailed, NotSent, CacheMiss:
 		att.mayHaveRun = false
--- a/policy/routing/attribution.go
+++ b/policy/routing/attribution.go
@@ -15,7 +15,7 @@
 	if att.endpoint == r.origin {
 		// A client that left before its objective tells nothing.
 		if failure != failureNotCached && (event.Outcome != Cancelled || r.now >= req.objectiveAt) {
-			r.origins.recordFailure(r.now)
+			r.originLimiter.recordFailure(r.now)
 		}
 		return
 	}
@@ -29,7 +29,7 @@
 	case failureSource:
 		r.attributeToSource(att, event)
 	case failureOrigin:
-		r.origins.recordFailure(r.now)
+		r.originLimiter.recordFailure(r.now)
 		r.endpoints[att.source].lastHeardAt = r.now
 	case failureNotCached:
 		r.endpoints[att.source].lastHeardAt = r.now
@@ -58,7 +58,7 @@
 func (r *Router) attributeToSource(att *attempt, event *Event) {
 	switch {
 	case att.source == r.origin || r.wasWaitingForOrigin(att, event.FirstByteWait):
-		r.origins.recordFailure(r.now)
+		r.originLimiter.recordFailure(r.now)
 	case event.Note == NoteSourceUnreachable:
 		r.recordFailure(att.source, hardFailure)
 	default:
@@ -70,5 +70,5 @@
 // attempt was sent and took its time to fail, and the origin did not answer in good time meanwhile.
 func (r *Router) wasWaitingForOrigin(att *attempt, firstByteWait time.Duration) bool {
 	return !att.onlyIfCached && firstByteWait > overdueAfter &&
-		r.endpoints[att.source].lastHeardAt > att.sentAt && r.origins.goodAt < att.sentAt
+		r.endpoints[att.source].lastHeardAt > att.sentAt && r.originLimiter.goodAt < att.sentAt
 }
--- a/policy/routing/endpoints.go
+++ b/policy/routing/endpoints.go
@@ -25,6 +25,9 @@
 // noEndpoint stands for no endpoint.
 const noEndpoint endpointIndex = -1
 
+// forgetAfter is how long after it is gone the place of an endpoint may be used again.
+const forgetAfter = 2 * relayFor
+
 // idleTransfers is less than any transfer: an endpoint with fewer has none, but for rounding.
 const idleTransfers = 0.001
 
@@ -132,7 +135,7 @@
 func (r *Router) allocateEndpoint() endpointIndex {
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
-		if e.state == Gone && e.link.current < idleTransfers && r.now-e.leavingSince > 2*relayFor {
+		if e.state == Gone && e.link.current < idleTransfers && r.now-e.leavingSince > forgetAfter {
 			delete(r.endpointByID, e.id)
 			return endpointIndex(i)
 		}
@@ -148,7 +151,7 @@
 		r.rememberRing()
 	}
 	r.caches, r.parents = caches, parents
-	r.origins.share = r.originLimiterShare()
+	r.originLimiter.share = r.originLimiterShare()
 }
 
 // readyMembers lists the ready endpoints with the role.
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -2,9 +2,16 @@
 
 import "time"
 
-// overdueAfter is how far past twice its predicted time an attempt may be before silence counts: a short pause of an
-// endpoint or a resent packet should fit.
-const overdueAfter = 150 * ms
+const (
+	// overdueFactor is how many times its predicted time an attempt may take.
+	overdueFactor = 2
+	// overdueAfter is how far past that an attempt may be before silence counts: a short pause of an endpoint or a
+	// resent packet should fit.
+	overdueAfter = 150 * ms
+)
+
+// overdueAge is the age from which an attempt that was expected to take so long is overdue.
+func overdueAge(expected time.Duration) time.Duration { return overdueFactor*expected + overdueAfter }
 
 // checkOverdueAttempts sends writes again whose backoff is over, and hedges requests with overdue attempts. Guards
 // against silent caches and parents (vanished, cut off, stalled). An endpoint's long pause may cost a double transfer.
@@ -28,14 +35,14 @@
 // since it was sent; or, with a known size, if the endpoint lives but the attempt does not end.
 func (r *Router) checkOverdueAttempt(req *request, att *attempt) {
 	age := r.now - att.sentAt
-	if !att.isPending() || req.transferTime == 0 || age < 2*att.expected+overdueAfter || att.endpoint == r.origin {
+	if !att.isPending() || req.transferTime == 0 || age < overdueAge(att.expected) || att.endpoint == r.origin {
 		return
 	}
 	if r.isLateFill(req, att, age) {
 		r.countLateFill(att, age)
 		return
 	}
-	if !att.onlyIfCached && age < 2*(att.expected+r.origins.wait)+overdueAfter && att.needsFill {
+	if !att.onlyIfCached && age < overdueAge(att.expected+r.originLimiter.wait) && att.needsFill {
 		return // it may well wait for the origin
 	}
 	silent := r.silentEndpoint(att)
@@ -45,7 +52,7 @@
 	att.state = attemptOverdue
 	if silent != noEndpoint {
 		r.recordFailure(silent, hardFailure)
-		r.origins.end(att.originShare, r.now) // nothing of it waits for the origin any more
+		r.originLimiter.end(att.originShare, r.now) // nothing of it waits for the origin any more
 		att.originShare = 0
 	} else if !req.sizeKnown {
 		return // it may just be long
@@ -60,7 +67,7 @@
 		return false
 	}
 	source := &r.endpoints[att.source]
-	return age > 2*req.transferTime+r.origins.wait &&
+	return age > overdueFactor*req.transferTime+r.originLimiter.wait &&
 		(att.source == r.origin || source.lateFillAt <= source.lastHeardAt)
 }
 
@@ -68,7 +75,7 @@
 func (r *Router) countLateFill(att *attempt, age time.Duration) {
 	att.state = attemptCountedLate
 	r.endpoints[att.source].lateFillAt = r.now
-	r.origins.observe(age, true, r.now)
+	r.originLimiter.observe(age, true, r.now)
 }
 
 // silentEndpoint is the endpoint, or else the source, of the attempt that has shown no sign of life since it was sent.
--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -3,8 +3,8 @@
 import "time"
 
 // congestionGrowth is how much more a shared link slows a transfer down, over the slowdown on arrival, by the requests
-// that come during the transfer: a full link stays full. Less of it was tried: requests that are admitted late end
-// late, more are rejected on calm days.
+// that come during the transfer: a full link stays full. Other values were tried: with less, requests that are admitted
+// end late, with more some are rejected on calm days.
 const congestionGrowth = 1.6
 
 // prediction is what an attempt is expected to take.
@@ -44,7 +44,7 @@
 // usualFillWait is the usual time to the first byte of a fill from the source.
 func (r *Router) usualFillWait(source endpointIndex) time.Duration {
 	if source == r.origin {
-		return r.origins.wait
+		return r.originLimiter.wait
 	}
 	return r.endpoints[source].cachedFillWait
 }
--- a/policy/routing/learning.go
+++ b/policy/routing/learning.go
@@ -143,11 +143,11 @@
 	if got.event.Note == NoteViaOrigin || source.role == roleOrigin {
 		viaOrigin = 1
 		objective := r.settings.Classes[got.req.class].LatencyObjective
-		r.origins.observe(wait, wait > objective/2 && r.now >= got.req.objectiveAt, r.now)
+		r.originLimiter.observe(wait, wait > objective/2 && r.now >= got.req.objectiveAt, r.now)
 	} else if !got.bypassCaches {
 		source.cachedFillWait += (wait - source.cachedFillWait) / fillPace
 	}
 	if source.role == roleParent {
-		r.origins.originShare += (viaOrigin - r.origins.originShare) / originSharePace
+		r.originLimiter.originShare += (viaOrigin - r.originLimiter.originShare) / originSharePace
 	}
 }
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -28,6 +28,8 @@
 const (
 	// congestedSlowdown parts a transfer at full pace, with the noise of its size and way, from one on a full link.
 	congestedSlowdown = 1.25
+	// capacityPace is the weight of a transfer in the capacity; it doubles where transfers are a second apart.
+	capacityPace = 0.1
 	// busyFraction is the part of its capacity above which a link at full pace shows that it has more.
 	busyFraction = 0.7
 	// firstCapacityFactor is how far the first congested transfer may have understated the capacity.
@@ -55,12 +57,12 @@
 // congested one how many did, at the least so many: a slow endpoint gives less than one. A tenth forgets in some ten
 // transfers; where they are few, each counts twice.
 func (l *link) observe(slowdown, beside, least float64, now time.Duration) {
-	pace := 0.1 + 0.1*min(1, (now-l.observedAt).Seconds())
+	pace := capacityPace + capacityPace*min(1, (now-l.observedAt).Seconds())
 	l.observedAt = now
 	switch {
 	case slowdown < congestedSlowdown:
 		if l.capacity > 0 && beside+1 > l.capacity*busyFraction {
-			l.capacity += 0.1 * max(1, beside+1-l.capacity)
+			l.capacity += capacityPace * max(1, beside+1-l.capacity)
 		}
 	case l.capacity <= 0:
 		l.capacity = max(least, beside/slowdown*firstCapacityFactor)
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -15,6 +15,21 @@
 	// sparableWait is the part of the usual wait that a fill may be spared: half of all waits are shorter. 0.7 did no
 	// more.
 	sparableWait = 0.5
+	// limitIncrease is how far an answer in good time raises the limit, and scarceLimitIncrease how much further where
+	// answers are scarce.
+	limitIncrease       = 0.5
+	scarceLimitIncrease = 1.5
+	// limitDecrease is what a failure leaves of the limit, and scarceLimitDecrease how much less where answers are
+	// scarce.
+	limitDecrease       = 0.75
+	scarceLimitDecrease = 0.7
+	// limitHeadroom is how many times what is in flight the limit may rise to.
+	limitHeadroom = 2
+	// waitPace is how far an observation moves the usual wait. It grows with the time since the last one, to
+	// maxWaitPace.
+	waitPace          = 0.07
+	waitPacePerSecond = 0.15
+	maxWaitPace       = 0.4
 	// originLimiterCaches is how many caches a router with a whole limit has behind it: one of many routers that share
 	// few caches gets less, and less than a slot is a part of the time.
 	originLimiterCaches = 4
@@ -49,14 +64,15 @@
 		return
 	}
 	o.goodAt = now
-	widest := max(wideOriginLimit, 2*o.inFlight.current/o.share)
-	o.limit = min(widest, o.limit+0.5+1.5*o.scarcity())
+	widest := max(wideOriginLimit, limitHeadroom*o.inFlight.current/o.share)
+	o.limit = min(widest, o.limit+limitIncrease+scarceLimitIncrease*o.scarcity())
 }
 
 // observeWait moves the usual wait, a running median: waits are skewed, and a few long ones don't make the next one
 // late. Where answers are few, each moves it further.
 func (o *originLimiter) observeWait(wait, now time.Duration) {
-	step := time.Duration(min(0.4, 0.07+0.15*(now-o.observedAt).Seconds()) * float64(o.wait))
+	pace := min(maxWaitPace, waitPace+waitPacePerSecond*(now-o.observedAt).Seconds())
+	step := time.Duration(pace * float64(o.wait))
 	o.observedAt = now
 	switch {
 	case o.wait == 0:
@@ -72,7 +88,7 @@
 func (o *originLimiter) recordFailure(now time.Duration) {
 	if now-o.reducedAt >= originFailureInterval {
 		o.reducedAt = now
-		o.limit = max(minOriginLimit, o.limit*(0.75-0.7*o.scarcity()))
+		o.limit = max(minOriginLimit, o.limit*(limitDecrease-scarceLimitDecrease*o.scarcity()))
 	}
 }
 
@@ -118,11 +134,11 @@
 
 // logOriginLimiter logs that the limiter has closed or is open again.
 func (r *Router) logOriginLimiter() {
-	if !r.origins.updateClosed() {
+	if !r.originLimiter.updateClosed() {
 		return
 	}
 	state := "origin limiter open"
-	if r.origins.closed {
+	if r.originLimiter.closed {
 		state = "origin limiter closed"
 	}
 	r.logEndpoint(state, r.origin)
@@ -138,13 +154,13 @@
 	predicted := r.predict(req, index, source)
 	expected := predicted.duration
 	if predicted.needsFill && source != r.origin {
-		expected += r.origins.wait
+		expected += r.originLimiter.wait
 	}
-	expected -= r.origins.sparedWait()
-	if r.origins.hasCapacity(minOriginLimit, r.now) {
+	expected -= r.originLimiter.sparedWait()
+	if r.originLimiter.hasCapacity(minOriginLimit, r.now) {
 		return true
 	}
-	return r.origins.hasCapacity(r.origins.limit, r.now) && r.now+expected <= req.objectiveAt
+	return r.originLimiter.hasCapacity(r.originLimiter.limit, r.now) && r.now+expected <= req.objectiveAt
 }
 
 // originLimiterShare is this router's part of a whole limit.
--- a/policy/routing/originlimit_test.go
+++ b/policy/routing/originlimit_test.go
@@ -78,8 +78,8 @@
 func Example_originWaitMayBeSpared() {
 	harness := newHarness(testSettings(), cacheA)
 	for i, limit := range []float64{24, 4} {
-		harness.router.origins.wait, harness.router.origins.limit = 650*ms, limit
-		harness.router.origins.inFlight.add(1, harness.now) // the one trial is in flight
+		harness.router.originLimiter.wait, harness.router.originLimiter.limit = 650*ms, limit
+		harness.router.originLimiter.inFlight.add(1, harness.now) // the one trial is in flight
 		harness.request(RequestID(i+1), readClass, harness.firstObject(cacheA, parentP)+ObjectID(100*i))
 		harness.result(RequestID(i+1), cacheA, 150*ms, Succeeded, NoteFilled)
 	}
--- a/policy/routing/random.go
+++ b/policy/routing/random.go
@@ -7,6 +7,9 @@
 	return x ^ x>>31
 }
 
+// unitFloat makes a number from 0 to 1, 1 excluded, of 64 even bits.
+func unitFloat(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
+
 // pcg is a permuted congruential generator (PCG-XSH-RR 64/32). The package has its own so that a seed gives the same
 // decisions with every release of the compiler.
 type pcg struct{ state uint64 }
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -48,7 +48,7 @@
 	purges       []purge
 
 	ingress          link // into the location, as this router's fills show it
-	origins          originLimiter
+	originLimiter    originLimiter
 	trafficShare     float64 // this router's part of its location's requests
 	nextHealthCheck  time.Duration
 	sinceHealthCheck int // requests
@@ -61,7 +61,7 @@
 		endpointByID: map[EndpointID]endpointIndex{}, origin: noEndpoint, localCache: noEndpoint,
 		requests: newRequestTable(), history: newObjectHistory(), retries: newRetryBudget(),
 		classStats: make([]classStats, len(settings.Classes)), tenantQuotas: make([]tokenBucket, len(settings.Tenants)),
-		origins: originLimiter{limit: initialOriginLimit},
+		originLimiter: originLimiter{limit: initialOriginLimit},
 		cacheSlowStart: slowStartSettings{
 			settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor, settings.OverloadWindow,
 		},
--- a/policy/routing/settings.go
+++ b/policy/routing/settings.go
@@ -67,11 +67,11 @@
 
 // Class is what the settings say of one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // answers later than this earn LateValue
+	LatencyObjective time.Duration // an answer later than this is worth LateValue
 	ObjectiveStretch float64       // the objective grows by this multiple of the transfer time
 	Deadline         time.Duration // the client gives up after this
-	Value            float64
-	LateValue        float64
+	Value            float64       // of an answer within the objective
+	LateValue        float64       // of an answer after it
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	DedupWindow      time.Duration // how long repeats with an idempotency key are dropped
--- a/policy/routing/shedding.go
+++ b/policy/routing/shedding.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// predictionMargin is what the rest of a prediction may be off. 1.2 was found by trials.
+	// predictionMargin is what the rest of a prediction may be off. Other values were tried, as for congestionGrowth.
 	predictionMargin = 1.2
 	// overQuotaFactor is how many times its predicted time a request of a tenant over its quota must have.
 	overQuotaFactor = 2
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -86,7 +86,7 @@
 // takesObject reports whether an endpoint takes the object: all objects once it is warm, while cold the share that it
 // can give, chosen by the object's hash, so that all routers agree without talking. Guards rule 4.
 func (r *Router) takesObject(index endpointIndex, hash uint64) bool {
-	return float64(mix(hash^slowStartSalt)>>11)/(1<<53) < r.warmFraction(index)
+	return unitFloat(mix(hash^slowStartSalt)) < r.warmFraction(index)
 }
 
 // hasBudget reports whether a cold endpoint can bear this request from this router now.
