--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -67,9 +67,13 @@
 	})
 	server.Drain()
 	server.Drain()
+	begun := time.Now()
 	if text := server.readToEnd(idle); text != "" {
 		t.Errorf("%q", text)
 	}
+	if elapsed := time.Since(begun); elapsed > server.shared.limits.ClientIdleTimeout/2 {
+		t.Errorf("the idle connection is closed after %v", elapsed)
+	}
 	server.write(idle, requestFrame(9)) // crosses the close
 	server.write(busy, requestFrame(4))
 	server.write(half, requestFrame(2)[halfBytes:])
@@ -94,6 +98,22 @@
 	}
 }
 
+// An idle connection that is closed for another is closed at once, and loses nothing.
+func TestEvictedConnectionIsClosedAtOnce(t *testing.T) {
+	server := newTestServer(t, func(l *limits.Limits) { l.ClientConnections = 1 })
+	evicted := server.dial()
+	server.write(evicted, frame("PING", "1"))
+	server.readExactly(evicted, pong("1"))
+	begun := time.Now()
+	server.write(server.dial(), frame("PING", "2"))
+	if text := server.readToEnd(evicted); text != "" {
+		t.Errorf("%q", text)
+	}
+	if elapsed := time.Since(begun); elapsed > server.shared.limits.ClientIdleTimeout/2 {
+		t.Errorf("closed after %v", elapsed)
+	}
+}
+
 // A response and its client's leaving, in each order, leave nothing behind; nor do a request cancelled twice, or a
 // response after either.
 func TestClientLeavesInEachOrder(t *testing.T) {
