--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -91,7 +91,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastConnID++
-	c.id = s.lastConnID
+	c.id, c.session.connID = s.lastConnID, s.lastConnID
 	s.connections[c.id] = c
 }
 
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -21,7 +21,8 @@
 // responses into the stream. It touches no socket, never waits, and decides nothing about a request.
 type session struct {
 	shared *sharedState
-	client engine.Client // whom the engine responds to
+	client engine.Client    // whom the engine responds to
+	connID admission.ConnID // for reports of invalid transitions
 	state  connectionState
 
 	// admit asks the admission policy whether a request may be opened, and tells it of its end.
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -9,6 +9,7 @@
 	"fennelarch/internal/engine"
 	"fennelarch/internal/invariant"
 	"fennelarch/internal/limits"
+	"fennelarch/policy/admission"
 	"fennelarch/policy/routing"
 
 	"go.uber.org/zap"
@@ -101,8 +102,9 @@
 	}
 }
 
-// reportInvalidTransition counts a state change that cannot follow, and logs it.
-func (s *sharedState) reportInvalidTransition(state connectionState, signal connectionSignal) {
+// reportInvalidTransition counts a state change of a connection that cannot follow, and logs it.
+func (s *sharedState) reportInvalidTransition(id admission.ConnID, state connectionState, signal connectionSignal) {
 	s.invalidTransitions.Add(1)
-	s.log.Error("invalid connection state transition", zap.Stringer("state", state), zap.Stringer("signal", signal))
+	s.log.Error("invalid connection state transition", zap.Uint64("connection", uint64(id)),
+		zap.Stringer("state", state), zap.Stringer("signal", signal))
 }
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -55,7 +55,7 @@
 func (s *session) transition(signal connectionSignal) {
 	next := connectionTransitions[s.state][signal]
 	if next == invalidState {
-		s.shared.reportInvalidTransition(s.state, signal)
+		s.shared.reportInvalidTransition(s.connID, s.state, signal)
 		return
 	}
 	s.state = next
