--- a/cmd/fennelarch/discovery_test.go
+++ b/cmd/fennelarch/discovery_test.go
@@ -62,10 +62,10 @@
 	first, second := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	cluster := startCluster(t, first)
 	client := cluster.connect()
-	cluster.discovery.Mute(true)
+	cluster.discovery.Suspend()
 	cluster.discovery.publish(stateReady, second)
 	client.expectServed(1)
-	cluster.discovery.Mute(false)
+	cluster.discovery.Resume()
 	client.awaitRequestAt(second)
 }
 
@@ -124,12 +124,12 @@
 	}
 	expectServed(1)
 	for range 3 {
-		cluster.discovery.Tell(`"other":{}`) // so that the numbers of the other server are lower
+		cluster.discovery.Publish(`"other":{}`) // so that the numbers of the other server are lower
 	}
 	time.Sleep(100 * time.Millisecond)
-	cluster.discovery.Mute(true)
+	cluster.discovery.Suspend()
 	other := newFakeDiscovery(t)
-	other.List(true, append([]site.Line{drained.line(stateDraining)},
+	other.PublishList(append([]site.Endpoint{drained.line(stateDraining)},
 		lines(stateReady, []*fakeServer{ready, cluster.parent, cluster.origin})...)...)
 	cluster.configure(other)
 	cluster.signal(syscall.SIGHUP)
--- a/cmd/fennelarch/fakediscovery_test.go
+++ b/cmd/fennelarch/fakediscovery_test.go
@@ -16,40 +16,40 @@
 )
 
 // fakeDiscovery is a discovery server.
-type fakeDiscovery struct{ *site.Board }
+type fakeDiscovery struct{ *site.DiscoveryServer }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	discovery := &fakeDiscovery{site.NewBoard()}
+	discovery := &fakeDiscovery{site.NewDiscoveryServer()}
 	t.Cleanup(discovery.Close)
 	return discovery
 }
 
 // publishAll publishes an event with the complete list of endpoints.
 func (d *fakeDiscovery) publishAll(state string, servers ...*fakeServer) {
-	d.List(true, lines(state, servers)...)
+	d.PublishList(lines(state, servers)...)
 }
 
 // publish publishes an event with endpoints that have changed.
 func (d *fakeDiscovery) publish(state string, servers ...*fakeServer) {
-	d.List(false, lines(state, servers)...)
+	d.PublishChanges(lines(state, servers)...)
 }
 
 // publishPurge publishes the purge of an object.
 func (d *fakeDiscovery) publishPurge(object int) {
-	d.Tell(fmt.Sprintf(`"recall":{"item":"%016x","issued":%d}`, object, time.Now().UnixMilli()))
+	d.Publish(fmt.Sprintf(`"recall":{"item":"%016x","issued":%d}`, object, time.Now().UnixMilli()))
 }
 
-func lines(state string, servers []*fakeServer) []site.Line {
-	var list []site.Line
+func lines(state string, servers []*fakeServer) []site.Endpoint {
+	var list []site.Endpoint
 	for _, server := range servers {
 		list = append(list, server.line(state))
 	}
 	return list
 }
 
-func (s *fakeServer) line(state string) site.Line {
-	return site.Line{
+func (s *fakeServer) line(state string) site.Endpoint {
+	return site.Endpoint{
 		UID: s.uid, Address: s.address, Zone: "west", Kind: site.Kind(s.kind), State: state, Weight: 4,
 	}
 }
--- a/cmd/fennelarch/shutdown_test.go
+++ b/cmd/fennelarch/shutdown_test.go
@@ -178,7 +178,7 @@
 // server for, and ends.
 func TestShutdownBeforeFirstEndpointList(t *testing.T) {
 	cluster := newCluster(t, newFakeServer(t, "s-1", "std", respondHit))
-	cluster.discovery.Mute(true)
+	cluster.discovery.Suspend()
 	cluster.setKnownEvents(`{"no":0,"items":[]}`)
 	cluster.start()
 	client := cluster.connect()
--- a/internal/fake/redis/store.go
+++ b/internal/fake/redis/store.go
@@ -143,15 +143,6 @@
 	_ = connection.Close()
 }
 
-// Stop ends the process. Keep says whether a snapshot holds its data. It is kept until its callers have moved to Save
-// and Crash.
-func (s *Store) Stop(keep bool) {
-	if keep {
-		s.Save()
-	}
-	s.Crash()
-}
-
 // Close ends it for good.
 func (s *Store) Close() { s.Crash() }
 
@@ -174,15 +165,6 @@
 	return s.listenAgain()
 }
 
-// Again starts it at its old address, without data or with the last snapshot. It is kept until its callers have
-// moved to Restart and RestartFromSnapshot.
-func (s *Store) Again(restore bool) error {
-	if restore {
-		return s.RestartFromSnapshot()
-	}
-	return s.Restart()
-}
-
 // listenAgain listens once the address is free.
 func (s *Store) listenAgain() error {
 	for end := time.Now().Add(restartTimeout); ; time.Sleep(restartRetryInterval) {
--- a/internal/fake/site/discovery_server.go
+++ b/internal/fake/site/discovery_server.go
@@ -21,15 +21,6 @@
 	isUnavailable bool
 }
 
-// Board is the former name. Kept until its callers have moved.
-type Board = DiscoveryServer
-
-// Line is the former name. Kept until its callers have moved.
-type Line = Endpoint
-
-// NewBoard is the former name. Kept until its callers have moved.
-func NewBoard() *Board { return NewDiscoveryServer() }
-
 // NewDiscoveryServer starts a discovery server without events, on a port of its own.
 func NewDiscoveryServer() *DiscoveryServer {
 	d := &DiscoveryServer{events: NewEventLog()}
@@ -60,9 +51,6 @@
 // Resume has polls answered again.
 func (d *DiscoveryServer) Resume() { d.setUnavailable(false) }
 
-// Mute suspends or resumes. Kept until its callers have moved.
-func (d *DiscoveryServer) Mute(on bool) { d.setUnavailable(on) }
-
 func (d *DiscoveryServer) setUnavailable(isUnavailable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,9 +103,6 @@
 	return Page(events, 0)
 }
 
-// Tell publishes an event; the text lacks its number. Kept until its callers have moved.
-func (d *DiscoveryServer) Tell(text string) { d.Publish(text) }
-
 // Publish publishes an event; the text lacks its number, which is returned.
 func (d *DiscoveryServer) Publish(text string) (number int) { return d.events.Append(text) }
 
@@ -128,12 +113,3 @@
 func (d *DiscoveryServer) PublishChanges(endpoints ...Endpoint) {
 	d.Publish(ChangesEvent(endpoints...))
 }
-
-// List publishes the whole list, or changes of it. Kept until its callers have moved.
-func (d *DiscoveryServer) List(all bool, endpoints ...Endpoint) {
-	if all {
-		d.PublishList(endpoints...)
-		return
-	}
-	d.PublishChanges(endpoints...)
-}
--- a/internal/testbed/store_cold.go
+++ b/internal/testbed/store_cold.go
@@ -57,9 +57,9 @@
 		script: func(cluster *Cluster) {
 			time.Sleep(options.duration(3 * time.Second))
 			peak = cluster.Store.Counts().Peak
-			cluster.Store.Stop(false)
+			cluster.Store.Crash()
 			time.Sleep(200 * time.Millisecond)
-			cluster.fail(cluster.Store.Again(false))
+			cluster.fail(cluster.Store.Restart())
 			if config.IsStoreListed {
 				endpoint := cluster.storeEndpoint(site.StateReady)
 				endpoint.Boot = time.Now()
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -39,10 +39,10 @@
 	errorFault("odd", "ERR something else", "store refuses"),
 	{name: "cut", fault: redis.Fault{Cut: true}, logLine: "store not connected"},
 	{name: "length", fault: redis.Fault{Length: true}, logLine: "store not connected"},
-	{name: "flipped", fault: redis.Fault{Spoil: redis.Flipped}, logLine: "do not add up"},
+	{name: "flipped", fault: redis.Fault{Spoil: redis.Flipped}, logLine: "checksum mismatch"},
 	{name: "halved", fault: redis.Fault{Spoil: redis.Halved}, logLine: "store value cannot be used"},
-	{name: "foreign", fault: redis.Fault{Spoil: redis.Foreign}, logLine: "not a value of ours"},
-	{name: "newer", fault: redis.Fault{Spoil: redis.Newer}, logLine: "newer form"},
+	{name: "foreign", fault: redis.Fault{Spoil: redis.Foreign}, logLine: "not a value of this router"},
+	{name: "newer", fault: redis.Fault{Spoil: redis.Newer}, logLine: "newer format"},
 	{name: "silent", fault: redis.Fault{Silent: true}, logLine: "store not connected"},
 	{name: "crowded", fault: redis.Fault{Crowd: true}, logLine: "store not connected"},
 	{name: "240,000 bytes", logLine: "store connected", bytes: 240_000}, // nothing is wrong but the size
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -64,9 +64,9 @@
 	case 15:
 		c.Store.Save()
 	case 30: // the store cannot be reached while purges are published
-		c.Store.Stop(false)
+		c.Store.Crash()
 	case 45: // and comes back with what it held before them
-		c.fail(c.Store.Again(true))
+		c.fail(c.Store.RestartFromSnapshot())
 	case 65: // the invalidation log is gone, the values are not
 		c.Store.DropSets()
 	case 80: // a router starts that has never heard of earlier purges
