--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -50,7 +50,7 @@
 	return c
 }
 
-// unlockChanged unlocks the session after a change of it: the admission policy is told whether the connection is
+// unlockChanged unlocks the session after a change of it: the admission policy is notified whether the connection is
 // busy, and the reader and the writer look again.
 func (c *connection) unlockChanged() {
 	if isBusy := !c.session.isIdle(); isBusy != c.isReportedBusy {
--- a/internal/frontend/inflight.go
+++ b/internal/frontend/inflight.go
@@ -11,7 +11,7 @@
 	"fennelarch/policy/routing"
 )
 
-// requestOutcome is how a request ended, as the admission policy is told.
+// requestOutcome is how a request ended, as reported to the admission policy.
 type requestOutcome uint8
 
 const (
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -8,8 +8,8 @@
 	"fennelarch/policy/admission"
 )
 
-// errTagInUse says that a tag was used again while its request was in flight: no response under it could be told from
-// another.
+// errTagInUse says that a tag was used again while its request was in flight: no response under it could be
+// distinguished from another.
 var errTagInUse = errors.New("tag is in use")
 
 // inputSpace is where what comes next is to be read into.
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// noteMessage keeps account of a complete message; the first one is told to the admission policy.
+// noteMessage keeps account of a complete message; the first one is reported to the admission policy.
 func (s *session) noteMessage(now time.Time) {
 	s.messageBegan = now
 	if s.state == stateAwaitingMessage {
@@ -59,7 +59,7 @@
 }
 
 // handleFrame takes one frame. What cannot be used gets a response under its tag; without a tag, or under one that is
-// in use, no response could be told from another.
+// in use, no response could be distinguished from another.
 func (s *session) handleFrame(args [][]byte, cameAt time.Time) error {
 	if len(args) < 2 || len(args[1]) > s.shared.limits.FieldBytes {
 		return resp.ErrFraming
