--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -57,7 +57,6 @@
 	if err := r.buildFrontend(retry); err != nil {
 		return err
 	}
-	r.frontend.OnDescriptorShortage = r.upstream.CloseIdle
 	r.watcher = r.newWatcher()
 	r.applyKnownEvents()
 	return nil
@@ -120,7 +119,7 @@
 			Bytes:              r.limits.LocalCacheBytes,
 			FlowBytesPerSecond: r.config.FlowBytesPerSecond,
 			LinkBytesPerSecond: r.config.LinkBytesPerSecond,
-			MaxTransferTime:        r.limits.ForgetAfter,
+			MaxTransferTime:    r.limits.ForgetAfter,
 		},
 		Log:         r.log,
 		Monitor:     r.monitor,
@@ -131,19 +130,25 @@
 // buildFrontend makes the frontend. Reading its TLS keys is retried like any other file of a start.
 func (r *router) buildFrontend(retry *startupRetry) error {
 	options := frontend.Options{
-		EventQueueDelay: r.engine.EventQueueDelay,
-		FlowKBPerSecond: r.config.Routing.FlowKBPerSecond,
-		Monitor:         r.monitor,
+		Limits:               r.limits,
+		Names:                r.config.Names,
+		Classes:              r.config.Routing.Classes,
+		Post:                 r.offer,
+		Log:                  r.log,
+		EventQueueDelay:      r.engine.EventQueueDelay,
+		FlowKBPerSecond:      r.config.Routing.FlowKBPerSecond,
+		Monitor:              r.monitor,
+		OnDescriptorShortage: r.upstream.CloseIdle,
 	}
 	err := retry.load(func() (err error) {
-		options.Admission, options.Keys, err = loadFrontendFiles(r.operatorFile.Load(), r.config)
+		options.Admission, options.TLSKeys, err = loadFrontendFiles(r.operatorFile.Load(), r.config)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	r.tlsKeys = options.Keys
-	r.frontend = frontend.New(r.limits, r.config.Names, r.config.Routing.Classes, options, r.offer, r.log)
+	r.tlsKeys = options.TLSKeys
+	r.frontend = frontend.New(options)
 	return nil
 }
 
--- a/cmd/fennelarch/summary.go
+++ b/cmd/fennelarch/summary.go
@@ -63,7 +63,7 @@
 // logAdmission writes a line where the operator's file limits connections, or where descriptors have run out.
 func (r *router) logAdmission() {
 	counts, mode := r.frontend.AdmissionStatus()
-	if r.operatorFile.Load().Admission == nil && counts.Exhausted == 0 {
+	if r.operatorFile.Load().Admission == nil && counts.DescriptorsExhausted == 0 {
 		return
 	}
 	r.log.Info("admission",
@@ -73,6 +73,6 @@
 		zap.Uint64("dropped", counts.Dropped),
 		zap.Uint64("closed_idle", counts.ClosedIdle),
 		zap.Uint64("requests_rejected", counts.RequestsRejected),
-		zap.Uint64("descriptors_exhausted", counts.Exhausted),
+		zap.Uint64("descriptors_exhausted", counts.DescriptorsExhausted),
 		zap.Uint64("handshakes", counts.Handshakes))
 }
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -49,7 +49,7 @@
 	server := &testServer{
 		t: t, requests: make(chan *engine.Request, 1000), cancelled: make(chan routing.RequestID, 1000),
 	}
-	server.Server = NewServer(Config{
+	server.Server = New(Options{
 		Limits: bounds, Names: config.Names{Classes: []string{"clip"}}, Classes: []routing.Class{{}},
 		Post: server.take, Log: zap.NewNop(),
 	})
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -104,8 +104,8 @@
 	defer l.spare.hold()
 	server := l.server
 	decision, _ := server.handleAdmissionEvent(admission.Event{Kind: admission.EventNoDescriptors})
-	if server.OnDescriptorShortage != nil {
-		server.OnDescriptorShortage()
+	if server.onDescriptorShortage != nil {
+		server.onDescriptorShortage()
 	}
 	l.spare.release()
 	withDeadline, canSet := l.Listener.(interface{ SetDeadline(time.Time) error })
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -34,9 +34,7 @@
 
 	eventQueueDelay func() time.Duration
 
-	// OnDescriptorShortage is called when no descriptor is left, if set. It stands here until its caller has moved to
-	// Options.OnDescriptorShortage.
-	OnDescriptorShortage func()
+	onDescriptorShortage func() // nil: nobody has descriptors to spare
 
 	goroutines     sync.WaitGroup // writers, rejections and wake-ups
 	busyCount      atomic.Int64   // connections on which something is open or to be written
@@ -55,51 +53,40 @@
 // PostFunc sends the engine a message that came at a time, and says whether the engine has taken it.
 type PostFunc func(at time.Time, message engine.Message) (taken bool)
 
-// Options is how connections are admitted.
+// Options are what a server is built with.
 type Options struct {
-	Admission            admission.Settings
-	Keys                 *TLSKeys             // nil: connections are plain
-	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil: not at all
-	FlowKBPerSecond      float64              // transfer rate by which latency objectives grow
-	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; nil: nobody does
-	OnDescriptorShortage func()               // called when no descriptor is left: others may have some to spare
-}
-
-// Config is what a server is made of.
-type Config struct {
 	Limits  limits.Limits
 	Names   config.Names
 	Classes []routing.Class
 	Post    PostFunc
 	Log     *zap.Logger
-	Options
+
+	Admission            admission.Settings
+	TLSKeys              *TLSKeys             // nil: connections are plain
+	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil: not at all
+	FlowKBPerSecond      float64              // transfer rate by which latency objectives grow
+	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; nil: nobody does
+	OnDescriptorShortage func()               // called when no descriptor is left: others may have some to spare
 }
 
-// NewServer returns a server that posts what clients want.
-func NewServer(c Config) *Server {
+// New returns a server that posts what clients want.
+func New(options Options) *Server {
 	server := &Server{
-		post: c.Post, start: time.Now(), log: c.Log, tlsKeys: c.Keys, spare: newSpareDescriptor(), monitor: c.Monitor,
-		eventQueueDelay: c.EventQueueDelay, OnDescriptorShortage: c.OnDescriptorShortage,
-		connections: map[admission.ConnID]*connection{},
+		post: options.Post, start: time.Now(), log: options.Log, tlsKeys: options.TLSKeys, spare: newSpareDescriptor(),
+		monitor: options.Monitor, eventQueueDelay: options.EventQueueDelay,
+		onDescriptorShortage: options.OnDescriptorShortage, connections: map[admission.ConnID]*connection{},
 	}
 	if server.eventQueueDelay == nil {
 		server.eventQueueDelay = func() time.Duration { return 0 }
 	}
-	server.shared.limits, server.shared.monitor, server.shared.log = c.Limits, c.Monitor, c.Log
+	server.shared.limits, server.shared.monitor = options.Limits, options.Monitor
 	server.shared.inFlight = map[engine.ClientRequestID]claim{}
-	server.shared.setClasses(c.Names, c.Classes, c.FlowKBPerSecond)
-	server.admission = admission.New(withLimits(c.Admission, &server.shared.limits))
+	server.shared.setClasses(options.Names, options.Classes, options.FlowKBPerSecond)
+	server.admission = admission.New(withLimits(options.Admission, &server.shared.limits))
 	server.redcon = redcon.NewServer("", func(redcon.Conn, redcon.Command) {}, nil, nil)
 	return server
 }
 
-// New is NewServer, kept until its callers have moved.
-func New(
-	bounds limits.Limits, names config.Names, classes []routing.Class, options Options, post PostFunc, log *zap.Logger,
-) *Server {
-	return NewServer(Config{Limits: bounds, Names: names, Classes: classes, Post: post, Log: log, Options: options})
-}
-
 // withLimits fills in what the limits of the process say.
 func withLimits(settings admission.Settings, bounds *limits.Limits) admission.Settings {
 	settings.MaxConnections, settings.FirstRequestGrace = bounds.ClientConnections, bounds.FirstRequestGrace
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -20,10 +20,10 @@
 	for _, change := range changes {
 		change(&bounds)
 	}
-	server = NewServer(Config{
-		Limits: bounds, Names: config.Names{Classes: []string{"clip"}}, Classes: []routing.Class{{}},
-		Post: func(time.Time, engine.Message) bool { return true }, Log: zap.NewNop(), Options: options,
-	})
+	options.Limits, options.Log = bounds, zap.NewNop()
+	options.Names, options.Classes = config.Names{Classes: []string{"clip"}}, []routing.Class{{}}
+	options.Post = func(time.Time, engine.Message) bool { return true }
+	server = New(options)
 	address, _ = serveOnLoopback(t, server)
 	return address, server
 }
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -11,8 +11,6 @@
 	"fennelarch/internal/resp"
 	"fennelarch/policy/admission"
 	"fennelarch/policy/routing"
-
-	"go.uber.org/zap"
 )
 
 // admitAll is an admission policy that admits any request.
@@ -24,7 +22,6 @@
 		classes:       map[string]routing.ClassID{"clip": 0, "signoff": 1},
 		classSettings: []classSettings{{}, {isWrite: true}},
 		inFlight:      map[engine.ClientRequestID]claim{},
-		log:           zap.NewNop(),
 	}
 	return newSession(shared, nil, admitAll, time.Time{})
 }
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -22,7 +22,6 @@
 	classSettings []classSettings
 	tenants       []string
 	monitor       *invariant.Monitor
-	log           *zap.Logger
 
 	lastRequestID      atomic.Uint64
 	backlogBytes       atomic.Int64 // of response bodies that are not in an output ring yet
@@ -102,9 +101,9 @@
 	}
 }
 
-// reportInvalidTransition counts a state change of a connection that cannot follow, and logs it.
+// reportInvalidTransition counts a state change of a connection that cannot follow.
 func (s *sharedState) reportInvalidTransition(id admission.ConnID, state connectionState, signal connectionSignal) {
 	s.invalidTransitions.Add(1)
-	s.log.Error("invalid connection state transition", zap.Uint64("connection", uint64(id)),
+	s.monitor.Violate(invariant.InvalidTransition, uint64(id),
 		zap.Stringer("state", state), zap.Stringer("signal", signal))
 }
--- a/internal/frontend/tls_test.go
+++ b/internal/frontend/tls_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, _ := startServer(t, Options{Keys: keys, Admission: admission.Settings{SendRetryAfter: true}})
+	address, _ := startServer(t, Options{TLSKeys: keys, Admission: admission.Settings{SendRetryAfter: true}})
 	before, name := authority.dial(address, client)
 	if got := ping(before); got != pong("1") || name != "one" {
 		t.Fatalf("%q of %s", got, name)
@@ -172,7 +172,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	address, server := startServer(t, Options{Keys: keys})
+	address, server := startServer(t, Options{TLSKeys: keys})
 	conn := dial(t, address)
 	begun := time.Now()
 	write(t, conn, "\x16\x03\x01")
--- a/policy/admission/action.go
+++ b/policy/admission/action.go
@@ -26,5 +26,5 @@
 
 // Counts is the number of decisions of each kind so far.
 type Counts struct {
-	Accepted, Rejected, Dropped, ClosedIdle, RequestsRejected, Exhausted, Handshakes uint64
+	Accepted, Rejected, Dropped, ClosedIdle, RequestsRejected, DescriptorsExhausted, Handshakes uint64
 }
--- a/policy/admission/descriptors.go
+++ b/policy/admission/descriptors.go
@@ -25,7 +25,7 @@
 // handleDescriptorsExhausted lowers the limit on connections to what the descriptors suffice for, and pauses the
 // accept loop.
 func (c *Controller) handleDescriptorsExhausted() {
-	c.Counts.Exhausted++
+	c.Counts.DescriptorsExhausted++
 	c.shedUntil = c.now + sheddingPeriod
 	c.changeMode(descriptorsExhausted)
 	if c.descriptorLimit == 0 || c.now-c.descriptorLimitSetAt >= exhaustionCountsWithin {
--- a/test/golden/frames_test.go
+++ b/test/golden/frames_test.go
@@ -49,6 +49,7 @@
 func (r *record) f32(at int, v float32) *record {
 	return r.u32(at, math.Float32bits(v))
 }
+
 func (r *record) f64(at int, v float64) *record {
 	return r.u64(at, math.Float64bits(v))
 }
--- a/test/golden/redis_test.go
+++ b/test/golden/redis_test.go
@@ -29,8 +29,10 @@
 
 func newRedisServer(t *testing.T) *redisServer {
 	listener := listen(t)
-	s := &redisServer{t: t, address: listener.Addr().String(), values: map[string]string{},
-		scores: map[string]float64{}, uptime: 3600}
+	s := &redisServer{
+		t: t, address: listener.Addr().String(), values: map[string]string{},
+		scores: map[string]float64{}, uptime: 3600,
+	}
 	go acceptEach(listener, s.serve)
 	return s
 }
--- a/test/golden/schema_test.go
+++ b/test/golden/schema_test.go
@@ -71,8 +71,10 @@
 	fmt.Fprintf(&w, "# configuration\n%s", check(t, configuration, ""))
 	fmt.Fprintf(&w, "# configuration and operator's file\n%s", check(t, configuration, operator))
 	config := filepath.Join(moduleRoot, "deploy", "example.json")
-	environment := []string{"RELAY_CONFIG=" + config, "RELAY_NAME=n7", "RELAY_LISTEN=127.0.0.1:9999",
-		"RELAY_OPERATOR=" + filepath.Join(moduleRoot, "deploy", "operator.example.json")}
+	environment := []string{
+		"RELAY_CONFIG=" + config, "RELAY_NAME=n7", "RELAY_LISTEN=127.0.0.1:9999",
+		"RELAY_OPERATOR=" + filepath.Join(moduleRoot, "deploy", "operator.example.json"),
+	}
 	fmt.Fprintf(&w, "# name, address and operator's file from the environment\n%s",
 		run(t, service, environment, nil, "check"))
 	fmt.Fprintf(&w, "# no configuration\n%s", run(t, service, nil, nil, "check"))
--- a/test/golden/simulator_test.go
+++ b/test/golden/simulator_test.go
@@ -174,9 +174,29 @@
 
 // endings are the ways in which attempts end, in turn. A success is final.
 var endings = []ending{
-	{1, 1, 1, 2}, {1, 2, 1, 6}, {9, 7, 0, 1}, {1, 1, 1, 1}, {3, 6, 0, 1}, {1, 3, 1, 9}, {2, 0, 0, 3}, {1, 4, 1, 5},
-	{9, 4, 0, 2}, {1, 5, 1, 2}, {5, 0, 0, 15}, {1, 1, 1, 25}, {6, 0, 0, 4}, {9, 8, 0, 2}, {1, 1, 1, 3}, {3, 9, 0, 1},
-	{1, 2, 1, 40}, {9, 10, 0, 2}, {4, 7, 0, 30}, {1, 1, 1, 1}, {7, 0, 0, 2}, {8, 0, 0, 1}, {1, 2, 1, 4},
+	{1, 1, 1, 2},
+	{1, 2, 1, 6},
+	{9, 7, 0, 1},
+	{1, 1, 1, 1},
+	{3, 6, 0, 1},
+	{1, 3, 1, 9},
+	{2, 0, 0, 3},
+	{1, 4, 1, 5},
+	{9, 4, 0, 2},
+	{1, 5, 1, 2},
+	{5, 0, 0, 15},
+	{1, 1, 1, 25},
+	{6, 0, 0, 4},
+	{9, 8, 0, 2},
+	{1, 1, 1, 3},
+	{3, 9, 0, 1},
+	{1, 2, 1, 40},
+	{9, 10, 0, 2},
+	{4, 7, 0, 30},
+	{1, 1, 1, 1},
+	{7, 0, 0, 2},
+	{8, 0, 0, 1},
+	{1, 2, 1, 4},
 }
 
 // attempt schedules the end of an attempt, and for some that their first bytes came.
@@ -201,11 +221,15 @@
 
 // nodes are the caches of two zones, a parent and the origin.
 func nodes() []listed {
-	list := []listed{{state: 1, kind: 1, node: newAddress(200), weight: 12},
-		{state: 1, kind: 2, node: newAddress(250), weight: 20}}
+	list := []listed{
+		{state: 1, kind: 1, node: newAddress(200), weight: 12},
+		{state: 1, kind: 2, node: newAddress(250), weight: 20},
+	}
 	for i := range 6 {
-		list = append(list, listed{state: 1, zone: uint16(i % 2), cell: uint16(i / 2), node: newAddress(byte(i + 1)),
-			weight: float32(4 + i%3)})
+		list = append(list, listed{
+			state: 1, zone: uint16(i % 2), cell: uint16(i / 2), node: newAddress(byte(i + 1)),
+			weight: float32(4 + i%3),
+		})
 	}
 	list[4].started = 9000
 	return list
--- a/test/golden/store_test.go
+++ b/test/golden/store_test.go
@@ -49,8 +49,10 @@
 
 // newStoredValue is a value of the object, part and group that requestFields name.
 func newStoredValue(object uint64, born int64) storedValue {
-	return storedValue{magic: "FA", form: 1, object: object, part: 3, group: 17, born: born, valid: born,
-		tag: "0000000000000005", body: "stored"}
+	return storedValue{
+		magic: "FA", form: 1, object: object, part: 3, group: 17, born: born, valid: born,
+		tag: "0000000000000005", body: "stored",
+	}
 }
 
 // encode lays the value out: magic, form, length of the tag, five big-endian fields, tag, body, and a hash of all.
