--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -50,7 +50,7 @@
 	if err := checkStoresUsable(operatorFile, cfg); err != nil {
 		return err
 	}
-	// "tariffs" are our request classes: the output of check is a stable form.
+	// The word for request classes here is part of a stable form, the output of check.
 	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n",
 		cfg.Name, cfg.Listen, len(cfg.Routing.Classes), cfg.Cores, cfg.MemoryMB, cfg.Sockets)
 	for _, store := range operatorFile.Stores {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -69,7 +69,7 @@
 	config := &Config{
 		Name:               keys.Name,
 		Listen:             keys.Listen,
-		DiscoveryAddress:   keys.Bulletin,
+		DiscoveryAddress:   keys.Discovery,
 		Cores:              keys.Limits.Cores,
 		MemoryMB:           keys.Limits.MemoryMB,
 		Sockets:            keys.Limits.Sockets,
--- a/internal/config/wire.go
+++ b/internal/config/wireformat.go
@@ -15,15 +15,15 @@
 
 // configurationKeys are the keys of a router's configuration.
 type configurationKeys = struct {
-	Name     string          `json:"name"`
-	Listen   string          `json:"listen"`
-	Seed     string          `json:"seed"`     // of random decisions, hexadecimal
-	Bulletin string          `json:"bulletin"` // address of the discovery server
-	Limits   limitKeys       `json:"limits"`
-	Flow     float64         `json:"flow_bytes_per_s"` // of one response from the local cache
-	Link     float64         `json:"link_bytes_per_s"` // of all responses from the local cache together
-	Known    json.RawMessage `json:"known"`            // discovery events so far
-	Settings json.RawMessage `json:"settings"`
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Seed      string          `json:"seed"`     // of random decisions, hexadecimal
+	Discovery string          `json:"bulletin"` // address of the discovery server
+	Limits    limitKeys       `json:"limits"`
+	Flow      float64         `json:"flow_bytes_per_s"` // of one response from the local cache
+	Link      float64         `json:"link_bytes_per_s"` // of all responses from the local cache together
+	Known     json.RawMessage `json:"known"`            // discovery events so far
+	Settings  json.RawMessage `json:"settings"`
 }
 
 type limitKeys = struct {
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -16,7 +16,7 @@
 	RequestUnanswered                     // a connection was closed by this side with requests open
 	AttemptCutOff                         // a connection to a server was closed as idle, with attempts in flight
 	StaleCopyServed                       // a copy of the local cache was served that had been purged
-	InvalidTransition                     // a request, an attempt or a connection was to change to a state that cannot follow
+	InvalidTransition                     // a request, an attempt or a connection was to take a state that cannot follow
 	violationKinds
 )
 
--- a/internal/stalldetect/watch.go
+++ b/internal/stalldetect/watch.go
@@ -86,8 +86,8 @@
 
 func (w *Watch) time(sinceStart int64) time.Time { return w.start.Add(time.Duration(sinceStart)) }
 
-// EarliestArrival is the earliest time at which something may have arrived that a blocking call returned now. The call was
-// made at callStart; the queue that it reads was last known to be empty at emptyAt, before that.
+// EarliestArrival is the earliest time at which something may have arrived that a blocking call returned now. The call
+// was made at callStart; the queue that it reads was last known to be empty at emptyAt, before that.
 func (w *Watch) EarliestArrival(emptyAt, callStart, now time.Time) time.Time {
 	earliest := now
 	if now.Sub(callStart) < immediateReturn {
@@ -101,8 +101,8 @@
 	return earliest
 }
 
-// EarliestQueuedArrival is the earliest time at which something may have arrived that waited in a queue of the system behind others,
-// and is taken now: now, or the beginning of a stall that has just ended.
+// EarliestQueuedArrival is the earliest time at which something may have arrived that waited in a queue of the system
+// behind others, and is taken now: now, or the beginning of a stall that has just ended.
 func (w *Watch) EarliestQueuedArrival(now time.Time) time.Time {
 	if last, found := w.lastStall(now, stallThreshold); found {
 		return last.from
--- /dev/null
+++ b/test/conventions/conventions_test.go
@@ -0,0 +1,161 @@
+// Package conventions_test checks what the project has agreed on and no linter knows: the words that were withdrawn,
+// and that pages name files and tests that exist.
+package conventions_test
+
+import (
+	"go/scanner"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// root is the root of the module.
+const root = "../.."
+
+// withdrawn are the words of an earlier vocabulary; docs/glossary.md has the terms to use.
+var withdrawn = regexp.MustCompile(`\b(` + strings.Join([]string{
+	"[Ll]egs?", "LegNo", "LegEnd", "[Vv]iews?", "[Tt]ariffs?", "[Bb]ulletin", "[Tt]urnBack", "[Tt]urnedBack", "[Pp]ayoff",
+	"roster", "doors", "Doors", "Keeper", "Moot", "Stamped", "OneShot", "Harmless", "Scene", "crew", "besieged",
+	"lookOver", "recall", "stir", "[Pp]olite", "house", "Told", "goods", "nudged",
+}, "|") + `)\b`)
+
+// words returns the withdrawn words among the identifiers and comments of a Go file; strings hold wire forms and
+// configuration keys, which stay.
+func words(source []byte) (found []string) {
+	var lexer scanner.Scanner
+	files := token.NewFileSet()
+	lexer.Init(files.AddFile("", files.Base(), len(source)), source, nil, scanner.ScanComments)
+	for {
+		position, kind, text := lexer.Scan()
+		if kind == token.EOF {
+			return found
+		}
+		if kind != token.IDENT && kind != token.COMMENT {
+			continue
+		}
+		for _, word := range withdrawn.FindAllString(text, -1) {
+			found = append(found, files.Position(position).String()+": "+word)
+		}
+	}
+}
+
+// isAdapter tells the files that speak a protocol of the platform and keep its words.
+func isAdapter(path string) bool {
+	return strings.Contains(path, "simwire") || strings.HasPrefix(filepath.Base(path), "wireformat")
+}
+
+func TestNoWithdrawnWords(t *testing.T) {
+	looked := 0
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || isAdapter(path) {
+			return err
+		}
+		if filepath.Base(path) == "conventions_test.go" {
+			return nil
+		}
+		source, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		looked++
+		for _, word := range words(source) {
+			t.Errorf("%s:%s is a withdrawn word, see docs/glossary.md", path, word)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if looked < 100 {
+		t.Errorf("only %d files were looked at", looked)
+	}
+}
+
+func TestWithdrawnWordsAreFound(t *testing.T) {
+	source := "package planted\n\n// lookOver finds a leg.\nfunc turnBack() string { return \"view\" }\n"
+	want := []string{"3:1: lookOver", "3:1: leg", "4:6: turnBack"}
+	if found := words([]byte(source)); !slices.Equal(found, want) {
+		t.Errorf("found %q, not %q", found, want)
+	}
+}
+
+// named are the files and folders of the project that a page names.
+var named = regexp.MustCompile("`((?:cmd|internal|policy|docs|deploy|test|\\.ci)/[A-Za-z0-9_./-]*[A-Za-z0-9_])`")
+
+// namedTests are the tests and examples that a page names, as a whole or with the subtest after a slash.
+var namedTests = regexp.MustCompile("`((?:Test|Example|Fuzz)[A-Z_][A-Za-z0-9_]*)(?:/[^`]*)?`")
+
+// pages are the pages of the project, without those that tell of the past (incidents, results, changes).
+func pages(t *testing.T) []string {
+	t.Helper()
+	list := []string{filepath.Join(root, "README.md"), filepath.Join(root, "CONTRIBUTING.md")}
+	for _, pattern := range []string{"docs/*.md", "docs/operate/*.md"} {
+		found, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil || len(found) == 0 {
+			t.Fatalf("%s: no pages: %v", pattern, err)
+		}
+		list = append(list, found...)
+	}
+	return list
+}
+
+func TestPagesNameFilesThatExist(t *testing.T) {
+	for _, page := range pages(t) {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, match := range named.FindAllSubmatch(text, -1) {
+			if _, err := os.Stat(filepath.Join(root, string(match[1]))); err != nil {
+				t.Errorf("%s names %s, which does not exist", page, match[1])
+			}
+		}
+	}
+}
+
+func TestPagesNameTestsThatExist(t *testing.T) {
+	incidents, err := filepath.Glob(filepath.Join(root, "docs", "incidents", "h*.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	existing := testFunctions(t)
+	for _, page := range append(pages(t), incidents...) {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, match := range namedTests.FindAllSubmatch(text, -1) {
+			if name := string(match[1]); !existing[name] {
+				t.Errorf("%s names %s, which does not exist", page, name)
+			}
+		}
+	}
+}
+
+// function is the declaration of a test function.
+var function = regexp.MustCompile(`(?m)^func ((?:Test|Example|Fuzz)[A-Za-z0-9_]*)\(`)
+
+// testFunctions are the names of all test functions of the project.
+func testFunctions(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		source, err := os.ReadFile(path)
+		for _, match := range function.FindAllSubmatch(source, -1) {
+			names[string(match[1])] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
--- a/test/golden/bulletin_test.go
+++ b/test/golden/discovery_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// This file holds the stand-in of the bulletin, which keeps the bytes of the polls.
+// This file holds the fake discovery server, which keeps the bytes of the polls.
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// bulletin is a stand-in of the bulletin.
-type bulletin struct {
+// discoveryServer is a fake of discovery.
+type discoveryServer struct {
 	address string
 	done    chan struct{}
 
@@ -24,16 +24,17 @@
 	change chan struct{}
 }
 
-func newBulletin(t *testing.T) *bulletin {
+func newDiscoveryServer(t *testing.T) *discoveryServer {
+	t.Helper()
 	listener := listen(t)
-	b := &bulletin{address: listener.Addr().String(), done: make(chan struct{}), change: make(chan struct{})}
+	b := &discoveryServer{address: listener.Addr().String(), done: make(chan struct{}), change: make(chan struct{})}
 	t.Cleanup(func() { close(b.done) })
 	go acceptEach(listener, b.serve)
 	return b
 }
 
 // tell adds an event; its text lacks the number.
-func (b *bulletin) tell(event string) {
+func (b *discoveryServer) tell(event string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.items = append(b.items, fmt.Sprintf(`{"no":%d,%s}`, len(b.items)+1, event))
@@ -42,7 +43,7 @@
 }
 
 // page is what a poll brings.
-func (b *bulletin) page(after int) string {
+func (b *discoveryServer) page(after int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	items := strings.Join(b.items[min(after, len(b.items)):], ",")
@@ -50,7 +51,7 @@
 }
 
 // note keeps the head of a poll.
-func (b *bulletin) note(head string) {
+func (b *discoveryServer) note(head string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.polls) == 0 || b.polls[len(b.polls)-1] != head {
@@ -59,7 +60,7 @@
 }
 
 // heads are the polls so far.
-func (b *bulletin) heads() []string {
+func (b *discoveryServer) heads() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]string(nil), b.polls...)
@@ -68,8 +69,8 @@
 var afterNumber = regexp.MustCompile(`after=(\d+)`)
 
 // serve answers the polls of one connection. A poll without events is held until there are some.
-func (b *bulletin) serve(conn net.Conn) {
-	defer conn.Close()
+func (b *discoveryServer) serve(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
 	for in := bufio.NewReader(conn); ; {
 		head, err := readHead(in)
 		if err != nil {
@@ -91,7 +92,7 @@
 }
 
 // hold waits until there are events after a number, and says whether there are.
-func (b *bulletin) hold(after int) bool {
+func (b *discoveryServer) hold(after int) bool {
 	for {
 		b.mu.Lock()
 		told, change := len(b.items) > after, b.change
--- a/test/golden/fleet_test.go
+++ b/test/golden/fleet_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// This file holds the stand-ins round a router under test: cache servers, the bulletin and clients, on loopback.
+// This file holds the stand-ins round a router under test: cache servers, discovery and clients, on loopback.
 
 import (
 	"bytes"
@@ -28,6 +28,7 @@
 
 // words takes a command apart, and checks that it came in the one canonical form.
 func words(t *testing.T, cmd redcon.Command) (list []string) {
+	t.Helper()
 	for _, arg := range cmd.Args {
 		list = append(list, string(arg))
 	}
@@ -84,6 +85,7 @@
 }
 
 func newCacheServer(t *testing.T, uid, kind string, handle handler) *cacheServer {
+	t.Helper()
 	listener := listen(t)
 	s := &cacheServer{t: t, uid: uid, kind: kind, address: listener.Addr().String(), state: "ready", handle: handle}
 	go acceptEach(listener, s.serve)
@@ -92,7 +94,7 @@
 
 // serve answers one connection.
 func (s *cacheServer) serve(conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	for r := redcon.NewReader(conn); ; {
 		cmd, err := r.ReadCommand()
 		if err != nil {
@@ -152,14 +154,14 @@
 	return s.checks[0]
 }
 
-// target is the server's line in the bulletin.
+// target is the server's entry in an endpoint list.
 func (s *cacheServer) target() string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"west","model":%q,"state":%q,"capacity_hint":4,"boot_ms":0}`,
 		s.uid, s.address, s.kind, s.state)
 }
 
-// roster is an event of the bulletin without its number.
-func roster(all bool, servers ...*cacheServer) string {
+// endpointListEvent is an endpoint list event without its number.
+func endpointListEvent(all bool, servers ...*cacheServer) string {
 	var targets []string
 	for _, s := range servers {
 		targets = append(targets, s.target())
@@ -170,7 +172,7 @@
 // fleet is a router among its stand-ins.
 type fleet struct {
 	t       *testing.T
-	board   *bulletin
+	board   *discoveryServer
 	parent  *cacheServer
 	origin  *cacheServer
 	caches  []*cacheServer
@@ -205,10 +207,10 @@
 // newFleet makes the stand-ins and the configuration; start starts the router.
 func newFleet(t *testing.T, caches ...*cacheServer) *fleet {
 	t.Helper()
-	f := &fleet{t: t, board: newBulletin(t), caches: caches, folder: t.TempDir(), ended: make(chan error, 1)}
+	f := &fleet{t: t, board: newDiscoveryServer(t), caches: caches, folder: t.TempDir(), ended: make(chan error, 1)}
 	f.parent = newCacheServer(t, "s-parent", "parent", respond("404", "how=not_there", ""))
 	f.origin = newCacheServer(t, "s-origin", "origin", respond("200", "sum=0000000000000005,how=local", "of the origin"))
-	f.board.tell(roster(true, f.servers()...))
+	f.board.tell(endpointListEvent(true, f.servers()...))
 	f.address = freeAddress(t)
 	f.config = filepath.Join(f.folder, "config.json")
 	f.write(f.config, fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964",
@@ -238,7 +240,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	return listener.Addr().String()
 }
 
--- a/test/golden/frames_test.go
+++ b/test/golden/frames_test.go
@@ -53,7 +53,6 @@
 func (r *record) f64(at int, v float64) *record {
 	return r.u64(at, math.Float64bits(v))
 }
-func (r *record) address(at int, a address) *record { copy(r[at:], a[:]); return r }
 
 // address is a node's IPv4 address and port.
 type address [6]byte
--- a/test/golden/protocol_test.go
+++ b/test/golden/protocol_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests pin what a router says to clients, cache servers and the bulletin.
+// These tests pin what a router says to clients, cache servers and discovery.
 
 import (
 	"fmt"
@@ -39,7 +39,7 @@
 // exchange sends a request and notes it, what the servers were asked, and the response.
 func (w *transcript) exchange(name string, f *fleet, c *client, request ...string) {
 	f.t.Helper()
-	fmt.Fprintf(w, "# %s\n", name)
+	_, _ = fmt.Fprintf(w, "# %s\n", name)
 	c.send(request...)
 	response := c.receive()
 	w.line("client", ">", request)
@@ -65,9 +65,9 @@
 func TestResponsesOfCacheServers(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", nil)
 	f := newFleet(t, cache).start()
-	c, w := f.client(), &transcript{}
-	w.exchange("health check of the router", f, c, "PING", "1")
-	for i, answer := range []struct {
+	client, w := f.client(), &transcript{}
+	w.exchange("health check of the router", f, client, "PING", "1")
+	for index, answer := range []struct {
 		name   string
 		handle handler
 	}{
@@ -81,8 +81,8 @@
 		{"no fields", respond("200", "-", "hit")},
 	} {
 		cache.set(answer.handle)
-		w.exchange(answer.name, f, c, "DO", fmt.Sprint(i+2), "clip",
-			requestFields(i+1, i+1)+",owner=acme,ver=00000000000000bc")
+		w.exchange(answer.name, f, client, "DO", fmt.Sprint(index+2), "clip",
+			requestFields(index+1, index+1)+",owner=acme,ver=00000000000000bc")
 	}
 	cache.set(func(fetch []string) []string {
 		if strings.Contains(fetch[2], "next=s-origin") {
@@ -90,7 +90,7 @@
 		}
 		return []string{fetch[1], "404", "how=not_there", ""}
 	})
-	w.exchange("a parent that lacks it", f, c, "DO", "50", "clip", requestFields(50, 50))
+	w.exchange("a parent that lacks it", f, client, "DO", "50", "clip", requestFields(50, 50))
 	expectGolden(t, "protocol_cache_servers.txt", []byte(w.String()))
 }
 
@@ -115,10 +115,10 @@
 func TestFailures(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", respond("503", "how=turned_away", ""))
 	f := newFleet(t, cache).start()
-	c, w := f.client(), &transcript{}
+	client, w := f.client(), &transcript{}
 	for i, word := range []string{"500", "504", "999"} {
 		f.origin.set(respond(word, "-", ""))
-		w.exchange("fragile write, "+word, f, c, "DO", fmt.Sprint(i+1), "signoff", requestFields(i+1, i+1), "write")
+		w.exchange("fragile write, "+word, f, client, "DO", fmt.Sprint(i+1), "signoff", requestFields(i+1, i+1), "write")
 	}
 	busyOnce := 0
 	f.origin.set(func(fetch []string) []string {
@@ -127,18 +127,18 @@
 		}
 		return []string{fetch[1], "200", "sum=0000000000000005", "done"}
 	})
-	w.exchange("fragile write, 503 once", f, c, "DO", "10", "signoff", requestFields(10, 10), "write")
+	w.exchange("fragile write, 503 once", f, client, "DO", "10", "signoff", requestFields(10, 10), "write")
 	f.origin.set(respond("503", "how=turned_away", ""))
 	f.parent.set(respond("503", "how=turned_away", ""))
-	w.exchange("all are full", f, c, "DO", "11", "clip", requestFields(11, 11))
+	w.exchange("all are full", f, client, "DO", "11", "clip", requestFields(11, 11))
 	expectGolden(t, "protocol_failures.txt", []byte(w.String()))
 }
 
 func TestMalformedRequests(t *testing.T) {
 	f := newFleet(t, newCacheServer(t, "s-1", "std", respond("200", "how=local", "hit"))).start()
-	c, w := f.client(), &transcript{}
+	client, w := f.client(), &transcript{}
 	good := requestFields(1, 1)
-	for i, request := range [][]string{
+	for index, request := range [][]string{
 		{"DO", "1", "no-such-class", good},
 		{"DO", "2", "clip", strings.Replace(good, "req=", "rec=", 1)},
 		{"DO", "3", "clip", strings.Replace(good, "subject=", "object=", 1)},
@@ -162,7 +162,7 @@
 		{"PING", "0"},
 		{"PING", "19"},
 	} {
-		w.exchange(fmt.Sprintf("request %d", i+1), f, c, request...)
+		w.exchange(fmt.Sprintf("request %d", index+1), f, client, request...)
 	}
 	expectGolden(t, "protocol_malformed_requests.txt", []byte(w.String()))
 }
@@ -185,18 +185,18 @@
 func TestAbort(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", silent)
 	f := newFleet(t, cache).start()
-	c, w := f.client(), &transcript{}
+	client, w := f.client(), &transcript{}
 	aborted := func() bool { _, aborts, _ := cache.counts(); return aborts == 1 }
 
-	fmt.Fprintln(w, "# a request is undone: no response to it, and UP is the next")
-	c.send("DO", "1", "clip", requestFields(1, 1))
+	_, _ = fmt.Fprintln(w, "# a request is undone: no response to it, and UP is the next")
+	client.send("DO", "1", "clip", requestFields(1, 1))
 	await(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches == 1 })
-	c.send("UNDO", "1")
+	client.send("UNDO", "1")
 	await(t, "an abort", aborted)
 	w.servers(f)
-	w.exchange("after it", f, c, "PING", "2")
+	w.exchange("after it", f, client, "PING", "2")
 
-	fmt.Fprintln(w, "# a client leaves")
+	_, _ = fmt.Fprintln(w, "# a client leaves")
 	other := f.client()
 	other.send("DO", "1", "clip", requestFields(2, 2))
 	await(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches == 1 })
@@ -204,9 +204,9 @@
 	await(t, "an abort", aborted)
 	w.servers(f)
 
-	fmt.Fprintln(w, "# the time of a request is over")
-	c.send("DO", "3", "clip", strings.Replace(requestFields(3, 3), "5000", "1000", 1))
-	w.line("client", "<", c.receive())
+	_, _ = fmt.Fprintln(w, "# the time of a request is over")
+	client.send("DO", "3", "clip", strings.Replace(requestFields(3, 3), "5000", "1000", 1))
+	w.line("client", "<", client.receive())
 	await(t, "an abort", aborted)
 	w.servers(f)
 	expectGolden(t, "protocol_abort.txt", []byte(w.String()))
@@ -231,7 +231,7 @@
 func TestDiscoveryPolls(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
 	f := newFleet(t, cache).start()
-	c, w := f.client(), &transcript{}
+	client, w := f.client(), &transcript{}
 	polled := func(n int) {
 		t.Helper()
 		await(t, "a poll", func() bool { return len(f.board.heads()) >= n })
@@ -239,20 +239,20 @@
 	polled(1)
 	added := newCacheServer(t, "s-2", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
 	f.caches = append(f.caches, added)
-	f.board.tell(roster(false, added))
+	f.board.tell(endpointListEvent(false, added))
 	polled(2)
 	for object := range 12 {
-		w.exchange("an object, with a new cache server", f, c, "DO", fmt.Sprint(object+1), "clip",
+		w.exchange("an object, with a new cache server", f, client, "DO", fmt.Sprint(object+1), "clip",
 			requestFields(object+1, object+1))
 	}
 	f.board.tell(fmt.Sprintf(`"recall":{"item":"%016x","issued":%d}`, 1, time.Now().UnixMilli()))
 	polled(3)
-	w.exchange("a purged object", f, c, "DO", "100", "clip", requestFields(100, 1))
+	w.exchange("a purged object", f, client, "DO", "100", "clip", requestFields(100, 1))
 	f.board.tell(fmt.Sprintf(`"recall":{"lot":17,"issued":%d}`, time.Now().UnixMilli()))
 	polled(4)
-	w.exchange("a purged group", f, c, "DO", "101", "clip", requestFields(101, 2))
+	w.exchange("a purged group", f, client, "DO", "101", "clip", requestFields(101, 2))
 	for i, head := range f.board.heads()[:4] {
-		fmt.Fprintf(w, "# poll %d\n%s", i+1, normalise(head))
+		_, _ = fmt.Fprintf(w, "# poll %d\n%s", i+1, normalise(head))
 	}
 	expectGolden(t, "protocol_discovery.txt", []byte(w.String()))
 }
--- a/test/golden/redis_test.go
+++ b/test/golden/redis_test.go
@@ -28,6 +28,7 @@
 }
 
 func newRedisServer(t *testing.T) *redisServer {
+	t.Helper()
 	listener := listen(t)
 	s := &redisServer{
 		t: t, address: listener.Addr().String(), values: map[string]string{},
@@ -39,7 +40,7 @@
 
 // serve answers one connection.
 func (s *redisServer) serve(conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	for r := redcon.NewReader(conn); ; {
 		cmd, err := r.ReadCommand()
 		if err != nil {
--- a/test/golden/schema_test.go
+++ b/test/golden/schema_test.go
@@ -21,10 +21,16 @@
 }
 
 // exampleConfiguration is the published example.
-func exampleConfiguration(t *testing.T) string { return deployed(t, "example.json") }
+func exampleConfiguration(t *testing.T) string {
+	t.Helper()
+	return deployed(t, "example.json")
+}
 
 // exampleOperator is the published example of an operator's file.
-func exampleOperator(t *testing.T) string { return deployed(t, "operator.example.json") }
+func exampleOperator(t *testing.T) string {
+	t.Helper()
+	return deployed(t, "operator.example.json")
+}
 
 func deployed(t *testing.T, name string) string {
 	t.Helper()
--- a/test/golden/simulator_test.go
+++ b/test/golden/simulator_test.go
@@ -72,15 +72,15 @@
 
 // conversation is a scripted fleet: it answers the actions of the routers by fixed rules.
 type conversation struct {
-	t          *testing.T
-	in         io.Writer
-	out        *bufio.Reader
-	transcript bytes.Buffer
-	step       int
-	due        []dueRecord
-	legs       map[string]uint16 // attempts by router and request
-	attempts   int
-	probes     int
+	t              *testing.T
+	in             io.Writer
+	out            *bufio.Reader
+	transcript     bytes.Buffer
+	step           int
+	due            []dueRecord
+	attemptNumbers map[string]uint16 // attempts by router and request
+	attempts       int
+	probes         int
 }
 
 // exchange sends a frame and reads the reply, and notes both.
@@ -200,21 +200,21 @@
 }
 
 // attempt schedules the end of an attempt, and for some that their first bytes came.
-func (c *conversation) attempt(router uint32, view, node []byte) {
-	key := fmt.Sprintf("%d %x", router, view)
-	leg := c.legs[key]
-	c.legs[key]++
+func (c *conversation) attempt(router uint32, requestID, node []byte) {
+	key := fmt.Sprintf("%d %x", router, requestID)
+	number := c.attemptNumbers[key]
+	c.attemptNumbers[key]++
 	end := endings[c.attempts%len(endings)]
 	c.attempts++
 	if end.final == 1 && c.attempts%4 == 0 {
-		r := newRecord(recordStream, router).u16(19, leg).f64(21, 4.25)
-		copy(r[5:], view)
+		r := newRecord(recordStream, router).u16(19, number).f64(21, 4.25)
+		copy(r[5:], requestID)
 		copy(r[13:], node)
 		c.later(1, r)
 	}
-	r := newRecord(recordLegEnd, router).u16(13, leg).u16(21, end.outcome)
+	r := newRecord(recordLegEnd, router).u16(13, number).u16(21, end.outcome)
 	r.f64(23, float64(end.steps*stepMillis)).u8(31, end.final).u8(32, end.note).f64(33, float64(end.steps))
-	copy(r[5:], view)
+	copy(r[5:], requestID)
 	copy(r[15:], node)
 	c.later(end.steps, report(r, 41, c.attempts))
 }
@@ -236,21 +236,21 @@
 }
 
 // request brings a client's request to a router.
-func request(router uint32, n int) *record {
+func request(router uint32, count int) *record {
 	class, left := byte(0), float64(3000)
 	switch {
-	case n%11 == 5:
+	case count%11 == 5:
 		class, left = 1, 2000
-	case n%7 == 3:
+	case count%7 == 3:
 		class, left = 2, 1200
 	}
-	object := uint64(n*n%37 + 1)
-	r := newRecord(recordRequest, router).u64(5, uint64(n+1)).u8(13, class).u32(14, uint32(n%2))
-	r.u64(18, object).f64(26, left).f32(34, float32(20+n%5*60)).f32(38, float32(object%4)).f32(42, float32(n%3))
+	object := uint64(count*count%37 + 1)
+	r := newRecord(recordRequest, router).u64(5, uint64(count+1)).u8(13, class).u32(14, uint32(count%2))
+	r.u64(18, object).f64(26, left).f32(34, float32(20+count%5*60)).f32(38, float32(object%4)).f32(42, float32(count%3))
 	if class == 1 {
 		r.u8(46, 4)
 	}
-	if n%13 == 6 {
+	if count%13 == 6 {
 		r.u8(46, r[46]|2)
 	}
 	return r
@@ -328,7 +328,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = cmd.Process.Kill() }()
-	c := &conversation{t: t, in: in, out: bufio.NewReader(out), legs: map[string]uint16{}}
+	c := &conversation{t: t, in: in, out: bufio.NewReader(out), attemptNumbers: map[string]uint16{}}
 	c.talk()
 	_ = in.Close()
 	if rest, err := io.ReadAll(c.out); err != nil || len(rest) > 0 {
--- a/test/golden/store_test.go
+++ b/test/golden/store_test.go
@@ -87,6 +87,7 @@
 // newStoreWithLedger is a store in whose ledger another router has kept every purge for long, so that copies of this
 // moment are served.
 func newStoreWithLedger(t *testing.T) (store *redisServer, floor int64) {
+	t.Helper()
 	store = newRedisServer(t)
 	floor = now() - 300_000
 	store.scores["floor"], store.scores["seen"] = float64(floor), float64(now()+60_000)
@@ -98,13 +99,13 @@
 func TestStoreMissIsFilledAndStored(t *testing.T) {
 	store, _ := newStoreWithLedger(t)
 	f := newStoreFleet(t, store)
-	c, w := f.client(), &transcript{}
-	for i, class := range []string{"clip", "news"} {
-		born, object := now(), 0xa1+i
+	client, w := f.client(), &transcript{}
+	for index, class := range []string{"clip", "news"} {
+		born, object := now(), 0xa1+index
 		f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", born), "stored"))
 		store.forget()
-		fmt.Fprintf(w, "# a miss of class %s\n", class)
-		fmt.Fprintln(w, "client <", ask(c, i+1, class, object, ",ver=00000000000000bc"))
+		_, _ = fmt.Fprintf(w, "# a miss of class %s\n", class)
+		_, _ = fmt.Fprintln(w, "client <", ask(client, index+1, class, object, ",ver=00000000000000bc"))
 		await(t, "the value is stored", func() bool { return len(store.asked("PSETEX")) > 0 })
 		w.values(f, store)
 		set := store.asked("PSETEX")[0]
@@ -116,7 +117,7 @@
 			t.Errorf("class %s is stored for %s ms, not %d", class, set[2], longest)
 		}
 		store.forget()
-		fmt.Fprintln(w, "# then it is served from the store\nclient <", ask(c, i+10, class, object, ""))
+		_, _ = fmt.Fprintln(w, "# then it is served from the store\nclient <", ask(client, index+10, class, object, ""))
 		w.values(f, store)
 	}
 	expectGolden(t, "store_miss.txt", []byte(w.String()))
@@ -159,7 +160,7 @@
 	store.mu.Unlock()
 	store.forget()
 	w := &transcript{}
-	fmt.Fprintln(w, "client <", ask(f.client(), 1, "clip", 0xb1, ""))
+	_, _ = fmt.Fprintln(w, "client <", ask(f.client(), 1, "clip", 0xb1, ""))
 	w.values(f, store)
 	expectGolden(t, "store_lease_taken.txt", []byte(w.String()))
 }
@@ -198,10 +199,10 @@
 	store, floor := newStoreWithLedger(t)
 	f := newStoreFleet(t, store)
 	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000006,t0=%d,how=local", now()), "from the parent"))
-	born, c, w := floor+100_000, f.client(), &transcript{}
+	born, client, w := floor+100_000, f.client(), &transcript{}
 	await(t, "the ledger is read", func() bool { return len(store.asked("ZRANGEBYSCORE")) > 0 })
 	w.WriteString("store < " + stamped(store.asked("ZRANGEBYSCORE")[0]))
-	for i, change := range []struct {
+	for index, change := range []struct {
 		name   string
 		fields string
 		change func(v *storedValue)
@@ -220,19 +221,19 @@
 		{"old but valid", "", func(v *storedValue) { v.born = floor - 5000 }},
 		{"purged", "", func(v *storedValue) { v.object = 0xc9 }},
 	} {
-		object := uint64(0xc1 + i)
+		object := uint64(0xc1 + index)
 		if change.name == "purged" {
 			object = 0xc9
 		}
 		v := newStoredValue(object, born)
 		change.change(&v)
 		store.put(fmt.Sprintf("fa:v:%x:3", object), v.encode())
-		fmt.Fprintf(w, "# %s\nclient < %s\n", change.name, ask(c, i+1, "clip", int(object), change.fields))
+		_, _ = fmt.Fprintf(w, "# %s\nclient < %s\n", change.name, ask(client, index+1, "clip", int(object), change.fields))
 	}
 	corrupt := []byte(newStoredValue(0xd1, born).encode())
 	corrupt[40] ^= 1
 	store.put("fa:v:d1:3", string(corrupt))
-	fmt.Fprintf(w, "# a bit is wrong\nclient < %s\n", ask(c, 50, "clip", 0xd1, ""))
+	_, _ = fmt.Fprintf(w, "# a bit is wrong\nclient < %s\n", ask(client, 50, "clip", 0xd1, ""))
 	expectGolden(t, "store_values.txt", []byte(w.String()))
 }
 
