--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -81,28 +81,30 @@
 	return min(class.LatencyObjective+sending, request.Timeout) - time.Since(request.ReceivedAt)
 }
 
-// handle passes an event to the decisions and carries their actions out. A command that finds no connection is answered
-// after that.
+// handle passes an event to the decisions and carries their actions out.
 func (t *Transport) handle(event *decide.Event) {
-	t.handleOne(event)
-	for len(t.unsent) > 0 {
-		unsent := t.unsent[0]
-		t.unsent = t.unsent[1:]
-		result := commandResult{command: unsent.command, reply: decide.ReplyDisconnected}
-		failure := result.event(unsent.store.id)
-		t.handleOne(&failure)
-	}
-	t.unsent = nil
-}
-
-// handleOne does that for one event.
-func (t *Transport) handleOne(event *decide.Event) {
 	t.actions = t.coordinator.Handle(t.now(), event, t.actions[:0])
 	for i := range t.actions {
 		t.perform(&t.actions[i])
 	}
 }
 
+// failNextUnsent reports the next command that found no connection as failed. It says whether there are more.
+func (t *Transport) failNextUnsent() (hasMore bool) {
+	if len(t.unsent) == 0 {
+		return false
+	}
+	next := t.unsent[0]
+	t.unsent = t.unsent[1:]
+	result := commandResult{command: next.command, reply: decide.ReplyDisconnected}
+	event := result.event(next.store.id)
+	t.handle(&event)
+	if len(t.unsent) == 0 {
+		t.unsent = nil
+	}
+	return t.unsent != nil
+}
+
 // perform carries an action out.
 func (t *Transport) perform(action *decide.Action) {
 	switch action.Kind {
@@ -145,10 +147,14 @@
 	}
 }
 
+// send sends a command of an operation. One that finds no connection is reported as failed by Run, as the caller may be
+// the engine, and each failure may make the next of many requests send a command.
 func (t *Transport) send(op *operation, command command) {
-	if !op.store.send(command) {
-		t.unsent = append(t.unsent, unsentCommand{command, op.store})
+	if op.store.send(command) {
+		return
 	}
+	t.unsent = append(t.unsent, unsentCommand{command, op.store})
+	t.wakeRun()
 }
 
 // announceStart tells the engine that a store has just started, so that routing limits it as it does a cache.
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -74,7 +74,7 @@
 	operations    map[decide.OperationID]*operation
 	byAttempt     map[*engine.Attempt]decide.OperationID // attempts at stores, and fills
 	timers        timerQueue
-	unsent        []unsentCommand // to be answered as disconnected
+	unsent        []unsentCommand // Run reports them as failed
 	outbox        []engine.Event
 	actions       []decide.Action // for reuse
 }
@@ -109,8 +109,8 @@
 // SetInner sets the transport of all other endpoints.
 func (t *Transport) SetInner(inner engine.Transport) { t.inner = inner }
 
-// Run keeps the connections, fires timers and delivers messages until the context ends. It returns when its goroutines
-// have ended.
+// Run keeps the connections, fires timers, reports commands that found no connection as failed, and delivers messages
+// until the context ends. It returns when its goroutines have ended.
 func (t *Transport) Run(ctx context.Context) {
 	var servers sync.WaitGroup
 	defer servers.Wait()
@@ -122,8 +122,12 @@
 	for {
 		t.mu.Lock()
 		t.fireTimers(alarm)
+		hasUnsent := t.failNextUnsent() // one at a time, so that the engine gets the lock in between
 		t.mu.Unlock()
 		t.flush()
+		if hasUnsent {
+			continue
+		}
 		select {
 		case <-t.wake:
 		case <-alarm.C:
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -57,13 +57,44 @@
 	results chan engine.AttemptResult
 }
 
+// newFixture connects to a fake store.
 func newFixture(tb testing.TB, log *zap.Logger) *fixture {
 	tb.Helper()
 	store, err := redis.Start(redis.Config{Age: time.Hour, User: "u", Word: "w"})
 	if err != nil {
 		tb.Fatal(err)
 	}
-	f := &fixture{redis: store, results: make(chan engine.AttemptResult, 64)}
+	tb.Cleanup(store.Close)
+	f := newFixtureOf(Store{
+		UID: storeUID, Addresses: []string{store.Address()}, Weight: 1, Prefix: "t:",
+		Credentials: Credentials{User: "u", Password: "w", Database: 1},
+	}, log)
+	f.redis = store
+	f.start(tb)
+	f.listParent()
+	for until := time.Now().Add(5 * time.Second); store.Counts().Commands < 3 && time.Now().Before(until); {
+		time.Sleep(time.Millisecond)
+	}
+	time.Sleep(20 * time.Millisecond)
+	return f
+}
+
+// newUnconnectedFixture has a store that counts as connected while there is no connection, as when one has just ended.
+// It is not started.
+func newUnconnectedFixture(tb testing.TB) *fixture {
+	tb.Helper()
+	f := newFixtureOf(Store{UID: storeUID, Weight: 1, Prefix: "t:"}, zap.NewNop())
+	f.listParent()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.handle(&decide.Event{
+		Kind: decide.EventConnected, Endpoint: engine.EndpointID(storeUID), RunID: 1, Uptime: time.Hour,
+	})
+	return f
+}
+
+func newFixtureOf(store Store, log *zap.Logger) *fixture {
+	f := &fixture{results: make(chan engine.AttemptResult, 64)}
 	f.Transport = New(Options{
 		Limits: testLimits(),
 		Routing: routing.Settings{
@@ -72,10 +103,7 @@
 		},
 		Decisions: decide.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
 		Seed:      1,
-		Stores: []Store{{
-			UID: storeUID, Addresses: []string{store.Address()}, Weight: 1, Prefix: "t:",
-			Credentials: Credentials{User: "u", Password: "w", Database: 1},
-		}},
+		Stores:    []Store{store},
 		StartedAt: time.Now().Add(-time.Second),
 		Deliver: func(_ time.Time, message engine.Message) {
 			if result, is := message.(engine.AttemptResult); is {
@@ -86,12 +114,6 @@
 	})
 	f.parent = &fakeParent{post: f.Post, body: []byte(strings.Repeat("x", 20_000))}
 	f.SetInner(f.parent)
-	f.start(tb)
-	f.listParent()
-	for until := time.Now().Add(5 * time.Second); store.Counts().Commands < 3 && time.Now().Before(until); {
-		time.Sleep(time.Millisecond)
-	}
-	time.Sleep(20 * time.Millisecond)
 	return f
 }
 
@@ -111,7 +133,6 @@
 		case <-time.After(5 * time.Second):
 			tb.Error("the transport does not end with its context")
 		}
-		f.redis.Close()
 	})
 }
 
@@ -124,13 +145,24 @@
 	f.UpdateEndpoints(f.ObserveDiscovery(list).(engine.EndpointList).Endpoints, true)
 }
 
+// listParentDraining lists the parent as draining: what was requested before is no longer filled from it.
+func (f *fixture) listParentDraining() {
+	parent := routing.Endpoint{ID: engine.EndpointID(parentUID), State: routing.Draining, Kind: 1}
+	f.UpdateEndpoints([]engine.Endpoint{{UID: parentUID, Endpoint: parent}}, false)
+}
+
 func (f *fixture) request(object routing.ObjectID) *engine.Attempt {
+	return f.requestFrom(object, engine.EndpointID(parentUID))
+}
+
+// requestFrom requests an object that may be filled from a source, 0: from none.
+func (f *fixture) requestFrom(object routing.ObjectID, source routing.EndpointID) *engine.Attempt {
 	now := time.Now()
 	attempt := &engine.Attempt{
 		Request: &engine.Request{
 			Object: object, Group: 1, SizeKB: 10, Timeout: time.Second, ReceivedAt: now,
 		},
-		Endpoint: engine.EndpointID(storeUID), Source: engine.EndpointID(parentUID),
+		Endpoint: engine.EndpointID(storeUID), Source: source,
 		Deadline: now.Add(time.Second), SentAt: now,
 	}
 	f.Send(attempt)
--- /dev/null
+++ b/internal/sharedstore/unsent_test.go
@@ -0,0 +1,84 @@
+package sharedstore
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/policy/routing"
+)
+
+// A command that finds no connection is reported as failed by Run, and the request is filled.
+func TestRequestWithoutConnectionIsFilled(t *testing.T) {
+	f := newUnconnectedFixture(t)
+	f.request(7)
+	if unsent, fills := f.unsentCommands(), f.fillsSent(); unsent != 1 || fills != 0 {
+		t.Fatalf("%d unsent commands and %d fills before Run, want 1 and 0", unsent, fills)
+	}
+	f.start(t)
+	if result := f.result(t); result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
+		t.Errorf("%v %v", result.Outcome, result.Note)
+	}
+	f.checkNothingLeft(t)
+	if sets, unsent := f.Counts().Sets, f.unsentCommands(); sets != 1 || unsent != 0 {
+		t.Errorf("%d sets, and %d unsent commands are left; want 1 and 0", sets, unsent)
+	}
+}
+
+// An attempt without a source sets no timer: only the report of the unsent command can end it.
+func TestRequestWithoutConnectionAndSourceFails(t *testing.T) {
+	f := newUnconnectedFixture(t)
+	f.start(t)
+	f.requestFrom(7, 0)
+	if result := f.result(t); result.Outcome != routing.CacheMiss || result.Note != routing.NoteSourceMiss {
+		t.Errorf("%v %v", result.Outcome, result.Note)
+	}
+	f.checkNothingLeft(t)
+}
+
+// Each follower of an aborted leader gets a result, though each of them in turn asks the store and fails. Abort itself
+// lets one of them do so and leaves the others to Run: it is called by the engine.
+func TestAbortOfLeaderWithoutConnection(t *testing.T) {
+	const followers = 50
+	f := newUnconnectedFixture(t)
+	bounds := testLimits()
+	server := f.servers[engine.EndpointID(storeUID)]
+	server.connection = newConnection(&bounds, Credentials{}, time.Now())
+	leader := f.request(7)
+	for range followers {
+		f.request(7)
+	}
+	server.connection = nil
+	f.listParentDraining() // no follower can be filled: each fails in turn, and the next takes over
+	if !f.Abort(leader) {
+		t.Error("not aborted")
+	}
+	if unsent, results := f.unsentCommands(), f.outboxLength(); unsent != 1 || results != 0 {
+		t.Errorf("%d unsent commands and %d results after Abort, want 1 and 0", unsent, results)
+	}
+	f.start(t)
+	for range followers {
+		if result := f.result(t); result.Outcome != routing.Overloaded || result.Attempt == leader {
+			t.Errorf("%v", result.Outcome)
+		}
+	}
+	f.checkNothingLeft(t)
+}
+
+func (f *fixture) unsentCommands() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.unsent)
+}
+
+func (f *fixture) fillsSent() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.parent.fills
+}
+
+func (f *fixture) outboxLength() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.outbox)
+}
