--- /dev/null
+++ b/internal/sharedstore/disconnect_test.go
@@ -0,0 +1,90 @@
+package sharedstore
+
+import (
+	"testing"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/policy/routing"
+
+	"go.uber.org/zap"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+// A lost store is noticed while the reader of its connection is blocked because the engine takes no messages.
+func TestDisconnectIsNoticedWhileReaderIsBlocked(t *testing.T) {
+	hasEnded := make(chan struct{})
+	t.Cleanup(func() { close(hasEnded) })
+	f := newFixture(t, zap.NewNop())
+	f.silenceParent()
+	for range cap(f.results) {
+		f.results <- engine.AttemptResult{}
+	}
+	// Or the transport would wait for its reader for ever.
+	t.Cleanup(func() { go f.discardResults(hasEnded) })
+	// A miss without a source: the reader delivers the result.
+	f.requestFrom(7, 0)
+	f.checkNothingLeft(t)
+	f.redis.Close()
+	startedAt := time.Now()
+	for object := routing.ObjectID(8); !f.isDisconnected(); object++ {
+		if time.Since(startedAt) > 2*time.Second {
+			t.Fatal("not noticed in 2 s")
+		}
+		f.request(object) // a write shows that the connection is gone
+		time.Sleep(5 * time.Millisecond)
+	}
+	t.Logf("noticed after %v", time.Since(startedAt).Round(time.Millisecond))
+}
+
+// What a reader of a connection that has ended reports late ends its commands, but does not mark the store connected.
+func TestLateResultsOfEndedConnection(t *testing.T) {
+	f := newUnconnectedFixture(t)
+	f.start(t)
+	bounds := testLimits()
+	server := f.servers[engine.EndpointID(storeUID)]
+	ended := newConnection(&bounds, Credentials{}, time.Now())
+	server.setConnection(ended, nil)
+	f.requestFrom(7, 0)
+	server.setConnection(nil, nil)
+	f.handleDisconnected(server, errStoreSilent)
+
+	f.handleResults(server, ended, []result{
+		connectedResult{runID: 2, uptime: time.Hour},
+		commandResult{command: getCommand(&server.keys, f.lastOperation, copyKey{object: 7}), reply: decide.ReplyMiss},
+	})
+	if !f.isDisconnected() {
+		t.Error("an ended connection has marked the store connected")
+	}
+	if result := f.result(t); result.Outcome != routing.CacheMiss {
+		t.Errorf("the late reply to a get ends it as %v", result.Outcome)
+	}
+	f.request(8)
+	f.result(t)
+	if bypassed := f.Counts().Bypassed; bypassed != 1 {
+		t.Errorf("%d requests have bypassed the store, want 1", bypassed)
+	}
+}
+
+func (f *fixture) discardResults(hasEnded <-chan struct{}) {
+	for {
+		select {
+		case <-f.results:
+		case <-hasEnded:
+			return
+		}
+	}
+}
+
+func (f *fixture) isDisconnected() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.servers[engine.EndpointID(storeUID)].isDisconnected
+}
+
+func (f *fixture) silenceParent() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.parent.isSilent = true
+}
--- a/internal/sharedstore/results.go
+++ b/internal/sharedstore/results.go
@@ -12,32 +12,44 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// handleResults takes what the connection to a store reports.
-func (t *Transport) handleResults(server *server, results []result) {
+// handleResults takes what a connection to a store reports. A reader may be late: what it then says of the connection
+// itself or of the log no longer counts, as the end of the connection may have been handled.
+func (t *Transport) handleResults(server *server, connection *connection, results []result) {
 	if len(results) == 0 {
 		return
 	}
 	defer t.flush()
 	t.mu.Lock()
 	defer t.mu.Unlock()
+	isCurrent := server.isCurrent(connection)
 	for _, result := range results {
 		switch r := result.(type) {
-		case connectedResult:
-			t.handleConnected(server, r)
 		case commandResult:
 			t.handleCommandResult(server, &r)
 		case healthResult:
 			t.handleHealthResult(server, r)
-		case logRangeResult:
-			server.handleLogRange(r)
-		case logPageResult:
-			server.handleLogPage(&r)
-		case logWrittenResult:
-			server.handleLogWritten(&r)
+		default:
+			if isCurrent {
+				t.handleConnectionResult(server, r)
+			}
 		}
 	}
 }
 
+// handleConnectionResult takes a result that counts for the connection it came on.
+func (t *Transport) handleConnectionResult(server *server, result result) {
+	switch r := result.(type) {
+	case connectedResult:
+		t.handleConnected(server, r)
+	case logRangeResult:
+		server.handleLogRange(r)
+	case logPageResult:
+		server.handleLogPage(&r)
+	case logWrittenResult:
+		server.handleLogWritten(&r)
+	}
+}
+
 func (t *Transport) handleConnected(server *server, connected connectedResult) {
 	server.isSyncingLog, server.isDisconnected = false, false
 	t.log.Info("store connected",
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/server.go
@@ -21,7 +21,8 @@
 	id        routing.EndpointID
 	config    Store
 	keys      keys
-	wake      chan struct{} // the writer has something to do
+	wake      chan struct{}  // the writer has something to do
+	readers   sync.WaitGroup // that of a connection that has ended may still deliver
 
 	mu         sync.Mutex
 	connection *connection // nil while there is none
@@ -71,8 +72,9 @@
 	}
 }
 
-// run keeps one connection up until the context ends.
+// run keeps one connection up until the context ends. It returns when its readers have ended.
 func (s *server) run(ctx context.Context) {
+	defer s.readers.Wait()
 	bounds := &s.transport.limits
 	backoff := bounds.BackoffMin
 	for attempt := 0; ctx.Err() == nil; attempt++ {
@@ -111,20 +113,30 @@
 	return secure, nil
 }
 
-// connect dials an address and serves the connection until it ends.
+// isCurrent says whether a connection has not ended.
+func (s *server) isCurrent(connection *connection) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.connection == connection
+}
+
+func (s *server) setConnection(connection *connection, socket net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.connection, s.socket = connection, socket
+}
+
+// connect dials an address and serves the connection until it ends. It does not wait for the reader, which may be
+// blocked in Deliver: the loss of the connection has to be reported all the same.
 func (s *server) connect(ctx context.Context, address string) error {
 	socket, err := s.dial(ctx, address)
 	if err != nil {
 		return err
 	}
 	current := newConnection(&s.transport.limits, s.config.Credentials, time.Now())
-	s.mu.Lock()
-	s.connection, s.socket = current, socket
-	s.mu.Unlock()
-
+	s.setConnection(current, socket)
 	readError := make(chan error, 1)
-	var reader sync.WaitGroup
-	reader.Go(func() { readError <- s.read(socket, current) })
+	s.readers.Go(func() { readError <- s.read(socket, current) })
 	err = s.write(ctx, socket, current, readError)
 	_ = socket.Close()
 
@@ -133,8 +145,7 @@
 	current.close(time.Now())
 	results := current.takeResults()
 	s.mu.Unlock()
-	s.transport.handleResults(s, results)
-	reader.Wait()
+	s.transport.handleResults(s, current, results)
 	return err
 }
 
@@ -203,7 +214,7 @@
 		err := current.handleRead(count, time.Now())
 		results := current.takeResults()
 		s.mu.Unlock()
-		s.transport.handleResults(s, results)
+		s.transport.handleResults(s, current, results)
 		if err != nil {
 			return err
 		}
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -31,11 +31,12 @@
 	})
 }
 
-// fakeParent answers fills at once.
+// fakeParent answers fills at once, or never where it is silent.
 type fakeParent struct {
-	post  func(time.Time, engine.Message)
-	body  []byte
-	fills int
+	post     func(time.Time, engine.Message)
+	body     []byte
+	isSilent bool
+	fills    int
 }
 
 func (p *fakeParent) UpdateEndpoints([]engine.Endpoint, bool) {}
@@ -43,6 +44,9 @@
 func (p *fakeParent) Abort(*engine.Attempt) bool              { return true }
 func (p *fakeParent) Send(attempt *engine.Attempt) {
 	p.fills++
+	if p.isSilent {
+		return
+	}
 	go p.post(time.Now(), engine.AttemptResult{
 		Attempt: attempt, Outcome: routing.Succeeded, Note: routing.NoteHit, Body: p.body, ETag: "5",
 		GeneratedAt: time.Now(),
--- a/internal/sharedstore/unsent_test.go
+++ b/internal/sharedstore/unsent_test.go
@@ -43,12 +43,12 @@
 	f := newUnconnectedFixture(t)
 	bounds := testLimits()
 	server := f.servers[engine.EndpointID(storeUID)]
-	server.connection = newConnection(&bounds, Credentials{}, time.Now())
+	server.setConnection(newConnection(&bounds, Credentials{}, time.Now()), nil)
 	leader := f.request(7)
 	for range followers {
 		f.request(7)
 	}
-	server.connection = nil
+	server.setConnection(nil, nil)
 	f.listParentDraining() // no follower can be filled: each fails in turn, and the next takes over
 	if !f.Abort(leader) {
 		t.Error("not aborted")
