--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -39,12 +39,6 @@
 	t.mu.Lock()
 	defer t.unlockAndWake()
 	attempt, request := op.attempt, op.attempt.Request
-	if request.Write {
-		t.post(engine.AttemptResult{
-			Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity,
-		})
-		return
-	}
 	t.lastOperation++
 	t.operations[t.lastOperation] = op
 	t.byAttempt[attempt] = t.lastOperation
@@ -71,6 +65,13 @@
 	t.handle(&event)
 }
 
+// refuseWrite answers a write: none reaches a store.
+func (t *Transport) refuseWrite(attempt *engine.Attempt) {
+	t.mu.Lock()
+	defer t.unlockAndWake()
+	t.post(engine.AttemptResult{Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity})
+}
+
 // untilObjective is the time left until a request's latency objective, which grows with its size.
 func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
 	sending := time.Duration(0)
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -139,16 +139,22 @@
 
 // Send takes an attempt: at a store, at a cache that is to be filled from one, or at any other endpoint.
 func (t *Transport) Send(attempt *engine.Attempt) {
-	if store := t.servers[attempt.Endpoint]; store != nil {
-		t.start(&operation{attempt: attempt, store: store, source: attempt.Source})
-		return
-	}
-	if store := t.servers[attempt.Source]; store != nil {
+	store := t.servers[attempt.Endpoint]
+	isRelay := store == nil
+	if isRelay {
 		// No cache can fetch from a store: this router serves the store's copy instead.
+		store = t.servers[attempt.Source]
+	}
+	switch {
+	case store == nil:
+		t.inner.Send(attempt)
+	case attempt.Request.Write:
+		t.refuseWrite(attempt)
+	case isRelay:
 		t.start(&operation{attempt: attempt, store: store, isRelay: true})
-		return
+	default:
+		t.start(&operation{attempt: attempt, store: store, source: attempt.Source})
 	}
-	t.inner.Send(attempt)
 }
 
 // Abort abandons an attempt. A request that may go to a store may be repeated: it does not matter whether it was
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -210,6 +210,20 @@
 	f.checkNothingLeft(t)
 }
 
+// A write never reaches a store, and costs no operation.
+func TestWriteIsRefused(t *testing.T) {
+	f := newFixture(t, zap.NewNop())
+	write := &engine.Attempt{Request: &engine.Request{Object: 7, Write: true}, Endpoint: engine.EndpointID(storeUID)}
+	f.Send(write)
+	result := f.result(t)
+	if result.Outcome != routing.CacheMiss || result.Note != routing.NoteNoFillCapacity || result.Attempt != write {
+		t.Errorf("%v %v", result.Outcome, result.Note)
+	}
+	if f.lastOperation != 0 {
+		t.Errorf("%d operations were started", f.lastOperation)
+	}
+}
+
 // An attempt that is abandoned while the store is silent has no result, and leaves nothing.
 func TestAbortLeavesNothing(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -114,7 +114,7 @@
 func (c *Coordinator) recordLogRange(store *storeStatus, stored LogRange) {
 	sync := &store.logSync
 	exists := stored.CompleteTo > 0
-	isLost := sync.wasRead && sync.exists && !exists
+	isLost := sync.wasRead && sync.exists && stored.CompleteTo == 0
 	isRolledBack := sync.wasRead && sync.exists && exists && stored.CompleteTo < sync.completeTo
 	if !sync.wasRead {
 		sync.connectedAt, sync.writtenUpTo = c.now, c.log.dropped
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -85,6 +85,31 @@
 	}
 }
 
+// A store whose log is gone has lost its data and warms up anew; one whose log has an end, however early, has not.
+func TestLossOfLog(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		completeTo Timestamp
+		wantHealth healthState
+	}{
+		{"moved on", epoch + 1, healthReady},
+		{"rolled back", epoch - 1, healthReady},
+		{"an end before the Unix epoch", -1, healthReady},
+		{"gone", 0, healthWarmingUp},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			coordinator := newLogCoordinator()
+			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			coordinator.Handle(0, &connected, nil)
+			coordinator.PlanLogUpdate(time.Second, storeS, LogRange{CompleteTo: epoch})
+			coordinator.PlanLogUpdate(2*time.Second, storeS, LogRange{CompleteTo: test.completeTo})
+			if health := coordinator.stores[0].health.state; health != test.wantHealth {
+				t.Errorf("the store is %v, want %v", health, test.wantHealth)
+			}
+		})
+	}
+}
+
 // isProved says whether a copy of the model's object would be served.
 func isProved(coordinator *Coordinator, generatedAt, validFrom Timestamp) bool {
 	return coordinator.log.proves(modelObject, 0, generatedAt, validFrom) &&
