--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -74,7 +74,7 @@
 	operations    map[decide.OperationID]*operation
 	byAttempt     map[*engine.Attempt]decide.OperationID // attempts at stores, and fills
 	timers        timerQueue
-	unsent        []unsentCommand // to be answered as disconnected
+	unsent        []unsentCommand // Run reports them as failed
 	outbox        []engine.Event
 	actions       []decide.Action // for reuse
 }
@@ -109,8 +109,8 @@
 // SetInner sets the transport of all other endpoints.
 func (t *Transport) SetInner(inner engine.Transport) { t.inner = inner }
 
-// Run keeps the connections, fires timers and delivers messages until the context ends. It returns when its goroutines
-// have ended.
+// Run keeps the connections, fires timers, reports commands that found no connection as failed, and delivers messages
+// until the context ends. It returns when its goroutines have ended.
 func (t *Transport) Run(ctx context.Context) {
 	var servers sync.WaitGroup
 	defer servers.Wait()
@@ -122,8 +122,12 @@
 	for {
 		t.mu.Lock()
 		t.fireTimers(alarm)
+		hasUnsent := t.failNextUnsent() // one at a time, so that the engine gets the lock in between
 		t.mu.Unlock()
 		t.flush()
+		if hasUnsent {
+			continue
+		}
 		select {
 		case <-t.wake:
 		case <-alarm.C:
@@ -135,16 +139,22 @@
 
 // Send takes an attempt: at a store, at a cache that is to be filled from one, or at any other endpoint.
 func (t *Transport) Send(attempt *engine.Attempt) {
-	if store := t.servers[attempt.Endpoint]; store != nil {
-		t.start(&operation{attempt: attempt, store: store, source: attempt.Source})
-		return
-	}
-	if store := t.servers[attempt.Source]; store != nil {
+	store := t.servers[attempt.Endpoint]
+	isRelay := store == nil
+	if isRelay {
 		// No cache can fetch from a store: this router serves the store's copy instead.
+		store = t.servers[attempt.Source]
+	}
+	switch {
+	case store == nil:
+		t.inner.Send(attempt)
+	case attempt.Request.Write:
+		t.refuseWrite(attempt)
+	case isRelay:
 		t.start(&operation{attempt: attempt, store: store, isRelay: true})
-		return
+	default:
+		t.start(&operation{attempt: attempt, store: store, source: attempt.Source})
 	}
-	t.inner.Send(attempt)
 }
 
 // Abort abandons an attempt. A request that may go to a store may be repeated: it does not matter whether it was
