--- a/internal/sharedstore/disconnect_test.go
+++ b/internal/sharedstore/disconnect_test.go
@@ -25,7 +25,7 @@
 	t.Cleanup(func() { go f.discardResults(hasEnded) })
 	// A miss without a source: the reader delivers the result.
 	f.requestFrom(7, 0)
-	f.checkNothingLeft(t)
+	f.waitUntilNothingLeft(t)
 	f.redis.Close()
 	startedAt := time.Now()
 	for object := routing.ObjectID(8); !f.isDisconnected(); object++ {
--- /dev/null
+++ b/internal/sharedstore/logsync_test.go
@@ -0,0 +1,134 @@
+package sharedstore
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"fennelarch/internal/engine"
+	"fennelarch/internal/resp"
+
+	decide "fennelarch/policy/sharedstore"
+)
+
+func TestParseMember(t *testing.T) {
+	for _, test := range []struct {
+		member, score string
+		want          decide.Invalidation
+		wantOK        bool
+	}{
+		{"o:ab", "30", decide.Invalidation{Object: 0xab, IssuedAt: 30}, true},
+		{"g:12", "1.7e+12", decide.Invalidation{Group: 12, IssuedAt: 1_700_000_000_000}, true},
+		{"g:0", "30", decide.Invalidation{IssuedAt: 30}, true},
+		{member: "o:0", score: "30"},
+		{member: "o:xyz", score: "30"},
+		{member: "g:4294967296", score: "30"},
+		{member: "p:12", score: "30"},
+		{member: "o:", score: "30"},
+		{member: "o:ab", score: "soon"},
+		{member: memberCompleteFrom, score: "30"},
+		{member: memberCompleteTo, score: "30"},
+	} {
+		t.Run(test.member+" "+test.score, func(t *testing.T) {
+			entry, ok := parseMember([]byte(test.member), []byte(test.score))
+			if ok != test.wantOK || ok && entry != test.want {
+				t.Errorf("%+v %v, want %+v %v", entry, ok, test.want, test.wantOK)
+			}
+		})
+	}
+}
+
+func TestReadLogPage(t *testing.T) {
+	page := readPage(logPageReply("g:12", "17", "floor", "18", "o:ab", "30"))
+	want := []decide.Invalidation{{Group: 12, IssuedAt: 17}, {Object: 0xab, IssuedAt: 30}}
+	if !page.ok || !page.isLast || page.fromScore != 5 || page.lastScore != 30 || !slices.Equal(page.entries, want) {
+		t.Errorf("a last page: %+v", page)
+	}
+	var full []string
+	for range logPageMembers {
+		full = append(full, "g:12", "17")
+	}
+	if page := readPage(logPageReply(full...)); !page.ok || page.isLast || len(page.entries) != logPageMembers {
+		t.Errorf("a full page: ok %v, last %v, %d entries", page.ok, page.isLast, len(page.entries))
+	}
+	if page := readPage(logPageReply()); !page.ok || !page.isLast || page.lastScore != 5 {
+		t.Errorf("an empty page: %+v", page)
+	}
+	if page := readPage(logPageReply("g:12")); page.ok {
+		t.Error("a member without a score is taken")
+	}
+	if page := readPage([]resp.Reply{{Kind: resp.Error}}); page.ok {
+		t.Error("an error is taken for a page")
+	}
+}
+
+// readPage reads a page that was asked for from score 5.
+func readPage(parts []resp.Reply) logPageResult { return readLogPage(parts, 5).(logPageResult) }
+
+// logPageReply is the reply that lists members and their scores.
+func logPageReply(fields ...string) []resp.Reply {
+	parts := []resp.Reply{{Kind: resp.Array}}
+	for _, field := range fields {
+		parts = append(parts, resp.Reply{Kind: resp.Bulk, Text: []byte(field)})
+	}
+	return parts
+}
+
+// The pages of a store's log are read on from the last score. Their entries are merged if all of them were read.
+func TestLogIsReadInPages(t *testing.T) {
+	first := logPageResult{lastScore: 17, ok: true}
+	for _, test := range []struct {
+		name       string
+		pages      []logPageResult
+		wantScores []float64 // from which pages were asked for
+		wantMerged bool
+	}{
+		{"one", []logPageResult{{isLast: true, ok: true}}, []float64{0}, true},
+		{"two", []logPageResult{first, {fromScore: 17, isLast: true, ok: true}}, []float64{0, 17}, true},
+		{"the second has failed", []logPageResult{first, {fromScore: 17}}, []float64{0, 17}, false},
+		{
+			"the second has a single score",
+			[]logPageResult{first, {fromScore: 17, lastScore: 17, ok: true}},
+			[]float64{0, 17},
+			false,
+		},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f := newUnconnectedFixture(t)
+			entry := decide.Invalidation{Object: 0xab, IssuedAt: decide.Timestamp(f.startedAt.UnixMilli())}
+			test.pages[0].entries = []decide.Invalidation{entry}
+			if scores := f.readLog(test.pages); !slices.Equal(scores, test.wantScores) {
+				t.Errorf("pages were asked for from %v, want %v", scores, test.wantScores)
+			}
+			if f.servers[engine.EndpointID(storeUID)].isSyncingLog {
+				t.Error("the log is still being read")
+			}
+			isNews := f.coordinator.RecordInvalidation(f.now(), entry)
+			if isMerged := !isNews; isMerged != test.wantMerged {
+				t.Errorf("merged %v, want %v", isMerged, test.wantMerged)
+			}
+		})
+	}
+}
+
+// readLog reads a log of a store that knows more than this router, and returns the scores from which pages were asked
+// for.
+func (f *fixture) readLog(pages []logPageResult) []float64 {
+	bounds := testLimits()
+	server := f.servers[engine.EndpointID(storeUID)]
+	current := newConnection(&bounds, Credentials{}, time.Now())
+	server.setConnection(current, nil)
+	startedAt := decide.Timestamp(f.startedAt.UnixMilli())
+	stored := decide.LogRange{CompleteFrom: startedAt - 10_000, CompleteTo: startedAt + 600}
+	f.handleResults(server, current, []result{logRangeResult{stored: stored, ok: true}})
+	for _, page := range pages {
+		f.handleResults(server, current, []result{page})
+	}
+	var scores []float64
+	for _, command := range current.waiting {
+		if command.kind == commandReadLogPage {
+			scores = append(scores, command.fromScore)
+		}
+	}
+	return scores
+}
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -36,14 +37,20 @@
 	post     func(time.Time, engine.Message)
 	body     []byte
 	isSilent bool
-	fills    int
+	fills    []*engine.Attempt
+	aborted  []*engine.Attempt
 }
 
 func (p *fakeParent) UpdateEndpoints([]engine.Endpoint, bool) {}
 func (p *fakeParent) CheckHealth(routing.EndpointID)          {}
-func (p *fakeParent) Abort(*engine.Attempt) bool              { return true }
+
+func (p *fakeParent) Abort(attempt *engine.Attempt) bool {
+	p.aborted = append(p.aborted, attempt)
+	return true
+}
+
 func (p *fakeParent) Send(attempt *engine.Attempt) {
-	p.fills++
+	p.fills = append(p.fills, attempt)
 	if p.isSilent {
 		return
 	}
@@ -207,7 +214,7 @@
 		t.Fatalf("%v after a purge", result.Note)
 	}
 	time.Sleep(30 * time.Millisecond) // it is stored again
-	f.checkNothingLeft(t)
+	f.waitUntilNothingLeft(t)
 }
 
 // A write never reaches a store, and costs no operation.
@@ -239,28 +246,89 @@
 	f.checkNothingLeft(t)
 }
 
-// checkNothingLeft waits for what is on its way still, such as a set.
+// checkNothingLeft looks at once.
 func (f *fixture) checkNothingLeft(tb testing.TB) {
 	tb.Helper()
-	var attempts, operations int
+	if attempts, operations := f.countOpen(); attempts > 0 || operations > 0 {
+		tb.Errorf("%d attempts and %d operations are left", attempts, operations)
+	}
+}
+
+// waitUntilNothingLeft waits for what may be on its way still, such as a set.
+func (f *fixture) waitUntilNothingLeft(tb testing.TB) {
+	tb.Helper()
 	for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		f.mu.Lock()
-		attempts, operations = len(f.byAttempt), len(f.operations)
-		f.mu.Unlock()
-		if attempts == 0 && operations == 0 {
+		if attempts, operations := f.countOpen(); attempts == 0 && operations == 0 {
 			return
 		}
 	}
-	tb.Errorf("%d attempts and %d operations are left", attempts, operations)
+	f.checkNothingLeft(tb)
+}
+
+func (f *fixture) countOpen() (attempts, operations int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.byAttempt), len(f.operations)
 }
 
-// Where no store can be reached, the fill begins at once.
+// atOnce is sooner than the first get is late, which would begin a fill as well.
+const atOnce = 20 * time.Millisecond
+
+// Where the store cannot be reached, the fill begins at once, whether the loss of the connection was noticed or not.
 func TestUnreachableStoreIsBypassed(t *testing.T) {
-	f := newFixture(t, zap.NewNop())
-	f.redis.Close()
-	time.Sleep(20 * time.Millisecond)
+	t.Run("noticed", func(t *testing.T) {
+		f := newFixture(t, zap.NewNop())
+		f.redis.Close()
+		for until := time.Now().Add(5 * time.Second); !f.isDisconnected() && time.Now().Before(until); {
+			time.Sleep(time.Millisecond)
+		}
+		f.checkFilledAtOnce(t)
+		if counts := f.Counts(); counts.Bypassed != 1 || counts.Gets != 0 {
+			t.Errorf("%d requests bypassed the store after %d gets", counts.Bypassed, counts.Gets)
+		}
+	})
+	t.Run("not noticed", func(t *testing.T) {
+		f := newUnconnectedFixture(t)
+		f.start(t)
+		f.checkFilledAtOnce(t)
+		if counts := f.Counts(); counts.Bypassed != 0 || counts.Gets != 1 {
+			t.Errorf("%d requests bypassed the store, %d gets", counts.Bypassed, counts.Gets)
+		}
+	})
+}
+
+func (f *fixture) checkFilledAtOnce(tb testing.TB) {
+	tb.Helper()
+	startedAt := time.Now()
 	f.request(9)
-	if result := f.result(t); result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
-		t.Errorf("%v %v", result.Outcome, result.Note)
+	result := f.result(tb)
+	if elapsed := time.Since(startedAt); elapsed > atOnce {
+		tb.Errorf("the result took %v", elapsed)
+	}
+	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
+		tb.Errorf("%v %v", result.Outcome, result.Note)
+	}
+	if late := f.Counts().Timeouts; late != 0 {
+		tb.Errorf("%d timers fired", late)
+	}
+}
+
+// The fill of an abandoned attempt is aborted.
+func TestAbortWhileFilling(t *testing.T) {
+	f := newUnconnectedFixture(t)
+	f.silenceParent()
+	f.start(t)
+	attempt := f.request(7)
+	for until := time.Now().Add(5 * time.Second); f.fillsSent() == 0 && time.Now().Before(until); {
+		time.Sleep(time.Millisecond)
+	}
+	if !f.Abort(attempt) {
+		t.Error("not aborted")
+	}
+	f.checkNothingLeft(t)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if fills := f.parent.fills; len(fills) != 1 || !slices.Equal(f.parent.aborted, fills) {
+		t.Errorf("%d fills, %d of them aborted", len(fills), len(f.parent.aborted))
 	}
 }
--- a/internal/sharedstore/unsent_test.go
+++ b/internal/sharedstore/unsent_test.go
@@ -19,7 +19,7 @@
 	if result := f.result(t); result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
 		t.Errorf("%v %v", result.Outcome, result.Note)
 	}
-	f.checkNothingLeft(t)
+	f.waitUntilNothingLeft(t)
 	if sets, unsent := f.Counts().Sets, f.unsentCommands(); sets != 1 || unsent != 0 {
 		t.Errorf("%d sets, and %d unsent commands are left; want 1 and 0", sets, unsent)
 	}
@@ -74,7 +74,7 @@
 func (f *fixture) fillsSent() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.parent.fills
+	return len(f.parent.fills)
 }
 
 func (f *fixture) outboxLength() int {
