--- a/internal/sharedstore/command.go
+++ b/internal/sharedstore/command.go
@@ -127,7 +127,8 @@
 	if update.CompleteTo > 0 {
 		add(update.CompleteTo, []byte(memberCompleteTo))
 	}
-	// The entries belong to the decisions, which may append to theirs.
+	// The entries lie in the coordinator's log. They are clipped, so that nothing appended here overwrites what follows
+	// them there. The log may shift them later: from here on only their number is used.
 	update.Invalidations = update.Invalidations[:len(update.Invalidations):len(update.Invalidations)]
 	return command{kind: commandWriteLog, args: list, update: update}
 }
--- a/internal/sharedstore/disconnect_test.go
+++ b/internal/sharedstore/disconnect_test.go
@@ -43,16 +43,16 @@
 	f := newUnconnectedFixture(t)
 	f.start(t)
 	bounds := testLimits()
-	server := f.servers[engine.EndpointID(storeUID)]
+	client := f.clients[engine.EndpointID(storeUID)]
 	ended := newConnection(&bounds, Credentials{}, time.Now())
-	server.setConnection(ended, nil)
+	client.setConnection(ended, nil)
 	f.requestFrom(7, 0)
-	server.setConnection(nil, nil)
-	f.handleDisconnected(server, errStoreSilent)
+	client.setConnection(nil, nil)
+	f.handleDisconnected(client, errStoreSilent)
 
-	f.handleResults(server, ended, []result{
+	f.handleResults(client, ended, []result{
 		connectedResult{runID: 2, uptime: time.Hour},
-		commandResult{command: getCommand(&server.keys, f.lastOperation, copyKey{object: 7}), reply: decide.ReplyMiss},
+		commandResult{command: getCommand(&client.keys, f.lastOperation, copyKey{object: 7}), reply: decide.ReplyMiss},
 	})
 	if !f.isDisconnected() {
 		t.Error("an ended connection has marked the store connected")
@@ -80,7 +80,7 @@
 func (f *fixture) isDisconnected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.servers[engine.EndpointID(storeUID)].isDisconnected
+	return f.clients[engine.EndpointID(storeUID)].isDisconnected
 }
 
 func (f *fixture) silenceParent() {
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -34,28 +34,28 @@
 	if !isNews {
 		return
 	}
-	for _, server := range t.servers {
-		server.syncLog()
+	for _, client := range t.clients {
+		client.syncLog()
 	}
 }
 
 func (t *Transport) withUnlistedStores(endpoints []engine.Endpoint) []engine.Endpoint {
 	endpoints = slices.Clone(endpoints)
-	for _, server := range t.servers {
-		if !server.config.Listed {
-			endpoints = append(endpoints, t.member(server))
+	for _, client := range t.clients {
+		if !client.config.Listed {
+			endpoints = append(endpoints, t.member(client))
 		}
 	}
 	return endpoints
 }
 
 // member is the endpoint of a store that this router adds to the list.
-func (t *Transport) member(server *server) engine.Endpoint {
-	if endpoint, known := t.members[server.id]; known {
+func (t *Transport) member(client *storeClient) engine.Endpoint {
+	if endpoint, known := t.members[client.id]; known {
 		return endpoint
 	}
-	endpoint := engine.Endpoint{UID: server.config.UID, Endpoint: routing.Endpoint{
-		ID: server.id, State: routing.Ready, Zone: t.routing.Zone, Weight: server.config.Weight,
+	endpoint := engine.Endpoint{UID: client.config.UID, Endpoint: routing.Endpoint{
+		ID: client.id, State: routing.Ready, Zone: t.routing.Zone, Weight: client.config.Weight,
 	}}
 	for endpoint.Kind == t.routing.ParentKind || endpoint.Kind == t.routing.OriginKind {
 		endpoint.Kind++
@@ -94,9 +94,9 @@
 		t.origin = endpoint.ID
 	}
 	t.handle(&decide.Event{Kind: decide.EventEndpointState, Endpoint: endpoint.ID, State: endpoint.State})
-	if server := t.servers[endpoint.ID]; server != nil {
+	if client := t.clients[endpoint.ID]; client != nil {
 		t.members[endpoint.ID] = *endpoint
-		server.setAddress(endpoint.Address)
+		client.setAddress(endpoint.Address)
 		return true
 	}
 	if endpoint.State == routing.Gone {
--- a/internal/sharedstore/errors.go
+++ b/internal/sharedstore/errors.go
@@ -2,19 +2,21 @@
 
 import "errors"
 
-// Why a value cannot be used; see Decode.
+// Why a value cannot be used. All but ErrWrongKey come from Decode.
 var (
 	ErrForeignValue   = errors.New("not a value of this router")
 	ErrUnknownFormat  = errors.New("a value of a newer format")
 	ErrTruncatedValue = errors.New("a truncated value")
 	ErrChecksum       = errors.New("checksum mismatch")
-	ErrWrongKey       = errors.New("a copy of another object")
+	// ErrWrongKey says that a valid value was stored under the key of another object or part.
+	ErrWrongKey = errors.New("a copy of another object")
 )
 
 // errStoreSilent ends a connection on which commands stay unanswered.
 var errStoreSilent = errors.New("no answer from the store")
 
-// errReplyShape ends a connection whose replies do not fit the commands: they can no longer be matched.
+// errReplyShape ends a connection whose replies do not fit the commands, or that sends a reply to no command: replies
+// can no longer be matched.
 var errReplyShape = errors.New("reply of an unexpected type")
 
 // storeError is an error reply of a store, in its own words.
--- a/internal/sharedstore/logsync.go
+++ b/internal/sharedstore/logsync.go
@@ -6,13 +6,13 @@
 import decide "fennelarch/policy/sharedstore"
 
 // syncLog begins to read the range of the log, if it is not being read or written already.
-func (s *server) syncLog() {
+func (s *storeClient) syncLog() {
 	if !s.isSyncingLog && !s.isDisconnected {
 		s.isSyncingLog = s.send(readLogRangeCommand(&s.keys))
 	}
 }
 
-func (s *server) handleLogRange(r logRangeResult) {
+func (s *storeClient) handleLogRange(r logRangeResult) {
 	s.isSyncingLog = false
 	if !r.ok {
 		return
@@ -22,7 +22,7 @@
 }
 
 // updateLog carries out what the decisions plan on the range that was read.
-func (s *server) updateLog(update decide.LogUpdate) {
+func (s *storeClient) updateLog(update decide.LogUpdate) {
 	switch {
 	case update.NeedsAll:
 		s.logEntries = nil
@@ -37,7 +37,7 @@
 
 // handleLogPage reads on until the last page. A page whose scores are all the same cannot be passed: then the entries
 // are incomplete.
-func (s *server) handleLogPage(page *logPageResult) {
+func (s *storeClient) handleLogPage(page *logPageResult) {
 	s.logEntries = append(s.logEntries, page.entries...)
 	if page.ok && !page.isLast && page.lastScore > page.fromScore {
 		s.isSyncingLog = s.send(readLogPageCommand(&s.keys, page.lastScore))
@@ -53,7 +53,7 @@
 	s.logEntries = nil
 }
 
-func (s *server) handleLogWritten(r *logWrittenResult) {
+func (s *storeClient) handleLogWritten(r *logWrittenResult) {
 	s.isSyncingLog = false
 	if r.ok && s.transport.coordinator.LogUpdateWritten(s.id, r.update) {
 		s.syncLog()
--- a/internal/sharedstore/logsync_test.go
+++ b/internal/sharedstore/logsync_test.go
@@ -100,7 +100,7 @@
 			if scores := f.readLog(test.pages); !slices.Equal(scores, test.wantScores) {
 				t.Errorf("pages were asked for from %v, want %v", scores, test.wantScores)
 			}
-			if f.servers[engine.EndpointID(storeUID)].isSyncingLog {
+			if f.clients[engine.EndpointID(storeUID)].isSyncingLog {
 				t.Error("the log is still being read")
 			}
 			isNews := f.coordinator.RecordInvalidation(f.now(), entry)
@@ -115,14 +115,14 @@
 // for.
 func (f *fixture) readLog(pages []logPageResult) []float64 {
 	bounds := testLimits()
-	server := f.servers[engine.EndpointID(storeUID)]
+	client := f.clients[engine.EndpointID(storeUID)]
 	current := newConnection(&bounds, Credentials{}, time.Now())
-	server.setConnection(current, nil)
+	client.setConnection(current, nil)
 	startedAt := decide.Timestamp(f.startedAt.UnixMilli())
 	stored := decide.LogRange{CompleteFrom: startedAt - 10_000, CompleteTo: startedAt + 600}
-	f.handleResults(server, current, []result{logRangeResult{stored: stored, ok: true}})
+	f.handleResults(client, current, []result{logRangeResult{stored: stored, ok: true}})
 	for _, page := range pages {
-		f.handleResults(server, current, []result{page})
+		f.handleResults(client, current, []result{page})
 	}
 	var scores []float64
 	for _, command := range current.waiting {
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -14,7 +14,7 @@
 // operation is one attempt at a store, as the decisions number it.
 type operation struct {
 	attempt       *engine.Attempt
-	store         *server
+	client        *storeClient
 	source        routing.EndpointID // fills come from here, 0: none
 	isRelay       bool               // another cache was to be filled from the store
 	isComplete    bool
@@ -31,11 +31,11 @@
 // unsentCommand is a command that found no connection.
 type unsentCommand struct {
 	command command
-	store   *server
+	client  *storeClient
 }
 
-// start begins an operation.
-func (t *Transport) start(op *operation) {
+// startOperation begins an operation.
+func (t *Transport) startOperation(op *operation) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
 	attempt, request := op.attempt, op.attempt.Request
@@ -46,7 +46,7 @@
 	event := decide.Event{
 		Kind:           decide.EventRequest,
 		Operation:      t.lastOperation,
-		Endpoint:       op.store.id,
+		Endpoint:       op.client.id,
 		Source:         op.source,
 		Object:         request.Object,
 		Part:           request.Part,
@@ -98,7 +98,7 @@
 	next := t.unsent[0]
 	t.unsent = t.unsent[1:]
 	result := commandResult{command: next.command, reply: decide.ReplyDisconnected}
-	event := result.event(next.store.id)
+	event := result.event(next.client.id)
 	t.handle(&event)
 	if len(t.unsent) == 0 {
 		t.unsent = nil
@@ -114,7 +114,7 @@
 	case decide.ActionAnnounceStart:
 		t.announceStart(action)
 	case decide.ActionLog:
-		t.log.Info(action.Message, zap.String("uid", t.servers[action.Endpoint].config.UID))
+		t.log.Info(action.Message, zap.String("uid", t.clients[action.Endpoint].config.UID))
 	default:
 		if op := t.operations[action.Operation]; op != nil {
 			t.performFor(op, action)
@@ -124,14 +124,14 @@
 
 // performFor carries an action of an operation out.
 func (t *Transport) performFor(op *operation, action *decide.Action) {
-	keys := &op.store.keys
+	keys := &op.client.keys
 	switch action.Kind {
 	case decide.ActionGet:
 		t.send(op, getCommand(keys, action.Operation, op.key()))
 	case decide.ActionAcquireLease:
 		t.send(op, acquireLeaseCommand(keys, action.Operation, op.key(), action.TTL))
 	case decide.ActionReleaseLease:
-		op.store.send(releaseLeaseCommand(keys, op.key()))
+		op.client.send(releaseLeaseCommand(keys, op.key()))
 	case decide.ActionSet:
 		op.copy.ValidFrom = action.ValidFrom
 		t.send(op, setCommand(keys, action.Operation, op.key(), action.TTL, &op.copy))
@@ -151,10 +151,10 @@
 // send sends a command of an operation. One that finds no connection is reported as failed by Run, as the caller may be
 // the engine, and each failure may make the next of many requests send a command.
 func (t *Transport) send(op *operation, command command) {
-	if op.store.send(command) {
+	if op.client.send(command) {
 		return
 	}
-	t.unsent = append(t.unsent, unsentCommand{command, op.store})
+	t.unsent = append(t.unsent, unsentCommand{command, op.client})
 	t.wakeRun()
 }
 
--- a/internal/sharedstore/results.go
+++ b/internal/sharedstore/results.go
@@ -14,66 +14,66 @@
 
 // handleResults takes what a connection to a store reports. A reader may be late: what it then says of the connection
 // itself or of the log no longer counts, as the end of the connection may have been handled.
-func (t *Transport) handleResults(server *server, connection *connection, results []result) {
+func (t *Transport) handleResults(client *storeClient, connection *connection, results []result) {
 	if len(results) == 0 {
 		return
 	}
 	defer t.flush()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	isCurrent := server.isCurrent(connection)
+	isCurrent := client.isCurrent(connection)
 	for _, result := range results {
 		switch r := result.(type) {
 		case commandResult:
-			t.handleCommandResult(server, &r)
+			t.handleCommandResult(client, &r)
 		case healthResult:
-			t.handleHealthResult(server, r)
+			t.handleHealthResult(client, r)
 		default:
 			if isCurrent {
-				t.handleConnectionResult(server, r)
+				t.handleConnectionResult(client, r)
 			}
 		}
 	}
 }
 
 // handleConnectionResult takes a result that counts for the connection it came on.
-func (t *Transport) handleConnectionResult(server *server, result result) {
+func (t *Transport) handleConnectionResult(client *storeClient, result result) {
 	switch r := result.(type) {
 	case connectedResult:
-		t.handleConnected(server, r)
+		t.handleConnected(client, r)
 	case logRangeResult:
-		server.handleLogRange(r)
+		client.handleLogRange(r)
 	case logPageResult:
-		server.handleLogPage(&r)
+		client.handleLogPage(&r)
 	case logWrittenResult:
-		server.handleLogWritten(&r)
+		client.handleLogWritten(&r)
 	}
 }
 
-func (t *Transport) handleConnected(server *server, connected connectedResult) {
-	server.isSyncingLog, server.isDisconnected = false, false
+func (t *Transport) handleConnected(client *storeClient, connected connectedResult) {
+	client.isSyncingLog, client.isDisconnected = false, false
 	t.log.Info("store connected",
-		zap.String("uid", server.config.UID), zap.Duration("uptime", connected.uptime))
+		zap.String("uid", client.config.UID), zap.Duration("uptime", connected.uptime))
 	t.handle(&decide.Event{
-		Kind: decide.EventConnected, Endpoint: server.id, RunID: connected.runID, Uptime: connected.uptime,
+		Kind: decide.EventConnected, Endpoint: client.id, RunID: connected.runID, Uptime: connected.uptime,
 	})
-	server.syncLog()
+	client.syncLog()
 }
 
 // handleDisconnected takes the end of a connection, or of the attempt to connect. Only the first in a row is logged.
-func (t *Transport) handleDisconnected(server *server, err error) {
+func (t *Transport) handleDisconnected(client *storeClient, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !server.isDisconnected {
-		t.log.Warn("store not connected", zap.String("uid", server.config.UID), zap.Error(err))
+	if !client.isDisconnected {
+		t.log.Warn("store not connected", zap.String("uid", client.config.UID), zap.Error(err))
 	}
-	server.isDisconnected = true
-	t.handle(&decide.Event{Kind: decide.EventDisconnected, Endpoint: server.id})
+	client.isDisconnected = true
+	t.handle(&decide.Event{Kind: decide.EventDisconnected, Endpoint: client.id})
 }
 
-func (t *Transport) handleCommandResult(server *server, r *commandResult) {
-	t.logProblem(server, r)
-	event := r.event(server.id)
+func (t *Transport) handleCommandResult(client *storeClient, r *commandResult) {
+	t.logProblem(client, r)
+	event := r.event(client.id)
 	isHit := r.reply == decide.ReplyHit && r.command.kind == commandGet
 	if op := t.operations[event.Operation]; op != nil && !op.isComplete && isHit {
 		event.GeneratedAt, event.ValidFrom = r.copy.GeneratedAt, r.copy.ValidFrom
@@ -83,15 +83,15 @@
 }
 
 // logProblem logs values that cannot be used and unknown errors, though not each: one line would drown the others.
-func (t *Transport) logProblem(server *server, r *commandResult) {
+func (t *Transport) logProblem(client *storeClient, r *commandResult) {
 	if r.reply != decide.ReplyCorrupt && r.reply != decide.ReplyUnknownError {
 		return
 	}
-	if time.Since(server.lastProblemAt) < t.limits.BackoffMax {
+	if time.Since(client.lastProblemAt) < t.limits.BackoffMax {
 		return
 	}
-	server.lastProblemAt = time.Now()
-	uid := zap.String("uid", server.config.UID)
+	client.lastProblemAt = time.Now()
+	uid := zap.String("uid", client.config.UID)
 	if r.reply == decide.ReplyUnknownError {
 		t.log.Warn("store refuses", uid, zap.Error(r.err))
 		return
@@ -101,9 +101,9 @@
 		zap.String("object", object), zap.Int("part", r.command.key.part))
 }
 
-func (t *Transport) handleHealthResult(server *server, health healthResult) {
+func (t *Transport) handleHealthResult(client *storeClient, health healthResult) {
 	result := engine.HealthCheckResult{
-		Endpoint: server.id, Outcome: routing.ConnectFailed, Elapsed: health.elapsed,
+		Endpoint: client.id, Outcome: routing.ConnectFailed, Elapsed: health.elapsed,
 	}
 	if health.isHealthy {
 		result.Outcome = routing.Succeeded
--- a/internal/sharedstore/server.go
+++ b/internal/sharedstore/storeclient.go
@@ -15,8 +15,8 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// server keeps one connection to a store: it dials its addresses in turn, and reads and writes.
-type server struct {
+// storeClient keeps one connection to a store: it dials its addresses in turn, and reads and writes.
+type storeClient struct {
 	transport *Transport
 	id        routing.EndpointID
 	config    Store
@@ -36,15 +36,15 @@
 	lastProblemAt  time.Time // when its replies were last logged
 }
 
-func newServer(transport *Transport, id routing.EndpointID, config Store) *server {
-	return &server{
+func newStoreClient(transport *Transport, id routing.EndpointID, config Store) *storeClient {
+	return &storeClient{
 		transport: transport, id: id, config: config, keys: keys{config.Prefix}, wake: make(chan struct{}, 1),
 		addresses: config.Addresses,
 	}
 }
 
 // send queues a command on the connection, and says whether there is one.
-func (s *server) send(command command) bool {
+func (s *storeClient) send(command command) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.connection == nil {
@@ -60,7 +60,7 @@
 
 // setAddress is the address of the endpoint list. It counts where the operator named none; a new one ends the
 // connection.
-func (s *server) setAddress(address string) {
+func (s *storeClient) setAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.config.Addresses) > 0 || address == "" || slices.Equal(s.addresses, []string{address}) {
@@ -73,7 +73,7 @@
 }
 
 // run keeps one connection up until the context ends. It returns when its readers have ended.
-func (s *server) run(ctx context.Context) {
+func (s *storeClient) run(ctx context.Context) {
 	defer s.readers.Wait()
 	bounds := &s.transport.limits
 	backoff := bounds.BackoffMin
@@ -98,7 +98,7 @@
 	}
 }
 
-func (s *server) dial(ctx context.Context, address string) (net.Conn, error) {
+func (s *storeClient) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.transport.limits.ConnectTimeout)
 	defer cancel()
 	socket, err := system.DialContext(ctx, "tcp", address)
@@ -114,13 +114,13 @@
 }
 
 // isCurrent says whether a connection has not ended.
-func (s *server) isCurrent(connection *connection) bool {
+func (s *storeClient) isCurrent(connection *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connection == connection
 }
 
-func (s *server) setConnection(connection *connection, socket net.Conn) {
+func (s *storeClient) setConnection(connection *connection, socket net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.connection, s.socket = connection, socket
@@ -128,7 +128,7 @@
 
 // connect dials an address and serves the connection until it ends. It does not wait for the reader, which may be
 // blocked in Deliver: the loss of the connection has to be reported all the same.
-func (s *server) connect(ctx context.Context, address string) error {
+func (s *storeClient) connect(ctx context.Context, address string) error {
 	socket, err := s.dial(ctx, address)
 	if err != nil {
 		return err
@@ -151,7 +151,7 @@
 
 // write sends what is queued, until the connection or the context ends. It has the invalidation log synchronized at
 // random intervals, so that routers do not keep in step, and ends a connection that has fallen silent.
-func (s *server) write(ctx context.Context, socket net.Conn, current *connection, readError <-chan error) error {
+func (s *storeClient) write(ctx context.Context, socket net.Conn, current *connection, readError <-chan error) error {
 	bounds := &s.transport.limits
 	silenceCheck := time.NewTicker(bounds.PollTimeout / 8)
 	defer silenceCheck.Stop()
@@ -182,7 +182,7 @@
 }
 
 // writePending writes once, and says whether there was anything to write.
-func (s *server) writePending(socket net.Conn, current *connection) (bool, error) {
+func (s *storeClient) writePending(socket net.Conn, current *connection) (bool, error) {
 	bounds := &s.transport.limits
 	now := time.Now()
 	s.mu.Lock()
@@ -204,7 +204,7 @@
 }
 
 // read reads until the connection ends.
-func (s *server) read(socket net.Conn, current *connection) error {
+func (s *storeClient) read(socket net.Conn, current *connection) error {
 	for {
 		s.mu.Lock()
 		buffer := current.readBuffer()
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -3,7 +3,7 @@
 // decisions in policy/sharedstore want, and ends as an attempt at a cache does. Transport decides nothing and never
 // blocks the engine.
 //
-// One connection to each store is kept by a server; connection is the state machine behind it, without a socket.
+// One connection to each store is kept by a storeClient; connection is the state machine behind it, without a socket.
 // Commands and replies are in command.go and reply.go, the stored form of values and keys in value.go and keys.go.
 package sharedstore
 
@@ -48,12 +48,13 @@
 	Seed      uint64
 	Stores    []Store
 	StartedAt time.Time
-	// Deliver takes messages for the engine. It is called from goroutines of the transport only, and may block.
+	// Deliver takes messages for the engine. It is called from goroutines of this transport and of the inner one, never
+	// from the engine's, and may block.
 	Deliver func(at time.Time, message engine.Message)
 	Log     *zap.Logger
 }
 
-// Transport is an engine.Transport that knows stores. Its lock is taken before those of its servers and of the inner
+// Transport is an engine.Transport that knows stores. Its lock is taken before those of its clients and of the inner
 // transport.
 type Transport struct {
 	limits    limits.Limits
@@ -63,7 +64,7 @@
 	inner     engine.Transport // of all other endpoints
 	deliver   func(at time.Time, message engine.Message)
 	wake      chan struct{}
-	servers   map[routing.EndpointID]*server
+	clients   map[routing.EndpointID]*storeClient
 
 	mu            sync.Mutex
 	coordinator   *decide.Coordinator
@@ -88,7 +89,7 @@
 		startedAt:  options.StartedAt,
 		deliver:    options.Deliver,
 		wake:       make(chan struct{}, 1),
-		servers:    map[routing.EndpointID]*server{},
+		clients:    map[routing.EndpointID]*storeClient{},
 		members:    map[routing.EndpointID]engine.Endpoint{},
 		kinds:      map[routing.EndpointID]routing.KindID{},
 		operations: map[decide.OperationID]*operation{},
@@ -98,7 +99,7 @@
 	for _, store := range options.Stores {
 		id := engine.EndpointID(store.UID)
 		ids = append(ids, id)
-		t.servers[id] = newServer(t, id, store)
+		t.clients[id] = newStoreClient(t, id, store)
 	}
 	decisions := options.Decisions
 	decisions.Epoch = decide.Timestamp(options.StartedAt.UnixMilli())
@@ -112,10 +113,10 @@
 // Run keeps the connections, fires timers, reports commands that found no connection as failed, and delivers messages
 // until the context ends. It returns when its goroutines have ended.
 func (t *Transport) Run(ctx context.Context) {
-	var servers sync.WaitGroup
-	defer servers.Wait()
-	for _, server := range t.servers {
-		servers.Go(func() { server.run(ctx) })
+	var clients sync.WaitGroup
+	defer clients.Wait()
+	for _, client := range t.clients {
+		clients.Go(func() { client.run(ctx) })
 	}
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
@@ -139,21 +140,21 @@
 
 // Send takes an attempt: at a store, at a cache that is to be filled from one, or at any other endpoint.
 func (t *Transport) Send(attempt *engine.Attempt) {
-	store := t.servers[attempt.Endpoint]
-	isRelay := store == nil
+	client := t.clients[attempt.Endpoint]
+	isRelay := client == nil
 	if isRelay {
 		// No cache can fetch from a store: this router serves the store's copy instead.
-		store = t.servers[attempt.Source]
+		client = t.clients[attempt.Source]
 	}
 	switch {
-	case store == nil:
+	case client == nil:
 		t.inner.Send(attempt)
 	case attempt.Request.Write:
 		t.refuseWrite(attempt)
 	case isRelay:
-		t.start(&operation{attempt: attempt, store: store, isRelay: true})
+		t.startOperation(&operation{attempt: attempt, client: client, isRelay: true})
 	default:
-		t.start(&operation{attempt: attempt, store: store, source: attempt.Source})
+		t.startOperation(&operation{attempt: attempt, client: client, source: attempt.Source})
 	}
 }
 
@@ -173,12 +174,12 @@
 
 // CheckHealth asks an endpoint for its state.
 func (t *Transport) CheckHealth(id routing.EndpointID) {
-	store := t.servers[id]
-	if store == nil {
+	client := t.clients[id]
+	if client == nil {
 		t.inner.CheckHealth(id)
 		return
 	}
-	if !store.send(pingCommand()) {
+	if !client.send(pingCommand()) {
 		t.mu.Lock()
 		defer t.unlockAndWake()
 		t.post(engine.HealthCheckResult{Endpoint: id, Outcome: routing.ConnectFailed})
--- a/internal/sharedstore/unsent_test.go
+++ b/internal/sharedstore/unsent_test.go
@@ -42,13 +42,13 @@
 	const followers = 50
 	f := newUnconnectedFixture(t)
 	bounds := testLimits()
-	server := f.servers[engine.EndpointID(storeUID)]
-	server.setConnection(newConnection(&bounds, Credentials{}, time.Now()), nil)
+	client := f.clients[engine.EndpointID(storeUID)]
+	client.setConnection(newConnection(&bounds, Credentials{}, time.Now()), nil)
 	leader := f.request(7)
 	for range followers {
 		f.request(7)
 	}
-	server.setConnection(nil, nil)
+	client.setConnection(nil, nil)
 	f.listParentDraining() // no follower can be filled: each fails in turn, and the next takes over
 	if !f.Abort(leader) {
 		t.Error("not aborted")
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -35,7 +35,7 @@
 	log             invalidationLog
 	random          randomSource
 	lastTimerID     uint64
-	slowStartMargin float64
+	slowStartMargin float64 // defaultSlowStartMargin; only tests change it
 
 	// Counts is what was decided so far.
 	Counts Counts
@@ -267,7 +267,7 @@
 	if c.leaders[op.key] == nil {
 		c.leaders[op.key] = op
 	}
-	if c.canSend(op.store, 1) && op.store.health.admit(op) {
+	if c.canSend(op.store, getCommands) && op.store.health.admit(op) {
 		c.get(op)
 		return
 	}
@@ -282,7 +282,7 @@
 }
 
 func (c *Coordinator) getAgain(op *operation) {
-	if c.canSend(op.store, 2) {
+	if c.canSend(op.store, getAgainCommands) {
 		c.get(op)
 		return
 	}
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -136,7 +136,7 @@
 func (c *Coordinator) canStore(op *operation) bool {
 	store := op.store
 	return op.generatedAt > 0 && op.bodyBytes > 0 && op.bodyBytes <= c.settings.MaxValueBytes &&
-		!store.refusesWrites && store.health.isUsable() && store.limit.isHalfFree() && c.canSend(store, 1)
+		!store.refusesWrites && store.health.isUsable() && store.limit.isHalfFree() && c.canSend(store, setCommands)
 }
 
 // validFrom is the time before which no purge can have been missed on a copy's way here: its generation or, for an old
--- a/policy/sharedstore/invalidationlog.go
+++ b/policy/sharedstore/invalidationlog.go
@@ -30,7 +30,7 @@
 	byGroup      map[routing.GroupID]Timestamp
 	entries      []Invalidation // in the order in which they were recorded
 	dropped      int            // entries that have fallen out: the position of an entry is its index plus this
-	maxGap       Timestamp      // ranges that lie so far apart are taken for contiguous; only a test sets it
+	maxGap       Timestamp      // ranges that lie so far apart are taken for contiguous; only tests change it
 }
 
 func newInvalidationLog(start Timestamp, maxTTL time.Duration) invalidationLog {
--- a/policy/sharedstore/lease.go
+++ b/policy/sharedstore/lease.go
@@ -33,7 +33,7 @@
 
 func (c *Coordinator) canUseLease(op *operation) bool {
 	return c.settings.Lease && !op.onlyIfCached && c.maxWait(op) >= c.fillTime.upper() &&
-		!op.store.refusesWrites && c.canSend(op.store, 2)
+		!op.store.refusesWrites && c.canSend(op.store, leaseCommands)
 }
 
 // leaseTTL is half as long again as a fill that is slower than nearly all: a slow holder mostly keeps the lease, and
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -126,7 +126,8 @@
 	sync.completeFrom, sync.completeTo = stored.CompleteFrom, stored.CompleteTo
 	c.consumeBudget(store, logSyncCommands)
 	if isLost {
-		// This is no call of Handle: the actions that follow are not carried out.
+		// Known fault: this is no call of Handle, so the actions that follow (the log line, the timer for the end of the
+		// slow start, the announced start) are lost.
 		c.handleConnection(store, &Event{Kind: EventDataLost, Endpoint: store.id})
 	}
 }
--- a/policy/sharedstore/slowstart.go
+++ b/policy/sharedstore/slowstart.go
@@ -8,6 +8,12 @@
 const (
 	// greetingCommands is how many commands a new connection sends before anything else.
 	greetingCommands = 4
+	// getCommands and setCommands are what a get and a set need.
+	getCommands, setCommands = 1, 1
+	// getAgainCommands is what a repeated get needs: itself and, after a miss, the attempt to acquire the lease.
+	getAgainCommands = 2
+	// leaseCommands is what a lease needs: the attempt to acquire it and the set that follows the fill.
+	leaseCommands = 2
 	// commandsPerRequest is what one request may need: a get, a lease and a set.
 	commandsPerRequest = 3
 	// burstsPerSecond: a budget holds at most the commands of a fiftieth of a second.
