--- a/cmd/fennelarch/operatorfile_test.go
+++ b/cmd/fennelarch/operatorfile_test.go
@@ -15,7 +15,7 @@
 // A store of the operator's file: a miss is filled from the parent and stored, the next request is served by the store.
 // SIGHUP applies what may change and rejects the rest with one line each, while requests are served.
 func TestOperatorFile(t *testing.T) {
-	store, err := redis.Start(redis.Config{Age: time.Hour})
+	store, err := redis.Start(redis.Config{InitialAge: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,7 +8,7 @@
 )
 
 func (e *Engine) handleEndpointList(list *EndpointList) {
-	e.transport.UpdateEndpoints(list.Endpoints, list.Complete)
+	e.transport.UpdateEndpoints(*list)
 	e.endpoints = e.endpoints[:0]
 	for i := range list.Endpoints {
 		endpoint := list.Endpoints[i].Endpoint
--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -121,8 +121,8 @@
 	e.printf("request %d: %s, %d bytes", tag, status, len(response.Body))
 }
 
-func (e *testEngine) UpdateEndpoints([]Endpoint, bool) {}
-func (e *testEngine) CheckHealth(routing.EndpointID)   {}
+func (e *testEngine) UpdateEndpoints(EndpointList)   {}
+func (e *testEngine) CheckHealth(routing.EndpointID) {}
 
 func (e *testEngine) Send(attempt *Attempt) {
 	e.attempts = append(e.attempts, attempt)
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -31,8 +31,8 @@
 
 // Transport carries attempts to endpoints. None of its methods may block.
 type Transport interface {
-	// UpdateEndpoints applies an endpoint list; complete says that endpoints which are not in it are gone.
-	UpdateEndpoints(endpoints []Endpoint, complete bool)
+	// UpdateEndpoints applies an endpoint list. Endpoints that are not in a complete one are gone.
+	UpdateEndpoints(list EndpointList)
 	// Send starts an attempt; its result is posted to the engine.
 	Send(attempt *Attempt)
 	// Abort gives up an attempt, of which no result follows, and reports whether any of it may have been written.
--- a/internal/fake/redis/commands.go
+++ b/internal/fake/redis/commands.go
@@ -46,7 +46,7 @@
 	}
 	time.Sleep(delay)
 	if fault.hasErrorFor(verb) {
-		connection.WriteError(fault.Word)
+		connection.WriteError(fault.ErrorReply)
 		return
 	}
 	client := connection.Context().(*session)
@@ -109,7 +109,7 @@
 	if wantUser == "" {
 		wantUser = defaultUser
 	}
-	if password != s.config.Word || user != wantUser {
+	if password != s.config.Password || user != wantUser {
 		connection.WriteError("WRONGPASS invalid username-password pair or user is disabled.")
 		return
 	}
--- a/internal/fake/redis/counts.go
+++ b/internal/fake/redis/counts.go
@@ -35,8 +35,8 @@
 	c.slots[slot]++
 }
 
-// Values is how many commands on plain values it was asked, whatever it answered.
-func (s *Store) Values() int {
+// ValueCommands is how many commands on plain values it was asked, whatever it answered.
+func (s *Store) ValueCommands() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counter.valueCommands
@@ -65,7 +65,7 @@
 		Keys:     len(s.values.byKey),
 		Clients:  len(s.connections),
 	}
-	if s.config.Capacity <= 0 {
+	if s.config.CommandsPerSecond <= 0 {
 		return counts
 	}
 	for first := range s.counter.slots {
@@ -85,15 +85,15 @@
 			commands += float64(s.counter.slots[slot])
 		}
 		share := s.capacityShare(age + time.Duration(slot)*slotWidth)
-		capacity += s.config.Capacity * share * slotWidth.Seconds()
+		capacity += s.config.CommandsPerSecond * share * slotWidth.Seconds()
 	}
 	return commands / capacity
 }
 
 // capacityShare is the share of its capacity that a process of some age has.
 func (s *Store) capacityShare(age time.Duration) float64 {
-	if age >= s.config.ColdFor {
+	if age >= s.config.WarmUpTime {
 		return 1
 	}
-	return s.config.ColdShare + (1-s.config.ColdShare)*float64(age)/float64(s.config.ColdFor)
+	return s.config.ColdCapacityShare + (1-s.config.ColdCapacityShare)*float64(age)/float64(s.config.WarmUpTime)
 }
--- a/internal/fake/redis/faults.go
+++ b/internal/fake/redis/faults.go
@@ -27,35 +27,35 @@
 
 // Fault is what is wrong with a store at the moment; the zero value is nothing.
 type Fault struct {
-	Delay  time.Duration // before each answer
-	Spread time.Duration // up to so much more
-	Verbs  []string      // only these commands are answered with Word; all where there are none
-	Silent bool          // it accepts and says nothing
-	Word   string        // an error that is answered instead
-	Cut    bool          // the connection is reset in the middle of each value
-	Length bool          // a value is announced with more bytes than it has
-	Crowd  bool          // it has as many clients as it takes: new ones are told so, and those there are gone
-	Spoil  Spoil         // how values are corrupted on their way out
+	Delay            time.Duration // before each answer
+	DelayJitter      time.Duration // up to so much more
+	Verbs            []string      // only these commands are answered with Word; all where there are none
+	Silent           bool          // it accepts and says nothing
+	ErrorReply       string        // an error that is answered instead
+	ResetDuringValue bool          // the connection is reset in the middle of each value
+	WrongLength      bool          // a value is announced with more bytes than it has
+	TooManyClients   bool          // it has as many clients as it takes: new ones are told so, and those there are gone
+	Corruption       Corruption    // how values are corrupted on their way out
 }
 
-// Spoil is a way in which a value is not what was stored.
-type Spoil uint8
+// Corruption is a way in which a value is not what was stored.
+type Corruption uint8
 
 // The ways of corruption.
 const (
-	Whole   Spoil = iota // none
-	Flipped              // one bit is another
-	Halved               // its second half is missing
-	Foreign              // it is something else
-	Newer                // it says that it is of a form to come
+	NotCorrupted Corruption = iota // none
+	BitFlipped                     // one bit is another
+	Truncated                      // its second half is missing
+	ForeignValue                   // it is something else
+	NewerFormat                    // it says that it is of a form to come
 )
 
-// Set puts a fault in force.
-func (s *Store) Set(fault Fault) {
+// SetFault puts a fault in force.
+func (s *Store) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = fault
-	if !fault.Crowd {
+	if !fault.TooManyClients {
 		return
 	}
 	for connection := range s.connections {
@@ -66,15 +66,15 @@
 // drawDelay draws for how long an answer is held up.
 func (f Fault) drawDelay(random *rand.Rand) time.Duration {
 	delay := f.Delay
-	if f.Spread > 0 {
-		delay += time.Duration(random.Int64N(int64(f.Spread)))
+	if f.DelayJitter > 0 {
+		delay += time.Duration(random.Int64N(int64(f.DelayJitter)))
 	}
 	return delay
 }
 
 // hasErrorFor says whether a command is answered with the fault's error.
 func (f Fault) hasErrorFor(verb string) bool {
-	if f.Word == "" || verb == "INFO" {
+	if f.ErrorReply == "" || verb == "INFO" {
 		return false
 	}
 	return len(f.Verbs) == 0 || slices.Contains(f.Verbs, verb)
@@ -84,35 +84,35 @@
 func (s *Store) writeValue(connection redcon.Conn, data []byte) {
 	s.counter.valuesGiven++
 	switch {
-	case s.fault.Cut:
+	case s.fault.ResetDuringValue:
 		frame := redcon.AppendBulk(nil, data)
 		connection.WriteRaw(frame[:len(data)/2+1])
 		socket := connection.NetConn()
 		time.AfterFunc(cutDelay, func() { reset(socket) })
-	case s.fault.Length:
+	case s.fault.WrongLength:
 		tooLong := append(append([]byte(nil), data...), make([]byte, excessBytes)...)
 		connection.WriteRaw(redcon.AppendBulk(nil, tooLong)[:len(data)])
 	default:
-		connection.WriteBulk(s.fault.Spoil.apply(data))
+		connection.WriteBulk(s.fault.Corruption.apply(data))
 	}
 }
 
 // apply returns a copy of a value that is corrupted.
-func (p Spoil) apply(data []byte) []byte {
+func (p Corruption) apply(data []byte) []byte {
 	corrupted := append([]byte(nil), data...)
 	if len(data) < minCorruptBytes {
 		return corrupted
 	}
 	switch p {
-	case Flipped:
+	case BitFlipped:
 		corrupted[len(corrupted)/2] ^= flippedBit
-	case Halved:
+	case Truncated:
 		corrupted = corrupted[:len(corrupted)/2]
-	case Foreign:
+	case ForeignValue:
 		corrupted = []byte(foreignValue)
-	case Newer:
+	case NewerFormat:
 		corrupted[formatVersionIndex]++
-	case Whole:
+	case NotCorrupted:
 	}
 	return corrupted
 }
--- a/internal/fake/redis/store.go
+++ b/internal/fake/redis/store.go
@@ -27,16 +27,16 @@
 
 // Config is what a store is at its start.
 type Config struct {
-	Address   string        // "" for any port of loopback
-	Memory    int           // bytes of values before the least recently used are evicted, 0: no bound
-	Capacity  float64       // commands a second when warm, 0: not measured against
-	ColdShare float64       // of the capacity, just after a start
-	ColdFor   time.Duration // until it has all of it
-	Age       time.Duration // for which it has run at its first start
-	User      string        // needed, with the password, where that is set
-	Word      string        // the password
-	Clients   int           // connections at most, 0: no bound
-	Seed      uint64
+	Address           string        // "" for any port of loopback
+	MaxValueBytes     int           // bytes of values before the least recently used are evicted, 0: no bound
+	CommandsPerSecond float64       // commands a second when warm, 0: not measured against
+	ColdCapacityShare float64       // of the capacity, just after a start
+	WarmUpTime        time.Duration // until it has all of it
+	InitialAge        time.Duration // for which it has run at its first start
+	User              string        // needed, with the password, where that is set
+	Password          string        // the password
+	MaxClients        int           // connections at most, 0: no bound
+	Seed              uint64
 }
 
 // Store is one store; it lives through restarts.
@@ -75,7 +75,7 @@
 
 // clear drops all data. The caller holds the lock.
 func (s *Store) clear() {
-	s.values = keyspace{byKey: map[string]*value{}, recency: list.New(), maxBytes: s.config.Memory}
+	s.values = keyspace{byKey: map[string]*value{}, recency: list.New(), maxBytes: s.config.MaxValueBytes}
 	s.sets = map[string]sortedSet{}
 }
 
@@ -95,8 +95,8 @@
 	defer s.mu.Unlock()
 	s.config.Address = listener.Addr().String()
 	s.runID = fmt.Sprintf("%016x%016x%08x", s.random.Uint64(), s.random.Uint64(), s.random.Uint32())
-	s.startedAt = time.Now().Add(-s.config.Age)
-	s.config.Age = 0
+	s.startedAt = time.Now().Add(-s.config.InitialAge)
+	s.config.InitialAge = 0
 	s.counter.start(s.startedAt)
 	s.server = redcon.NewServer("", s.handle, s.accept, s.forget)
 	go func(server *redcon.Server) { _ = server.Serve(listener) }(s.server)
@@ -109,12 +109,12 @@
 func (s *Store) accept(connection redcon.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault.Crowd || s.config.Clients > 0 && len(s.connections) >= s.config.Clients {
+	if s.fault.TooManyClients || s.config.MaxClients > 0 && len(s.connections) >= s.config.MaxClients {
 		connection.WriteError("ERR max number of clients reached")
 		return false
 	}
 	s.connections[connection.NetConn()] = true
-	connection.SetContext(&session{isAuthenticated: s.config.Word == ""})
+	connection.SetContext(&session{isAuthenticated: s.config.Password == ""})
 	return true
 }
 
--- a/internal/fake/redis/store_test.go
+++ b/internal/fake/redis/store_test.go
@@ -35,7 +35,7 @@
 // want sends a command and checks its answer byte by byte.
 func want(t *testing.T, socket net.Conn, command, answer string) {
 	t.Helper()
-	if _, err := socket.Write(resp.AppendWords(nil, strings.Fields(command)...)); err != nil {
+	if _, err := socket.Write(resp.AppendStrings(nil, strings.Fields(command)...)); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, len(answer))
@@ -87,7 +87,7 @@
 }
 
 func TestAuthentication(t *testing.T) {
-	store := startStore(t, Config{User: "router", Word: "secret"})
+	store := startStore(t, Config{User: "router", Password: "secret"})
 	socket := connect(t, store)
 	want(t, socket, "GET k", "-NOAUTH Authentication required.\r\n")
 	want(t, socket, "AUTH secret", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
@@ -98,7 +98,7 @@
 
 // The least recently used value goes first where memory is short.
 func TestEviction(t *testing.T) {
-	store := startStore(t, Config{Memory: 6})
+	store := startStore(t, Config{MaxValueBytes: 6})
 	socket := connect(t, store)
 	want(t, socket, "SET a 12", "+OK\r\n")
 	want(t, socket, "SET b 12", "+OK\r\n")
@@ -107,7 +107,7 @@
 	want(t, socket, "GET b", "$-1\r\n")
 	want(t, socket, "GET a", "$2\r\n12\r\n")
 	counts := store.Counts()
-	if counts.Evicted != 1 || counts.Keys != 2 || counts.Given != 2 || counts.Commands != 6 || store.Values() != 6 {
+	if counts.Evicted != 1 || counts.Keys != 2 || counts.Given != 2 || counts.Commands != 6 || store.ValueCommands() != 6 {
 		t.Errorf("%+v", counts)
 	}
 }
@@ -147,19 +147,19 @@
 		answer string
 	}{
 		"none":                  {Fault{}, length + "0123456789\r\n"},
-		"error":                 {Fault{Word: "BUSY"}, "-BUSY\r\n"},
-		"error of another verb": {Fault{Word: "BUSY", Verbs: []string{"SET"}}, length + "0123456789\r\n"},
-		"flipped":               {Fault{Spoil: Flipped}, length + "01234%6789\r\n"},
-		"halved":                {Fault{Spoil: Halved}, "$5\r\n01234\r\n"},
-		"foreign":               {Fault{Spoil: Foreign}, "$19\r\n{\"somebody\":\"else\"}\r\n"},
-		"newer form":            {Fault{Spoil: Newer}, length + "0133456789\r\n"},
-		"length":                {Fault{Length: true}, "$1048586\r\n"},
+		"error":                 {Fault{ErrorReply: "BUSY"}, "-BUSY\r\n"},
+		"error of another verb": {Fault{ErrorReply: "BUSY", Verbs: []string{"SET"}}, length + "0123456789\r\n"},
+		"flipped":               {Fault{Corruption: BitFlipped}, length + "01234%6789\r\n"},
+		"halved":                {Fault{Corruption: Truncated}, "$5\r\n01234\r\n"},
+		"foreign":               {Fault{Corruption: ForeignValue}, "$19\r\n{\"somebody\":\"else\"}\r\n"},
+		"newer form":            {Fault{Corruption: NewerFormat}, length + "0133456789\r\n"},
+		"length":                {Fault{WrongLength: true}, "$1048586\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := startStore(t, Config{})
 			socket := connect(t, store)
 			want(t, socket, "SET k 0123456789", "+OK\r\n")
-			store.Set(test.fault)
+			store.SetFault(test.fault)
 			want(t, socket, "GET k", test.answer)
 		})
 	}
@@ -171,25 +171,25 @@
 		fault Fault
 		after string // before the end
 	}{
-		"cut":    {Fault{Cut: true}, "$10\r\n0"},
+		"cut":    {Fault{ResetDuringValue: true}, "$10\r\n0"},
 		"silent": {Fault{Silent: true}, ""},
-		"crowd":  {Fault{Crowd: true}, ""},
+		"crowd":  {Fault{TooManyClients: true}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := startStore(t, Config{})
 			socket := connect(t, store)
 			want(t, socket, "SET k 0123456789", "+OK\r\n")
-			store.Set(test.fault)
-			_, _ = socket.Write(resp.AppendWords(nil, "GET", "k"))
+			store.SetFault(test.fault)
+			_, _ = socket.Write(resp.AppendStrings(nil, "GET", "k"))
 			if test.fault.Silent {
-				time.AfterFunc(50*time.Millisecond, func() { store.Set(Fault{}) })
+				time.AfterFunc(50*time.Millisecond, func() { store.SetFault(Fault{}) })
 			}
 			got, err := io.ReadAll(socket)
 			var timeout net.Error
 			if string(got) != test.after || errors.As(err, &timeout) && timeout.Timeout() {
 				t.Errorf("%q, %v", got, err)
 			}
-			if test.fault.Crowd {
+			if test.fault.TooManyClients {
 				want(t, connect(t, store), "PING", "-ERR max number of clients reached\r\n")
 			}
 		})
@@ -198,7 +198,7 @@
 
 // The load is measured against the capacity that a cold process has.
 func TestPeak(t *testing.T) {
-	store := startStore(t, Config{Capacity: 100, ColdShare: 0.5, ColdFor: time.Hour})
+	store := startStore(t, Config{CommandsPerSecond: 100, ColdCapacityShare: 0.5, WarmUpTime: time.Hour})
 	socket := connect(t, store)
 	for range 25 {
 		want(t, socket, "PING", "+PONG\r\n")
--- a/internal/frontend/heldinput.go
+++ b/internal/frontend/heldinput.go
@@ -31,7 +31,7 @@
 			if request == nil {
 				continue
 			}
-			deadline := s.arrivals.timeOf(input.Len() - decoder.Taken()).Add(request.Timeout)
+			deadline := s.arrivals.timeOf(input.Len() - decoder.FrameBytes()).Add(request.Timeout)
 			if firstDeadline.IsZero() || deadline.Before(firstDeadline) {
 				firstDeadline = deadline
 			}
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -37,7 +37,7 @@
 		args, err := s.decoder.Next(&s.input)
 		if err == nil && args != nil {
 			s.noteMessage(now)
-			err = s.handleFrame(args, s.arrivals.takeTimeOf(s.input.Len()-s.decoder.Taken()))
+			err = s.handleFrame(args, s.arrivals.takeTimeOf(s.input.Len()-s.decoder.FrameBytes()))
 		}
 		if err != nil {
 			s.failInFlight()
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -19,7 +19,7 @@
 // connections are being rejected for that.
 func (s *Server) rejectAtOnce(raw net.Conn, retryAfter time.Duration) {
 	bounds := &s.shared.limits
-	input, decoder := resp.Ring{Bound: bounds.ClientReadBuffer}, newDecoder(bounds)
+	input, decoder := resp.Ring{MaxBytes: bounds.ClientReadBuffer}, newDecoder(bounds)
 	input.Append(readNow(raw))
 	output := appendRejections(nil, &decoder, &input, bounds.FieldBytes, retryAfter)
 	if len(output) == 0 {
@@ -59,7 +59,7 @@
 		if verb := string(args[0]); verb != verbRequest && verb != verbPing {
 			status, fields = statusFailed, ""
 		}
-		output = resp.AppendWords(output, string(args[1]), status, fields, "")
+		output = resp.AppendStrings(output, string(args[1]), status, fields, "")
 	}
 }
 
@@ -86,7 +86,7 @@
 // respondRejected reads until a complete message has come, and rejects what has come by then. It says whether
 // anything had; the error is that of writing.
 func respondRejected(raw net.Conn, bounds *limits.Limits, retryAfter time.Duration) (responded bool, err error) {
-	input, decoder := resp.Ring{Bound: bounds.ClientReadBuffer}, newDecoder(bounds)
+	input, decoder := resp.Ring{MaxBytes: bounds.ClientReadBuffer}, newDecoder(bounds)
 	for {
 		count, readErr := raw.Read(input.Tail())
 		input.Commit(count)
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -106,7 +106,7 @@
 func (s *session) nextOutput() []byte { return s.output.Next(s.beginNextResponse) }
 
 // wroteOutput says how much of it was written.
-func (s *session) wroteOutput(bytes int) { s.output.Wrote(bytes) }
+func (s *session) wroteOutput(bytes int) { s.output.Advance(bytes) }
 
 // beginNextResponse puts the next response into the output ring; the body of the last one is in.
 func (s *session) beginNextResponse() bool {
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -49,9 +49,9 @@
 	bounds := &shared.limits
 	return &session{
 		shared: shared, client: client, state: stateAwaitingMessage, admit: admit,
-		input: resp.Ring{Bound: bounds.ClientReadBuffer}, decoder: newDecoder(bounds), messageBegan: now,
+		input: resp.Ring{MaxBytes: bounds.ClientReadBuffer}, decoder: newDecoder(bounds), messageBegan: now,
 		inFlight: map[engine.Tag]*engine.Request{},
-		output:   resp.Writer{Ring: resp.Ring{Bound: bounds.ClientWriteBuffer}},
+		output:   resp.Writer{Ring: resp.Ring{MaxBytes: bounds.ClientWriteBuffer}},
 	}
 }
 
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -29,7 +29,7 @@
 // anotherSession returns a session of the same server.
 func anotherSession(s *session) *session { return newSession(s.shared, nil, admitAll, time.Time{}) }
 
-func frame(words ...string) string { return string(resp.AppendWords(nil, words...)) }
+func frame(words ...string) string { return string(resp.AppendStrings(nil, words...)) }
 
 const testFields = "req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655," +
 	"piece=3,lot=17,need=412.5,ver=4be0c1927d55a6f3"
--- a/internal/frontend/wireformat.go
+++ b/internal/frontend/wireformat.go
@@ -112,8 +112,8 @@
 // newDecoder returns a decoder of client frames within the limits.
 func newDecoder(bounds *limits.Limits) resp.Decoder {
 	return resp.Decoder{
-		Args: bounds.FrameStrings,
-		Size: bounds.ClientReadBuffer - 2*bounds.FieldBytes,
-		Most: bounds.ClientReadBuffer,
+		MaxStrings:     bounds.FrameStrings,
+		MaxStringBytes: bounds.ClientReadBuffer - 2*bounds.FieldBytes,
+		MaxFrameBytes:  bounds.ClientReadBuffer,
 	}
 }
--- a/internal/resp/bench_test.go
+++ b/internal/resp/bench_test.go
@@ -10,8 +10,8 @@
 // BenchmarkFrame reads the frame of a request out of a ring.
 func BenchmarkFrame(b *testing.B) {
 	fields := "req=00000000000000a7,timeout=900,subject=00000000000000b1,piece=0,lot=1"
-	text := AppendWords(nil, "DO", "17", "clip", fields, "")
-	ring, decoder := Ring{Bound: 64 << 10}, Decoder{Args: 8, Size: 48_000, Most: 64 << 10}
+	text := AppendStrings(nil, "DO", "17", "clip", fields, "")
+	ring, decoder := Ring{MaxBytes: 64 << 10}, Decoder{MaxStrings: 8, MaxStringBytes: 48_000, MaxFrameBytes: 64 << 10}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
@@ -25,7 +25,7 @@
 // BenchmarkReply reads a store's reply of 20 KB out of a ring.
 func BenchmarkReply(b *testing.B) {
 	text := redcon.AppendBulkString(nil, strings.Repeat("x", 20_000))
-	ring, replies := Ring{Bound: 256 << 10}, Replies{Size: 240_000, Line: 1 << 10, Parts: 8}
+	ring, replies := Ring{MaxBytes: 256 << 10}, ReplyDecoder{MaxStringBytes: 240_000, MaxLineBytes: 1 << 10, MaxParts: 8}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
--- a/internal/resp/decoder.go
+++ b/internal/resp/decoder.go
@@ -21,9 +21,9 @@
 // Decoder finds whole frames, which are arrays of bulk strings, in a ring. It checks a length when it is announced, not
 // when its bytes have come, and looks at each header once, in whatever pieces it comes. It knows no verbs.
 type Decoder struct {
-	Args int // most strings in a frame
-	Size int // most bytes in a string
-	Most int // most bytes in a frame
+	MaxStrings     int // most strings in a frame
+	MaxStringBytes int // most bytes in a string
+	MaxFrameBytes  int // most bytes in a frame
 
 	position int  // of the next header, or of the end of the frame; 0: no frame begun
 	headers  int  // still to come
@@ -32,22 +32,24 @@
 }
 
 // Fresh is a decoder with the same bounds that has seen nothing.
-func (d *Decoder) Fresh() Decoder { return Decoder{Args: d.Args, Size: d.Size, Most: d.Most} }
+func (d *Decoder) Fresh() Decoder {
+	return Decoder{MaxStrings: d.MaxStrings, MaxStringBytes: d.MaxStringBytes, MaxFrameBytes: d.MaxFrameBytes}
+}
 
-// Taken is the length of the frame that was returned last.
-func (d *Decoder) Taken() int { return d.position }
+// FrameBytes is the length of the frame that was returned last.
+func (d *Decoder) FrameBytes() int { return d.position }
 
 // Next returns the strings of the next whole frame, or none if more bytes are needed. They hold until the next
 // call.
 func (d *Decoder) Next(r *Ring) ([][]byte, error) {
 	if d.isTaken {
-		r.Drop(d.position)
+		r.Discard(d.position)
 		d.position, d.isTaken = 0, false
 	}
 	for d.position == 0 || d.headers > 0 {
-		sign, most := Bulk, d.Size
+		sign, most := BulkString, d.MaxStringBytes
 		if d.position == 0 {
-			sign, most = Array, d.Args
+			sign, most = Array, d.MaxStrings
 		}
 		length, used, err := parseHeader(r, d.position, sign, most)
 		if used == 0 || err != nil {
@@ -59,14 +61,14 @@
 		}
 		d.position += used + length + len(lineEnd)
 		d.headers--
-		if d.position > d.Most {
+		if d.position > d.MaxFrameBytes {
 			return nil, ErrFraming
 		}
 	}
 	if d.position > r.Len() {
 		return nil, nil
 	}
-	isWhole, args, _, _, err := redcon.ReadNextCommand(r.First(d.position), d.args[:0])
+	isWhole, args, _, _, err := redcon.ReadNextCommand(r.Peek(d.position), d.args[:0])
 	if err != nil || !isWhole || len(args) == 0 {
 		return nil, ErrFraming
 	}
@@ -77,18 +79,18 @@
 // Partial returns the strings that are whole of a frame that is not: they tell whose it is. They hold until the ring
 // changes.
 func (d *Decoder) Partial(r *Ring) (args [][]byte) {
-	count, position, err := parseHeader(r, 0, Array, d.Args)
+	count, position, err := parseHeader(r, 0, Array, d.MaxStrings)
 	if position == 0 || err != nil {
 		return nil
 	}
 	for ; count > 0; count-- {
-		length, used, err := parseHeader(r, position, Bulk, d.Size)
+		length, used, err := parseHeader(r, position, BulkString, d.MaxStringBytes)
 		end := position + used + length
 		if used == 0 || err != nil || end+len(lineEnd) > r.Len() {
 			break
 		}
 		position = end + len(lineEnd)
-		args = append(args, r.First(position)[end-length:end])
+		args = append(args, r.Peek(position)[end-length:end])
 	}
 	return args
 }
--- a/internal/resp/decoder_test.go
+++ b/internal/resp/decoder_test.go
@@ -17,8 +17,8 @@
 
 // decode feeds a stream in pieces that end at the cuts, and returns the frames as text.
 func decode(stream string, bound int, cuts ...int) (string, error) {
-	ring := Ring{Bound: bound}
-	decoder := Decoder{Args: 4, Size: 40, Most: bound}
+	ring := Ring{MaxBytes: bound}
+	decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: bound}
 	var frames []string
 	joined := func() string { return strings.Join(frames, " | ") }
 	from := 0
@@ -100,9 +100,9 @@
 		"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n$4\r\n": `["DO" "9"]`,
 		"PING":                                `[]`,
 	} {
-		ring := Ring{Bound: smallRing}
+		ring := Ring{MaxBytes: smallRing}
 		ring.Append([]byte(stream))
-		decoder := Decoder{Args: 4, Size: 40, Most: smallRing}
+		decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: smallRing}
 		if got := fmt.Sprintf("%q", decoder.Partial(&ring)); got != want {
 			t.Errorf("%q: %s, not %s", stream, got, want)
 		}
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -7,11 +7,11 @@
 
 // The kinds of RESP2.
 const (
-	Simple Kind = '+'
-	Error  Kind = '-'
-	Int    Kind = ':'
-	Bulk   Kind = '$'
-	Array  Kind = '*'
+	SimpleString Kind = '+'
+	ErrorReply   Kind = '-'
+	Integer      Kind = ':'
+	BulkString   Kind = '$'
+	Array        Kind = '*'
 )
 
 // nullLength is the length that announces a null.
@@ -22,19 +22,19 @@
 
 // Reply is one reply, or one part of an array; its bytes hold until the next call.
 type Reply struct {
-	Kind Kind
-	Null bool // a bulk string or an array that is null
-	Text []byte
-	Int  int64
-	Len  int // parts of an array, which follow it
+	Kind      Kind
+	IsNull    bool // a bulk string or an array that is null
+	Text      []byte
+	Int       int64
+	PartCount int // parts of an array, which follow it
 }
 
-// Replies finds whole replies of RESP2 in a ring, each whole or not at all. It checks a length when it is announced,
+// ReplyDecoder finds complete replies of RESP2 in a ring. It checks a length when it is announced,
 // not when its bytes have come. The zero value must be given its bounds.
-type Replies struct {
-	Size  int // most bytes in a string
-	Line  int // most bytes in a line
-	Parts int // most parts in a reply, those of arrays in arrays counted
+type ReplyDecoder struct {
+	MaxStringBytes int // most bytes in a string
+	MaxLineBytes   int // most bytes in a line
+	MaxParts       int // most parts in a reply, those of arrays in arrays counted
 
 	position  int // of the next part; those before it have been parsed
 	remaining int // parts to come
@@ -52,9 +52,9 @@
 }
 
 // Next returns the parts of the next whole reply, an array before its parts, or none if more bytes are needed.
-func (d *Replies) Next(r *Ring) ([]Reply, error) {
+func (d *ReplyDecoder) Next(r *Ring) ([]Reply, error) {
 	if d.taken > 0 {
-		r.Drop(d.taken)
+		r.Discard(d.taken)
 		d.taken = 0
 	}
 	if d.position == 0 {
@@ -71,20 +71,20 @@
 			d.remaining += int(next.number)
 		}
 		d.parts = append(d.parts, next)
-		if len(d.parts)+d.remaining > d.Parts {
+		if len(d.parts)+d.remaining > d.MaxParts {
 			return nil, ErrFraming
 		}
 	}
-	whole := r.First(d.position)
+	whole := r.Peek(d.position)
 	d.replies = d.replies[:0]
 	for i := range d.parts {
 		p := &d.parts[i]
 		d.replies = append(d.replies, Reply{
-			Kind: p.kind,
-			Null: p.isNull,
-			Text: whole[p.from:p.to],
-			Int:  p.number,
-			Len:  int(p.number),
+			Kind:      p.kind,
+			IsNull:    p.isNull,
+			Text:      whole[p.from:p.to],
+			Int:       p.number,
+			PartCount: int(p.number),
 		})
 	}
 	d.taken, d.position = d.position, 0
@@ -92,7 +92,7 @@
 }
 
 // parsePart reads the part at the current position; used is 0 while it is not whole.
-func (d *Replies) parsePart(r *Ring) (next part, used int, err error) {
+func (d *ReplyDecoder) parsePart(r *Ring) (next part, used int, err error) {
 	lineLength, isWhole, err := d.findLine(r)
 	if !isWhole || err != nil {
 		return part{}, 0, err
@@ -104,9 +104,9 @@
 	}
 	used = lineLength + len(lineEnd)
 	switch next.kind {
-	case Simple, Error:
+	case SimpleString, ErrorReply:
 		return next, used, nil
-	case Int, Bulk, Array:
+	case Integer, BulkString, Array:
 	default:
 		return part{}, 0, ErrFraming
 	}
@@ -114,26 +114,26 @@
 		return part{}, 0, err
 	}
 	switch {
-	case next.kind == Int:
+	case next.kind == Integer:
 	case next.number == nullLength:
 		next.isNull, next.to = true, next.from
 	case next.number < 0:
 		return part{}, 0, ErrFraming
-	case next.kind == Bulk:
+	case next.kind == BulkString:
 		return d.parseBulk(r, next, used)
-	case next.number > int64(d.Parts):
+	case next.number > int64(d.MaxParts):
 		return part{}, 0, ErrFraming
 	}
 	return next, used, nil
 }
 
 // findLine looks for the end of the line at the current position; its length is that before CR and LF.
-func (d *Replies) findLine(r *Ring) (length int, isWhole bool, err error) {
+func (d *ReplyDecoder) findLine(r *Ring) (length int, isWhole bool, err error) {
 	if d.position >= r.Len() {
 		return 0, false, nil
 	}
 	for length = 1; ; length++ {
-		if length > d.Line {
+		if length > d.MaxLineBytes {
 			return 0, false, ErrFraming
 		}
 		if d.position+length+1 >= r.Len() {
@@ -150,14 +150,14 @@
 }
 
 // parseBulk finds the bytes of a bulk string behind its line, which used so many bytes.
-func (d *Replies) parseBulk(r *Ring, next part, used int) (part, int, error) {
-	if next.number > int64(d.Size) {
+func (d *ReplyDecoder) parseBulk(r *Ring, next part, used int) (part, int, error) {
+	if next.number > int64(d.MaxStringBytes) {
 		return part{}, 0, ErrFraming
 	}
 	next.from = d.position + used
 	next.to = next.from + int(next.number)
 	used += int(next.number) + len(lineEnd)
-	if d.position+used > r.Bound {
+	if d.position+used > r.MaxBytes {
 		return part{}, 0, ErrFraming // it could never be whole
 	}
 	if r.Len() < d.position+used {
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-func newReplies() (Replies, Ring) {
-	return Replies{Size: 64, Line: 40, Parts: 8}, Ring{Bound: 128}
+func newReplies() (ReplyDecoder, Ring) {
+	return ReplyDecoder{MaxStringBytes: 64, MaxLineBytes: 40, MaxParts: 8}, Ring{MaxBytes: 128}
 }
 
 // Replies come whole in whatever pieces their bytes come, and a length out of bounds is an error when it is announced.
@@ -26,7 +26,7 @@
 				break
 			}
 			for _, part := range parts {
-				fmt.Printf("%c %q %d %v; ", part.Kind, part.Text, part.Int, part.Null)
+				fmt.Printf("%c %q %d %v; ", part.Kind, part.Text, part.Int, part.IsNull)
 			}
 			if parts != nil {
 				fmt.Println("whole")
@@ -70,14 +70,14 @@
 }
 
 // nextReplies returns all replies that are whole as text.
-func nextReplies(t *testing.T, replies *Replies, ring *Ring) (parsed string, err error) {
+func nextReplies(t *testing.T, replies *ReplyDecoder, ring *Ring) (parsed string, err error) {
 	t.Helper()
 	for {
 		parts, err := replies.Next(ring)
 		if parts == nil || err != nil {
 			return parsed, err
 		}
-		if len(parts) > replies.Parts {
+		if len(parts) > replies.MaxParts {
 			t.Fatal("more parts than the bound")
 		}
 		for _, part := range parts {
--- a/internal/resp/ring.go
+++ b/internal/resp/ring.go
@@ -9,21 +9,21 @@
 // Ring is a byte queue of bounded size, for one direction of one connection. It grows to its bound and no further. The
 // zero value holds nothing; Bound must be set before use.
 type Ring struct {
-	Bound  int // most bytes that it holds
-	buffer []byte
-	head   int // index of the first byte
-	size   int
+	MaxBytes int // most bytes that it holds
+	buffer   []byte
+	head     int // index of the first byte
+	size     int
 }
 
 // Len is how many bytes it holds.
 func (r *Ring) Len() int { return r.size }
 
 // Room is how many more bytes fit within the bound.
-func (r *Ring) Room() int { return r.Bound - r.size }
+func (r *Ring) Room() int { return r.MaxBytes - r.size }
 
 // grow makes room for n more bytes, within the bound.
 func (r *Ring) grow(n int) {
-	want := min(r.Bound, r.size+n)
+	want := min(r.MaxBytes, r.size+n)
 	if want <= len(r.buffer) {
 		return
 	}
@@ -31,7 +31,7 @@
 	for capacity < want {
 		capacity *= 2
 	}
-	r.moveTo(make([]byte, min(capacity, r.Bound)))
+	r.moveTo(make([]byte, min(capacity, r.MaxBytes)))
 }
 
 // moveTo copies all bytes into another buffer, in one piece, and goes on with it.
@@ -73,7 +73,7 @@
 
 // Copy is a ring of its own that holds the same bytes.
 func (r *Ring) Copy() Ring {
-	duplicate := Ring{Bound: r.Bound}
+	duplicate := Ring{MaxBytes: r.MaxBytes}
 	if r.size > 0 {
 		duplicate.buffer, duplicate.size = make([]byte, len(r.buffer)), r.size
 		n := copy(duplicate.buffer, r.Head())
@@ -98,16 +98,16 @@
 	return r.buffer[i]
 }
 
-// First is the first n bytes in one piece; it holds until the ring is next added to or dropped from.
-func (r *Ring) First(n int) []byte {
+// Peek is the first n bytes in one piece; it holds until the ring is next added to or dropped from.
+func (r *Ring) Peek(n int) []byte {
 	if r.head+n > len(r.buffer) {
 		r.moveTo(make([]byte, len(r.buffer)))
 	}
 	return r.buffer[r.head : r.head+n]
 }
 
-// Drop takes the first n bytes off.
-func (r *Ring) Drop(n int) {
+// Discard takes the first n bytes off.
+func (r *Ring) Discard(n int) {
 	if r.size -= n; r.size == 0 {
 		r.head = 0
 		return
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -6,8 +6,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// AppendWords adds an array of strings to b.
-func AppendWords(b []byte, words ...string) []byte {
+// AppendStrings adds an array of strings to b.
+func AppendStrings(b []byte, words ...string) []byte {
 	b = redcon.AppendArray(b, len(words))
 	for _, word := range words {
 		b = redcon.AppendBulkString(b, word)
@@ -18,10 +18,10 @@
 // Writer puts frames into a ring in parts, as there is room, and keeps account of the stream.
 type Writer struct {
 	Ring
-	Written int64 // bytes of the stream that were taken so far
-	added   int64 // bytes of the stream that were put into the ring so far
-	header  []byte
-	parts   [3][]byte // what is left of the frame that is being put in: its header, its body, its end
+	TakenBytes int64 // bytes of the stream that were taken so far
+	added      int64 // bytes of the stream that were put into the ring so far
+	header     []byte
+	parts      [3][]byte // what is left of the frame that is being put in: its header, its body, its end
 }
 
 var lineEndBytes = []byte(lineEnd)
@@ -33,7 +33,7 @@
 	for _, arg := range args {
 		header = redcon.AppendBulk(header, arg)
 	}
-	header = append(header, byte(Bulk))
+	header = append(header, byte(BulkString))
 	header = strconv.AppendInt(header, int64(len(body)), 10)
 	header = append(header, lineEnd...)
 	w.header = header
@@ -66,13 +66,13 @@
 	return w.Head()
 }
 
-// Wrote says how much of it was taken.
-func (w *Writer) Wrote(n int) {
-	w.Drop(n)
-	w.Written += int64(n)
+// Advance says how much of it was taken.
+func (w *Writer) Advance(n int) {
+	w.Discard(n)
+	w.TakenBytes += int64(n)
 }
 
 // Empty says whether all that was begun has been taken.
 func (w *Writer) Empty() bool {
-	return w.Written == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
+	return w.TakenBytes == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
 }
--- a/internal/resp/writer_test.go
+++ b/internal/resp/writer_test.go
@@ -8,7 +8,7 @@
 // Frames go through a small ring in parts, and each knows where in the stream it ends.
 func TestWriter(t *testing.T) {
 	const bound = 7
-	writer := Writer{Ring: Ring{Bound: bound}}
+	writer := Writer{Ring: Ring{MaxBytes: bound}}
 	frames := [][]string{{"7", "OK", "", strings.Repeat("x", 30)}, {"8", "FAILED", "", ""}}
 	var want, got string
 	more := func() bool {
@@ -17,7 +17,7 @@
 		}
 		words := frames[0]
 		frames = frames[1:]
-		want += string(AppendWords(nil, words...))
+		want += string(AppendStrings(nil, words...))
 		end := writer.Put([]byte(words[3]), []byte(words[0]), []byte(words[1]), []byte(words[2]))
 		if int(end) != len(want) {
 			t.Errorf("ends at %d, not %d", end, len(want))
@@ -30,9 +30,9 @@
 		}
 		n := min(3, len(next))
 		got += string(next[:n])
-		writer.Wrote(n)
+		writer.Advance(n)
 	}
-	if got != want || !writer.Empty() || int(writer.Written) != len(want) {
+	if got != want || !writer.Empty() || int(writer.TakenBytes) != len(want) {
 		t.Errorf("%q, not %q", got, want)
 	}
 }
--- a/internal/sharedstore/benchmark_test.go
+++ b/internal/sharedstore/benchmark_test.go
@@ -31,7 +31,7 @@
 }
 
 func BenchmarkGetLibrary(b *testing.B) {
-	store, err := redis.Start(redis.Config{Age: time.Hour})
+	store, err := redis.Start(redis.Config{InitialAge: time.Hour})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -58,12 +58,12 @@
 // A get that is abandoned: the library holds the caller's connection until its time is up, the transport goes on at
 // once.
 func TestAbortedGetReturnsAtOnce(t *testing.T) {
-	store, err := redis.Start(redis.Config{Age: time.Hour})
+	store, err := redis.Start(redis.Config{InitialAge: time.Hour})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer store.Close()
-	store.Set(redis.Fault{Silent: true})
+	store.SetFault(redis.Fault{Silent: true})
 	client := goredis.NewClient(&goredis.Options{
 		Addr: store.Address(), Protocol: 2, MaxRetries: -1, DisableIdentity: true,
 		ReadTimeout: 300 * time.Millisecond,
@@ -75,7 +75,7 @@
 	err = client.Get(ctx, "k").Err()
 	t.Logf("the library returns %v after %v", err, time.Since(startedAt).Round(time.Millisecond))
 	f := newFixture(t, zap.NewNop())
-	f.redis.Set(redis.Fault{Silent: true})
+	f.redis.SetFault(redis.Fault{Silent: true})
 	startedAt = time.Now()
 	f.Abort(f.request(1))
 	if elapsed := time.Since(startedAt); elapsed > 10*time.Millisecond {
--- a/internal/sharedstore/connection.go
+++ b/internal/sharedstore/connection.go
@@ -39,7 +39,7 @@
 type connection struct {
 	state   connectionState
 	input   resp.Ring
-	replies resp.Replies
+	replies resp.ReplyDecoder
 	output  resp.Writer
 
 	waiting    []command // to be sent
@@ -59,13 +59,13 @@
 
 func newConnection(bounds *limits.Limits, login Credentials, now time.Time) *connection {
 	c := &connection{
-		replies: resp.Replies{
-			Size: bounds.UpstreamReadBuffer, Line: bounds.FieldBytes, Parts: 2*logPageMembers + 8,
+		replies: resp.ReplyDecoder{
+			MaxStringBytes: bounds.UpstreamReadBuffer, MaxLineBytes: bounds.FieldBytes, MaxParts: 2*logPageMembers + 8,
 		},
 		waiting:    greeting(login),
 		lastReadAt: now,
 	}
-	c.input.Bound, c.output.Bound = bounds.UpstreamReadBuffer, bounds.UpstreamWriteBuffer
+	c.input.MaxBytes, c.output.MaxBytes = bounds.UpstreamReadBuffer, bounds.UpstreamWriteBuffer
 	return c
 }
 
--- a/internal/sharedstore/connection_test.go
+++ b/internal/sharedstore/connection_test.go
@@ -16,7 +16,7 @@
 	conn.send(command{kind: commandGet, operation: 1, key: copyKey{object: 7}, args: args("GET", "k")})
 	write := func() {
 		fmt.Printf("%q\n", conn.pendingOutput(at))
-		conn.output.Wrote(len(conn.output.Head()))
+		conn.output.Advance(len(conn.output.Head()))
 	}
 	read := func(text string) {
 		copy(conn.readBuffer(), text)
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -64,19 +64,19 @@
 }
 
 // UpdateEndpoints keeps what the endpoint list says of stores, and passes the rest on to the inner transport.
-func (t *Transport) UpdateEndpoints(endpoints []engine.Endpoint, isComplete bool) {
+func (t *Transport) UpdateEndpoints(list engine.EndpointList) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
-	others := make([]engine.Endpoint, 0, len(endpoints))
+	others := make([]engine.Endpoint, 0, len(list.Endpoints))
 	isListed := map[routing.EndpointID]bool{}
-	for i := range endpoints {
-		endpoint := &endpoints[i]
+	for i := range list.Endpoints {
+		endpoint := &list.Endpoints[i]
 		isListed[endpoint.ID] = true
 		if !t.updateEndpoint(endpoint) {
 			others = append(others, *endpoint)
 		}
 	}
-	if isComplete {
+	if list.Complete {
 		for id := range t.kinds {
 			if !isListed[id] {
 				delete(t.kinds, id)
@@ -84,7 +84,8 @@
 			}
 		}
 	}
-	t.inner.UpdateEndpoints(others, isComplete)
+	list.Endpoints = others
+	t.inner.UpdateEndpoints(list)
 }
 
 // updateEndpoint says whether the endpoint is a store.
--- a/internal/sharedstore/logsync_test.go
+++ b/internal/sharedstore/logsync_test.go
@@ -57,7 +57,7 @@
 	if page := readPage(logPageReply("g:12")); page.ok {
 		t.Error("a member without a score is taken")
 	}
-	if page := readPage([]resp.Reply{{Kind: resp.Error}}); page.ok {
+	if page := readPage([]resp.Reply{{Kind: resp.ErrorReply}}); page.ok {
 		t.Error("an error is taken for a page")
 	}
 }
@@ -69,7 +69,7 @@
 func logPageReply(fields ...string) []resp.Reply {
 	parts := []resp.Reply{{Kind: resp.Array}}
 	for _, field := range fields {
-		parts = append(parts, resp.Reply{Kind: resp.Bulk, Text: []byte(field)})
+		parts = append(parts, resp.Reply{Kind: resp.BulkString, Text: []byte(field)})
 	}
 	return parts
 }
--- a/internal/sharedstore/reply.go
+++ b/internal/sharedstore/reply.go
@@ -97,7 +97,7 @@
 // readReply reads the reply to a command. The result is nil where nobody waits for one; an error ends the connection.
 func readReply(sent *command, parts []resp.Reply, elapsed time.Duration) (result, error) {
 	first := &parts[0]
-	ok := first.Kind != resp.Error
+	ok := first.Kind != resp.ErrorReply
 	switch sent.kind {
 	case commandAuthenticate:
 		return nil, greetingError(first)
@@ -121,7 +121,7 @@
 }
 
 func greetingError(reply *resp.Reply) error {
-	if reply.Kind != resp.Error {
+	if reply.Kind != resp.ErrorReply {
 		return nil
 	}
 	return fmt.Errorf("greeting: %w", newStoreError(reply.Text))
@@ -131,7 +131,7 @@
 	if err := greetingError(reply); err != nil {
 		return nil, err
 	}
-	if reply.Kind != resp.Bulk {
+	if reply.Kind != resp.BulkString {
 		return nil, errReplyShape
 	}
 	var connected connectedResult
@@ -151,11 +151,11 @@
 func readGet(sent *command, reply *resp.Reply, elapsed time.Duration) (result, error) {
 	get := commandResult{command: *sent, elapsed: elapsed}
 	switch {
-	case reply.Kind == resp.Error:
+	case reply.Kind == resp.ErrorReply:
 		get.reply, get.err = classifyError(reply.Text)
-	case reply.Kind != resp.Bulk:
+	case reply.Kind != resp.BulkString:
 		return nil, errReplyShape
-	case reply.Null:
+	case reply.IsNull:
 		get.reply = decide.ReplyMiss
 	default:
 		get.copy, get.err = decodeFor(sent.key, reply.Text)
@@ -184,9 +184,9 @@
 func readAcknowledgement(sent *command, reply *resp.Reply, elapsed time.Duration) result {
 	acknowledged := commandResult{command: *sent, reply: decide.ReplyOK, elapsed: elapsed}
 	switch {
-	case reply.Kind == resp.Error:
+	case reply.Kind == resp.ErrorReply:
 		acknowledged.reply, acknowledged.err = classifyError(reply.Text)
-	case reply.Null:
+	case reply.IsNull:
 		acknowledged.reply = decide.ReplyLeaseHeld
 	}
 	return acknowledged
--- a/internal/sharedstore/storeclient.go
+++ b/internal/sharedstore/storeclient.go
@@ -198,7 +198,7 @@
 	_ = socket.SetWriteDeadline(now.Add(bounds.WriteStallTimeout))
 	count, err := socket.Write(output)
 	s.mu.Lock()
-	current.output.Wrote(count)
+	current.output.Advance(count)
 	s.mu.Unlock()
 	return true, err
 }
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -41,8 +41,8 @@
 	aborted  []*engine.Attempt
 }
 
-func (p *fakeParent) UpdateEndpoints([]engine.Endpoint, bool) {}
-func (p *fakeParent) CheckHealth(routing.EndpointID)          {}
+func (p *fakeParent) UpdateEndpoints(engine.EndpointList) {}
+func (p *fakeParent) CheckHealth(routing.EndpointID)      {}
 
 func (p *fakeParent) Abort(attempt *engine.Attempt) bool {
 	p.aborted = append(p.aborted, attempt)
@@ -71,7 +71,7 @@
 // newFixture connects to a fake store.
 func newFixture(tb testing.TB, log *zap.Logger) *fixture {
 	tb.Helper()
-	store, err := redis.Start(redis.Config{Age: time.Hour, User: "u", Word: "w"})
+	store, err := redis.Start(redis.Config{InitialAge: time.Hour, User: "u", Password: "w"})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -153,13 +153,13 @@
 	list := engine.EndpointList{
 		Complete: true, Endpoints: []engine.Endpoint{{UID: parentUID, Endpoint: parent}},
 	}
-	f.UpdateEndpoints(f.ObserveDiscovery(list).(engine.EndpointList).Endpoints, true)
+	f.UpdateEndpoints(f.ObserveDiscovery(list).(engine.EndpointList))
 }
 
 // listParentDraining lists the parent as draining: what was requested before is no longer filled from it.
 func (f *fixture) listParentDraining() {
 	parent := routing.Endpoint{ID: engine.EndpointID(parentUID), State: routing.Draining, Kind: 1}
-	f.UpdateEndpoints([]engine.Endpoint{{UID: parentUID, Endpoint: parent}}, false)
+	f.UpdateEndpoints(engine.EndpointList{Endpoints: []engine.Endpoint{{UID: parentUID, Endpoint: parent}}})
 }
 
 func (f *fixture) request(object routing.ObjectID) *engine.Attempt {
@@ -234,7 +234,7 @@
 // An attempt that is abandoned while the store is silent has no result, and leaves nothing.
 func TestAbortLeavesNothing(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
-	f.redis.Set(redis.Fault{Silent: true})
+	f.redis.SetFault(redis.Fault{Silent: true})
 	if attempt := f.request(8); !f.Abort(attempt) {
 		t.Error("not abandoned")
 	}
--- a/internal/testbed/example.go
+++ b/internal/testbed/example.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	servers.Discovery.Serve(listener)
-	store, err := redis.Start(redis.Config{Address: exampleStore, Memory: 64 << 20})
+	store, err := redis.Start(redis.Config{Address: exampleStore, MaxValueBytes: 64 << 20})
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/store.go
+++ b/internal/testbed/store.go
@@ -19,7 +19,7 @@
 // coldStoreConfig is a cluster whose store, the only cache of its location, has just been started.
 func coldStoreConfig(routers int) ClusterConfig {
 	config := noStoreConfig(routers)
-	config.StoreConfig = &redis.Config{Capacity: 4000, ColdShare: 0.1, ColdFor: 6 * time.Second}
+	config.StoreConfig = &redis.Config{CommandsPerSecond: 4000, ColdCapacityShare: 0.1, WarmUpTime: 6 * time.Second}
 	config.SharedStore = map[string]any{"capacity_per_s": 4000, "cold_share": 0.1, "cold_ms": 6000, "multiple": 1}
 	return config
 }
@@ -27,7 +27,7 @@
 // warmStoreConfig is a cluster whose store has run for long: its start is not what is tested.
 func warmStoreConfig(routers int) ClusterConfig {
 	config := coldStoreConfig(routers)
-	config.StoreConfig.Age = time.Hour
+	config.StoreConfig.InitialAge = time.Hour
 	return config
 }
 
--- a/internal/testbed/store_drain.go
+++ b/internal/testbed/store_drain.go
@@ -24,16 +24,16 @@
 		script: func(cluster *Cluster) {
 			discovery := cluster.Site.Discovery
 			time.Sleep(load.Duration / 4)
-			cluster.Store.Set(redis.Fault{Delay: 20 * time.Millisecond, Verbs: []string{"PSETEX"}})
+			cluster.Store.SetFault(redis.Fault{Delay: 20 * time.Millisecond, Verbs: []string{"PSETEX"}})
 			time.Sleep(300 * time.Millisecond)
 			cluster.DrainStore()
 			time.Sleep(cluster.Settings.Grace + slack)
-			commandsAtGrace = cluster.Store.Values()
+			commandsAtGrace = cluster.Store.ValueCommands()
 			time.Sleep(load.Duration / 4)
-			commandsLater = cluster.Store.Values()
+			commandsLater = cluster.Store.ValueCommands()
 			discovery.PublishChanges(cluster.storeEndpoint(site.StateGone))
 			time.Sleep(500 * time.Millisecond)
-			if cluster.Store.Values() != commandsLater {
+			if cluster.Store.ValueCommands() != commandsLater {
 				commandsLater = -1
 			}
 			discovery.PublishChanges(cluster.storeEndpoint(site.StateReady))
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -37,20 +37,20 @@
 	errorFault("BUSY", "BUSY Redis is busy running a script.", "store is busy"),
 	errorFault("MOVED", "MOVED 3999 127.0.0.1:1", "part of a cluster"),
 	errorFault("odd", "ERR something else", "store refuses"),
-	{name: "cut", fault: redis.Fault{Cut: true}, logLine: "store not connected"},
-	{name: "length", fault: redis.Fault{Length: true}, logLine: "store not connected"},
-	{name: "flipped", fault: redis.Fault{Spoil: redis.Flipped}, logLine: "checksum mismatch"},
-	{name: "halved", fault: redis.Fault{Spoil: redis.Halved}, logLine: "store value cannot be used"},
-	{name: "foreign", fault: redis.Fault{Spoil: redis.Foreign}, logLine: "not a value of this router"},
-	{name: "newer", fault: redis.Fault{Spoil: redis.Newer}, logLine: "newer format"},
+	{name: "cut", fault: redis.Fault{ResetDuringValue: true}, logLine: "store not connected"},
+	{name: "length", fault: redis.Fault{WrongLength: true}, logLine: "store not connected"},
+	{name: "flipped", fault: redis.Fault{Corruption: redis.BitFlipped}, logLine: "checksum mismatch"},
+	{name: "halved", fault: redis.Fault{Corruption: redis.Truncated}, logLine: "store value cannot be used"},
+	{name: "foreign", fault: redis.Fault{Corruption: redis.ForeignValue}, logLine: "not a value of this router"},
+	{name: "newer", fault: redis.Fault{Corruption: redis.NewerFormat}, logLine: "newer format"},
 	{name: "silent", fault: redis.Fault{Silent: true}, logLine: "store not connected"},
-	{name: "crowded", fault: redis.Fault{Crowd: true}, logLine: "store not connected"},
+	{name: "crowded", fault: redis.Fault{TooManyClients: true}, logLine: "store not connected"},
 	{name: "240,000 bytes", logLine: "store connected", bytes: 240_000}, // nothing is wrong but the size
 }
 
 // errorFault is a store that answers some commands, all where none are named, with an error.
 func errorFault(name, answer, logLine string, commands ...string) storeFault {
-	return storeFault{name: name, fault: redis.Fault{Word: answer, Verbs: commands}, logLine: logLine}
+	return storeFault{name: name, fault: redis.Fault{ErrorReply: answer, Verbs: commands}, logLine: logLine}
 }
 
 func runStoreFaults(options Options, result *Result) error {
@@ -74,9 +74,9 @@
 		script: func(cluster *Cluster) {
 			quarter := load.Duration / 4
 			time.Sleep(quarter)
-			cluster.Store.Set(f.fault)
+			cluster.Store.SetFault(f.fault)
 			time.Sleep(quarter)
-			cluster.Store.Set(redis.Fault{})
+			cluster.Store.SetFault(redis.Fault{})
 			time.Sleep(quarter)
 			hitsBefore = cluster.Store.Counts().Given
 			time.Sleep(quarter)
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -72,11 +72,11 @@
 	case 80: // a router starts that has never heard of earlier purges
 		c.Restart(purges / purgeCycle % len(c.Routers))
 	case 95:
-		c.Store.Set(redis.Fault{Delay: 40 * time.Millisecond, Spread: 40 * time.Millisecond})
+		c.Store.SetFault(redis.Fault{Delay: 40 * time.Millisecond, DelayJitter: 40 * time.Millisecond})
 	case 105:
-		c.Store.Set(redis.Fault{Spoil: redis.Spoil(1 + rng.IntN(4))})
+		c.Store.SetFault(redis.Fault{Corruption: redis.Corruption(1 + rng.IntN(4))})
 	case 112:
-		c.Store.Set(redis.Fault{})
+		c.Store.SetFault(redis.Fault{})
 	case 120: // all that know of the purges are gone at once
 		for i := range c.Routers {
 			c.Kill(i)
--- a/internal/testbed/store_slow.go
+++ b/internal/testbed/store_slow.go
@@ -27,16 +27,16 @@
 	}{
 		{"well", redis.Fault{}},
 		{"10 ms", redis.Fault{Delay: 10 * time.Millisecond}},
-		{"300 ms", redis.Fault{Delay: 300 * time.Millisecond, Spread: 20 * time.Millisecond}},
+		{"300 ms", redis.Fault{Delay: 300 * time.Millisecond, DelayJitter: 20 * time.Millisecond}},
 		{"for ever", redis.Fault{Silent: true}},
 	} {
 		seen, err := arm{
 			name: slowness.name, seed: options.Seed, config: warmStoreConfig(routers), routers: routers, load: load,
 			script: func(cluster *Cluster) {
 				time.Sleep(load.Duration / 3)
-				cluster.Store.Set(slowness.fault)
+				cluster.Store.SetFault(slowness.fault)
 				time.Sleep(load.Duration / 3)
-				cluster.Store.Set(redis.Fault{})
+				cluster.Store.SetFault(redis.Fault{})
 			},
 		}.run(result)
 		if err != nil {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -25,23 +25,23 @@
 
 // UpdateEndpoints keeps the address of each endpoint of the list. One that is gone is known for a while: attempts may
 // still name it.
-func (p *Pool) UpdateEndpoints(list []engine.Endpoint, all bool) {
+func (p *Pool) UpdateEndpoints(list engine.EndpointList) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	listed := map[routing.EndpointID]bool{}
-	for i := range list {
-		listed[list[i].ID] = true
-		p.updateEndpoint(&list[i], now)
+	for i := range list.Endpoints {
+		listed[list.Endpoints[i].ID] = true
+		p.updateEndpoint(&list.Endpoints[i], now)
 	}
 	for id, known := range p.endpoints {
-		if all && !listed[id] {
+		if list.Complete && !listed[id] {
 			p.setState(id, known, routing.Gone, now)
 		}
 		if known.state != routing.Gone {
 			continue
 		}
-		if hasReadyAt(list, known.address) {
+		if hasReadyAt(list.Endpoints, known.address) {
 			known.closeConnections()
 		}
 		if len(known.connections) == 0 && now.Sub(known.stateSince) > p.limits.ForgetAfter {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func frame(words ...string) string { return string(resp.AppendWords(nil, words...)) }
+func frame(words ...string) string { return string(resp.AppendStrings(nil, words...)) }
 
 func receive[T any](t *testing.T, channel chan T) (value T) {
 	t.Helper()
@@ -158,9 +158,9 @@
 }
 
 func (p *testPool) listEndpoint(id routing.EndpointID, state routing.EndpointState, address string) {
-	p.UpdateEndpoints([]engine.Endpoint{
+	p.UpdateEndpoints(engine.EndpointList{Endpoints: []engine.Endpoint{
 		{Endpoint: routing.Endpoint{ID: id, State: state}, UID: "s", Address: address},
-	}, false)
+	}})
 }
 
 func (p *testPool) sendAttempt(id engine.ClientRequestID, to routing.EndpointID) *engine.Attempt {
--- a/internal/upstream/session.go
+++ b/internal/upstream/session.go
@@ -73,12 +73,12 @@
 	return &session{
 		limits: l,
 		names:  names,
-		input:  resp.Ring{Bound: l.UpstreamReadBuffer},
-		output: resp.Writer{Ring: resp.Ring{Bound: l.UpstreamWriteBuffer}},
+		input:  resp.Ring{MaxBytes: l.UpstreamReadBuffer},
+		output: resp.Writer{Ring: resp.Ring{MaxBytes: l.UpstreamWriteBuffer}},
 		decoder: resp.Decoder{
-			Args: l.FrameStrings,
-			Size: l.ResponseBodyBytes,
-			Most: min(frameBytes, l.UpstreamReadBuffer),
+			MaxStrings:     l.FrameStrings,
+			MaxStringBytes: l.ResponseBodyBytes,
+			MaxFrameBytes:  min(frameBytes, l.UpstreamReadBuffer),
 		},
 		inFlight: map[engine.ClientRequestID]exchange{},
 		aborted:  map[engine.ClientRequestID]time.Time{},
@@ -146,7 +146,7 @@
 		return true
 	}
 	delete(s.inFlight, id)
-	s.hasPartialAbort = s.hasPartialAbort || e.streamEnd > s.output.Written
+	s.hasPartialAbort = s.hasPartialAbort || e.streamEnd > s.output.TakenBytes
 	s.hasSilentAbort = s.hasSilentAbort || e.responsesBefore == s.responses
 	s.control = appendAbort(s.control, id)
 	maps.DeleteFunc(s.aborted, func(_ engine.ClientRequestID, at time.Time) bool {
@@ -219,8 +219,8 @@
 
 // wrote says how much of the stream the system has taken.
 func (s *session) wrote(n int, now time.Time) {
-	s.output.Wrote(n)
-	if e := &s.sending; e.attempt != nil && e.streamEnd <= s.output.Written {
+	s.output.Advance(n)
+	if e := &s.sending; e.attempt != nil && e.streamEnd <= s.output.TakenBytes {
 		e.attempt.Request.Invariants.Complete(e.attempt.Number, e.server.Endpoint, now)
 		s.sending = exchange{}
 	}
@@ -254,7 +254,7 @@
 	})
 	for _, e := range append(begun, s.waiting...) {
 		outcome := routing.ConnectionBroken
-		if e.streamEnd == 0 || e.streamEnd > s.output.Written {
+		if e.streamEnd == 0 || e.streamEnd > s.output.TakenBytes {
 			outcome = routing.ConnectFailed
 		}
 		if s.dialFailedLocally {
--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -33,7 +33,7 @@
 		length = len(frames)
 	}
 	text := string(frames[:length])
-	s.output.Wrote(length)
+	s.output.Advance(length)
 	return text
 }
 
@@ -88,7 +88,7 @@
 	if !session.hasPartialAbort {
 		t.Error("the rest of an attempt that was aborted is to go, and begins it")
 	}
-	session.output.Wrote(session.output.Len()) // were the rest written all the same, the abort would follow it
+	session.output.Advance(session.output.Len()) // were the rest written all the same, the abort would follow it
 	if text := string(session.nextOutput(time.Now())); text != frame("abort", testIDText) {
 		t.Errorf("after half an attempt: %q", text)
 	}
@@ -146,7 +146,7 @@
 	session := newTestSession()
 	attempt := newAttempt(testID)
 	attempt.Deadline = time.Now().Add(time.Hour)
-	response := resp.AppendWords(nil, testIDText, "200", "how=local,sum=4be0,stats=util:0.5;x1:1", "body")
+	response := resp.AppendStrings(nil, testIDText, "200", "how=local,sum=4be0,stats=util:0.5;x1:1", "body")
 	b.ReportAllocs()
 	for b.Loop() {
 		now := time.Now()
--- a/internal/upstream/wireformat.go
+++ b/internal/upstream/wireformat.go
@@ -115,11 +115,11 @@
 }
 
 func appendAbort(frames []byte, id engine.ClientRequestID) []byte {
-	return resp.AppendWords(frames, verbAbort, hexadecimal(uint64(id)))
+	return resp.AppendStrings(frames, verbAbort, hexadecimal(uint64(id)))
 }
 
 func appendHealthCheck(frames []byte, verb string, tag uint64) []byte {
-	return resp.AppendWords(frames, verb, strconv.FormatUint(tag, 10))
+	return resp.AppendStrings(frames, verb, strconv.FormatUint(tag, 10))
 }
 
 // putFetch begins the frame of an attempt, and returns the place in the stream at which it ends.
--- a/internal/upstream/wireformat_test.go
+++ b/internal/upstream/wireformat_test.go
@@ -16,7 +16,7 @@
 		if got := string(session.nextOutput(at)); got != want {
 			t.Errorf("%s:\n%q, not\n%q", name, got, want)
 		}
-		session.output.Wrote(session.output.Len())
+		session.output.Advance(session.output.Len())
 	}
 
 	full := newAttempt(testID)
