--- a/internal/sharedstore/logsync.go
+++ b/internal/sharedstore/logsync.go
@@ -18,7 +18,11 @@
 		return
 	}
 	t := s.transport
-	s.updateLog(t.coordinator.PlanLogUpdate(t.now(), s.id, r.stored))
+	update := t.coordinator.PlanLogUpdate(t.now(), s.id, r.stored)
+	if update.IsDataLost {
+		t.handle(&decide.Event{Kind: decide.EventDataLost, Endpoint: s.id})
+	}
+	s.updateLog(update)
 }
 
 // updateLog carries out what the decisions plan on the range that was read.
--- a/policy/sharedstore/completion.go
+++ b/policy/sharedstore/completion.go
@@ -59,7 +59,7 @@
 // close releases what a completed operation still has in flight.
 func (c *Coordinator) close(op *operation) {
 	if op.fillState == fillInFlight {
-		c.fillLimit(op.source).inFlight--
+		c.releaseFill(op.source)
 		op.fillState = fillNone
 		c.emit(Action{Kind: ActionAbortFill, Operation: op.id})
 	}
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -205,9 +205,7 @@
 	if listed, known := c.endpoints[event.Endpoint]; !known || listed.state != event.State {
 		c.endpoints[event.Endpoint] = listedEndpoint{event.State, c.now}
 	}
-	if event.State == routing.Gone {
-		delete(c.fillLimits, event.Endpoint)
-	}
+	c.dropFillLimit(event.Endpoint)
 	for id, listed := range c.endpoints { // endpoints come and go for months
 		if listed.state == routing.Gone && c.now-listed.since > goneEndpointTTL {
 			delete(c.endpoints, id)
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -87,8 +87,7 @@
 
 // recordFill learns from the end of a fill what the source bears and how long fills take.
 func (c *Coordinator) recordFill(source routing.EndpointID, event *Event) {
-	limit := c.fillLimit(source)
-	limit.inFlight = max(0, limit.inFlight-1)
+	limit := c.releaseFill(source)
 	switch event.Outcome {
 	case routing.Succeeded:
 		c.fillTime.add(event.Elapsed)
@@ -181,3 +180,20 @@
 	c.releaseLease(op)
 	c.complete(op, 0, routing.CacheMiss, note, op.fill.firstByteWait)
 }
+
+// releaseFill takes a fill off its source's limit, which is dropped with the last fill of a source that has gone.
+func (c *Coordinator) releaseFill(source routing.EndpointID) *concurrencyLimit {
+	limit := c.fillLimit(source)
+	limit.inFlight--
+	c.dropFillLimit(source)
+	return limit
+}
+
+// dropFillLimit forgets what a source that has gone bears, once none of its fills is in flight.
+func (c *Coordinator) dropFillLimit(source routing.EndpointID) {
+	limit, hasLimit := c.fillLimits[source]
+	listed, isListed := c.endpoints[source]
+	if hasLimit && limit.inFlight == 0 && isListed && listed.state == routing.Gone {
+		delete(c.fillLimits, source)
+	}
+}
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -40,6 +40,7 @@
 
 // LogUpdate is what a router writes into the log of a store in one command. The zero value writes nothing.
 type LogUpdate struct {
+	IsDataLost    bool // the store lost its data: EventDataLost is to be handled before the update is carried out
 	NeedsAll      bool // read all entries of the store first, instead of writing
 	Invalidations []Invalidation
 	CompleteFrom  Timestamp // 0: unchanged
@@ -96,7 +97,7 @@
 		return LogUpdate{}
 	}
 	c.log.expire(c.wallClock())
-	c.recordLogRange(store, stored)
+	isLost := c.recordLogRange(store, stored)
 	sync := &store.logSync
 	isYoung := c.now-sync.connectedAt < takeoverDelay
 	switch {
@@ -106,15 +107,17 @@
 	case sync.exists && !c.log.adjoins(sync.completeTo) && isYoung:
 		return LogUpdate{}
 	}
-	return c.logUpdate(sync)
+	update := c.logUpdate(sync)
+	update.IsDataLost = isLost
+	return update
 }
 
 // recordLogRange compares what the store's log says with what was written there. Whatever went missing is written
-// again.
-func (c *Coordinator) recordLogRange(store *storeStatus, stored LogRange) {
+// again. It reports whether the log is lost, and the store's data with it.
+func (c *Coordinator) recordLogRange(store *storeStatus, stored LogRange) (isLost bool) {
 	sync := &store.logSync
 	exists := stored.CompleteTo > 0
-	isLost := sync.wasRead && sync.exists && stored.CompleteTo == 0
+	isLost = sync.wasRead && sync.exists && stored.CompleteTo == 0
 	isRolledBack := sync.wasRead && sync.exists && exists && stored.CompleteTo < sync.completeTo
 	if !sync.wasRead {
 		sync.connectedAt, sync.writtenUpTo = c.now, c.log.dropped
@@ -125,11 +128,7 @@
 	sync.wasRead, sync.exists = true, exists
 	sync.completeFrom, sync.completeTo = stored.CompleteFrom, stored.CompleteTo
 	c.consumeBudget(store, logSyncCommands)
-	if isLost {
-		// Known fault: this is no call of Handle, so the actions that follow (the log line, the timer for the end of the
-		// slow start, the announced start) are lost.
-		c.handleConnection(store, &Event{Kind: EventDataLost, Endpoint: store.id})
-	}
+	return isLost
 }
 
 // canTakeOver says whether the store knows of purges from before this router's range, and its range reaches into it.
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 )
@@ -99,10 +100,18 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			coordinator := newLogCoordinator()
+			coordinator.settings.Capacity = 0 // a start is announced only where the capacity is not known
 			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
 			coordinator.Handle(0, &connected, nil)
 			coordinator.PlanLogUpdate(time.Second, storeS, LogRange{CompleteTo: epoch})
-			coordinator.PlanLogUpdate(2*time.Second, storeS, LogRange{CompleteTo: test.completeTo})
+			update := coordinator.PlanLogUpdate(2*time.Second, storeS, LogRange{CompleteTo: test.completeTo})
+			if update.IsDataLost != (test.wantHealth == healthWarmingUp) {
+				t.Errorf("data lost: %v", update.IsDataLost)
+			}
+			if update.IsDataLost {
+				lost := Event{Kind: EventDataLost, Endpoint: storeS}
+				checkSlowStartIsAnnounced(t, coordinator.Handle(2*time.Second, &lost, nil))
+			}
 			if health := coordinator.stores[0].health.state; health != test.wantHealth {
 				t.Errorf("the store is %v, want %v", health, test.wantHealth)
 			}
@@ -115,3 +124,15 @@
 	return coordinator.log.proves(modelObject, 0, generatedAt, validFrom) &&
 		!coordinator.isInFuture(generatedAt, validFrom)
 }
+
+// checkSlowStartIsAnnounced checks that a store which lost its data has a timer for the end of its slow start, a log line,
+// and that its start is announced where its capacity is not known.
+func checkSlowStartIsAnnounced(t *testing.T, actions []Action) {
+	t.Helper()
+	for _, want := range []ActionKind{ActionSetTimer, ActionLog, ActionAnnounceStart} {
+		isThere := slices.ContainsFunc(actions, func(action Action) bool { return action.Kind == want })
+		if !isThere {
+			t.Errorf("no action of kind %d among %+v", want, actions)
+		}
+	}
+}
