--- a/internal/sharedstore/discovery_test.go
+++ b/internal/sharedstore/discovery_test.go
@@ -6,6 +6,9 @@
 
 	"fennelarch/internal/engine"
 
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
 	decide "fennelarch/policy/sharedstore"
 )
 
@@ -37,3 +40,21 @@
 	defer f.mu.Unlock()
 	return f.coordinator.PlanLogUpdate(f.now(), engine.EndpointID(storeUID), decide.LogRange{})
 }
+
+// A store that loses its data without a restart is reported, and treated as one in slow start.
+func TestLossOfDataIsReported(t *testing.T) {
+	core, lines := observer.New(zap.InfoLevel)
+	f := newFixture(t, zap.New(core))
+	until := time.Now().Add(5 * time.Second)
+	for lines.FilterMessageSnippet("store warming up").Len() == 0 {
+		if time.Now().After(until) {
+			t.Fatal("the loss is not reported within 5 s")
+		}
+		for range 10 { // the log is written, and read again after the loss
+			f.DiscoveryCurrent(time.Now())
+			f.ObserveDiscovery(engine.Purge{Object: 77, Issued: time.Now()})
+			time.Sleep(5 * time.Millisecond)
+		}
+		f.redis.Flush()
+	}
+}
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -274,7 +274,7 @@
 // atOnce is sooner than the first get is late, which would begin a fill as well.
 const atOnce = 20 * time.Millisecond
 
-// atOnceTries is how often a request may take longer because the machine paused; one that waits for a timer always does.
+// atOnceTries is how many requests may take longer because the machine paused; with a timer in the way all of them do.
 const atOnceTries = 5
 
 // Where the store cannot be reached, the fill begins at once, whether the loss of the connection was noticed or not.
--- a/policy/sharedstore/fill_test.go
+++ b/policy/sharedstore/fill_test.go
@@ -9,40 +9,25 @@
 
 // A fill that outlives the listing of its source is counted to its end, also where the source has come back meanwhile.
 func TestFillsOfDepartedSource(t *testing.T) {
-	endpointState := func(state routing.EndpointState) Event {
-		return Event{Kind: EventEndpointState, Endpoint: parentP, State: state}
-	}
-	request := func(id OperationID) Event {
-		return Event{
-			Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(id),
-			UntilObjective: time.Second, UntilDeadline: 2 * time.Second,
-		}
-	}
-	getFailed := func(id OperationID) Event {
-		return Event{Kind: EventGetDone, Operation: id, Endpoint: storeS, Reply: ReplyDisconnected}
-	}
-	cancel := func(id OperationID) Event { return Event{Kind: EventCancel, Operation: id} }
-	filled := func(id OperationID) Event {
-		return Event{Kind: EventFillDone, Operation: id, Outcome: routing.Succeeded, Note: routing.NoteFilled}
-	}
-	ready, gone := endpointState(routing.Ready), endpointState(routing.Gone)
+	ready := Event{Kind: EventEndpointState, Endpoint: parentP, State: routing.Ready}
+	gone := Event{Kind: EventEndpointState, Endpoint: parentP, State: routing.Gone}
 	for _, test := range []struct {
 		name       string
 		events     []Event
 		wantFills  int
 		wantLimits int
 	}{
-		{"a fill", []Event{request(1), getFailed(1)}, 1, 1},
-		{"its source has gone", []Event{request(1), getFailed(1), gone}, 1, 1},
-		{"cancelled after that", []Event{request(1), getFailed(1), gone, cancel(1)}, 0, 0},
-		{"filled after that", []Event{request(1), getFailed(1), gone, filled(1)}, 0, 0},
-		{"the source is back", []Event{request(1), getFailed(1), gone, ready, request(2), getFailed(2)}, 2, 1},
+		{"a fill", []Event{fillRequestEvent(1), getFailedEvent(1)}, 1, 1},
+		{"its source has gone", []Event{fillRequestEvent(1), getFailedEvent(1), gone}, 1, 1},
+		{"cancelled after that", []Event{fillRequestEvent(1), getFailedEvent(1), gone, cancelEvent(1)}, 0, 0},
+		{"filled after that", []Event{fillRequestEvent(1), getFailedEvent(1), gone, filledEvent(1)}, 0, 0},
+		{"the source is back", []Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2)}, 2, 1},
 		{
 			"the first ends then",
-			[]Event{request(1), getFailed(1), gone, ready, request(2), getFailed(2), cancel(1)},
+			[]Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2), cancelEvent(1)},
 			1, 1,
 		},
-		{"no fill was in flight", []Event{request(1), getFailed(1), filled(1), gone}, 0, 0},
+		{"no fill was in flight", []Event{fillRequestEvent(1), getFailedEvent(1), filledEvent(1), gone}, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			coordinator := New(testSettings(), 1, storeS)
@@ -61,3 +46,20 @@
 		})
 	}
 }
+
+func fillRequestEvent(id OperationID) Event {
+	return Event{
+		Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(id),
+		UntilObjective: time.Second, UntilDeadline: 2 * time.Second,
+	}
+}
+
+func getFailedEvent(id OperationID) Event {
+	return Event{Kind: EventGetDone, Operation: id, Endpoint: storeS, Reply: ReplyDisconnected}
+}
+
+func filledEvent(id OperationID) Event {
+	return Event{Kind: EventFillDone, Operation: id, Outcome: routing.Succeeded, Note: routing.NoteFilled}
+}
+
+func cancelEvent(id OperationID) Event { return Event{Kind: EventCancel, Operation: id} }
