--- a/policy/sharedstore/fill_test.go
+++ b/policy/sharedstore/fill_test.go
@@ -21,7 +21,11 @@
 		{"its source has gone", []Event{fillRequestEvent(1), getFailedEvent(1), gone}, 1, 1},
 		{"cancelled after that", []Event{fillRequestEvent(1), getFailedEvent(1), gone, cancelEvent(1)}, 0, 0},
 		{"filled after that", []Event{fillRequestEvent(1), getFailedEvent(1), gone, filledEvent(1)}, 0, 0},
-		{"the source is back", []Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2)}, 2, 1},
+		{
+			"the source is back",
+			[]Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2)},
+			2, 1,
+		},
 		{
 			"the first ends then",
 			[]Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2), cancelEvent(1)},
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -125,8 +125,8 @@
 		!coordinator.isInFuture(generatedAt, validFrom)
 }
 
-// checkSlowStartIsAnnounced checks for the timer at the end of the slow start of a store that lost its data, a log line,
-// and the announced start of a store whose capacity is not known.
+// checkSlowStartIsAnnounced checks for the timer at the end of the slow start of a store that lost its data, a line of
+// the log, and the announced start of a store whose capacity is not known.
 func checkSlowStartIsAnnounced(t *testing.T, actions []Action) {
 	t.Helper()
 	for _, want := range []ActionKind{ActionSetTimer, ActionLog, ActionAnnounceStart} {
