--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -84,7 +84,7 @@
 }
 
 // respondRejected reads until a complete message has come, and rejects what has come by then. It says whether
-// anything had; the error is that of writing.
+// anything had; the error is that of writing. It gives up once the input is full: a read of no bytes would never end.
 func respondRejected(raw net.Conn, bounds *limits.Limits, retryAfter time.Duration) (responded bool, err error) {
 	input, decoder := resp.Ring{MaxBytes: bounds.ClientReadBuffer}, newDecoder(bounds)
 	for {
@@ -95,7 +95,7 @@
 			_, err := raw.Write(output)
 			return true, err
 		}
-		if readErr != nil {
+		if readErr != nil || input.Room() == 0 {
 			return false, nil //nolint:nilerr // the end of what comes: the client may still read a response
 		}
 	}
--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -40,3 +40,27 @@
 		})
 	}
 }
+
+// A client that is not admitted and sends more than is read of it, without a complete message, is told so all the same,
+// and its connection ends.
+func TestRejectionOfEndlessInputEnds(t *testing.T) {
+	address, server := startServer(t, Options{Admission: admission.Settings{ConnectionsPerPeer: 1}})
+	first := dial(t, address)
+	write(t, first, frame("PING", "1"))
+	if n, err := first.Read(make([]byte, 64)); err != nil || n == 0 {
+		t.Fatal(err)
+	}
+	conn := dial(t, address)
+	_, _ = io.WriteString(conn, strings.Repeat("x", server.shared.limits.ClientReadBuffer+1000))
+	response := make([]byte, 64)
+	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if n, err := conn.Read(response); err != nil || !strings.HasPrefix(string(response[:n]), "-BUSY") {
+		t.Errorf("%q, %v", response[:n], err)
+	}
+	_ = conn.Close()
+	for until := time.Now().Add(5 * time.Second); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
+		if time.Now().After(until) {
+			t.Fatal("the rejected connection never ends")
+		}
+	}
+}
