--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -51,7 +51,7 @@
 }
 
 // unlockChanged unlocks the session after a change of it: the admission policy is notified whether the connection is
-// busy, and the reader and the writer look again.
+// busy, the writer looks again, and so does a reader that was held back or is to close an idle connection.
 func (c *connection) unlockChanged() {
 	if isBusy := !c.session.isIdle(); isBusy != c.isReportedBusy {
 		c.reportBusy(isBusy)
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -22,6 +22,9 @@
 // testTimeout bounds every wait of a test.
 const testTimeout = 10 * time.Second
 
+// responseTimeout bounds the wait for a single response that comes at once.
+const responseTimeout = 5 * time.Second
+
 // testServer is a server whose requests and cancels come by channels. Its clients are sockets driven by hand.
 type testServer struct {
 	*Server
--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -16,6 +16,7 @@
 		ConnectionsPerPeer: 1, SendRetryAfter: true, MaxRetryAfter: time.Second,
 	}})
 	first := dial(t, address)
+	_ = first.SetDeadline(time.Now().Add(responseTimeout))
 	write(t, first, frame("PING", "1"))
 	if n, err := first.Read(make([]byte, 64)); err != nil || n == 0 {
 		t.Fatal(err)
@@ -31,6 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn := dial(t, address)
+			_ = conn.SetDeadline(time.Now().Add(responseTimeout))
 			_, _ = io.WriteString(conn, c.sends)
 			got, err := io.ReadAll(conn)
 			if !strings.HasPrefix(string(got), c.want) || err != nil {
@@ -53,12 +55,12 @@
 	conn := dial(t, address)
 	_, _ = io.WriteString(conn, strings.Repeat("x", server.shared.limits.ClientReadBuffer+1000))
 	response := make([]byte, 64)
-	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	if n, err := conn.Read(response); err != nil || !strings.HasPrefix(string(response[:n]), "-BUSY") {
 		t.Errorf("%q, %v", response[:n], err)
 	}
 	_ = conn.Close()
-	for until := time.Now().Add(5 * time.Second); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(responseTimeout); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the rejected connection never ends")
 		}
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -16,8 +16,8 @@
 	body   []byte
 }
 
-// reservedBacklog: this part of the memory for responses is kept for clients of which next to nothing waits.
-const reservedBacklog = 8
+// backlogReserveParts: this part of the memory for responses is kept for clients of which next to nothing waits.
+const backlogReserveParts = 8
 
 func (s *session) enqueue(r response) { s.pendingResponses = append(s.pendingResponses, r) }
 
@@ -85,7 +85,7 @@
 func (s *session) hasBacklogRoom(bytes int) bool {
 	bounds := &s.shared.limits
 	total := s.shared.backlogBytes.Load() + int64(bytes)
-	if total <= bounds.ResponseBacklogBytes-bounds.ResponseBacklogBytes/reservedBacklog {
+	if total <= bounds.ResponseBacklogBytes-bounds.ResponseBacklogBytes/backlogReserveParts {
 		return true
 	}
 	return total <= bounds.ResponseBacklogBytes && s.backlogBytes+int64(bytes) <= int64(bounds.ResponseBodyBytes)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Wait returns once the goroutines of connections have ended. It may be called after Serve has returned and
-// UnclosedCount is zero.
+// Wait returns once all writers, rejections and wake-ups have ended. It may be called after Serve has returned, once
+// UnclosedCount and ConnectionCount are zero: a reader that has not ended may still start a writer.
 func (s *Server) Wait() { s.goroutines.Wait() }
 
 // UnclosedCount returns how many connections are not closed yet.
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -7,8 +7,8 @@
 	stateHandshaking     connectionState = iota // the TLS handshake is not over
 	stateAwaitingMessage                        // no complete message has come yet
 	stateEstablished                            // a complete message has come
-	stateClosed                                 // this side gave the connection up, or a write failed
-	stateClientLeft                             // the client was found to have closed it
+	stateClosed                                 // it is no longer in use, whoever ended it
+	stateClientLeft                             // its client was found to have left while its input was held
 	connectionStateCount
 )
 
--- a/internal/frontend/tls_test.go
+++ b/internal/frontend/tls_test.go
@@ -117,7 +117,7 @@
 // ping returns what a client reads after a ping.
 func ping(conn net.Conn) string {
 	_, _ = io.WriteString(conn, frame("PING", "1"))
-	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
+	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	buffer := make([]byte, 100)
 	n, _ := conn.Read(buffer)
 	return string(buffer[:n])
--- a/policy/admission/action.go
+++ b/policy/admission/action.go
@@ -10,7 +10,7 @@
 	Accept      ActionKind = iota // the connection, or the request
 	Reject                        // with an error message and, if Wait is set, the time to retry after
 	Drop                          // without a message
-	CloseIdle                     // close another connection, which is idle, to free its place
+	CloseIdle                     // close an idle connection, to free its place
 	Pause                         // accept nothing for Wait, or, if Conn is set, read nothing of that connection
 	ModeChanged                   // From, To: the overload mode is another; for the log
 )
