--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	const rejection = "*4\r\n$1\r\n7\r\n$4\r\nBUSY\r\n"
-	for name, c := range map[string]struct{ sends, want string }{
+	for name, test := range map[string]struct{ sends, want string }{
 		"a request":          {do(7, ""), rejection},
 		"a request and more": {do(7, "") + strings.Repeat("x", 20_000), rejection},
 		"an unknown verb":    {frame("JUMP", "3"), "*4\r\n$1\r\n3\r\n$6\r\nFAILED\r\n"},
@@ -33,9 +33,9 @@
 		t.Run(name, func(t *testing.T) {
 			conn := dial(t, address)
 			_ = conn.SetDeadline(time.Now().Add(responseTimeout))
-			_, _ = io.WriteString(conn, c.sends)
+			_, _ = io.WriteString(conn, test.sends)
 			got, err := io.ReadAll(conn)
-			if !strings.HasPrefix(string(got), c.want) || err != nil {
+			if !strings.HasPrefix(string(got), test.want) || err != nil {
 				t.Errorf("%q, %v", got, err)
 			}
 			_ = conn.Close()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -16,7 +16,7 @@
 
 const (
 	dialForAttempt  dialPurpose = iota
-	dialReplacement             // another dial is overdue; what waits for this one is not moved once more
+	dialReplacement             // another dial is overdue; its own delay opens no further replacement
 )
 
 // connection is a connection to a server, being dialled or up. Its goroutines are run, which dials and then writes, and
@@ -125,7 +125,7 @@
 }
 
 // retire has the connection take nothing more, and says whether it can be closed at once.
-func (c *connection) retire() (isUnused bool) {
+func (c *connection) retire() (canCloseNow bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.advance(eventRetire)
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -103,7 +103,7 @@
 // may well answer where it was.
 func (e *endpoint) retireConnections() {
 	for _, c := range e.connections {
-		if isUnused := c.retire(); isUnused {
+		if canCloseNow := c.retire(); canCloseNow {
 			go c.close(invariant.CloseServerMoved)
 		} else {
 			c.wakeWriter()
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -28,7 +28,7 @@
 	err     error // may be nil
 }
 
-// newResponseError copies the id: so that it needs no memory on the heap where there is no error.
+// newResponseError clones the id, so that the caller's stays off the heap where there is no error.
 func newResponseError(id string, problem responseProblem, err error) *responseError {
 	return &responseError{id: strings.Clone(id), problem: problem, err: err}
 }
@@ -52,7 +52,7 @@
 type dialError struct {
 	address  string
 	attempts int
-	fault    system.Fault // whom the last error tells something about
+	fault    system.Fault // who is at fault by the last error; this machine, where the process stood still
 	err      error
 }
 
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -55,8 +55,10 @@
 	net.Listener
 	accepted       chan net.Conn
 	verbs          chan string
-	answers        chan bool    // one a fetch: whether it is answered
-	deadlineMillis atomic.Int64 // that the last request named
+	answers        chan bool      // one a fetch, in the order in which they came: whether it is answered
+	fetches        chan chan bool // those that wait for that
+	closing        chan struct{}  // closed at the end of the test
+	deadlineMillis atomic.Int64   // that the last request named
 }
 
 func newScriptedServer(t *testing.T) *scriptedServer {
@@ -70,15 +72,46 @@
 		accepted: make(chan net.Conn, 100),
 		verbs:    make(chan string, 100),
 		answers:  make(chan bool, 100),
+		fetches:  make(chan chan bool, 100),
+		closing:  make(chan struct{}),
 	}
+	go server.dispatchAnswers()
 	t.Cleanup(func() {
 		_ = listener.Close()
-		close(server.answers)
+		close(server.closing)
 	})
 	go server.accept(t)
 	return server
 }
 
+// dispatchAnswers hands each answer to the fetch that came first, whichever connection it came on.
+func (s *scriptedServer) dispatchAnswers() {
+	for {
+		var fetch chan bool
+		select {
+		case fetch = <-s.fetches:
+		case <-s.closing:
+			return
+		}
+		select {
+		case isAnswered := <-s.answers:
+			fetch <- isAnswered
+		case <-s.closing:
+			return
+		}
+	}
+}
+
+// isAnswered waits for the answer to a fetch that has just come.
+func (s *scriptedServer) isAnswered(fetch chan bool) bool {
+	select {
+	case isAnswered := <-fetch:
+		return isAnswered
+	case <-s.closing:
+		return false
+	}
+}
+
 func (s *scriptedServer) accept(t *testing.T) {
 	t.Helper()
 	for {
@@ -104,8 +137,12 @@
 			millis, _ := strconv.Atoi(rest[:strings.IndexAny(rest, ",\r")])
 			s.deadlineMillis.Store(int64(millis))
 		}
+		fetch := make(chan bool, 1)
+		if string(command.Args[0]) == verbFetch {
+			s.fetches <- fetch
+		}
 		s.verbs <- string(command.Args[0])
-		if string(command.Args[0]) == verbFetch && <-s.answers {
+		if string(command.Args[0]) == verbFetch && s.isAnswered(fetch) {
 			_, _ = socket.Write([]byte(frame(string(command.Args[1]), statusOK, "-", "bytes")))
 		}
 	}
--- a/internal/upstream/reassign.go
+++ b/internal/upstream/reassign.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// reassignToIdle is called when nothing is pending on a connection any more: it takes what waits for overdue dials to
-// its endpoint.
+// reassignToIdle is called when nothing is pending on a connection any more: it takes an attempt that waits for an
+// overdue dial to its endpoint.
 func (p *Pool) reassignToIdle(idle *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,8 +40,8 @@
 	}
 }
 
-// reassignTo moves an attempt that waits for an overdue dial to another connection, if that is up, idle, and has had a
-// response since the dial began.
+// reassignTo moves an attempt that waits for an overdue dial to another connection, if that is up, idle, not suspect,
+// and has had a response since the dial began.
 func (p *Pool) reassignTo(to, from *connection) {
 	if from == to || !from.isDialOverdue() {
 		return
