--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -44,10 +44,15 @@
 	address, server := startServer(t, Options{}, func(l *limits.Limits) {
 		l.ClientConnections, l.ClientIdleTimeout = 3, 200*time.Millisecond
 	})
+	// A connection counts as busy until its writer has noted what was written, a moment after the client may have read it.
+	awaitBusy := func(count int64) {
+		await(t, "the writers have ended", func() bool { return server.busyCount.Load() == count })
+	}
 	for range 10 {
 		if _, got := connectAndSend(t, address, frame("PING", "1")); got != pong("1") {
 			t.Fatalf("%q", got)
 		}
+		awaitBusy(0)
 	}
 	usual, _ := connectAndSend(t, address, frame("PING", "1"))
 	for range 6 { // they never ask
@@ -57,11 +62,13 @@
 	if n, err := usual.Read(make([]byte, 100)); err != nil || n != len(pong("2")) {
 		t.Errorf("a client that is idle loses its place to those who never ask: %v", err)
 	}
-	for range 3 { // busy from now on: a request is in flight on each
+	for busy := range int64(3) { // busy from now on: a request is in flight on each
+		awaitBusy(busy)
 		if _, got := connectAndSend(t, address, frame("PING", "1")+do(2, "")); got != pong("1") {
 			t.Fatalf("%q", got)
 		}
 	}
+	awaitBusy(3)
 	if _, got := connectAndSend(t, address, frame("PING", "1")); got != frame("1", "BUSY", "", "") {
 		t.Errorf("a fourth busy client got %q", got)
 	}
