--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -19,8 +19,8 @@
 
 //nolint:lll // a struct tag cannot be broken
 type serveCmd struct {
-	Operator string `help:"The operator's own file: what this installation has beyond the platform." env:"RELAY_OPERATOR" placeholder:"FILE"`
-	Recorder string `help:"The folder into which the flight recorder is written at SIGUSR1 and at a violated invariant; none: standard error." env:"RELAY_RECORDER" placeholder:"DIR"`
+	Operator string `help:"The operator's file: settings beyond the platform's." env:"RELAY_OPERATOR" placeholder:"FILE"`
+	Recorder string `help:"Folder for flight recorder dumps; none: standard error." env:"RELAY_RECORDER" placeholder:"DIR"`
 }
 
 type checkCmd struct {
