--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -17,7 +17,6 @@
 // version is the release; the revision is added where the build knows it.
 const version = "0.1.0"
 
-//nolint:lll // a struct tag cannot be broken
 type serveCmd struct {
 	Operator string `help:"The operator's file: settings beyond the platform's." env:"RELAY_OPERATOR" placeholder:"FILE"`
 	Recorder string `help:"Folder for flight recorder dumps; none: standard error." env:"RELAY_RECORDER" placeholder:"DIR"`
@@ -76,7 +75,6 @@
 	return err
 }
 
-//nolint:lll // a struct tag cannot be broken
 type commands struct {
 	Serve   serveCmd   `cmd:"" help:"Run one router, as the environment tells: RELAY_NAME, RELAY_LISTEN, RELAY_CONFIG."`
 	Check   checkCmd   `cmd:"" help:"Read the configuration, say what it holds, and end."`
