--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -63,13 +63,13 @@
 		return s.takeHealth(id, status, result.LoadReport, now)
 	}
 	number, err := strconv.ParseUint(id, 16, 64)
+	if err != nil {
+		return newResponseError(id, problemBadID, err)
+	}
 	requestID := engine.ClientRequestID(number)
 	sent, isInFlight := s.inFlight[requestID]
 	if !isInFlight {
 		delete(s.aborted, requestID)
-		if err != nil {
-			return newResponseError(id, problemBadID, err)
-		}
 		return nil
 	}
 	var isKnown bool
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"strings"
 	"testing"
 	"time"
@@ -115,6 +116,31 @@
 	}
 }
 
+// An id that is no number, or too large for one, is taken for no request, not even for the one with the first or the
+// last id.
+func TestResponseWithUnusableID(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		id   string
+		sent engine.ClientRequestID
+	}{
+		{"no hexadecimal number", "zzzzzzzzzzzzzzzz", 0},
+		{"too large", "fffffffffffffffff", math.MaxUint64},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			session := newTestSession()
+			session.writeAttempt(newAttempt(test.sent), wholeFrame)
+			err := session.feed(frame(test.id, statusOK, "-", "bytes"), 1)
+			if !errors.Is(err, resp.ErrFraming) {
+				t.Errorf("%q is believed: %v", test.id, err)
+			}
+			if results := session.takeResults(); len(results) != 0 {
+				t.Errorf("results %+v", results)
+			}
+		})
+	}
+}
+
 // A malformed response says which it was and what is wrong with it.
 func TestResponseError(t *testing.T) {
 	session := newTestSession()
