--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -6,14 +6,15 @@
 	"fennelarch/policy/routing"
 )
 
-// dispatch hands the router an event and carries out its actions, and those that follow from them.
+// dispatch passes an event to the router and carries out the actions it returns, then does the same for the events that
+// result.
 func (e *Engine) dispatch(event *routing.Event) {
 	e.actions = e.router.Handle(e.now, event, e.actions[:0])
 	e.execute()
 	e.dispatchPending()
 }
 
-// dispatchPending hands the router the events that carrying out its actions has caused.
+// dispatchPending passes the pending events to the router, including those that its actions add.
 func (e *Engine) dispatchPending() {
 	for i := 0; i < len(e.pending); i++ {
 		event := e.pending[i]
@@ -23,7 +24,7 @@
 	e.pending = e.pending[:0]
 }
 
-// execute carries out the actions of the router's last call. What they cause becomes pending events.
+// execute carries out the actions that the router's last call returned. Events that result are added to e.pending.
 func (e *Engine) execute() {
 	for i := range e.actions {
 		action := &e.actions[i]
@@ -39,12 +40,12 @@
 		case routing.ActionLog:
 			e.log.Info(action.Text)
 		case routing.ActionWatchEndpoints, routing.ActionPollEndpoints:
-			// Endpoint lists are watched and polled without the engine, and come as messages.
+			// Endpoint lists are fetched outside the engine and arrive as EndpointList messages.
 		}
 	}
 }
 
-// executeOn carries out an action on a request.
+// executeOn carries out an action that concerns a request.
 func (e *Engine) executeOn(request *activeRequest, action *routing.Action) {
 	switch action.Kind {
 	case routing.ActionLookup, routing.ActionSend:
@@ -61,6 +62,6 @@
 		if int(action.Attempt) < len(request.attempts) {
 			e.abort(request.attempts[action.Attempt], routing.Cancelled)
 		}
-	default: // no other action is on a request
+	default: // no other action concerns a request
 	}
 }
--- a/internal/engine/ageestimator.go
+++ b/internal/engine/ageestimator.go
@@ -6,8 +6,8 @@
 	"fennelarch/policy/routing"
 )
 
-// timestampHorizon is how long any timestamp matters: while an endpoint is in slow start, a purge is incomplete or a
-// copy is fresh.
+// timestampHorizon returns how long a timestamp can matter: while an endpoint is in slow start, a purge is incomplete
+// or a copy may be served.
 func timestampHorizon(settings *routing.Settings) time.Duration {
 	longest := max(settings.SlowStartFor, settings.ParentSlowStartFor, settings.PurgeCompleteAfter)
 	for i := range settings.Classes {
@@ -16,22 +16,22 @@
 	return longest + time.Minute
 }
 
-// ageEstimator turns timestamps of wall clocks into ages. The boot times of endpoints, purges and copies carry
-// timestamps of clocks that may step by seconds or by an hour, as may the clock of this machine. The engine computes
-// with spans of the monotonic clock only: a timestamp is turned into one once, when it is received, and every doubt
-// makes the result stricter.
+// ageEstimator converts wall-clock timestamps to ages. Boot times of endpoints, purges and copies carry timestamps of
+// clocks that may step by seconds or by an hour, and so may the clock of this machine. The engine computes with
+// durations on the monotonic clock only: it converts each timestamp once, on receipt, and any uncertainty makes the
+// result stricter.
 type ageEstimator struct {
 	clock clockSkew
 }
 
-// age is how old something with a timestamp may be.
+// age is the range of possible ages of a timestamp.
 type age struct {
 	atLeast, atMost time.Duration
-	isPlausible     bool // on one reading of the clock at least, the timestamp does not lie in the future
+	isPlausible     bool // by at least one offset of the wall clock, the timestamp is not in the future
 }
 
-// estimate is the age of a timestamp: whoever took it may have used the clock as it stands now, or as it stood before a
-// step.
+// estimate returns the age of a timestamp. The timestamp may come from the wall clock as it is set now, or as it was
+// set before one of the remembered steps.
 func (a *ageEstimator) estimate(timestamp time.Time, now time.Duration) age {
 	a.clock.compare()
 	atLeast := a.clock.wallTime(now, a.clock.offset).Sub(timestamp)
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -7,50 +7,50 @@
 	"fennelarch/policy/routing"
 )
 
-// attemptState is how far an attempt has come.
+// attemptState is the state of an attempt.
 type attemptState uint8
 
 const (
 	attemptInFlight  attemptState = iota
-	attemptCompleted              // its endpoint, or the local cache, has given a result
-	attemptAborted                // it was given up by this side
+	attemptCompleted              // the endpoint, or the local cache, has returned a result
+	attemptAborted                // the engine has aborted it
 	attemptStates
 )
 
 var attemptStateNames = [attemptStates]string{"in_flight", "completed", "aborted"}
 
-// String is the name under which a state is logged.
+// String returns the name of the state in logs.
 func (s attemptState) String() string { return attemptStateNames[s] }
 
-// attemptTransitions are the transitions that may happen: an attempt ends once.
+// attemptTransitions lists the valid transitions: an attempt ends only once.
 var attemptTransitions = [attemptStates][attemptStates]bool{
 	attemptInFlight: {attemptCompleted: true, attemptAborted: true},
 }
 
-// Attempt is one try of a request at an endpoint.
+// Attempt is one attempt to serve a request at an endpoint.
 type Attempt struct {
 	Request  *Request
 	Number   routing.AttemptNumber
 	Endpoint routing.EndpointID
-	Source   routing.EndpointID // where the endpoint fills from; 0: nowhere
+	Source   routing.EndpointID // where the endpoint fills from; 0: no fill
 
-	Deadline time.Time // when it is aborted: the endpoint is sent the time left until then
-	NotAfter time.Time // it is sent by then or never; zero: no bound of its own
+	Deadline time.Time // when the attempt is aborted; the endpoint is sent the time left until then
+	NotAfter time.Time // when the attempt must have been sent, or never is; zero: no limit of its own
 
 	MaxAge      time.Duration
 	CacheRank   uint8
 	FillOptions routing.FillOptions
 
-	TransportState any // belongs to the transport alone
+	TransportState any // used by the transport only
 
 	SentAt time.Time
-	sentAt time.Duration // the same on the engine's clock
+	sentAt time.Duration // SentAt on the engine's clock
 	state  attemptState
 }
 
 func (a *Attempt) hasEnded() bool { return a.state != attemptInFlight }
 
-// endAttempt moves an attempt in flight to its last state. Any other transition is a violation and changes nothing.
+// endAttempt moves an attempt in flight to a final state. Any other transition is a violation and changes nothing.
 func (e *Engine) endAttempt(request *activeRequest, attempt *Attempt, state attemptState) {
 	if !attemptTransitions[attempt.state][state] {
 		e.violateTransition(attempt.Request, "attempt", attempt.state, state)
@@ -60,12 +60,12 @@
 	request.attemptsInFlight--
 }
 
-// startAttempt starts the attempt that an action asks for.
+// startAttempt starts the attempt that an action requests.
 func (e *Engine) startAttempt(request *activeRequest, action *routing.Action) {
 	attempt := e.newAttempt(request, action)
 	request.attempts = append(request.attempts, attempt)
 	request.attemptsInFlight++
-	if !request.Invariants.IsOpen() { // its client left a moment ago, and the event that says so is on its way
+	if !request.Invariants.IsOpen() { // the client has just left, and its ClientGone message has yet to be handled
 		e.endAttempt(request, attempt, attemptAborted)
 		e.pending = append(e.pending, attemptResultEvent(attempt, routing.NotSent))
 		return
@@ -104,8 +104,8 @@
 	return attempt
 }
 
-// handleAttemptResult takes the result of an attempt that ended at a time on the engine's clock. The result of an
-// attempt that has ended already is ignored: results and aborts cross.
+// handleAttemptResult handles the result of an attempt that ended at endedAt on the engine's clock. It ignores the
+// result of an attempt that has already ended, since a result and an abort can cross.
 func (e *Engine) handleAttemptResult(result *AttemptResult, endedAt time.Duration) {
 	attempt := result.Attempt
 	if attempt.hasEnded() {
@@ -129,7 +129,7 @@
 	e.removeIfDone(request)
 }
 
-// abort ends an attempt from this side; the router is told next.
+// abort aborts an attempt in flight and adds the event that tells the router to e.pending.
 func (e *Engine) abort(attempt *Attempt, outcome routing.Outcome) {
 	if attempt.hasEnded() {
 		return
@@ -146,7 +146,7 @@
 	e.removeIfDone(request)
 }
 
-// attemptResultEvent is the event that tells the router how an attempt ended.
+// attemptResultEvent returns the event that tells the router how an attempt ended.
 func attemptResultEvent(attempt *Attempt, outcome routing.Outcome) routing.Event {
 	return routing.Event{
 		Kind: routing.EventAttemptResult, Request: attempt.Request.ID, Attempt: attempt.Number,
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -7,7 +7,7 @@
 	"fennelarch/policy/routing"
 )
 
-// A request through the engine and the decisions, served by a hit.
+// BenchmarkRequest measures a request through the engine and the router, served by a cache hit.
 func BenchmarkRequest(b *testing.B) {
 	engine := newTestEngine()
 	engine.quiet = true
--- a/internal/engine/cancellation.go
+++ b/internal/engine/cancellation.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// cancellations are the requests whose clients have gone and that the engine has not taken yet. There is at most one
-// for each open request, so the list needs no other bound and adding to it never waits.
+// cancellations holds the ClientGone messages that the engine has yet to handle. There is at most one for each open
+// request, so the list needs no other bound, and add never blocks.
 type cancellations struct {
-	signal chan struct{} // wakes Run after an addition
+	signal chan struct{} // wakes Run after a message was added
 
 	mu   sync.Mutex
 	list []ClientGone
@@ -32,7 +32,7 @@
 	return list
 }
 
-// handleCancellations handles the requests whose clients have gone.
+// handleCancellations handles the ClientGone messages received so far.
 func (e *Engine) handleCancellations() {
 	for _, message := range e.cancellations.take() {
 		e.Handle(time.Since(e.startTime), Event{Message: message})
--- a/internal/engine/cancellation_test.go
+++ b/internal/engine/cancellation_test.go
@@ -10,28 +10,28 @@
 	"go.uber.org/zap"
 )
 
-// newRecordedRequest is a request with a record of its invariants.
+// newRecordedRequest returns a request that arrives now, with a record of its invariants.
 func (e *checkedEngine) newRecordedRequest(id routing.RequestID, timeout time.Duration) *Request {
 	request := e.newRequest(id, idempotentClass, timeout)
 	request.Invariants = e.monitor.NewRequest(uint64(id), request.ReceivedAt.Add(timeout), invariant.RepeatPolicy{})
 	return request
 }
 
-// A client leaves while its request waits for the engine: nothing is sent, and nothing is left.
+// A client leaves while its request is in the engine's queue: no attempt is sent, and the engine keeps nothing.
 func TestClientGoneBeforeItsRequest(t *testing.T) {
 	for _, testCase := range []struct {
 		name string
 		play func(engine *checkedEngine, request *Request)
 	}{
-		{"the event is before the request", func(engine *checkedEngine, request *Request) {
+		{"ClientGone before the request", func(engine *checkedEngine, request *Request) {
 			engine.send(ClientGone{request.ID})
 			engine.send(request)
 		}},
-		{"the event is behind the request", func(engine *checkedEngine, request *Request) {
+		{"ClientGone after the request", func(engine *checkedEngine, request *Request) {
 			engine.send(request)
 			engine.send(ClientGone{request.ID})
 		}},
-		{"the event is not there yet", func(engine *checkedEngine, request *Request) { engine.send(request) }},
+		{"ClientGone not received", func(engine *checkedEngine, request *Request) { engine.send(request) }},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			engine := newCheckedEngine(t, testCase.name)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A client leaves between two attempts: the next one is not sent, though the router of decisions asks for it.
+// A client leaves between two attempts: the next attempt is not sent, although the router requests it.
 func TestClientGoneBetweenAttempts(t *testing.T) {
 	engine := newCheckedEngine(t, "between attempts")
 	request := engine.newRecordedRequest(1, 2*time.Second)
@@ -67,26 +67,26 @@
 	engine.checkEmpty()
 }
 
-// A full queue refuses requests without waiting; that a client has gone is always accepted.
+// A full queue rejects requests without blocking, while ClientGone messages are always accepted.
 func TestFullQueue(t *testing.T) {
 	engine := New(Options{Seed: 1, QueueLength: 2, StartTime: time.Now(), Log: zap.NewNop()})
 	now := time.Now()
 	for i := range 2 {
 		if !engine.Post(now, &Request{ID: routing.RequestID(i + 1)}) {
-			t.Fatal("a request is refused though the queue has room")
+			t.Fatal("request rejected although the queue has room")
 		}
 	}
 	if engine.Post(now, &Request{ID: 3}) {
-		t.Error("a request is accepted though the queue is full")
+		t.Error("request accepted although the queue is full")
 	}
 	done := make(chan bool)
 	go func() { done <- engine.Post(now, ClientGone{1}) && engine.Post(now, ClientGone{2}) }()
 	select {
 	case accepted := <-done:
 		if gone := engine.cancellations.take(); !accepted || len(gone) != 2 || gone[0].Request != 1 {
-			t.Errorf("%v", gone)
+			t.Errorf("ClientGone messages %v", gone)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("a cancellation waits")
+		t.Error("Post of a ClientGone message blocks")
 	}
 }
--- a/internal/engine/clockskew.go
+++ b/internal/engine/clockskew.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// minStep is how far the wall clock must have moved against the monotonic one between two comparisons to have
-	// stepped. Less is slewing, or the time between the two readings.
+	// minStep is the smallest change of the wall clock against the monotonic clock between two comparisons that counts
+	// as a step. A smaller one is slewing, or the time between the readings of the two clocks.
 	minStep = 100 * time.Millisecond
-	// minSlew is the smallest movement that is followed.
+	// minSlew is the smallest change of the wall clock against the monotonic clock that is tracked.
 	minSlew = minStep / 20
 	// compareInterval is how often the clocks are compared.
 	compareInterval = 20 * time.Millisecond
-	// maxSteps bounds how many steps are remembered.
+	// maxSteps limits how many steps are remembered.
 	maxSteps = 8
-	// maxReadingTime is how far apart the readings before and after one of the wall clock may be.
+	// maxReadingTime limits the time between the monotonic readings before and after a wall-clock reading.
 	maxReadingTime = 2 * time.Millisecond
 )
 
-// clockSkew follows how far the wall clock of this machine has moved against its monotonic clock.
+// clockSkew tracks how far this machine's wall clock has moved against its monotonic clock.
 type clockSkew struct {
-	startTime  time.Time                                            // on the wall clock, when the monotonic one stood at 0
+	startTime  time.Time                                            // wall-clock time when the monotonic clock was at 0
 	readClocks func() (monotonic time.Duration, wallTime time.Time) // at the same moment
 	horizon    time.Duration                                        // how long a step is remembered
 	offset     time.Duration                                        // how far the wall clock is ahead
-	steps      []clockStep                                          // the oldest first
+	steps      []clockStep                                          // oldest first
 	comparedAt time.Duration
 	onStep     func(by time.Duration)
 }
@@ -52,12 +52,12 @@
 	}
 }
 
-// wallTime is what the wall clock shows at a time on the monotonic clock, with an offset between the two.
+// wallTime returns the wall-clock time for a monotonic time, given the offset between the two clocks.
 func (c *clockSkew) wallTime(monotonic, offset time.Duration) time.Time {
 	return c.startTime.Add(monotonic + offset)
 }
 
-// compareIfDue compares the clocks once an interval, so that no step is missed.
+// compareIfDue compares the clocks once per compareInterval, so that no step is missed.
 func (c *clockSkew) compareIfDue(now time.Duration) {
 	if now-c.comparedAt >= compareInterval {
 		c.comparedAt = now
@@ -65,7 +65,7 @@
 	}
 }
 
-// compare takes notice of a step or a slew of the wall clock.
+// compare reads both clocks and records a step or a slew of the wall clock.
 func (c *clockSkew) compare() {
 	now, wallTime := c.readClocks()
 	offset := wallTime.Sub(c.startTime) - now
--- a/internal/engine/clockskew_test.go
+++ b/internal/engine/clockskew_test.go
@@ -1,6 +1,7 @@
 package engine
 
-// The wall clock steps, here and elsewhere: a timestamp never makes anything older or younger than is safe.
+// These tests step the wall clocks of this machine and of others: the age derived from a timestamp always errs on the
+// safe side.
 
 import (
 	"fmt"
@@ -10,7 +11,7 @@
 	"fennelarch/policy/routing"
 )
 
-// bootAge is how old the engine takes an endpoint with a boot time to be.
+// bootAge returns the age that the engine estimates for an endpoint with the given boot time.
 func (e *testEngine) bootAge(bootTime time.Time) time.Duration {
 	e.send(EndpointList{Endpoints: []Endpoint{{
 		Endpoint: routing.Endpoint{ID: 9, State: routing.Ready, Weight: 1}, BootTime: bootTime.Round(0),
@@ -18,7 +19,7 @@
 	return e.now - e.endpoints[0].StartedAt
 }
 
-// clockCase is a step of the wall clock of this machine, and how far the clock of another machine is ahead.
+// clockCase holds the size of a step of this machine's wall clock, and how far another machine's clock is ahead.
 type clockCase struct{ step, otherAhead time.Duration }
 
 func (c clockCase) String() string {
@@ -43,8 +44,9 @@
 	})
 }
 
-// An endpoint started a moment ago, by a clock that has stepped, or by one that has not: it is never taken for older
-// than it is, nor for one that starts later, and listing it again does not make it younger. The same holds for a purge.
+// checkAgesAcrossStep lists an endpoint that has just started, with a boot time from a clock that has stepped or one
+// that has not. The estimated age never exceeds the true age and is never negative, and a second listing does not
+// reduce it. After a purge, attempts accept no copies older than it.
 func checkAgesAcrossStep(t *testing.T, clocks clockCase) {
 	t.Helper()
 	const trueAge = 2 * time.Second
@@ -54,22 +56,23 @@
 	bootTime := engine.start.Add(engine.at - trueAge + clocks.otherAhead)
 	first := engine.bootAge(bootTime)
 	if first > trueAge || first < 0 || clocks.step == 0 && first != trueAge {
-		t.Errorf("an endpoint that started %v ago is taken for one of %v", trueAge, first)
+		t.Errorf("estimated age of an endpoint that started %v ago: %v", trueAge, first)
 	}
 	engine.pass(3 * time.Second)
 	if again := engine.bootAge(bootTime); again != first+3*time.Second {
-		t.Errorf("listed again 3 s later, its age is %v after %v", again, first)
+		t.Errorf("estimated age 3 s later: %v, was %v", again, first)
 	}
 
 	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at - trueAge + clocks.otherAhead).Round(0)})
 	engine.pass(time.Second)
 	engine.send(engine.newRequest(1, idempotentClass, 2*time.Second))
 	if maxAge := engine.attempts[0].MaxAge; maxAge <= 0 || maxAge > trueAge+time.Second {
-		t.Errorf("%v after a purge copies may be %v old", trueAge+time.Second, maxAge)
+		t.Errorf("maximum age of copies %v after a purge: %v", trueAge+time.Second, maxAge)
 	}
 }
 
-// A local copy with a timestamp of either clock is not served once it was purged, nor once it is older than it may be.
+// checkLocalCacheAcrossStep checks that a copy with a timestamp of either clock is not served once it has been purged
+// or has exceeded its maximum age.
 func checkLocalCacheAcrossStep(t *testing.T, clocks clockCase) {
 	t.Helper()
 	engine := newCheckedEngine(t, clocks.String(), LocalCacheSettings{
@@ -89,20 +92,20 @@
 	engine.setWallClock(clocks.step)
 	engine.pass(time.Second)
 	if clocks.step == 0 && !isServed(time.Minute) {
-		t.Error("a copy is lost without any step")
+		t.Error("copy lost although the clock did not step")
 	}
 	engine.at += 30 * time.Minute
 	engine.Handle(engine.at, Event{})
 	if isServed(time.Minute) {
-		t.Error("a copy half an hour old is served where a minute is allowed")
+		t.Error("copy half an hour old served with a maximum age of a minute")
 	}
 	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at + clocks.step).Round(0)})
 	if isServed(0) {
-		t.Error("a purged copy is served")
+		t.Error("purged copy served")
 	}
-	// What was on its way when the purge was received is older than it, whatever its timestamp says.
+	// A response that was on its way when the purge was received counts as older, whatever its timestamp says.
 	receive(2, engine.at-time.Second+clocks.otherAhead)
 	if isServed(0) {
-		t.Error("a copy from before a purge is kept after it")
+		t.Error("copy generated before a purge was stored after it")
 	}
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -27,7 +27,7 @@
 	e.dispatch(&event)
 }
 
-// bootTimes are when endpoints started, as estimated when their boot time was received first.
+// bootTimes holds when each endpoint started, as estimated when its boot time was first received.
 type bootTimes map[routing.EndpointID]bootTime
 
 type bootTime struct {
@@ -35,7 +35,8 @@
 	at        time.Duration // on the engine's clock
 }
 
-// startedAt is when an endpoint started, never later than now. The same timestamp received again means the same time.
+// startedAt returns when an endpoint started, never later than now. The same timestamp received again yields the same
+// time.
 func (b bootTimes) startedAt(endpoint *Endpoint, ages *ageEstimator, now time.Duration) time.Duration {
 	if endpoint.BootTime.IsZero() || endpoint.State == routing.Gone {
 		delete(b, endpoint.ID)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine drives the routing decisions. One goroutine runs Engine.Run and owns the router, its clock, its timers
-// and the requests and attempts in flight; everything else posts messages to it. It carries out the actions that the
-// router asks for. It must never block, make a decision of its own, or know a protocol: clients and endpoints are
-// behind the interfaces Client and Transport.
+// Package engine drives a routing.Router and carries out its actions. The goroutine that runs Engine.Run owns the
+// router, its clock and timers, and the requests and attempts in flight; all others post messages to the engine. The
+// engine must never block, make a routing decision, or depend on a protocol: clients and endpoints are behind the
+// interfaces Client and Transport.
 package engine
 
 import (
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 )
 
-// Counts are totals since the start, but for InFlight and EventQueueDelay.
+// Counts holds totals since the start, except for InFlight and EventQueueDelay.
 type Counts struct {
 	Requests        uint64
 	Succeeded       uint64
@@ -30,21 +30,21 @@
 	EventQueueDelay time.Duration // the longest since the last report
 }
 
-// Options are what an engine is built with.
+// Options configures an Engine.
 type Options struct {
 	Routing     routing.Settings
 	Seed        uint64
-	QueueLength int       // events that may wait for the engine
-	StartTime   time.Time // when its clock stands at 0
+	QueueLength int       // capacity of the event queue
+	StartTime   time.Time // time 0 of the engine's clock
 	Transport   Transport
 	LocalCache  LocalCacheSettings
 	Log         *zap.Logger // required
 
-	Monitor     *invariant.Monitor     // optional: counts violations and lets readers go first after a stall
+	Monitor     *invariant.Monitor     // optional: counts violations and gives readers priority after a stall
 	OnClockStep func(by time.Duration) // optional: called when the wall clock has stepped
 }
 
-// Engine is driven by Run, or by hand through Handle and Tick.
+// Engine drives the router. After Start, call either Run, or Handle and Tick for each event and timer.
 type Engine struct {
 	events        chan Event
 	cancellations cancellations
@@ -57,7 +57,7 @@
 
 	startTime        time.Time
 	now              time.Duration
-	shutdownDeadline time.Duration // no request lasts longer
+	shutdownDeadline time.Duration // latest deadline of any request
 	ages             ageEstimator
 	bootTimes        bootTimes
 
@@ -65,16 +65,16 @@
 	localCache *localCache
 	timers     timerHeap
 
-	actions   []routing.Action   // of the last call of the router
-	pending   []routing.Event    // that this side caused and the router has not seen yet
-	endpoints []routing.Endpoint // of the last list; reused
+	actions   []routing.Action   // returned by the router's last call
+	pending   []routing.Event    // caused by the engine, not yet passed to the router
+	endpoints []routing.Endpoint // of the last endpoint list; reused
 
 	counts          Counts
 	inFlight        atomic.Int64
 	eventQueueDelay atomic.Int64 // of the last event, in nanoseconds
 }
 
-// New returns an engine whose clock starts at the start time of the options.
+// New returns an engine whose clock is at 0 at options.StartTime.
 func New(options Options) *Engine {
 	options.Routing.LocalCacheCapacity = options.LocalCache.Capacity()
 	engine := &Engine{
@@ -106,9 +106,9 @@
 	}
 }
 
-// Post sends the engine a message about what happened at a time. A request is not accepted while the queue is full: its
-// client's connection must go on being read, or a cancellation behind it would not be seen. That a client has gone is
-// always accepted, at once; any other message waits for its turn.
+// Post sends the engine a message about an event at a given time. Post rejects a request while the queue is full:
+// blocking would stop the reads from the client's connection, and a cancellation behind the request would go unseen. A
+// ClientGone message is always accepted at once; any other message blocks until the queue has room.
 func (e *Engine) Post(at time.Time, message Message) (accepted bool) {
 	switch message := message.(type) {
 	case ClientGone:
@@ -125,13 +125,14 @@
 	return true
 }
 
-// InFlight is the number of requests without a final response, including what waits in the queue.
+// InFlight returns the number of requests without a final response, plus the messages in the queue.
 func (e *Engine) InFlight() int { return int(e.inFlight.Load()) + len(e.events) }
 
-// EventQueueDelay is how long the last event waited.
+// EventQueueDelay returns how long the last event waited in the queue.
 func (e *Engine) EventQueueDelay() time.Duration { return time.Duration(e.eventQueueDelay.Load()) }
 
-// Run drives the engine by the system's clock until done is closed, and reports its counts at an interval.
+// Run drives the engine by the system clock until done is closed, and calls report with its counts every
+// reportInterval.
 func (e *Engine) Run(done <-chan struct{}, reportInterval time.Duration, report func(Counts)) {
 	timer := time.NewTimer(0)
 	lastReport := e.now
@@ -163,8 +164,8 @@
 	}
 }
 
-// drainAfterStall lets readers go first once the process has stood still, and handles what they read: it may be a
-// cancellation, or the response of an endpoint that would otherwise count as silent.
+// drainAfterStall lets readers run first after a stall of the process, and handles what they have read. This may
+// include a cancellation, or the response of an endpoint that would otherwise be treated as unresponsive.
 func (e *Engine) drainAfterStall() {
 	if !e.monitor.Watch().Settle() {
 		return
@@ -175,14 +176,14 @@
 	}
 }
 
-// Start starts the router; it comes before any event.
+// Start starts the router. It must be called before any event is handled.
 func (e *Engine) Start(now time.Duration) {
 	e.now = now
 	e.actions = e.router.Start(now, e.actions[:0])
 	e.execute()
 }
 
-// Handle handles one event.
+// Handle handles one event at time now.
 func (e *Engine) Handle(now time.Duration, event Event) {
 	e.now = max(now, e.now)
 	if !event.Time.IsZero() {
@@ -215,7 +216,7 @@
 	})
 }
 
-// handleShutdown brings the deadline of every request forward to the end of the grace.
+// handleShutdown limits the deadline of every request to the end of the grace.
 func (e *Engine) handleShutdown(shutdown Shutdown) {
 	e.shutdownDeadline = e.now + shutdown.Grace
 	for id, request := range e.requests {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -7,7 +7,7 @@
 	"fennelarch/policy/routing"
 )
 
-// The time in the queue is taken off the client's time, and reported.
+// The time that a request waits in the queue is deducted from its timeout and reported in the counts.
 func TestEventQueueDelay(t *testing.T) {
 	engine := newTestEngine()
 	engine.quiet = true
@@ -24,10 +24,10 @@
 	}
 }
 
-// Many requests that end in every way leave nothing behind.
+// The engine keeps no state of requests that have ended, however they ended.
 func TestNoRequestIsLeft(t *testing.T) {
 	engine := newCheckedEngine(t, "every way to end")
-	engine.transport = engine.testEngine // attempts overlap here, so that none is checked against one client
+	engine.transport = engine.testEngine // requests overlap here, and checkedEngine supports only one at a time
 	outcomes := []routing.Outcome{
 		routing.Succeeded, routing.Failed, routing.Overloaded, routing.ConnectFailed, routing.ConnectionBroken,
 		routing.NotSent, routing.CacheMiss,
@@ -46,15 +46,15 @@
 	engine.pass(10 * time.Second)
 	engine.checkEmpty()
 	if len(engine.timers) > 1 || len(engine.pending) > 0 {
-		t.Errorf("%d timers, %d events", len(engine.timers), len(engine.pending))
+		t.Errorf("%d timers, %d pending events", len(engine.timers), len(engine.pending))
 	}
 	c := engine.counts
 	if c.Succeeded+c.Rejected+c.Failed+c.ClientCancelled != c.Requests || c.Succeeded == 0 || c.ClientCancelled == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v", c)
 	}
 }
 
-// A transition that cannot happen is counted as a violation and changes nothing.
+// An invalid transition is counted as a violation and changes nothing.
 func TestInvalidTransitionsAreCounted(t *testing.T) {
 	for _, testCase := range []struct {
 		name string
@@ -80,7 +80,7 @@
 			testCase.play(engine, request)
 			counts, _ := engine.monitor.Counts()
 			if engine.monitor.Violations() != 1 || counts["invalid_transition"] != 1 {
-				t.Errorf("counted %v", counts)
+				t.Errorf("violations %v", counts)
 			}
 			if request.attemptsInFlight != testCase.wantAttempts || engine.InFlight() != testCase.wantInFlight {
 				t.Errorf("%d attempts in flight, %d requests in flight", request.attemptsInFlight, engine.InFlight())
--- a/internal/engine/example_test.go
+++ b/internal/engine/example_test.go
@@ -7,7 +7,7 @@
 	"fennelarch/policy/routing"
 )
 
-// A miss whose source lacks the object is filled from the next source.
+// If the source of a fill lacks the object, the next attempt fills from the next source.
 func Example_retryAfterMiss() {
 	engine := newTestEngine()
 	engine.request(1, idempotentClass, 2*time.Second)
@@ -24,7 +24,7 @@
 	// 0 0
 }
 
-// At its deadline the attempts of a request are aborted, and it gets its one response.
+// At the deadline of a request, its attempts are aborted and its client gets a single response.
 func Example_deadline() {
 	engine := newTestEngine()
 	engine.request(1, idempotentClass, 300*time.Millisecond)
@@ -42,7 +42,7 @@
 	// 0 0
 }
 
-// A client that no longer waits gets no response, and its attempts are aborted.
+// A client that has gone gets no response, and the attempts of its request are aborted.
 func Example_clientGone() {
 	engine := newTestEngine()
 	engine.request(1, idempotentClass, 2*time.Second)
@@ -58,7 +58,7 @@
 	// 0 0
 }
 
-// A request that is not idempotent is retried only if it provably did not run; otherwise it fails and is not rejected.
+// A request that is not idempotent is retried, or rejected, only if it provably did not run. Otherwise it fails.
 func Example_nonIdempotent() {
 	engine := newTestEngine()
 	engine.request(1, nonIdempotentClass, 2*time.Second)
@@ -66,7 +66,7 @@
 	engine.pass(200 * time.Millisecond)
 	engine.end(1, routing.ConnectionBroken, 0)
 	engine.request(2, nonIdempotentClass, 100*time.Millisecond)
-	engine.abortWritten = false // at its deadline nothing of the next attempt is written
+	engine.abortWritten = false // at its deadline, no part of the next attempt has been written
 	engine.pass(time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	// Output:
@@ -79,7 +79,7 @@
 	// 0 0
 }
 
-// At a shutdown every request has its response within the grace, those that arrive later too.
+// At a shutdown, every request gets its response within the grace, including requests that arrive later.
 func Example_shutdown() {
 	engine := newTestEngine()
 	engine.request(1, idempotentClass, 5*time.Second)
@@ -106,9 +106,9 @@
 	// 0 0
 }
 
-// A response that passed through the router is stored, and served where the request would be rejected; but not once it
-// was purged, and without its body to a client that holds the same copy. The attempt ends when the link has carried the
-// body.
+// A response that passed through the router is stored, and served from the local cache when the request would otherwise
+// be rejected, unless the copy was purged. A client that holds the same copy gets a response without body. The attempt
+// ends when the link has carried the body.
 func Example_localCache() {
 	engine := newTestEngine(LocalCacheSettings{
 		Bytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxTransferTime: 10 * time.Second,
@@ -118,7 +118,7 @@
 	engine.send(EndpointList{Complete: true}) // no endpoint is left
 	engine.request(2, idempotentClass, 2*time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight())
-	engine.request(3, idempotentClass, 2*time.Second) // after the other on the link, and still in time
+	engine.request(3, idempotentClass, 2*time.Second) // queued on the link behind request 2, and still in time
 	engine.pass(100 * time.Millisecond)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	conditional := engine.newRequest(4, idempotentClass, time.Second)
--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -19,15 +19,16 @@
 // The classes of a test engine.
 const idempotentClass, nonIdempotentClass routing.ClassID = 0, 1
 
-// testEngine drives an engine by hand, with a clock of its own, and prints what reaches clients and endpoints.
+// testEngine drives an Engine step by step with its own clock, and prints the responses to clients and the attempts at
+// endpoints.
 type testEngine struct {
 	*Engine
 	start        time.Time
 	at           time.Duration
 	attempts     []*Attempt
-	abortWritten bool // what an abort finds
+	abortWritten bool // what Abort returns
 	quiet        bool
-	responses    int // that clients were given
+	responses    int // given to clients
 }
 
 func newTestEngine(cacheSettings ...LocalCacheSettings) *testEngine {
@@ -66,17 +67,17 @@
 	}
 }
 
-// setWallClock sets how far the wall clock is ahead of where it started.
+// setWallClock sets how far the wall clock is ahead of the time that has passed on the test's clock.
 func (e *testEngine) setWallClock(ahead time.Duration) {
 	e.ages.clock.readClocks = func() (time.Duration, time.Time) { return e.at, e.start.Add(e.at + ahead).Round(0) }
 }
 
-// send has the engine handle a message now.
+// send makes the engine handle a message now.
 func (e *testEngine) send(message Message) {
 	e.Handle(e.at, Event{Time: e.start.Add(e.at), Message: message})
 }
 
-// pass lets time pass.
+// pass advances the clock in steps of at most a millisecond.
 func (e *testEngine) pass(d time.Duration) {
 	for end := e.at + d; e.at < end; {
 		e.at = min(end, e.at+time.Millisecond)
@@ -84,7 +85,7 @@
 	}
 }
 
-// newRequest is a request for object 7 that arrives now.
+// newRequest returns a request for object 7 that arrives now.
 func (e *testEngine) newRequest(id routing.RequestID, class routing.ClassID, timeout time.Duration) *Request {
 	return &Request{
 		ID: id, Client: e, Tag: Tag(id), Class: class, Write: class == nonIdempotentClass, Object: 7, SizeKB: 100,
@@ -96,7 +97,7 @@
 	e.send(e.newRequest(id, class, timeout))
 }
 
-// end gives the result of an attempt, by the order in which they were sent.
+// end sends the result of an attempt, identified by its index in the order of sending.
 func (e *testEngine) end(attempt int, outcome routing.Outcome, note routing.Note) {
 	e.send(AttemptResult{
 		Attempt: e.attempts[attempt], Outcome: outcome, Note: note, Body: []byte("bytes"), ETag: "tag",
@@ -135,14 +136,14 @@
 	return e.abortWritten
 }
 
-// checkedEngine records what a client receives, and fails the test where an attempt is sent for a closed request, or
-// an invariant is violated.
+// checkedEngine records the responses to a client. It fails the test if an attempt is sent for a closed request or an
+// invariant is violated.
 type checkedEngine struct {
 	*testEngine
 	t        *testing.T
 	scenario string
 	statuses []Status
-	isClosed bool // the client has left, or has its response
+	isClosed bool // the client has left or has its response
 }
 
 func newCheckedEngine(t *testing.T, scenario string, cacheSettings ...LocalCacheSettings) *checkedEngine {
@@ -161,7 +162,7 @@
 
 func (e *checkedEngine) Send(attempt *Attempt) {
 	if e.isClosed {
-		e.t.Errorf("%s: attempt %d was sent for a closed request", e.scenario, attempt.Number)
+		e.t.Errorf("%s: attempt %d sent for a closed request", e.scenario, attempt.Number)
 	}
 	e.attempts = append(e.attempts, attempt)
 }
@@ -174,7 +175,7 @@
 	return request
 }
 
-// newTestMonitor is a monitor that reports each violation; nil: it only counts them.
+// newTestMonitor returns a monitor that calls report for each violation. If report is nil, it only counts them.
 func newTestMonitor(report func(reason string)) *invariant.Monitor {
 	return invariant.NewMonitor(zap.NewNop(), nil, nil, report)
 }
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -11,15 +11,15 @@
 	"fennelarch/policy/routing"
 )
 
-// LocalCacheSettings bound the copies that the router keeps in its own memory.
+// LocalCacheSettings limits the copies that the router keeps in memory.
 type LocalCacheSettings struct {
-	Bytes              int           // for all copies
-	FlowBytesPerSecond float64       // of one transfer
-	LinkBytesPerSecond float64       // of all transfers together
-	MaxTransferTime    time.Duration // a response older than this is no longer on its way
+	Bytes              int           // memory for all copies
+	FlowBytesPerSecond float64       // rate of one transfer
+	LinkBytesPerSecond float64       // rate of all transfers together
+	MaxTransferTime    time.Duration // longest time that a response can be on its way
 }
 
-// Capacity is how many transfers fit on the link, 0 where no copies can be kept.
+// Capacity returns how many transfers fit on the link, or 0 if no copies can be kept.
 func (s LocalCacheSettings) Capacity() float64 {
 	if s.Bytes <= 0 || s.FlowBytesPerSecond <= 0 {
 		return 0
@@ -28,10 +28,10 @@
 }
 
 const (
-	// entryOverheadBytes is what a copy takes beside its body, as measured: two map entries and a list element.
+	// entryOverheadBytes is the memory that a copy takes besides its body: two map entries and a list element.
 	entryOverheadBytes = 256
-	// notModifiedCostDivisor is the part of a body's transfer time that a not-modified response takes, a twentieth by
-	// the protocol.
+	// notModifiedCostDivisor divides the size of a body to give the cost of its not-modified response on the link: a
+	// twentieth, as the protocol defines.
 	notModifiedCostDivisor = 20
 )
 
@@ -40,24 +40,25 @@
 	part   int
 }
 
-// cacheEntry is one copy.
+// cacheEntry is a copy of one response.
 type cacheEntry struct {
 	key         cacheKey
 	group       routing.GroupID
 	body        []byte
 	etag        string
-	generatedAt time.Time     // by its timestamp
-	notBefore   time.Duration // the earliest time on the engine's clock at which it may have been generated
+	generatedAt time.Time     // timestamp of the origin
+	notBefore   time.Duration // earliest possible time of generation, on the engine's clock
 }
 
 func (c *cacheEntry) bytes() int { return len(c.body) + entryOverheadBytes }
 
-// matches reports whether a purge is of the object or the group of the copy.
+// matches reports whether a purge names the object or the group of the copy.
 func (c *cacheEntry) matches(purge *receivedPurge) bool {
 	return purge.Object == c.key.object || purge.Object == 0 && purge.Group == c.group
 }
 
-// isPurgedBy reports whether the copy may be older than a purge of it, by its timestamp or by the time that has passed.
+// isPurgedBy reports whether a purge names the copy and may be newer than it, by their timestamps or by the engine's
+// clock.
 func (c *cacheEntry) isPurgedBy(purge *receivedPurge) bool {
 	return c.matches(purge) && (!c.generatedAt.After(purge.Issued) || c.notBefore <= purge.issuedBy)
 }
@@ -66,19 +67,19 @@
 type receivedPurge struct {
 	Purge
 	receivedAt time.Duration
-	issuedBy   time.Duration // the latest time at which it may have been issued
+	issuedBy   time.Duration // latest possible time of issue
 }
 
-// localCache holds copies of responses that passed through the router, and models the link by which they reach clients.
-// The router treats it as an endpoint: the decisions say when it is asked and what it stores. It never exceeds its
-// bound, and never serves a copy that was purged.
+// localCache holds copies of responses that passed through the router, and models the link on which they are sent to
+// clients. Routing treats the cache as an endpoint and decides when to ask it and what to store in it. The cache never
+// exceeds its memory limit and never serves a purged copy.
 type localCache struct {
 	settings     LocalCacheSettings
 	bytes        int
 	entries      map[cacheKey]*list.Element
-	recentlyUsed list.List // the most recently used in front
+	recentlyUsed list.List // most recently used first
 	purges       []receivedPurge
-	slotFreeAt   []time.Duration // by slot of the link: when its last transfer ends
+	slotFreeAt   []time.Duration // for each slot of the link, when its last transfer ends
 }
 
 func newLocalCache(settings LocalCacheSettings) *localCache {
@@ -89,8 +90,8 @@
 	}
 }
 
-// store stores a response that may have been generated at notBefore or later, unless it may be older than a purge. The
-// least recently used copies make room for it.
+// store stores a response that was generated at notBefore at the earliest, unless the response may be older than a
+// purge. It evicts the least recently used copies to make room.
 func (c *localCache) store(request *Request, result *AttemptResult, now, notBefore time.Duration) {
 	entry := cacheEntry{
 		key: cacheKey{request.Object, request.Part}, group: request.Group, body: result.Body, etag: result.ETag,
@@ -120,19 +121,19 @@
 	}
 }
 
-// forgetOldPurges drops purges that no response on its way can be older than.
+// forgetOldPurges drops the purges that are older than any response still on its way.
 func (c *localCache) forgetOldPurges(now time.Duration) {
 	c.purges = slices.DeleteFunc(c.purges, func(purge receivedPurge) bool {
 		return now-purge.receivedAt > c.settings.MaxTransferTime
 	})
 }
 
-// isPurged reports whether a copy may be older than one of the last purges.
+// isPurged reports whether a copy may be older than one of the remembered purges.
 func (c *localCache) isPurged(entry *cacheEntry) bool {
 	return slices.ContainsFunc(c.purges, func(purge receivedPurge) bool { return entry.isPurgedBy(&purge) })
 }
 
-// purge removes what may have been generated before a purge that is received now.
+// purge applies a purge that is received now: it removes the copies that may be older.
 func (c *localCache) purge(purge Purge, now, issuedBy time.Duration) {
 	received := receivedPurge{purge, now, issuedBy}
 	c.purges = append(c.purges, received)
@@ -145,7 +146,7 @@
 	}
 }
 
-// find returns the copy of what a request is for, no older than maxAge; 0 is any age.
+// find returns the copy of the requested part if it is no older than maxAge, or else nil. A maxAge of 0 allows any age.
 func (c *localCache) find(request *Request, maxAge, now time.Duration) *cacheEntry {
 	element := c.entries[cacheKey{request.Object, request.Part}]
 	if element == nil {
@@ -159,7 +160,7 @@
 	return entry
 }
 
-// transfer puts bytes on the link and returns when they have been sent.
+// transfer queues bytes on the link and returns when they will have been sent.
 func (c *localCache) transfer(now time.Duration, bytes int) (sentAt time.Duration) {
 	slot := slices.Index(c.slotFreeAt, slices.Min(c.slotFreeAt))
 	duration := time.Duration(float64(bytes) / c.settings.FlowBytesPerSecond * float64(time.Second))
@@ -167,14 +168,14 @@
 	return c.slotFreeAt[slot]
 }
 
-// storeLocally stores a response if its timestamp is plausible.
+// storeLocally stores a response in the local cache if its timestamp is plausible.
 func (e *Engine) storeLocally(result *AttemptResult) {
 	if age := e.ages.estimate(result.GeneratedAt, e.now); age.isPlausible {
 		e.localCache.store(result.Attempt.Request, result, e.now, e.now-age.atMost)
 	}
 }
 
-// serveFromLocalCache answers from the local cache. The attempt ends when the link has carried the body.
+// serveFromLocalCache answers a request from the local cache. The attempt ends when the link has carried the body.
 func (e *Engine) serveFromLocalCache(request *activeRequest, attempt *Attempt) {
 	maxAge := attempt.MaxAge
 	if maxAge == 0 {
@@ -205,7 +206,7 @@
 	heap.Push(&e.timers, timer{at: sentAt, request: request.ID, attempt: attempt})
 }
 
-// handlePurge applies a purge. One without a timestamp was issued a moment ago.
+// handlePurge applies a purge. A purge without a timestamp counts as issued now.
 func (e *Engine) handlePurge(purge Purge) {
 	e.monitor.Record(flightrecorder.Entry{
 		Event: flightrecorder.PurgeReceived, ID: uint64(purge.Object), Value: int64(purge.Group),
--- a/internal/engine/localcache_test.go
+++ b/internal/engine/localcache_test.go
@@ -7,7 +7,7 @@
 	"fennelarch/policy/routing"
 )
 
-// cacheTest is a local cache with requests by object.
+// cacheTest is a local cache with methods that take object ids.
 type cacheTest struct {
 	*localCache
 	now   time.Duration
@@ -49,7 +49,7 @@
 		t.Errorf("%d copies, %d bytes", c.recentlyUsed.Len(), c.bytes)
 	}
 	if c.find(requestFor(1), time.Second, c.now+2*time.Second) != nil {
-		t.Error("a copy too old was served")
+		t.Error("copy older than maxAge served")
 	}
 }
 
@@ -61,17 +61,17 @@
 	c.purge(Purge{Group: 1, Issued: c.epoch.Add(c.now)}, c.now+time.Minute, c.now)
 	c.storeObject(1, c.now-time.Second)
 	if c.holds(1) || c.holds(3) || !c.holds(4) {
-		t.Error("a purge of a group removed others, or not all")
+		t.Error("purge of a group did not remove exactly the copies of that group")
 	}
 	if c.storeObject(1, c.now+time.Millisecond); !c.holds(1) {
-		t.Error("a copy from after the purge was not stored")
+		t.Error("copy generated after the purge not stored")
 	}
 }
 
 func TestLocalCacheStoresNothingOfUnknownAge(t *testing.T) {
 	c := newCacheTest()
 	if c.store(requestFor(5), &AttemptResult{Body: make([]byte, 1000)}, c.now, c.now); c.holds(5) {
-		t.Error("a copy of unknown age was stored")
+		t.Error("copy of unknown age stored")
 	}
 }
 
@@ -84,8 +84,8 @@
 	}
 }
 
-// A local copy is removed for another, or purged, or its client leaves while its bytes are on their way: they arrive
-// complete, and the attempt ends once.
+// A copy is evicted or purged, or the client leaves, while the body is being sent from the local cache: the client
+// still gets a single response, and the attempt ends once.
 func TestLocalCopyRemovedDuringTransfer(t *testing.T) {
 	for _, testCase := range []struct {
 		name   string
@@ -107,7 +107,7 @@
 			engine.end(0, routing.Succeeded, routing.NoteHit)
 			engine.isClosed = false
 			engine.send(engine.newRequest(2, idempotentClass, 3*time.Second))
-			// All endpoints are overloaded: the local copy is left.
+			// All endpoints are overloaded: only the local cache remains.
 			for i := 1; i < len(engine.attempts) && len(engine.statuses) < 2; i++ {
 				engine.end(i, routing.Overloaded, 0)
 			}
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -8,8 +8,8 @@
 	"fennelarch/policy/routing"
 )
 
-// Message is anything that the engine can be sent. The set is closed: *Request, AttemptResult, HealthCheckResult,
-// EndpointList, Purge, ClientGone and Shutdown; the last six are sent as values.
+// Message is a message to the engine: a *Request, AttemptResult, HealthCheckResult, EndpointList, Purge, ClientGone or
+// Shutdown. All but the first are sent as values.
 type Message interface{ engineMessage() }
 
 func (*Request) engineMessage()          {}
@@ -20,19 +20,19 @@
 func (ClientGone) engineMessage()        {}
 func (Shutdown) engineMessage()          {}
 
-// Event is a message with the time at which what it reports happened.
+// Event is a message with the time of the occurrence that it reports.
 type Event struct {
 	Time    time.Time
 	Message Message
 }
 
-// Tag is the number by which a client names a request on its connection.
+// Tag is the number by which a client identifies a request on its connection.
 type Tag uint64
 
-// ClientRequestID is the id of a request that its client chose; it stays the same on every hop.
+// ClientRequestID is the id that the client chose for a request. The id is the same on every hop.
 type ClientRequestID uint64
 
-// Request is a request as its client sent it.
+// Request is a request as received from a client.
 type Request struct {
 	ID     routing.RequestID
 	Client Client
@@ -47,16 +47,16 @@
 	SizeKB          float64
 	Repeat          bool
 	Write           bool
-	HeldETag        string // of the copy that the client holds
+	HeldETag        string // ETag of the copy that the client holds
 	IdempotencyKey  string // servers drop repeats with the same key
 	Body            []byte
-	Timeout         time.Duration // from ReceivedAt until the client gives up
-	ReceivedAt      time.Time     // the earliest time at which its last byte may have arrived
+	Timeout         time.Duration // how long after ReceivedAt the client gives up
+	ReceivedAt      time.Time     // earliest possible arrival of the last byte
 
-	Invariants *invariant.Request // shared record of how it ends; nil: nothing is checked
+	Invariants *invariant.Request // shared record of how the request ends; nil: nothing is checked
 }
 
-// AttemptResult is how an attempt ended at its endpoint.
+// AttemptResult reports how an attempt ended at its endpoint.
 type AttemptResult struct {
 	Attempt       *Attempt
 	Outcome       routing.Outcome
@@ -69,7 +69,7 @@
 	GeneratedAt   time.Time // when the origin generated the body; zero if unknown
 }
 
-// HealthCheckResult is how a health check ended.
+// HealthCheckResult reports how a health check ended.
 type HealthCheckResult struct {
 	Endpoint   routing.EndpointID
 	Outcome    routing.Outcome
@@ -77,7 +77,7 @@
 	LoadReport routing.LoadReport
 }
 
-// Endpoint is one entry of the endpoint list.
+// Endpoint is an entry of an endpoint list.
 type Endpoint struct {
 	routing.Endpoint
 	UID      string
@@ -85,24 +85,24 @@
 	BootTime time.Time // zero: long ago
 }
 
-// EndpointID is the id of an endpoint: a hash of its UID, so that all routers agree on it.
+// EndpointID returns the id of an endpoint. The id is a hash of the UID, so that all routers agree on it.
 func EndpointID(uid string) routing.EndpointID {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(uid))
 	return routing.EndpointID(max(1, hash.Sum64()))
 }
 
-// EndpointList is the list of endpoints, or a change of it.
+// EndpointList is the complete list of endpoints, or an update to it.
 type EndpointList struct {
 	Endpoints []Endpoint
-	Complete  bool          // endpoints that are not in it are gone
-	Age       time.Duration // how long before its receipt it may have been published
+	Complete  bool          // endpoints missing from the list are gone
+	Age       time.Duration // longest possible time between its publication and its receipt
 }
 
-// AgeBeforeStart is the age of what was published before this process started.
+// AgeBeforeStart is the Age of a list that may have been published before this process started.
 const AgeBeforeStart = 24 * time.Hour
 
-// Purge reports that an object was purged, or a group where the object is 0.
+// Purge reports that an object was purged, or a group if Object is 0.
 type Purge struct {
 	Object routing.ObjectID
 	Group  routing.GroupID
@@ -112,6 +112,6 @@
 // ClientGone reports that a client no longer waits for a request.
 type ClientGone struct{ Request routing.RequestID }
 
-// Shutdown announces that this router will stop: each request still in flight after the grace gets its final response
-// then.
+// Shutdown announces that this router is about to stop. A request still in flight at the end of the grace gets its
+// final response then.
 type Shutdown struct{ Grace time.Duration }
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -11,28 +11,28 @@
 	"go.uber.org/zap"
 )
 
-// requestState is how far a request has come.
+// requestState is the state of a request.
 type requestState uint8
 
 const (
-	requestOpen      requestState = iota // its client waits
-	requestResponded                     // its client has the final response
-	requestCancelled                     // its client no longer waits
+	requestOpen      requestState = iota // the client is waiting
+	requestResponded                     // the final response has been given to the client
+	requestCancelled                     // the client no longer waits
 	requestStates
 )
 
 var requestStateNames = [requestStates]string{"open", "responded", "cancelled"}
 
-// String is the name under which a state is logged.
+// String returns the name of the state in logs.
 func (s requestState) String() string { return requestStateNames[s] }
 
-// requestTransitions are the transitions that may happen. A request that is no longer open stays as it is, and is
-// removed once none of its attempts is in flight.
+// requestTransitions lists the valid transitions. A closed request never changes its state again, and is removed once
+// none of its attempts is in flight.
 var requestTransitions = [requestStates][requestStates]bool{
 	requestOpen: {requestResponded: true, requestCancelled: true},
 }
 
-// activeRequest is a request in flight, or one with attempts in flight.
+// activeRequest is a request that is open or has attempts in flight.
 type activeRequest struct {
 	*Request
 	deadline         time.Duration
@@ -60,7 +60,7 @@
 }
 
 func (e *Engine) handleRequest(request *Request) {
-	if !request.Invariants.IsOpen() { // its client has gone while it waited in the queue
+	if !request.Invariants.IsOpen() { // the client left while the request was in the queue
 		e.counts.Requests++
 		e.counts.ClientCancelled++
 		return
@@ -77,7 +77,7 @@
 	})
 }
 
-// respond gives a client its final response.
+// respond gives the final response to the client.
 func (e *Engine) respond(request *activeRequest, response Response) {
 	if !e.closeRequest(request, requestResponded) {
 		return
@@ -93,8 +93,8 @@
 	request.Client.Respond(request.Tag, response)
 }
 
-// expireRequest ends a request whose deadline has passed: its attempts have timed out, and it fails unless the router
-// responds to that.
+// expireRequest ends a request whose deadline has passed. Its attempts time out, and the request fails unless the
+// router responds when it learns of that.
 func (e *Engine) expireRequest(id routing.RequestID) {
 	request := e.requests[id]
 	if request == nil || !request.isOpen() {
@@ -120,7 +120,7 @@
 	e.dispatchClientGone(request)
 }
 
-// dispatchClientGone tells the router that a closed request needs nothing more.
+// dispatchClientGone tells the router that a closed request needs no further work.
 func (e *Engine) dispatchClientGone(request *activeRequest) {
 	e.dispatch(&routing.Event{Kind: routing.EventClientGone, Request: request.ID})
 	e.removeIfDone(request)
--- a/internal/engine/simultaneous_test.go
+++ b/internal/engine/simultaneous_test.go
@@ -1,7 +1,7 @@
 package engine
 
-// What happens in one turn of the engine: the result of an attempt, a second result, the client's leaving, the deadline
-// and the shutdown, in every order. One clock reading serves all of them.
+// This test plays events that occur at the same time on the engine's clock, in every order: the result of an attempt, a
+// second result, the client's leaving, the deadline and the shutdown.
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"fennelarch/policy/routing"
 )
 
-// permutations are all orders of n things.
+// permutations returns all permutations of the numbers below n.
 func permutations(n int) (all [][]int) {
 	if n == 0 {
 		return [][]int{nil}
@@ -25,7 +25,7 @@
 	return all
 }
 
-// simultaneousCase is what happens in one turn.
+// simultaneousCase describes the events that occur at the same time and their order.
 type simultaneousCase struct {
 	name         string
 	class        routing.ClassID
@@ -41,9 +41,10 @@
 		c.class, c.name, c.abortWritten, c.timeout, c.order)
 }
 
-// Whatever coincides with the result of an attempt, and in which order: a client that stays has one response, one that
-// left before it has none, nothing is sent for a closed request, a request that is not idempotent and may have run is
-// not sent again, and nothing is left in the engine. Played in the turn in which the deadline passes, and long before.
+// Whichever events coincide with the result of an attempt, and in whichever order: a client that stays gets one
+// response, and a client that left before it gets none; no attempt is sent for a closed request; a request that is not
+// idempotent and may have run is not sent again; and the engine keeps no state. The events are played both when the
+// deadline passes and long before.
 func TestSimultaneousEventsInEveryOrder(t *testing.T) {
 	for _, result := range []simultaneousCase{
 		{name: "succeeded", outcome: routing.Succeeded, note: routing.NoteHit},
@@ -69,11 +70,11 @@
 	}
 }
 
-// turn is what is known of a turn once it is over.
+// turn is the outcome of the simultaneous events.
 type turn struct {
 	clientGone          bool
 	responsesBeforeGone int
-	mayHaveRun          bool // by the result of the first attempt
+	mayHaveRun          bool // according to the result of the first attempt
 }
 
 func checkSimultaneousEvents(t *testing.T, testCase *simultaneousCase) {
@@ -89,7 +90,7 @@
 	engine.at += time.Millisecond
 	after := engine.playTurn(testCase)
 	engine.pass(4 * time.Second)
-	for i := range engine.attempts { // what is still in flight ends now
+	for i := range engine.attempts { // ends the attempts still in flight
 		engine.end(i, routing.ConnectionBroken, 0)
 	}
 	engine.pass(time.Second)
@@ -98,11 +99,11 @@
 	case n > 1 || n == 0 && !after.clientGone:
 		t.Fatalf("%v: %d responses", testCase, n)
 	case after.clientGone && n > after.responsesBeforeGone:
-		t.Fatalf("%v: a response to a client that had gone", testCase)
+		t.Fatalf("%v: response to a client that had gone", testCase)
 	case mustNotRepeat && len(engine.attempts) > attemptsBefore:
-		t.Fatalf("%v: a request that is not idempotent and may have run was sent again", testCase)
+		t.Fatalf("%v: non-idempotent request that may have run was sent again", testCase)
 	case mustNotRepeat && n == 1 && engine.statuses[0] == StatusRejected:
-		t.Fatalf("%v: rejected though it may have run", testCase)
+		t.Fatalf("%v: request rejected although it may have run", testCase)
 	}
 	engine.checkEmpty()
 }
@@ -131,10 +132,10 @@
 	return after
 }
 
-// checkEmpty fails the test where the engine still holds a request.
+// checkEmpty fails the test if the engine still holds a request.
 func (e *checkedEngine) checkEmpty() {
 	e.t.Helper()
 	if len(e.requests) != 0 || e.InFlight() != 0 {
-		e.t.Fatalf("%s: %d requests left, %d in flight", e.scenario, len(e.requests), e.InFlight())
+		e.t.Fatalf("%s: engine holds %d requests, %d in flight", e.scenario, len(e.requests), e.InFlight())
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -7,11 +7,12 @@
 	"fennelarch/policy/routing"
 )
 
-// timer is one of the router's, or the deadline of a request or an attempt. Its kind follows from what is set: a field
-// for it would make each timer's allocation larger.
+// timer is a timer of the router, the deadline of a request or an attempt, or the end of a transfer from the local
+// cache. Its kind is derived from the fields that are set, since a field for it would make each timer's allocation
+// larger.
 type timer struct {
 	at          time.Duration
-	request     routing.RequestID // 0: the router's
+	request     routing.RequestID // 0: a timer of the router
 	attempt     *Attempt
 	routerTimer uint64
 }
@@ -20,9 +21,9 @@
 
 const (
 	routerTimer            timerKind = iota
-	requestDeadline                  // the client's time is over
-	attemptDeadline                  // the endpoint has not given a result in time
-	localTransferCompleted           // the bytes of a local copy have been sent
+	requestDeadline                  // the deadline of a request has passed
+	attemptDeadline                  // the endpoint has not responded in time
+	localTransferCompleted           // a copy from the local cache has been sent
 )
 
 func (t *timer) kind() timerKind {
@@ -57,7 +58,7 @@
 	}
 }
 
-// timerHeap holds the timers, the next one first.
+// timerHeap is a heap of timers, earliest first.
 type timerHeap []timer
 
 // Len implements heap.Interface.
@@ -66,7 +67,7 @@
 // Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Less implements heap.Interface: by time, then by request.
+// Less implements heap.Interface. It orders timers by time, then by request.
 func (h timerHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].request < h[j].request
 }
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -6,7 +6,7 @@
 	"fennelarch/policy/routing"
 )
 
-// Client receives the one final response to a request. It must not block.
+// Client receives the final response to each of its requests. It must not block.
 type Client interface {
 	Respond(tag Tag, response Response)
 }
@@ -31,11 +31,11 @@
 
 // Transport carries attempts to endpoints. None of its methods may block.
 type Transport interface {
-	// UpdateEndpoints applies an endpoint list. Endpoints that are not in a complete one are gone.
+	// UpdateEndpoints applies an endpoint list. Endpoints missing from a complete list are gone.
 	UpdateEndpoints(list EndpointList)
 	// Send starts an attempt; its result is posted to the engine.
 	Send(attempt *Attempt)
-	// Abort gives up an attempt, of which no result follows, and reports whether any of it may have been written.
+	// Abort aborts an attempt and reports whether any part of it may have been written. No result follows.
 	Abort(attempt *Attempt) (written bool)
 	// CheckHealth starts a health check; its result is posted to the engine.
 	CheckHealth(endpoint routing.EndpointID)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -11,22 +11,22 @@
 	"fennelarch/policy/routing"
 )
 
-// dialPurpose says why a connection is dialled.
+// dialPurpose is the reason for dialling a connection.
 type dialPurpose uint8
 
 const (
 	dialForAttempt  dialPurpose = iota
-	dialReplacement             // another dial is overdue; its own delay opens no further replacement
+	dialReplacement             // another dial is overdue; a replacement is never replaced itself
 )
 
-// connection is a connection to a server, being dialled or up. Its goroutines are run, which dials and then writes, and
-// read.
+// connection is a connection to a server, either being dialled or open. It has two goroutines: run, which dials and
+// then writes, and read.
 type connection struct {
 	pool        *Pool
 	endpoint    routing.EndpointID
 	purpose     dialPurpose
 	dialStarted time.Time
-	wake        chan struct{} // has the writer look for what is to be written
+	wake        chan struct{} // tells the writer to look for output
 
 	mu           sync.Mutex
 	state        connectionState
@@ -62,7 +62,7 @@
 	reason = c.write(socket)
 }
 
-// enqueue queues an attempt, and says whether the connection still took it.
+// enqueue queues an attempt and reports whether the connection still accepted it.
 func (c *connection) enqueue(e exchange) bool {
 	c.mu.Lock()
 	defer c.wakeWriter()
@@ -75,8 +75,8 @@
 	return true
 }
 
-// abort gives an attempt up and says whether it may have run. Where a part of it is in the stream, the connection is
-// closed.
+// abort aborts an attempt and reports whether it may have run. If only a part of the attempt has been written, the
+// connection is closed.
 func (c *connection) abort(attempt *engine.Attempt) (mayHaveRun bool) {
 	c.mu.Lock()
 	defer c.wakeWriter()
@@ -97,7 +97,7 @@
 	c.wakeWriter()
 }
 
-// wakeWriter has the writer look for what is to be written.
+// wakeWriter tells the writer to look for output.
 func (c *connection) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -105,7 +105,8 @@
 	}
 }
 
-// load is what the choice of a connection for an attempt, or for a health check where it is nil, looks at.
+// load returns the load of the connection for the selection of one for an attempt, or for a health check if attempt is
+// nil.
 func (c *connection) load(attempt *engine.Attempt) connectionLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,14 +118,14 @@
 	}
 }
 
-// canCarry says whether an attempt can go by this connection.
+// canCarry reports whether an attempt can be sent on this connection.
 func (c *connection) canCarry(attempt *engine.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.state.isClosed() && c.session.canCarry(attempt)
 }
 
-// retire has the connection take nothing more, and says whether it can be closed at once.
+// retire stops the connection from accepting attempts and reports whether it can be closed at once.
 func (c *connection) retire() (canCloseNow bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +133,7 @@
 	return c.session.pending() == 0 || c.socket == nil
 }
 
-// markDialOverdue notes that the dial is slow, and says whether what waits for it is to be moved.
+// markDialOverdue records that the dial is slow and reports whether the attempts that wait for it must be moved.
 func (c *connection) markDialOverdue() (mustReassign bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +153,7 @@
 	return len(c.session.waiting) > 0
 }
 
-// takeFirstWaiting takes the attempt off that has waited longest for an overdue dial.
+// takeFirstWaiting removes and returns the attempt that has waited longest, if the dial is overdue.
 func (c *connection) takeFirstWaiting() (e exchange, isTaken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +163,8 @@
 	return c.session.takeFirstWaiting(), true
 }
 
-// isProvenSince says whether the connection is up, idle, beyond doubt, and has had a response since a time.
+// isProvenSince reports whether the connection is open, idle and not suspect, and has received a response after the
+// given time.
 func (c *connection) isProvenSince(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,8 +172,8 @@
 		c.lastResponse.After(since)
 }
 
-// markClosedIfIdle says whether nothing has been on the connection for so long; if so, it takes nothing more, and the
-// caller is to close it.
+// markClosedIfIdle marks the connection as closed if it has been idle for at least minIdle. It reports whether it did;
+// the caller must then close the connection.
 func (c *connection) markClosedIfIdle(minIdle time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,9 +184,9 @@
 	return true
 }
 
-// close takes the connection out of the pool and reports what was pending on it: there is no other way to close one. It
-// may be called more than once; the first reason counts. While something is being written, only the writer knows how
-// much of it went: the socket is closed then, and the writer's own close reports.
+// close removes the connection from the pool and posts the results of its pending attempts. Every connection is closed
+// this way. close may be called more than once; the first reason counts. During a write, only the writer will know how
+// much was written: close then closes the socket, and the writer's own call of close posts the results.
 func (c *connection) close(reason invariant.CloseReason) {
 	now := time.Now()
 	isFirst := c.pool.remove(c)
@@ -209,7 +211,7 @@
 	}
 }
 
-// remove takes a connection out of the pool, and says whether it was still there.
+// remove removes a connection from the pool and reports whether it was still there.
 func (p *Pool) remove(c *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -1,6 +1,7 @@
 package upstream
 
-// The deadline that a server is told: what the client has left when the request is written, however long it waited.
+// These tests check the deadline that is sent to a server: the time that the client has left when the request is
+// written, however long the request has waited.
 
 import (
 	"net"
@@ -14,19 +15,19 @@
 )
 
 const (
-	// deadlineSlack is how far a deadline that is passed on may exceed what the client has left.
+	// deadlineSlack is how far a deadline sent to a server may exceed the time that the client has left.
 	deadlineSlack = 150 * time.Millisecond
 
 	// waitBeforeWrite is how long a request waits in these tests.
 	waitBeforeWrite = 400 * time.Millisecond
 )
 
-// deadlineIn reads the deadline out of a request on the wire.
+// deadlineIn returns the deadline in a request frame.
 func deadlineIn(t *testing.T, text string) time.Duration {
 	t.Helper()
 	_, rest, isFound := strings.Cut(text, fieldDeadline)
 	if !isFound {
-		t.Fatalf("no deadline in %q", text)
+		t.Fatalf("request without deadline: %q", text)
 	}
 	millis, err := strconv.Atoi(rest[:strings.IndexAny(rest, ",\r")])
 	if err != nil {
@@ -35,14 +36,14 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// A request waits for its connection to come up, for the frame before it, or for a dial that is overdue and is taken to
-// another connection: each time the deadline shrinks by the wait.
+// A request waits for a dial, for the frame before it, or for an overdue dial before it is moved to another connection.
+// In each case the deadline shrinks by the time of the wait.
 func TestDeadlineShrinksWhileWaiting(t *testing.T) {
 	left := time.Until(newAttempt(1).Deadline) - waitBeforeWrite
 	check := func(t *testing.T, deadline time.Duration) {
 		t.Helper()
 		if deadline > left+deadlineSlack {
-			t.Errorf("the server is told %v, the client has %v left", deadline, left)
+			t.Errorf("deadline sent to the server: %v, time left to the client: %v", deadline, left)
 		}
 	}
 
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -9,7 +9,8 @@
 	"fennelarch/internal/system"
 )
 
-// connect brings the connection up, or returns nil.
+// connect dials the connection and returns its socket, or nil if the dial failed or the connection was closed
+// meanwhile.
 func (c *connection) connect(address string) net.Conn {
 	overdue := time.AfterFunc(c.pool.limits.SlowConnect, func() { c.pool.reassignWaiting(c) })
 	defer overdue.Stop()
@@ -39,16 +40,15 @@
 	c.mu.Unlock()
 }
 
-// dial tries until the connection is up, or it is known that it will not be. What concerns this machine alone, or
-// may be over in a moment, is tried again; if that is what remains, it tells nothing of the server. Its error is a
-// dialError.
+// dial dials the server, and redials after an error that is local to this machine or may be momentary. A local error
+// that persists says nothing about the server. The error returned is a *dialError.
 func (c *connection) dial(address string) (net.Conn, error) {
 	l := &c.pool.limits
 	started := time.Now()
 	socket, err := c.pool.dial("tcp", address, l.ConnectTimeout)
 	attempts := 1
 	for ; attempts <= l.Redials && c.isWorthRedial(err, time.Since(started)); attempts++ {
-		if attempts > 1 && system.Exhausted(err) { // not for the moment only
+		if attempts > 1 && system.Exhausted(err) { // more than momentary
 			c.pool.makeRoomForDescriptor()
 		}
 		time.Sleep(l.RecheckInterval)
@@ -58,7 +58,7 @@
 	now := time.Now()
 	fault := system.Classify(err)
 	if fault == system.FaultSilent && c.pool.monitor.Watch().StalledSince(started, now) {
-		fault = system.FaultLocal // this process stood still meanwhile: nobody knows what came
+		fault = system.FaultLocal // the process stalled meanwhile and may have missed the server's reply
 	}
 	c.pool.monitor.Record(flightrecorder.Entry{
 		Event:    flightrecorder.ServerDialled,
@@ -72,19 +72,20 @@
 	return socket, nil
 }
 
-// isWorthRedial says whether a dial that failed after so long is worth another try.
+// isWorthRedial reports whether to redial after an error that came when elapsed had passed since the first dial.
 func (c *connection) isWorthRedial(err error, elapsed time.Duration) bool {
 	switch system.Classify(err) {
 	case system.FaultLocal:
 		return true
-	case system.FaultSilent: // known at once: the way to the server may be back in a moment
+	case system.FaultSilent: // a quick failure is a missing route, which may be back in a moment
 		return elapsed < c.pool.limits.SlowConnect
 	default:
 		return false
 	}
 }
 
-// makeRoomForDescriptor gives up what holds descriptors without need: attempts under way come first.
+// makeRoomForDescriptor frees file descriptors that are not needed at the moment, since attempts in progress take
+// priority: it closes idle connections and lets other parts of the process do the same.
 func (p *Pool) makeRoomForDescriptor() {
 	p.CloseIdle()
 	if p.onDescriptorShortage != nil {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 )
 
-// newUnresponsiveListener returns the address of a socket that answers no dial: its queue is full.
+// newUnresponsiveListener returns the address of a listener that answers no dial because its queue is full.
 func newUnresponsiveListener(t *testing.T) string {
 	t.Helper()
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -45,7 +45,7 @@
 	}
 }
 
-// A machine that says nothing to a new connection holds up nobody else, and its attempt did not run.
+// A machine that does not answer a dial delays no attempt to others, and the attempt to it did not run.
 func TestDialTimeout(t *testing.T) {
 	unresponsive, other := newUnresponsiveListener(t), newScriptedServer(t)
 	pool := newTestPool(t, nil)
@@ -57,8 +57,8 @@
 	pool.wantResult(routing.ConnectFailed, failed)
 }
 
-// What concerns this machine alone is tried again, and tells nothing of the server; so does a way that is gone for a
-// moment. A server that refuses is asked no second time.
+// A dial that fails for a local reason is repeated, and says nothing about the server. A dial that finds no route is
+// repeated too. A dial that the server refuses is not repeated.
 func TestDialFailures(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -89,14 +89,14 @@
 			server.answers <- true
 			pool.wantResult(test.want, attempt)
 			if dials.Load() != test.dials {
-				t.Errorf("%d dials, not %d", dials.Load(), test.dials)
+				t.Errorf("%d dials, want %d", dials.Load(), test.dials)
 			}
 		})
 	}
 }
 
-// A retry that must be on its way within a window is not when its connection comes up late; nor is one to an endpoint
-// that is draining.
+// An attempt that must be sent within a time window, or goes to a draining endpoint, is not sent if the dial takes
+// longer.
 func TestAttemptExpiresDuringDial(t *testing.T) {
 	for name, state := range map[string]routing.EndpointState{
 		"idempotency window": routing.Ready,
@@ -121,30 +121,30 @@
 	}
 }
 
-// A client leaves while its attempt's connection is being dialled: nothing of it is ever written.
+// A client leaves while the connection for its attempt is being dialled: no part of the attempt is ever written.
 func TestAbortDuringDial(t *testing.T) {
 	socket := newHeldSocket(takesAll)
 	pool := newPoolWithSockets(t, nil, socket)
 	released := pool.holdDials()
 	attempt := pool.sendAttempt(1, 1)
 	if pool.Abort(attempt) {
-		t.Error("it may have run")
+		t.Error("attempt counts as possibly run")
 	}
 	close(released)
 	pool.sendAttempt(2, 1)
 	if text := receive(t, socket.taken); !containsID(text, 2) || containsID(text, 1) {
-		t.Errorf("%q", text)
+		t.Errorf("written: %q", text)
 	}
 	pool.wantNoResult()
 }
 
-// A client has its answer, has gone, or its time is up, while its attempt waits: nothing of the attempt is written, and
-// its server is not blamed.
+// A request is answered or cancelled, or its deadline passes, while an attempt waits: no part of the attempt is
+// written, and the outcome says nothing about the server.
 func TestNothingBeginsOnceRequestEnded(t *testing.T) {
 	for name, end := range map[string]func(request *invariant.Request){
 		"answered":  func(request *invariant.Request) { request.End(invariant.EndServed, time.Now()) },
 		"cancelled": func(request *invariant.Request) { request.End(invariant.EndCancelled, time.Now()) },
-		"time up":   func(*invariant.Request) { time.Sleep(120 * time.Millisecond) },
+		"expired":   func(*invariant.Request) { time.Sleep(120 * time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			socket := newHeldSocket(takesAll)
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-// endpoint is a server and the connections to it; the lock of the pool guards it.
+// endpoint is a server and the connections to it. It is guarded by the pool's lock.
 type endpoint struct {
 	uid, address string
 	server       invariant.Server
@@ -23,7 +23,7 @@
 
 var endpointStateNames = [...]string{routing.Gone: "gone", routing.Ready: "ready", routing.Draining: "draining"}
 
-// UpdateEndpoints keeps the address of each endpoint of the list. One that is gone is known for a while: attempts may
+// UpdateEndpoints applies an endpoint list. An endpoint that is gone is kept for limits.ForgetAfter, since attempts may
 // still name it.
 func (p *Pool) UpdateEndpoints(list engine.EndpointList) {
 	p.mu.Lock()
@@ -80,7 +80,7 @@
 		zap.String("state", endpointStateNames[state]))
 }
 
-// hasReadyAt says whether a list has an endpoint that is ready at an address.
+// hasReadyAt reports whether a list has a ready endpoint at an address.
 func hasReadyAt(list []engine.Endpoint, address string) bool {
 	for i := range list {
 		if list[i].Address == address && list[i].State == routing.Ready {
@@ -90,17 +90,17 @@
 	return false
 }
 
-// closeConnections closes all connections to an endpoint, and ends with them what is in flight there: another server
-// has its address, so that none of them leads anywhere.
+// closeConnections closes all connections to an endpoint, and so ends the attempts in flight on them. It is used when
+// another server has taken over the address, so that no response can arrive any more.
 func (e *endpoint) closeConnections() {
 	for _, c := range e.connections {
 		go c.close(invariant.CloseServerMoved)
 	}
 }
 
-// retireConnections has the connections to an endpoint take nothing more, as it has moved: what waits for one that
-// is being dialled fails with it, and what is in flight keeps a connection up until it has ended, since the server
-// may well answer where it was.
+// retireConnections stops the connections to an endpoint that has moved from accepting attempts. Attempts that wait for
+// a dial fail with it. A connection with attempts in flight stays open until these have ended, since the server may
+// still answer at its old address.
 func (e *endpoint) retireConnections() {
 	for _, c := range e.connections {
 		if canCloseNow := c.retire(); canCloseNow {
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -8,7 +8,8 @@
 	"fennelarch/policy/routing"
 )
 
-// What is in flight on a connection to an endpoint whose address another has now ends, and may have run.
+// If another endpoint takes over the address of an endpoint that is gone, the connections to the old one are closed. An
+// attempt in flight on them may have run.
 func TestReusedAddressClosesConnections(t *testing.T) {
 	server := newScriptedServer(t)
 	pool := newTestPool(t, nil)
@@ -23,12 +24,12 @@
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, attempt)
 	if receive(t, server.accepted) == receive(t, server.accepted) {
-		t.Error("the old connection was used")
+		t.Error("old connection was used")
 	}
 }
 
-// A server moves: what is in flight on its old connection ends there, what waits for one that is dialled fails, and
-// nothing new goes by the old.
+// A server moves: attempts in flight on the old connection complete there, attempts that wait for a dial to the old
+// address fail, and no new attempt uses the old connection.
 func TestMovedEndpointRetiresConnections(t *testing.T) {
 	old, current := newScriptedServer(t), newScriptedServer(t)
 	pool := newTestPool(t, nil)
@@ -44,7 +45,7 @@
 	pool.wantResult(routing.Succeeded, inFlight)
 	pool.waitForConnectionCount(1)
 	if len(old.verbs) > 0 {
-		t.Error("the old connection was used again")
+		t.Error("old connection was used again")
 	}
 
 	released := make(chan struct{})
@@ -62,7 +63,7 @@
 	close(released)
 }
 
-// A retired connection is closed once its last attempt is aborted, though no response comes.
+// A retired connection is closed once its last attempt has been aborted, even if no response arrives.
 func TestRetiredConnectionClosesAfterAbort(t *testing.T) {
 	old, current := newScriptedServer(t), newScriptedServer(t)
 	pool := newTestPool(t, nil)
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -8,27 +8,28 @@
 	"fennelarch/internal/system"
 )
 
-// responseProblem says what is wrong with a response.
+// responseProblem describes what is wrong with a response.
 type responseProblem string
 
-// The problems of responses.
+// The problems that a response can have.
 const (
-	problemNoStatus      responseProblem = "it has no status"
-	problemBadID         responseProblem = "its id is no number"
-	problemUnknownStatus responseProblem = "its status is unknown"
-	problemNoBody        responseProblem = "it has no body"
-	problemOtherETag     responseProblem = "it calls a copy current that the client does not hold"
+	problemNoStatus      responseProblem = "missing status"
+	problemBadID         responseProblem = "id is not a number"
+	problemUnknownStatus responseProblem = "unknown status"
+	problemNoBody        responseProblem = "missing body"
+	problemOtherETag     responseProblem = "not modified, but its ETag is not that of the client's copy"
 )
 
-// responseError is a frame from a server that can't be a response to what was sent. Like an error of the framing it
-// matches resp.ErrFraming: nothing after it on the connection can be believed.
+// responseError reports a frame from a server that cannot be a response to any request sent. Like a framing error, it
+// matches resp.ErrFraming: nothing that follows on the connection can be trusted.
 type responseError struct {
-	id      string // as the server has it
+	id      string // as sent by the server
 	problem responseProblem
 	err     error // may be nil
 }
 
-// newResponseError clones the id, so that the caller's stays off the heap where there is no error.
+// newResponseError returns a responseError. It clones the id, so that the caller's string stays off the heap if there
+// is no error.
 func newResponseError(id string, problem responseProblem, err error) *responseError {
 	return &responseError{id: strings.Clone(id), problem: problem, err: err}
 }
@@ -48,16 +49,16 @@
 	return []error{resp.ErrFraming, e.err}
 }
 
-// dialError is a dial that failed for good.
+// dialError reports that a dial failed after all its attempts.
 type dialError struct {
 	address  string
 	attempts int
-	fault    system.Fault // who is at fault by the last error; this machine, where the process stood still
+	fault    system.Fault // cause of the last error; FaultLocal if the process stalled
 	err      error
 }
 
 func (e *dialError) Error() string {
-	return fmt.Sprintf("dial %s, %d times: %v", e.address, e.attempts, e.err)
+	return fmt.Sprintf("dial %s failed after %d attempts: %v", e.address, e.attempts, e.err)
 }
 
 func (e *dialError) Unwrap() error { return e.err }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -20,7 +20,7 @@
 	"go.uber.org/zap"
 )
 
-// patience is how long a test waits for what must come.
+// patience is how long a test waits for an event that must occur.
 const patience = 10 * time.Second
 
 var testLimits = limits.From(limits.Inputs{
@@ -45,20 +45,20 @@
 	select {
 	case value = <-channel:
 	case <-time.After(patience):
-		t.Fatal("nothing came")
+		t.Fatal("timed out on the channel")
 	}
 	return value
 }
 
-// scriptedServer answers only while it is told to, and counts its connections.
+// scriptedServer answers each fetch as the test tells it to, and reports its connections and the verbs it receives.
 type scriptedServer struct {
 	net.Listener
 	accepted       chan net.Conn
 	verbs          chan string
-	answers        chan bool      // one a fetch, in the order in which they came: whether it is answered
-	fetches        chan chan bool // those that wait for that
+	answers        chan bool      // for each fetch, in order of arrival: whether to answer it
+	fetches        chan chan bool // the fetches that wait for a value of answers
 	closing        chan struct{}  // closed at the end of the test
-	deadlineMillis atomic.Int64   // that the last request named
+	deadlineMillis atomic.Int64   // in the last request
 }
 
 func newScriptedServer(t *testing.T) *scriptedServer {
@@ -84,7 +84,7 @@
 	return server
 }
 
-// dispatchAnswers hands each answer to the fetch that came first, whichever connection it came on.
+// dispatchAnswers passes each value of answers to the fetch that arrived first, on whichever connection.
 func (s *scriptedServer) dispatchAnswers() {
 	for {
 		var fetch chan bool
@@ -102,7 +102,7 @@
 	}
 }
 
-// isAnswered waits for the answer to a fetch that has just come.
+// isAnswered waits until the test decides whether a fetch is answered, and returns the decision.
 func (s *scriptedServer) isAnswered(fetch chan bool) bool {
 	select {
 	case isAnswered := <-fetch:
@@ -148,7 +148,7 @@
 	}
 }
 
-// testPool is a pool whose results come by a channel.
+// testPool is a pool that sends its results to a channel.
 type testPool struct {
 	*Pool
 	t       *testing.T
@@ -184,12 +184,12 @@
 	return pool
 }
 
-// waitForConnectionCount waits until there are no more than so many connections.
+// waitForConnectionCount waits until there are at most count connections.
 func (p *testPool) waitForConnectionCount(count int) {
 	p.t.Helper()
 	for end := time.Now().Add(patience); p.ConnectionCount() > count; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("%d connections are left, not %d", p.ConnectionCount(), count)
+			p.t.Fatalf("%d connections left, want %d", p.ConnectionCount(), count)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 	select {
 	case result := <-p.results:
 		if result.Attempt != attempt || result.Outcome != outcome {
-			p.t.Fatalf("attempt of %x ended with %d, not of %x with %d",
+			p.t.Fatalf("attempt of request %x ended with outcome %d, want attempt of request %x with outcome %d",
 				result.Attempt.Request.ClientRequestID, result.Outcome, attempt.Request.ClientRequestID, outcome)
 		}
 	case <-time.After(patience):
@@ -224,19 +224,19 @@
 	p.t.Helper()
 	select {
 	case result := <-p.results:
-		p.t.Fatalf("attempt of %x ended with %d", result.Attempt.Request.ClientRequestID, result.Outcome)
+		p.t.Fatalf("attempt of request %x ended with outcome %d", result.Attempt.Request.ClientRequestID, result.Outcome)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// onlyConnection is the pool's only connection, to endpoint 1.
+// onlyConnection returns the pool's only connection, which is to endpoint 1.
 func (p *testPool) onlyConnection() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[1].connections[0]
 }
 
-// holdDials has each dial wait until the channel is closed that is returned.
+// holdDials makes each dial wait until the test closes the returned channel.
 func (p *testPool) holdDials() chan struct{} {
 	released := make(chan struct{})
 	dial := p.dial
@@ -247,7 +247,8 @@
 	return released
 }
 
-// holdFirstDial has the first dial wait until it is told how it ends; later ones go to the address.
+// holdFirstDial makes the first dial wait until the test sends its result on the returned channel. Later dials are not
+// delayed.
 func (p *testPool) holdFirstDial() chan error {
 	ends := make(chan error)
 	var isHeld atomic.Bool
@@ -262,20 +263,20 @@
 	return ends
 }
 
-// heldSocket is a connection of which each write is held up: after it took its bytes it says so on taken, and goes on
-// once it is told how the write ends, or is closed.
+// heldSocket is a net.Conn whose writes block. Each write accepts at most takesBytes bytes, sends them on taken, and
+// returns once the test sends the error for it on writeResult or the connection is closed.
 type heldSocket struct {
 	net.Conn
-	takesBytes  int // of each write
+	takesBytes  int // per write
 	taken       chan string
 	writeResult chan error
 	closed      chan struct{}
 	closeOnce   sync.Once
 }
 
-var errScripted = errors.New("the test says so")
+var errScripted = errors.New("scripted error")
 
-// takesAll is more bytes than a test writes.
+// takesAll is more bytes than any test writes.
 const takesAll = 1 << 20
 
 func newHeldSocket(takesBytes int) *heldSocket {
@@ -310,19 +311,19 @@
 
 func (s *heldSocket) SetWriteDeadline(time.Time) error { return nil }
 
-// wantNothingTaken fails if anything was written that the test has not received.
+// wantNothingTaken fails the test if bytes were written that the test has not received from taken.
 func (s *heldSocket) wantNothingTaken(t *testing.T) {
 	t.Helper()
 	if len(s.taken) > 0 {
-		t.Errorf("%q was written all the same", <-s.taken)
+		t.Errorf("unexpected write: %q", <-s.taken)
 	}
 }
 
-// newPoolWithSockets returns a pool whose dials give these connections in turn; endpoint 1 is ready.
+// newPoolWithSockets returns a pool whose dials return the given sockets in turn. Endpoint 1 is ready.
 func newPoolWithSockets(t *testing.T, change func(*limits.Limits), sockets ...*heldSocket) *testPool {
 	t.Helper()
 	pool := newTestPool(t, func(l *limits.Limits) {
-		l.SlowConnect = time.Hour // nothing goes by another connection
+		l.SlowConnect = time.Hour // no attempt moves to another connection
 		if change != nil {
 			change(l)
 		}
@@ -342,7 +343,7 @@
 	return pool
 }
 
-// oneConnection is a limit of one connection to each endpoint.
+// oneConnection limits the pool to one connection per endpoint.
 func oneConnection(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }
 
 func containsID(text string, id engine.ClientRequestID) bool {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
 // Package upstream carries attempts to cache servers, parents and the origin.
 //
-// A Pool holds the connections to all of them: which endpoint has which address, the goroutines that dial, read and
-// write, and when a connection that is idle, suspect or of no use any more is closed. What goes over one connection,
-// and what became of it, is the job of a session, which touches no socket. The package never chooses an endpoint: an
-// attempt goes where it was sent.
+// A Pool holds the connections to all endpoints. It knows their addresses, runs the goroutines that dial, read and
+// write, and closes connections that are idle, suspect or no longer needed. The protocol state of a connection is kept
+// by a session, which does no I/O. The package never chooses an endpoint: an attempt goes to the endpoint that it
+// names.
 package upstream
 
 import (
@@ -21,10 +21,10 @@
 	"go.uber.org/zap"
 )
 
-// sendTries is on how many connections an attempt is tried to be queued: the first may be closed at that moment.
+// sendTries is how often Send tries to queue an attempt: the connection selected first may just be closing.
 const sendTries = 2
 
-// Pool is the connection pool of all endpoints. Where both are held, its lock is taken before that of a connection.
+// Pool is the connection pool of all endpoints. Its lock is acquired before that of a connection.
 type Pool struct {
 	limits limits.Limits
 	names  protocolNames
@@ -41,25 +41,26 @@
 	connectionCount int
 }
 
-// Options are what a Pool needs.
+// Options configures a Pool.
 type Options struct {
 	Limits limits.Limits
 	Names  config.Names
 
-	// ReportsWithHealthChecks has health checks ask for load reports.
+	// ReportsWithHealthChecks makes health checks ask for load reports.
 	ReportsWithHealthChecks bool
 
-	// Post takes the results of attempts and health checks, each with the time at which it came about.
+	// Post receives the results of attempts and health checks, each with the time of its occurrence.
 	Post func(at time.Time, message engine.Message)
 
-	// OnDescriptorShortage, if set, is called when there is no descriptor for a connection: others may make room.
+	// OnDescriptorShortage, if set, is called when no file descriptor is available for a connection, so that other
+	// parts of the process can free some.
 	OnDescriptorShortage func()
 
-	Monitor *invariant.Monitor // may be nil
+	Monitor *invariant.Monitor // optional
 	Log     *zap.Logger
 }
 
-// New returns a pool that knows no endpoint.
+// New returns a pool without endpoints.
 func New(options Options) *Pool {
 	pool := &Pool{
 		limits:               options.Limits,
@@ -78,16 +79,15 @@
 	return pool
 }
 
-// ConnectionCount is how many connections there are.
+// ConnectionCount returns the number of connections, including those being dialled.
 func (p *Pool) ConnectionCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.connectionCount
 }
 
-// Send puts an attempt on a connection to its endpoint. One that is closed at this moment is no reason to fail:
-// there may be another. An attempt for which this router has no connection left was never sent, and tells nothing of
-// its endpoint.
+// Send queues an attempt on a connection to its endpoint. If that connection is just closing, Send tries another. If
+// the router's connection limits are exhausted, the attempt counts as not sent, which says nothing about its endpoint.
 func (p *Pool) Send(attempt *engine.Attempt) {
 	now, outcome := time.Now(), routing.ConnectFailed
 	for range sendTries {
@@ -111,13 +111,14 @@
 	p.postFailure(attempt, outcome, now)
 }
 
-// postFailure posts the result of an attempt that was not sent. The caller holds locks or must not wait.
+// postFailure posts the result of an attempt that was not sent. It does so in a goroutine, since the caller holds locks
+// or must not block.
 func (p *Pool) postFailure(attempt *engine.Attempt, outcome routing.Outcome, now time.Time) {
 	go p.post(now, engine.AttemptResult{Attempt: attempt, Outcome: outcome})
 }
 
-// prepare returns the exchange for an attempt, and whether its endpoint and source are known. To an endpoint, or from a
-// source, that is draining, it must be on its way soon.
+// prepare returns the exchange for an attempt, and whether its endpoint and source are known. If one of them is
+// draining, the attempt must be sent sooner.
 func (p *Pool) prepare(attempt *engine.Attempt, now time.Time) (e exchange, isKnown bool) {
 	e = exchange{
 		attempt:  attempt,
@@ -154,10 +155,10 @@
 	return other
 }
 
-// Abort gives an attempt up and says whether it may have run.
+// Abort aborts an attempt and reports whether it may have run.
 func (p *Pool) Abort(attempt *engine.Attempt) bool {
 	p.mu.Lock()
-	defer p.mu.Unlock() // so that it stays on its connection
+	defer p.mu.Unlock() // keeps the attempt from moving to another connection
 	c, wasQueued := attempt.TransportState.(*connection)
 	if !wasQueued {
 		return false
@@ -165,7 +166,7 @@
 	return c.abort(attempt)
 }
 
-// CheckHealth asks an endpoint for its health.
+// CheckHealth sends a health check to an endpoint.
 func (p *Pool) CheckHealth(id routing.EndpointID) {
 	p.mu.Lock()
 	c := p.selectConnection(id, nil)
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -9,12 +9,12 @@
 	"fennelarch/internal/system"
 )
 
-// input is what one read has brought.
+// input is the outcome of one read.
 type input struct {
-	err        error // what came is no response
+	err        error // the bytes read are not valid responses
 	results    []engine.Message
-	becameIdle bool // a response came, and nothing is pending any more
-	isRetired  bool // and the connection takes nothing more
+	becameIdle bool // a response has arrived and nothing is pending any more
+	isRetired  bool // the connection has become idle and is retired
 }
 
 // read reads until the connection is closed.
@@ -47,7 +47,7 @@
 	}
 }
 
-// received hands what was read to the session.
+// received passes the bytes read to the session.
 func (c *connection) received(n int, now time.Time) (came input) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/reassign.go
+++ b/internal/upstream/reassign.go
@@ -6,9 +6,9 @@
 	"fennelarch/policy/routing"
 )
 
-// reassignWaiting moves what waits for a connection whose dial is overdue to another one of its endpoint: one on
-// which a response came meanwhile, so that the server lives, or, once, a new one, as this dial may be the only slow
-// one.
+// reassignWaiting moves attempts that wait for an overdue dial to other connections of the same endpoint: idle ones on
+// which a response has arrived since the dial began, which proves that the server is up, or else a new one, since only
+// this dial may be slow. A replacement that is slow itself is not replaced.
 func (p *Pool) reassignWaiting(overdue *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,8 +28,8 @@
 	}
 }
 
-// reassignToIdle is called when nothing is pending on a connection any more: it takes an attempt that waits for an
-// overdue dial to its endpoint.
+// reassignToIdle moves an attempt that waits for an overdue dial of the same endpoint to a connection that has just
+// become idle.
 func (p *Pool) reassignToIdle(idle *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,8 +40,8 @@
 	}
 }
 
-// reassignTo moves an attempt that waits for an overdue dial to another connection, if that is up, idle, not suspect,
-// and has had a response since the dial began.
+// reassignTo moves an attempt that waits for an overdue dial to another connection, if that is open, idle and not
+// suspect, and has received a response since the dial began.
 func (p *Pool) reassignTo(to, from *connection) {
 	if from == to || !from.isDialOverdue() {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// moveFirstWaiting moves the first attempt that waits for an overdue dial to another connection.
+// moveFirstWaiting moves the attempt that has waited longest for an overdue dial to another connection.
 func (p *Pool) moveFirstWaiting(from, to *connection) {
 	e, isTaken := from.takeFirstWaiting()
 	if !isTaken {
@@ -61,6 +61,6 @@
 		return
 	}
 	if !from.enqueue(e) {
-		p.postFailure(e.attempt, routing.ConnectFailed, time.Now()) // the dial has failed meanwhile
+		p.postFailure(e.attempt, routing.ConnectFailed, time.Now()) // the dial has failed in the meantime
 	}
 }
--- a/internal/upstream/reassign_test.go
+++ b/internal/upstream/reassign_test.go
@@ -8,8 +8,8 @@
 	"fennelarch/policy/routing"
 )
 
-// One connection comes up late, though its server lives: what waits for it goes by another, and is aborted there;
-// nothing of it goes by the late one, which serves the next.
+// One dial is slow although the server is up. Attempts that wait for the dial move to a replacement connection, and one
+// of them is aborted there. No part of them is written to the slow connection, which serves a later attempt.
 func TestOverdueDialIsReplaced(t *testing.T) {
 	for name, dialEnd := range map[string]error{"comes up late": nil, "fails late": errScripted} {
 		t.Run(name, func(t *testing.T) {
@@ -19,19 +19,19 @@
 			pool.listEndpoint(1, routing.Ready, server.Addr().String())
 			attempt := pool.sendAttempt(1, 1)
 			server.answers <- true
-			pool.wantResult(routing.Succeeded, attempt) // by a second dial
+			pool.wantResult(routing.Succeeded, attempt) // on a second connection
 			attempt = pool.sendAttempt(2, 1)
 			receive(t, server.verbs)
 			receive(t, server.verbs)
 			if !pool.Abort(attempt) {
-				t.Error("it may have run")
+				t.Error("attempt counts as not run")
 			}
 			server.answers <- false
 			ends <- dialEnd
 			pool.wantNoResult()
 			left := 1
 			if dialEnd == nil {
-				left = 2 // one that is suspect, one that came late
+				left = 2 // the suspect one and the slow one
 			}
 			pool.waitForConnectionCount(left)
 			attempt = pool.sendAttempt(3, 1)
@@ -41,8 +41,8 @@
 	}
 }
 
-// Two dials are overdue at once, and a third connection has a response: the first attempt that waits goes by it then.
-// What is overdue for good fails as such.
+// A dial is overdue while another connection is busy: when a response arrives on that connection, the waiting attempt
+// moves to it. An attempt whose overdue dial fails in the end fails with it.
 func TestWaitingAttemptMovesToIdleConnection(t *testing.T) {
 	server := newScriptedServer(t)
 	pool := newTestPool(t, func(l *limits.Limits) { l.SlowConnect, l.ConnectionsPerEndpoint = 5*time.Millisecond, 2 })
@@ -51,23 +51,23 @@
 	receive(t, server.verbs)
 	ends := pool.holdFirstDial()
 	waiting := pool.sendAttempt(2, 1)
-	time.Sleep(30 * time.Millisecond) // overdue by now, and no capacity for another dial
+	time.Sleep(30 * time.Millisecond) // the dial is overdue by now, and the limit allows no other
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, busy)
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, waiting)
 	busy = pool.sendAttempt(3, 1)
-	receive(t, server.verbs) // of 2
+	receive(t, server.verbs) // of request 2
 	receive(t, server.verbs)
-	waiting = pool.sendAttempt(4, 1) // for the overdue one again
+	waiting = pool.sendAttempt(4, 1) // waits for the overdue dial again
 	ends <- errScripted
 	pool.wantResult(routing.ConnectFailed, waiting)
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, busy)
 }
 
-// Only a connection that is up, idle and not suspect, and that had a response since the dial began, takes what waits
-// for an overdue dial.
+// An attempt that waits for an overdue dial moves only to a connection that is open, idle and not suspect, and has
+// received a response since the dial began.
 func TestProvenConnection(t *testing.T) {
 	dialStarted := time.Now()
 	proven := func() *connection {
@@ -95,7 +95,7 @@
 			c := proven()
 			test.change(c)
 			if got := c.isProvenSince(dialStarted); got != test.want {
-				t.Errorf("%v, not %v", got, test.want)
+				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -14,7 +14,7 @@
 	"fennelarch/policy/routing"
 )
 
-// The strings of a response, in their order.
+// The strings of a response frame, in order.
 const (
 	responseID = iota
 	responseStatus
@@ -22,10 +22,11 @@
 	responseBody
 )
 
-// readBuffer is where the next bytes are to be read into; received says how many came.
+// readBuffer returns the buffer for the next read. The caller passes the number of bytes read to received.
 func (s *session) readBuffer() []byte { return s.input.Tail() }
 
-// received takes n bytes that were put into readBuffer. After an error nothing more can be believed of the connection.
+// received handles n bytes that were read into readBuffer. After an error, nothing more on the connection can be
+// trusted.
 func (s *session) received(n int, now time.Time) error {
 	if n == 0 {
 		return nil
@@ -35,7 +36,7 @@
 		response, err := s.decoder.Next(&s.input)
 		if err != nil {
 			s.input.Shrink()
-			return fmt.Errorf("read a response: %w", err)
+			return fmt.Errorf("read response: %w", err)
 		}
 		if response == nil {
 			s.input.Shrink()
@@ -49,7 +50,7 @@
 	}
 }
 
-// takeResponse takes one whole response. A request's id has 16 digits, the tag of a health check fewer.
+// takeResponse handles one complete response. A request id has 16 digits, the tag of a health check fewer.
 func (s *session) takeResponse(response [][]byte, now time.Time) error {
 	if len(response) <= responseStatus {
 		return &responseError{problem: problemNoStatus}
@@ -78,7 +79,7 @@
 	}
 	result.Attempt, result.NotModified = sent.attempt, status == statusNotModified
 	if heldETag := sent.attempt.Request.HeldETag; result.NotModified && (heldETag == "" || result.ETag != heldETag) {
-		return newResponseError(id, problemOtherETag, nil) // the server must name just the client's copy
+		return newResponseError(id, problemOtherETag, nil) // the server must name the client's copy
 	}
 	if status == statusOK {
 		if len(response) <= responseBody {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// takeHealth takes the answer to a health check.
+// takeHealth handles the answer to a health check.
 func (s *session) takeHealth(id, status string, report routing.LoadReport, now time.Time) error {
 	tag, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// rememberAnswered keeps a request's id from being used again here, and drops the ids that have been kept long enough.
+// rememberAnswered keeps a request id from being reused on this connection, and drops the ids that are older than
+// limits.ForgetAfter.
 func (s *session) rememberAnswered(id engine.ClientRequestID, now time.Time) {
 	expired := 0
 	for expired < len(s.answered) && now.Sub(s.answered[expired].at) > s.limits.ForgetAfter {
@@ -125,7 +127,7 @@
 	s.answered = append(slices.Delete(s.answered, 0, expired), answeredRequest{id: id, at: now})
 }
 
-// parseFields reads the fields of a response into a result; those that nobody knows are passed over.
+// parseFields parses the fields of a response into a result. It ignores unknown fields.
 func (s *session) parseFields(fields []byte, result *engine.AttemptResult) {
 	for len(fields) > 0 {
 		var name, value []byte
@@ -147,7 +149,7 @@
 	}
 }
 
-// parseLoadReport reads the columns of a load report, up to the first that is missing.
+// parseLoadReport parses the columns of a load report, up to the first that is missing.
 func (s *session) parseLoadReport(text []byte) (report routing.LoadReport) {
 	columns := s.names.reportColumns
 	for _, column := range columns[:min(len(columns), len(report.Values))] {
@@ -162,7 +164,7 @@
 	return report
 }
 
-// parseNumber is the number in a text, 0 where there is none.
+// parseNumber returns the number in a text, or 0 if the text is not a number.
 func parseNumber(text []byte) float64 {
 	number, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || math.IsNaN(number) {
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -13,7 +13,7 @@
 	"fennelarch/policy/routing"
 )
 
-// Every status and every note means to the routing what the simulator's would.
+// Every status and every note is mapped to the outcome and the note that routing gets in the simulator.
 func TestResponses(t *testing.T) {
 	for _, test := range []struct {
 		status, fields string
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkContent checks what each response of TestResponses brings, by its status.
+// checkContent checks the body and the load report of a response in TestResponses, according to its status.
 func checkContent(t *testing.T, result engine.AttemptResult, status string) {
 	t.Helper()
 	if result.NotModified != (status == "304") || (string(result.Body) == "body") != (status == "200") {
@@ -63,7 +63,7 @@
 	}
 }
 
-// exchangeFor has a response received for an attempt whose client holds a copy; it must be the attempt's only result.
+// exchangeFor feeds a response to an attempt whose client holds a copy, and returns the attempt and its only result.
 func exchangeFor(t *testing.T, response string, pieceBytes int) (*engine.Attempt, engine.AttemptResult) {
 	t.Helper()
 	session := newTestSession()
@@ -83,19 +83,20 @@
 	return attempt, results[0].(engine.AttemptResult)
 }
 
-// What cannot be a response to what was sent is an error that ends the connection, and what is in flight may have run.
+// A frame that cannot be a response to any request sent is an error that ends the connection. Attempts in flight may
+// have run.
 func TestMalformedResponses(t *testing.T) {
 	for name, stream := range map[string]string{
-		"unknown status":                frame(testIDText, "599", "how=unheard_of"),
-		"no body":                       frame(testIDText, "200", "-"),
-		"not modified, no copy is held": frame(testIDText, "304", "-"),
-		"not modified, another ETag":    frame(testIDText, "304", "sum=other,how=local"),
-		"not modified, no ETag":         frame(testIDText, "304", "how=local,sum="),
-		"no status":                     frame(testIDText),
-		"unknown health":                frame("1", "asleep"),
-		"id is no number":               frame("zz", "200"),
-		"body too long":                 "*4\r\n$16\r\n" + testIDText + "\r\n$3\r\n200\r\n$1\r\n-\r\n$3000000000\r\n",
-		"no frame":                      "noise",
+		"unknown status":             frame(testIDText, "599", "how=unheard_of"),
+		"no body":                    frame(testIDText, "200", "-"),
+		"not modified, no copy held": frame(testIDText, "304", "-"),
+		"not modified, another ETag": frame(testIDText, "304", "sum=other,how=local"),
+		"not modified, no ETag":      frame(testIDText, "304", "how=local,sum="),
+		"no status":                  frame(testIDText),
+		"unknown health":             frame("1", "asleep"),
+		"id is no number":            frame("zz", "200"),
+		"body too long":              "*4\r\n$16\r\n" + testIDText + "\r\n$3\r\n200\r\n$1\r\n-\r\n$3000000000\r\n",
+		"no frame":                   "noise",
 	} {
 		t.Run(name, func(t *testing.T) {
 			session := newTestSession()
@@ -106,7 +107,7 @@
 			session.writeAttempt(attempt, wholeFrame)
 			session.checkHealth(7, verbCheckWithReport, time.Now())
 			if err := session.feed(stream, 3); !errors.Is(err, resp.ErrFraming) {
-				t.Errorf("%q is believed: %v", stream, err)
+				t.Errorf("%q: error %v, want a framing error", stream, err)
 			}
 			session.failAll()
 			if result := session.takeResults()[0].(engine.AttemptResult); result.Outcome != routing.ConnectionBroken {
@@ -116,8 +117,8 @@
 	}
 }
 
-// An id that is no number, or too large for one, is taken for no request, not even for the one with the first or the
-// last id.
+// A response whose id is not a number, or is too large, matches no request, not even the one with the smallest or the
+// largest id.
 func TestResponseWithUnusableID(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -132,7 +133,7 @@
 			session.writeAttempt(newAttempt(test.sent), wholeFrame)
 			err := session.feed(frame(test.id, statusOK, "-", "bytes"), 1)
 			if !errors.Is(err, resp.ErrFraming) {
-				t.Errorf("%q is believed: %v", test.id, err)
+				t.Errorf("id %q: error %v, want a framing error", test.id, err)
 			}
 			if results := session.takeResults(); len(results) != 0 {
 				t.Errorf("results %+v", results)
@@ -141,18 +142,18 @@
 	}
 }
 
-// A malformed response says which it was and what is wrong with it.
+// The error for a malformed response contains its id and the problem.
 func TestResponseError(t *testing.T) {
 	session := newTestSession()
 	session.writeAttempt(newAttempt(testID), wholeFrame)
 	err := session.feed(frame(testIDText, "599"), 1)
 	var malformed *responseError
 	if !errors.As(err, &malformed) || malformed.id != testIDText || malformed.problem != problemUnknownStatus {
-		t.Errorf("%v", err)
+		t.Errorf("error %v", err)
 	}
 }
 
-// Half a response is no sign of life.
+// An incomplete response does not prove that a connection works.
 func TestHalfResponseKeepsConnectionSuspect(t *testing.T) {
 	session := newTestSession()
 	attempt := newAttempt(testID)
@@ -161,29 +162,29 @@
 		t.Fatal(err)
 	}
 	if session.abort(attempt, time.Now()); !session.isSuspect() {
-		t.Error("half a response counts")
+		t.Error("connection is not suspect after an incomplete response")
 	}
 }
 
-// A second copy of a response is none to a further attempt of its request; the beginning of a response to no request
+// A duplicate response is not taken for the response to a later attempt of the same request. An incomplete response
 // makes an idle connection suspect.
 func TestRepeatedResponse(t *testing.T) {
 	session := newTestSession()
 	response := frame(testIDText, "200", "-", "bytes")
 	session.writeAttempt(newAttempt(testID), wholeFrame)
 	if err := session.feed(response+response, 7); err != nil || len(session.takeResults()) != 1 {
-		t.Error("not one result")
+		t.Error("want exactly one result")
 	}
 	if session.canCarry(newAttempt(testID)) || !session.canCarry(newAttempt(testID+1)) || session.isSuspect() {
-		t.Error("a copy to come would be taken for a response")
+		t.Error("a duplicate response could be taken for the response to a later attempt")
 	}
 	if err := session.feed(response[:9], 9); err != nil || !session.isSuspect() {
-		t.Error("the next response would go on where this one stops")
+		t.Error("idle connection with an incomplete response is not suspect")
 	}
 }
 
-// A load report counts up to a column that is missing or unknown; a health check that is never answered ends with the
-// connection.
+// A load report is valid up to the first column that is missing or unknown. A health check without an answer ends with
+// the connection.
 func TestHealthChecks(t *testing.T) {
 	session := newTestSession()
 	session.checkHealth(7, verbCheckWithReport, time.Now())
@@ -208,6 +209,6 @@
 		fmt.Sprint(9, routing.ConnectFailed, []float64{}),
 	}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v, not %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -9,17 +9,17 @@
 	"fennelarch/policy/routing"
 )
 
-// connectionLoad is what the choice of a connection looks at.
+// connectionLoad is the information by which a connection is selected.
 type connectionLoad struct {
 	pending   int
 	isSuspect bool
-	canCarry  bool // this attempt
+	canCarry  bool // the attempt in question can be sent on it
 	lastUsed  time.Time
 }
 
-// selectConnection is the connection to an endpoint for an attempt, or for a health check where attempt is nil: of
-// those on which nothing is pending the one used last, or a new one, so that the end of a connection fails no other
-// attempt; where there is no capacity for more, the least loaded one, and at last one that is suspect.
+// selectConnection returns the connection to an endpoint for an attempt, or for a health check if attempt is nil. It
+// prefers the most recently used idle connection, then a new one, so that the end of a connection fails a single
+// attempt. If the limits allow no new connection, it returns the least loaded one, or else a suspect one.
 func (p *Pool) selectConnection(id routing.EndpointID, attempt *engine.Attempt) *connection {
 	known := p.endpoints[id]
 	if known == nil {
@@ -48,7 +48,7 @@
 	return cmp.Or(idle, leastLoaded, suspect)
 }
 
-// open begins a new connection to an endpoint, where there is capacity for one.
+// open starts a new connection to an endpoint, or returns nil if the limits allow none.
 func (p *Pool) open(id routing.EndpointID, e *endpoint, purpose dialPurpose) *connection {
 	if len(e.connections) >= p.limits.ConnectionsPerEndpoint {
 		return nil
@@ -63,7 +63,7 @@
 	return c
 }
 
-// closeOneIdle closes a connection on which nothing is pending, so that another may be opened in its place.
+// closeOneIdle closes an idle connection to make room for a new one, and reports whether there was one.
 func (p *Pool) closeOneIdle() bool {
 	for _, e := range p.endpoints {
 		for _, c := range e.connections {
@@ -76,7 +76,7 @@
 	return false
 }
 
-// CloseIdle closes the connections on which nothing is pending: their descriptors are needed.
+// CloseIdle closes all idle connections to free their file descriptors.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/selection_test.go
+++ b/internal/upstream/selection_test.go
@@ -9,8 +9,7 @@
 	"fennelarch/policy/routing"
 )
 
-// A connection on which an attempt was aborted in silence is not trusted with the next; it is again once a response has
-// come on it.
+// A connection on which an attempt was aborted without any response is avoided until a response arrives on it.
 func TestSuspectConnectionIsAvoided(t *testing.T) {
 	server := newScriptedServer(t)
 	pool := newTestPool(t, nil)
@@ -18,11 +17,11 @@
 	first := pool.sendAttempt(1, 1)
 	receive(t, server.verbs)
 	if !pool.Abort(first) {
-		t.Error("it may have run")
+		t.Error("attempt counts as not run")
 	}
 	second := pool.sendAttempt(2, 1)
 	if receive(t, server.accepted) == receive(t, server.accepted) {
-		t.Error("the silent connection was used again")
+		t.Error("suspect connection was used again")
 	}
 	server.answers <- false // to the first
 	server.answers <- true
@@ -31,7 +30,7 @@
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, third)
 	if pool.ConnectionCount() > 2 || len(server.accepted) > 0 {
-		t.Errorf("%d connections, %d more", pool.ConnectionCount(), len(server.accepted))
+		t.Errorf("%d connections, %d accepted later", pool.ConnectionCount(), len(server.accepted))
 	}
 }
 
@@ -49,12 +48,12 @@
 	pool.wantResult(routing.Succeeded, second)
 	pool.waitForConnectionCount(1)
 	if receive(t, server.accepted) == receive(t, server.accepted) {
-		t.Error("the suspect connection was used again")
+		t.Error("suspect idle connection was used again")
 	}
 }
 
-// What ends a connection fails one attempt, as long as there is capacity; an attempt without any connection was never
-// sent.
+// The end of a connection fails only one attempt while the limits allow a connection for each. An attempt for which
+// there is no connection counts as not sent.
 func TestConnectionEndFailsOneAttempt(t *testing.T) {
 	server := newScriptedServer(t)
 	pool := newTestPool(t, func(l *limits.Limits) {
@@ -80,7 +79,8 @@
 	}
 }
 
-// Idle connections are closed, after a while or when others need their place; nothing is kept of endpoints long gone.
+// Idle connections are closed after the idle timeout, or earlier to make room for others. Endpoints long gone are
+// forgotten.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	const servers = 4
 	pool := newTestPool(t, func(l *limits.Limits) {
@@ -100,7 +100,7 @@
 	}
 	pool.listEndpoint(9, routing.Gone, "")
 	if len(pool.endpoints) > 1 {
-		t.Errorf("%d endpoints are kept", len(pool.endpoints))
+		t.Errorf("%d endpoints kept", len(pool.endpoints))
 	}
 	pool.wantResult(routing.ConnectFailed, pool.sendAttempt(9, 1))
 }
--- a/internal/upstream/session.go
+++ b/internal/upstream/session.go
@@ -14,37 +14,37 @@
 	"fennelarch/policy/routing"
 )
 
-// fieldsPerResponse is how many strings of the length of a field a response may have besides its body.
+// fieldsPerResponse is how many strings of maximum field length a response may have besides its body.
 const fieldsPerResponse = 8
 
-// exchange is an attempt on one connection: first waiting, then in the stream up to its streamEnd.
+// exchange is an attempt on one connection. It first waits, and is then written to the output stream.
 type exchange struct {
 	attempt   *engine.Attempt
 	server    invariant.Server
 	sourceUID string    // empty where the attempt names no source
-	notAfter  time.Time // if it has not begun by then, it never does
-	streamEnd int64     // the place in the stream after its last byte; 0 while it waits
+	notAfter  time.Time // latest time to begin writing it
+	streamEnd int64     // offset of its end in the output stream; 0 while it waits
 
-	responsesBefore int // whole responses received before it was queued
+	responsesBefore int // complete responses received before it was queued
 }
 
 func (e *exchange) requestID() engine.ClientRequestID { return e.attempt.Request.ClientRequestID }
 
-// answeredRequest is a request that has its response.
+// answeredRequest is a request whose response has been received.
 type answeredRequest struct {
 	id engine.ClientRequestID
 	at time.Time
 }
 
-// healthCheck is a health check on its way.
+// healthCheck is a health check in flight.
 type healthCheck struct {
 	endpoint routing.EndpointID
 	sentAt   time.Time
 }
 
-// session is the protocol state of one connection to a server. It is fed the bytes that come, keeps account of what
-// was written and what is in flight, and says how each attempt ended. It never touches a socket and never waits; the
-// lock of its connection guards it.
+// session is the protocol state of one connection to a server. It parses the bytes received, tracks what was written
+// and what is in flight, and determines how each attempt ended. It does no I/O and never blocks. It is guarded by the
+// lock of its connection.
 type session struct {
 	limits  *limits.Limits
 	names   *protocolNames
@@ -52,20 +52,20 @@
 	decoder resp.Decoder
 	output  resp.Writer
 
-	waiting  []exchange                           // nothing of them is in the stream
+	waiting  []exchange                           // not begun: no byte is in the output stream
 	inFlight map[engine.ClientRequestID]exchange  // begun, without a response
-	aborted  map[engine.ClientRequestID]time.Time // a late response may still come
-	answered []answeredRequest                    // lately: a second copy of the response may still come
+	aborted  map[engine.ClientRequestID]time.Time // recently: a late response may still arrive
+	answered []answeredRequest                    // recently: a duplicate response may still arrive
 	checks   map[uint64]healthCheck               // by tag
 	lastTag  uint64
-	control  []byte           // frames of aborts and health checks that go out next
+	control  []byte           // frames of aborts and health checks, to be written next
 	results  []engine.Message // engine.AttemptResult and engine.HealthCheckResult, until takeResults
-	sending  exchange         // begun last, until the system has taken all of it; its attempt may be nil
+	sending  exchange         // being written; its attempt is nil if there is none
 
-	responses         int  // whole responses received
-	hasSilentAbort    bool // an attempt was aborted during which no whole response came, nor did one since
-	hasPartialAbort   bool // an attempt was aborted that is half in the stream: its rest must never go
-	dialFailedLocally bool // the dial failed for want of something local: that tells nothing of the server
+	responses         int  // complete responses received
+	hasSilentAbort    bool // no complete response has arrived since an attempt, now aborted, was queued
+	hasPartialAbort   bool // an aborted attempt is partly written: its rest must never be sent
+	dialFailedLocally bool // the dial failed for a local reason, which says nothing about the server
 }
 
 func newSession(l *limits.Limits, names *protocolNames) *session {
@@ -86,16 +86,16 @@
 	}
 }
 
-// pending is how many attempts the connection has, begun or not.
+// pending returns the number of attempts waiting or in flight.
 func (s *session) pending() int { return len(s.inFlight) + len(s.waiting) }
 
-// isSuspect says whether the connection may be stuck, or holds the beginning of a response to no request.
+// isSuspect reports whether the connection may be stuck, or is idle but has received a part of a response.
 func (s *session) isSuspect() bool {
 	return s.hasSilentAbort || s.pending() == 0 && s.input.Len() > 0
 }
 
-// canCarry says whether an attempt can go by this connection: its request id must not be in use here, nor have been
-// answered or aborted lately, since a response to come would be taken for this attempt's.
+// canCarry reports whether an attempt can be sent on this connection. Its request id must not be in use here, nor have
+// been answered or aborted recently, or else a late response could be taken for the response to this attempt.
 func (s *session) canCarry(attempt *engine.Attempt) bool {
 	id := attempt.Request.ClientRequestID
 	if _, isInFlight := s.inFlight[id]; isInFlight {
@@ -115,21 +115,22 @@
 	return true
 }
 
-// enqueue has an attempt wait for its turn in the stream.
+// enqueue queues an attempt to be written.
 func (s *session) enqueue(e exchange) {
 	e.responsesBefore = s.responses
 	s.waiting = append(s.waiting, e)
 }
 
-// takeFirstWaiting takes the attempt off that has waited longest.
+// takeFirstWaiting removes and returns the attempt that has waited longest.
 func (s *session) takeFirstWaiting() exchange {
 	e := s.waiting[0]
 	s.waiting = s.waiting[1:]
 	return e
 }
 
-// abort gives an attempt up and says whether it may have run: one of which nothing was in the stream has not. One that
-// is half in it ends the connection, since the rest would begin an attempt for a client that has gone.
+// abort aborts an attempt and reports whether it may have run. An attempt that was still waiting has not. If the
+// attempt is partly written, abort sets hasPartialAbort, and the connection must be closed: writing the rest would
+// start an attempt for a client that has gone.
 func (s *session) abort(attempt *engine.Attempt, now time.Time) (mayHaveRun bool) {
 	guard := attempt.Request.Invariants
 	for i := range s.waiting {
@@ -156,20 +157,20 @@
 	return true
 }
 
-// checkHealth adds a health check to what goes out next.
+// checkHealth queues a health check to be written next.
 func (s *session) checkHealth(endpoint routing.EndpointID, verb string, now time.Time) {
 	s.lastTag++
 	s.checks[s.lastTag] = healthCheck{endpoint: endpoint, sentAt: now}
 	s.control = appendHealthCheck(s.control, verb, s.lastTag)
 }
 
-// nextOutput is what is to be written next.
+// nextOutput returns the bytes to write next.
 func (s *session) nextOutput(now time.Time) []byte {
 	return s.output.Next(func() bool { return s.beginFrame(now) })
 }
 
-// beginFrame begins the next frame once the last one is out: what waits behind a peer that does not read can still be
-// aborted, and begins in its time or never.
+// beginFrame begins the next frame once the last one has been written, and reports whether it did. Attempts that wait
+// because the server does not read can thus still be aborted or expire.
 func (s *session) beginFrame(now time.Time) bool {
 	if !s.output.Empty() {
 		return false
@@ -189,8 +190,8 @@
 	return false
 }
 
-// beginAttempt puts an attempt into the stream, if the invariants of its request still let it begin. There is no other
-// way to a server.
+// beginAttempt adds an attempt to the output stream if the invariants of its request still allow it, and reports
+// whether it did. Every attempt goes through this check.
 func (s *session) beginAttempt(next exchange, now time.Time) bool {
 	request := next.attempt.Request
 	timeLeft := next.attempt.Deadline.Sub(now)
@@ -204,7 +205,7 @@
 		denial = invariant.SendDeadlinePassed
 	}
 	if denial != invariant.SendAllowed {
-		outcome := routing.NotSent // it tells nothing of the server
+		outcome := routing.NotSent // says nothing about the server
 		if denial == invariant.SendBoundPassed {
 			outcome = routing.ConnectFailed
 		}
@@ -217,7 +218,7 @@
 	return true
 }
 
-// wrote says how much of the stream the system has taken.
+// wrote records that the system has accepted the next n bytes of the output stream.
 func (s *session) wrote(n int, now time.Time) {
 	s.output.Advance(n)
 	if e := &s.sending; e.attempt != nil && e.streamEnd <= s.output.TakenBytes {
@@ -226,8 +227,8 @@
 	}
 }
 
-// writeTimeout is how long the next write may take. An attempt that has begun must be whole soon, or never: the
-// deadline that it names would else be too long, and its client may leave meanwhile.
+// writeTimeout returns how long the next write may take. An attempt that has begun must be written completely within a
+// short time, or else the deadline that it names would be too long, and its client might leave meanwhile.
 func (s *session) writeTimeout() time.Duration {
 	if s.sending.attempt != nil {
 		return s.limits.RequestWriteTimeout
@@ -235,7 +236,8 @@
 	return s.limits.WriteStallTimeout
 }
 
-// finish adds the result of an attempt, and tells the request's invariants what it proves.
+// finish adds the result of an attempt, and records in the request's invariants whether it proves that the attempt did
+// not run.
 func (s *session) finish(result engine.AttemptResult, endpoint routing.EndpointID) {
 	number, guard := result.Attempt.Number, result.Attempt.Request.Invariants
 	switch result.Outcome {
@@ -247,7 +249,8 @@
 	s.results = append(s.results, result)
 }
 
-// failAll ends all that is pending, as the connection is no more. What was not written to its last byte has not run.
+// failAll ends all pending attempts and health checks when the connection has closed. An attempt whose last byte was
+// not written has not run.
 func (s *session) failAll() {
 	begun := slices.SortedFunc(maps.Values(s.inFlight), func(a, b exchange) int {
 		return cmp.Compare(a.streamEnd, b.streamEnd)
@@ -273,7 +276,7 @@
 	s.checks = map[uint64]healthCheck{}
 }
 
-// takeResults hands over the results since the last call.
+// takeResults returns the results added since the last call.
 func (s *session) takeResults() []engine.Message {
 	results := s.results
 	s.results = nil
--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -9,13 +9,13 @@
 	"fennelarch/policy/routing"
 )
 
-// testIDText is request id 0xa7 on the wire.
+// testIDText is testID, 0xa7, on the wire.
 const (
 	testID     engine.ClientRequestID = 0xa7
 	testIDText                        = "00000000000000a7"
 )
 
-// wholeFrame has writeAttempt write all there is.
+// wholeFrame makes writeAttempt write the whole frame.
 const wholeFrame = -1
 
 func newTestSession() *session {
@@ -25,7 +25,7 @@
 	})
 }
 
-// writeAttempt puts an attempt into the stream and has so many bytes of it written.
+// writeAttempt queues an attempt, records the first length bytes of its frame as written, and returns these.
 func (s *session) writeAttempt(attempt *engine.Attempt, length int) string {
 	s.enqueue(exchange{attempt: attempt, notAfter: time.Now().Add(time.Minute)})
 	frames := s.nextOutput(time.Now())
@@ -37,7 +37,7 @@
 	return text
 }
 
-// feed has bytes received, in pieces of so many.
+// feed makes the session receive a stream of bytes in pieces of at most pieceBytes.
 func (s *session) feed(stream string, pieceBytes int) error {
 	for len(stream) > 0 {
 		n := copy(s.readBuffer(), stream[:min(pieceBytes, len(stream))])
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// A connection that ends proves that an attempt did not run unless its last byte was handed over: a request that is not
-// idempotent depends on it.
+// The end of a connection proves that an attempt did not run, unless the last byte of the attempt was written. The
+// retry of a request that is not idempotent depends on this proof.
 func TestConnectionEndsAtEachByte(t *testing.T) {
 	length := len(newTestSession().writeAttempt(newAttempt(testID), wholeFrame))
 	for written := range length + 1 {
@@ -67,44 +67,44 @@
 	}
 }
 
-// An attempt that is aborted before it is begun leaves no trace on the wire.
+// An attempt that is aborted before it has begun writes nothing to the connection.
 func TestAbortOfWaitingAttempt(t *testing.T) {
 	session := newTestSession()
 	attempt := newAttempt(testID)
 	session.enqueue(exchange{attempt: attempt, notAfter: time.Now().Add(time.Minute)})
 	if session.abort(attempt, time.Now()) || len(session.nextOutput(time.Now())) > 0 {
-		t.Error("an attempt that waited may have run, or was written")
+		t.Error("waiting attempt counts as possibly run, or was written")
 	}
 }
 
-// An attempt that is aborted after it is begun may have run, and a late response to it is nobody's.
+// An attempt that is aborted after it has begun may have run, and a late response to it is ignored.
 func TestAbortOfBegunAttempt(t *testing.T) {
 	session := newTestSession()
 	attempt := newAttempt(testID)
 	session.writeAttempt(attempt, 10)
 	if !session.abort(attempt, time.Now()) {
-		t.Error("an attempt that is half written cannot run")
+		t.Error("partly written attempt counts as not run")
 	}
 	if !session.hasPartialAbort {
-		t.Error("the rest of an attempt that was aborted is to go, and begins it")
+		t.Error("rest of an aborted attempt may still be written")
 	}
-	session.output.Advance(session.output.Len()) // were the rest written all the same, the abort would follow it
+	session.output.Advance(session.output.Len()) // if the rest were written, the abort would have to follow it
 	if text := string(session.nextOutput(time.Now())); text != frame("abort", testIDText) {
-		t.Errorf("after half an attempt: %q", text)
+		t.Errorf("output after an aborted attempt: %q", text)
 	}
 	if session.canCarry(newAttempt(testID)) || !session.canCarry(newAttempt(testID+1)) || !session.hasSilentAbort {
-		t.Error("the same request again would take the late response for its own, or a silent connection is trusted")
+		t.Error("late response could be taken for that of a new attempt, or a silent connection is not suspect")
 	}
 	err := session.feed(frame(testIDText, "200", "-", "late"), 100)
 	if err != nil || len(session.takeResults()) > 0 || session.hasSilentAbort {
-		t.Error("a late response is not passed over")
+		t.Error("late response not ignored")
 	}
 	if !session.canCarry(newAttempt(testID)) {
-		t.Error("the late response has come, and yet the request cannot go here")
+		t.Error("request cannot use the connection although the late response has arrived")
 	}
 }
 
-// An attempt that could not be begun in time never goes: its endpoint may have drained meanwhile.
+// An attempt that was not begun in time is never sent, since its endpoint may have drained meanwhile.
 func TestAttemptExpiresInQueue(t *testing.T) {
 	session := newTestSession()
 	now := time.Now()
@@ -118,7 +118,8 @@
 	}
 }
 
-// FuzzSession feeds any bytes: none may crash the session or end an attempt twice, and what it holds stays bounded.
+// FuzzSession feeds arbitrary bytes: they must not crash the session, end an attempt twice, or fill memory beyond the
+// limit of the read buffer.
 func FuzzSession(f *testing.F) {
 	f.Add(frame(testIDText, "200", "how=local,stats=util:0.5;x1:1", "body") + frame(testIDText, "404"))
 	f.Add(frame("1", "alive") + frame("zz", "200") + frame(testIDText))
@@ -136,12 +137,12 @@
 			}
 		}
 		if attemptResults != 1 || session.input.Len() > testLimits.UpstreamReadBuffer {
-			t.Errorf("%d results, %d bytes held", attemptResults, session.input.Len())
+			t.Errorf("%d results, %d bytes buffered", attemptResults, session.input.Len())
 		}
 	})
 }
 
-// BenchmarkExchange is one attempt through a session: queued, written and answered.
+// BenchmarkExchange measures one attempt through a session: queued, written and answered.
 func BenchmarkExchange(b *testing.B) {
 	session := newTestSession()
 	attempt := newAttempt(testID)
@@ -150,7 +151,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now := time.Now()
-		session.answered = session.answered[:0] // the same request goes again
+		session.answered = session.answered[:0] // allows the same request id again
 		session.enqueue(exchange{attempt: attempt, notAfter: now.Add(time.Minute)})
 		session.wrote(len(session.nextOutput(now)), now)
 		n := copy(session.readBuffer(), response)
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -6,20 +6,20 @@
 	"go.uber.org/zap"
 )
 
-// connectionState is the state of a connection. A retired one takes no further attempts, as its endpoint has moved, and
-// is closed once nothing is pending on it.
+// connectionState is the state of a connection. A retired connection accepts no attempts, because its endpoint has
+// moved, and is closed once nothing is pending on it.
 type connectionState uint8
 
 const (
 	stateDialing            connectionState = iota
-	stateDialOverdue                        // the dial is slow: what waits for it may go by another connection
-	stateRetiredDialing                     // retired while it was dialled
-	stateRetiredDialOverdue                 // the same, and the dial is slow
-	stateOpen                               // up, with no write under way
-	stateWriting                            // the system may have taken more than the session knows of
-	stateRetired                            // up and retired, with no write under way
-	stateRetiredWriting                     // the same, with a write under way
-	stateClosingWrite                       // closed during a write: only the writer will know how much of it went
+	stateDialOverdue                        // the dial is slow: waiting attempts may move to another connection
+	stateRetiredDialing                     // retired during the dial
+	stateRetiredDialOverdue                 // retired during the dial, which is slow
+	stateOpen                               // open, no write in progress
+	stateWriting                            // open, write in progress: more may be written than the session knows
+	stateRetired                            // open and retired, no write in progress
+	stateRetiredWriting                     // open and retired, write in progress
+	stateClosingWrite                       // closed during a write: only the writer will know how much was written
 	stateClosed
 	connectionStates
 )
@@ -29,35 +29,35 @@
 	"retired", "retired_writing", "closing_write", "closed",
 }
 
-// String is the name under which a state is logged.
+// String returns the name of the state in logs.
 func (s connectionState) String() string { return connectionStateNames[s] }
 
-// isDialOverdue says whether the dial is under way and slow.
+// isDialOverdue reports whether the dial is in progress and slow.
 func (s connectionState) isDialOverdue() bool {
 	return s == stateDialOverdue || s == stateRetiredDialOverdue
 }
 
-// isUp says whether the dial has succeeded and the connection is not closed.
+// isUp reports whether the dial has succeeded and the connection is not closed.
 func (s connectionState) isUp() bool {
 	return s == stateOpen || s == stateWriting || s == stateRetired || s == stateRetiredWriting
 }
 
-// isWriting says whether a write is under way.
+// isWriting reports whether a write is in progress.
 func (s connectionState) isWriting() bool {
 	return s == stateWriting || s == stateRetiredWriting || s == stateClosingWrite
 }
 
-// isRetired says whether the connection is to be closed once nothing is pending on it.
+// isRetired reports whether the connection is to be closed once nothing is pending on it.
 func (s connectionState) isRetired() bool {
 	return s == stateRetiredDialing || s == stateRetiredDialOverdue || s == stateRetired || s == stateRetiredWriting
 }
 
 func (s connectionState) isClosed() bool { return s == stateClosed || s == stateClosingWrite }
 
-// acceptsAttempts says whether attempts may be queued.
+// acceptsAttempts reports whether attempts may be queued.
 func (s connectionState) acceptsAttempts() bool { return !s.isRetired() && !s.isClosed() }
 
-// connectionEvent is what changes the state of a connection.
+// connectionEvent is an event that may change the state of a connection.
 type connectionEvent uint8
 
 const (
@@ -66,7 +66,7 @@
 	eventWriteStarted
 	eventWriteFinished
 	eventRetire // the endpoint has another address
-	eventClose  // by either side, or since the dial has failed; it may come more than once
+	eventClose  // closed by either side, or the dial failed; may occur more than once
 	connectionEvents
 )
 
@@ -74,14 +74,15 @@
 	"dial_overdue", "connected", "write_started", "write_finished", "retire", "close",
 }
 
-// String is the name under which an event is logged.
+// String returns the name of the event in logs.
 func (e connectionEvent) String() string { return connectionEventNames[e] }
 
-// impossible marks a transition that can't come about.
+// impossible marks a transition that cannot occur.
 const impossible = connectionStates
 
-// transitions are the state after each event, by the state before it. What may cross stays in its state: the timer of a
-// slow dial fires while the connection comes up, and an endpoint may move more than once.
+// transitions holds the state that follows each event in each state. An event that may arrive late or repeatedly leaves
+// the state unchanged: the timer for a slow dial can fire just as the dial succeeds, and an endpoint can move more than
+// once.
 var transitions = [connectionEvents][connectionStates]connectionState{
 	eventDialOverdue: {
 		stateDialing: stateDialOverdue, stateDialOverdue: impossible,
@@ -127,8 +128,8 @@
 	},
 }
 
-// advance moves the connection to its state after an event. A transition that can't come about is counted as a
-// violation and changes nothing. The caller holds the connection's lock.
+// advance moves the connection to the state that follows an event. An impossible transition is counted as a violation
+// and changes nothing. The caller holds the connection's lock.
 func (c *connection) advance(event connectionEvent) {
 	next := transitions[event][c.state]
 	if next == impossible {
--- a/internal/upstream/state_test.go
+++ b/internal/upstream/state_test.go
@@ -6,8 +6,8 @@
 	"fennelarch/internal/invariant"
 )
 
-// Each state and event has a transition, and none leads back to the first state, which is also that of a gap in the
-// table.
+// Every state has a transition for every event. A missing entry in the table would lead to stateDialing, the zero
+// value, and no valid transition does.
 func TestTransitionsAreComplete(t *testing.T) {
 	for event := range connectionEvents {
 		for state := range connectionStates {
@@ -18,12 +18,12 @@
 	}
 }
 
-// What ends a connection ends it in each state, and what comes after that opens it no more.
+// A close event closes a connection in every state, and no later event reopens it.
 func TestClosedStaysClosed(t *testing.T) {
 	for state := range connectionStates {
 		closed := transitions[eventClose][state]
 		if !closed.isClosed() || closed.isWriting() != state.isWriting() {
-			t.Errorf("%v is %v when closed", state, closed)
+			t.Errorf("%v after close: %v", state, closed)
 		}
 		for _, event := range []connectionEvent{eventClose, eventRetire, eventDialOverdue} {
 			if next := transitions[event][closed]; next != closed {
@@ -38,41 +38,41 @@
 	}
 }
 
-// A dial that succeeds brings the connection up, however late, unless it was closed meanwhile.
+// A dial that succeeds opens the connection, however late, unless it was closed meanwhile.
 func TestConnectedIsUp(t *testing.T) {
 	for _, state := range []connectionState{
 		stateDialing, stateDialOverdue, stateRetiredDialing, stateRetiredDialOverdue,
 	} {
 		connected := transitions[eventConnected][state]
 		if !connected.isUp() || connected.isDialOverdue() || connected.isRetired() != state.isRetired() {
-			t.Errorf("%v is %v when connected", state, connected)
+			t.Errorf("%v after connected: %v", state, connected)
 		}
 	}
 	if next := transitions[eventConnected][stateClosed]; next != stateClosed {
-		t.Errorf("closed is %v when connected", next)
+		t.Errorf("closed after connected: %v", next)
 	}
 }
 
-// A write that has finished leaves the connection as it was before, or closed if it was closed meanwhile.
+// The end of a write returns the connection to its previous state, or to closed if it was closed meanwhile.
 func TestFinishedWrite(t *testing.T) {
 	for _, state := range []connectionState{stateOpen, stateRetired} {
 		writing := transitions[eventWriteStarted][state]
 		if !writing.isWriting() || transitions[eventWriteFinished][writing] != state {
-			t.Errorf("%v is %v during a write, and %v after it", state, writing, transitions[eventWriteFinished][writing])
+			t.Errorf("%v: %v during a write, %v after it", state, writing, transitions[eventWriteFinished][writing])
 		}
 		closing := transitions[eventClose][writing]
 		if next := transitions[eventWriteFinished][closing]; next != stateClosed {
-			t.Errorf("%v, closed during a write, is %v after it", state, next)
+			t.Errorf("%v, closed during a write: %v after it", state, next)
 		}
 	}
 }
 
-// A retired connection takes no attempts, and is retired until it is closed.
+// A retired connection accepts no attempts, and stays retired until it is closed.
 func TestRetiredStaysRetired(t *testing.T) {
 	for state := range connectionStates {
 		retired := transitions[eventRetire][state]
 		if retired.acceptsAttempts() || retired.isWriting() != state.isWriting() || retired.isUp() != state.isUp() {
-			t.Errorf("%v is %v when retired", state, retired)
+			t.Errorf("%v after retire: %v", state, retired)
 		}
 		if !retired.isRetired() {
 			continue
@@ -86,7 +86,7 @@
 	}
 }
 
-// A transition that can't come about is counted, and changes nothing.
+// An impossible transition is counted as a violation and changes nothing.
 func TestImpossibleTransitionIsCounted(t *testing.T) {
 	monitor := newTestMonitor()
 	c := &connection{pool: &Pool{monitor: monitor}, state: stateDialing}
--- a/internal/upstream/wireformat.go
+++ b/internal/upstream/wireformat.go
@@ -9,18 +9,19 @@
 	"fennelarch/policy/routing"
 )
 
-// The servers' protocol, word by word, beside the terms of this program. A frame is an array of bulk strings, one of:
+// The servers' protocol and the terms that this program uses for its words. A request frame is an array of bulk
+// strings:
 //
 //	fetch ID FIELDS BODY       an attempt; ID is the client's request id, in 16 hexadecimal digits
-//	abort ID                   an attempt is given up
+//	abort ID                   abort of an attempt
 //	alive TAG, stats TAG       a health check, the second with a load report; TAG has fewer than 16 digits
 //
-// and what the server sends is
+// A server sends:
 //
 //	ID STATUS FIELDS [BODY]    a response
 //	TAG alive|dead [FIELDS]    the answer to a health check
 //
-// FIELDS is a list name=value,name=value. Its names are ours as follows:
+// FIELDS is a list of the form name=value,name=value. The names stand for:
 //
 //	class    request class             how    note on how the server got the object
 //	key      object                    sum    ETag of the body
@@ -62,7 +63,7 @@
 	zeros           = "0000000000000000"
 )
 
-// fillOptionWords are the fill options in the order in which they are sent.
+// fillOptionWords lists the words for the fill options in the order in which they are sent.
 var fillOptionWords = []struct {
 	option routing.FillOptions
 	word   string
@@ -73,7 +74,7 @@
 	{routing.StaleWhileRevalidate, "renew"},
 }
 
-// outcomesByStatus gives the status of a response its meaning.
+// outcomesByStatus maps the status of a response to the outcome of its attempt.
 var outcomesByStatus = map[string]routing.Outcome{
 	statusOK:          routing.Succeeded,
 	statusNotModified: routing.Succeeded,
@@ -83,13 +84,13 @@
 	"504":             routing.NotSent,
 }
 
-// outcomesByHealth does so for the answer to a health check.
+// outcomesByHealth maps the answer to a health check to its outcome.
 var outcomesByHealth = map[string]routing.Outcome{
 	"alive": routing.Succeeded,
 	"dead":  routing.Failed,
 }
 
-// notesByWord are in the order of package routing's own.
+// notesByWord maps the words for notes to those of package routing, in the same order as there.
 var notesByWord = map[string]routing.Note{
 	"local":       routing.NoteHit,
 	"pulled":      routing.NoteFilled,
@@ -103,12 +104,12 @@
 	"far_fault":   routing.NoteOriginFailed,
 }
 
-// protocolNames are the names that the configuration gives to classes and to the columns of a load report.
+// protocolNames holds the names that the configuration gives to classes and to the columns of a load report.
 type protocolNames struct {
 	classes, reportColumns []string
 }
 
-// hexadecimal is an id in 16 digits.
+// hexadecimal formats an id in 16 hexadecimal digits.
 func hexadecimal(id uint64) string {
 	digits := strconv.FormatUint(id, 16)
 	return zeros[len(digits):] + digits
@@ -122,7 +123,7 @@
 	return resp.AppendStrings(frames, verb, strconv.FormatUint(tag, 10))
 }
 
-// putFetch begins the frame of an attempt, and returns the place in the stream at which it ends.
+// putFetch adds the frame of an attempt to the output and returns the offset in the stream at which the frame ends.
 func putFetch(output *resp.Writer, names *protocolNames, e exchange, timeLeft time.Duration) (streamEnd int64) {
 	request := e.attempt.Request
 	id := hexadecimal(uint64(request.ClientRequestID))
@@ -155,7 +156,7 @@
 	return appendNonEmpty(fields, fieldHeldETag, request.HeldETag)
 }
 
-// appendNonEmpty adds a field, unless it has no value.
+// appendNonEmpty appends a field unless its value is empty.
 func appendNonEmpty(fields []byte, name, value string) []byte {
 	if value == "" {
 		return fields
--- a/internal/upstream/wireformat_test.go
+++ b/internal/upstream/wireformat_test.go
@@ -14,7 +14,7 @@
 	check := func(name string, at time.Time, want string) {
 		t.Helper()
 		if got := string(session.nextOutput(at)); got != want {
-			t.Errorf("%s:\n%q, not\n%q", name, got, want)
+			t.Errorf("%s: got\n%q, want\n%q", name, got, want)
 		}
 		session.output.Advance(session.output.Len())
 	}
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -9,30 +9,30 @@
 	"fennelarch/internal/system"
 )
 
-// idleChecksPerTimeout is how often within the idle timeout a connection is looked at.
+// idleChecksPerTimeout is how often a connection is checked for idleness during the idle timeout.
 const idleChecksPerTimeout = 4
 
-// output is what the writer does next.
+// output is the next step of the writer.
 type output struct {
-	isClosed bool // nothing more
+	isClosed bool // stop writing
 	frames   []byte
-	timeout  time.Duration // of writing them
+	timeout  time.Duration // for writing the frames
 	results  []engine.Message
 }
 
-// write writes until the connection is closed, and says why it is.
+// write writes until the connection is closed, and returns the reason.
 func (c *connection) write(socket net.Conn) invariant.CloseReason {
 	idle := time.NewTicker(c.pool.limits.UpstreamIdleTimeout / idleChecksPerTimeout)
 	defer idle.Stop()
 	for {
-		c.pool.monitor.Watch().Settle() // an abort of what waits here may have come while the process stood still
+		c.pool.monitor.Watch().Settle() // an abort of a waiting attempt may have arrived during a stall
 		now := time.Now()
 		next := c.nextOutput(now)
 		for _, result := range next.results {
 			c.pool.post(now, result)
 		}
 		if next.isClosed {
-			return invariant.CloseServerMoved // or for the reason for which it was closed before
+			return invariant.CloseServerMoved // ignored if close was called before with another reason
 		}
 		if len(next.frames) > 0 {
 			if err := c.writeFrames(socket, next, now); err != nil {
@@ -50,7 +50,7 @@
 	}
 }
 
-// nextOutput takes what is to be written next out of the session.
+// nextOutput gets the next step of the writer from the session.
 func (c *connection) nextOutput(now time.Time) (next output) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 	return next
 }
 
-// writeFrames writes, and accounts for what the system took.
+// writeFrames writes frames to the socket and records how many bytes the system accepted.
 func (c *connection) writeFrames(socket net.Conn, next output, now time.Time) error {
 	_ = socket.SetWriteDeadline(now.Add(next.timeout))
 	n, err := system.Write(socket, next.frames)
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -1,7 +1,7 @@
 package upstream
 
-// What is being written while its connection is closed, its client leaves, or its time runs out. The peer is a scripted
-// connection, so that the order is forced.
+// These tests close the connection, abort the attempt or let its time run out during a write. A scripted connection
+// enforces the order of events.
 
 import (
 	"net"
@@ -13,8 +13,8 @@
 	"fennelarch/policy/routing"
 )
 
-// A connection is closed while the system has taken an attempt whole and the writer does not know it yet: the attempt
-// may have run. While it has taken a part, the attempt did not.
+// A connection is closed after the system has accepted bytes of an attempt, but before the writer learns of it. The
+// attempt may have run if all its bytes were accepted, and has not run otherwise.
 func TestCloseDuringWrite(t *testing.T) {
 	for name, test := range map[string]struct {
 		takesBytes int
@@ -29,7 +29,7 @@
 			pool := newPoolWithSockets(t, nil, socket)
 			attempt := pool.sendAttempt(1, 1)
 			receive(t, socket.taken)
-			pool.onlyConnection().close(invariant.CloseServerEnded) // as the reader does at a reset
+			pool.onlyConnection().close(invariant.CloseServerEnded) // as the reader does after a reset
 			pool.wantResult(test.want, attempt)
 			if pool.ConnectionCount() != 0 {
 				t.Errorf("%d connections", pool.ConnectionCount())
@@ -38,8 +38,8 @@
 	}
 }
 
-// An attempt that is aborted while it is half written never becomes whole: its connection is closed at once, whoever
-// reads or not. One that waits behind it is taken back, and did not run.
+// An attempt that is aborted when partly written is never completed: its connection is closed at once, whether or not
+// the server reads. An attempt that waits behind it can be aborted and has not run.
 func TestAbortOfHalfWrittenAttemptClosesConnection(t *testing.T) {
 	socket, other := newHeldSocket(10), newHeldSocket(takesAll)
 	pool := newPoolWithSockets(t, oneConnection, socket, other)
@@ -47,25 +47,25 @@
 	receive(t, socket.taken)
 	behind := pool.sendAttempt(2, 1)
 	if pool.Abort(behind) {
-		t.Error("an attempt that waits behind a write may have run")
+		t.Error("attempt that waits behind a write counts as possibly run")
 	}
 	if !pool.Abort(half) {
-		t.Error("nobody can tell yet that half an attempt did not run")
+		t.Error("attempt counts as not run while its write is in progress")
 	}
 	select {
 	case <-socket.closed:
 	case <-time.After(patience):
-		t.Fatal("the rest of it may still go")
+		t.Fatal("connection not closed: the rest of the attempt may still be written")
 	}
 	pool.wantNoResult()
 	pool.waitForConnectionCount(0)
 	pool.sendAttempt(3, 1)
 	if text := receive(t, other.taken); len(socket.taken) > 0 || len(text) < 50 {
-		t.Errorf("%q went, and %d writes more on the connection that was closed", text, len(socket.taken))
+		t.Errorf("%q written, and %d more writes on the closed connection", text, len(socket.taken))
 	}
 }
 
-// Two attempts wait for one connection: as long as the first is being written, the second can be taken back.
+// Two attempts wait for one connection: while the first is being written, the second can be aborted without having run.
 func TestOneFrameAtATime(t *testing.T) {
 	socket := newHeldSocket(takesAll)
 	pool := newPoolWithSockets(t, oneConnection, socket)
@@ -76,7 +76,7 @@
 		t.Errorf("%q", text)
 	}
 	if pool.Abort(second) {
-		t.Error("an attempt of which nothing was given to the system may have run")
+		t.Error("attempt without a written byte counts as possibly run")
 	}
 	socket.writeResult <- nil
 	pool.onlyConnection().close(invariant.CloseServerEnded)
@@ -85,10 +85,10 @@
 	socket.wantNothingTaken(t)
 }
 
-// A server takes no bytes: a request that is half written when its first tenth of a second is over never becomes whole,
-// and did not run.
+// A server does not read: a request that is only partly written after RequestWriteTimeout, a tenth of a second, is
+// never completed and has not run.
 func TestStalledWriteTimesOut(t *testing.T) {
-	const bodyBytes = 8 << 20 // more than the system takes
+	const bodyBytes = 8 << 20 // more than the system buffers
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -111,7 +111,7 @@
 	pool.wantResult(routing.ConnectFailed, attempt)
 	elapsed := time.Since(started)
 	if elapsed < testLimits.RequestWriteTimeout || elapsed > testLimits.WriteStallTimeout/2 {
-		t.Errorf("given up after %v", elapsed)
+		t.Errorf("write timed out after %v", elapsed)
 	}
 	socket := receive(t, accepted)
 	_ = socket.Close()
