--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -31,7 +31,7 @@
 		switch action.Kind {
 		case routing.ActionLookup, routing.ActionSend, routing.ActionReject, routing.ActionFail, routing.ActionCancel:
 			if request := e.requests[action.Request]; request != nil {
-				e.executeOn(request, action)
+				e.executeRequestAction(request, action)
 			}
 		case routing.ActionHealthCheck:
 			e.transport.CheckHealth(action.Endpoint)
@@ -45,8 +45,8 @@
 	}
 }
 
-// executeOn carries out an action that concerns a request.
-func (e *Engine) executeOn(request *activeRequest, action *routing.Action) {
+// executeRequestAction carries out an action that concerns a request.
+func (e *Engine) executeRequestAction(request *activeRequest, action *routing.Action) {
 	switch action.Kind {
 	case routing.ActionLookup, routing.ActionSend:
 		if request.isOpen() {
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -53,7 +53,7 @@
 // endAttempt moves an attempt in flight to a final state. Any other transition is a violation and changes nothing.
 func (e *Engine) endAttempt(request *activeRequest, attempt *Attempt, state attemptState) {
 	if !attemptTransitions[attempt.state][state] {
-		e.violateTransition(attempt.Request, "attempt", attempt.state, state)
+		e.reportInvalidTransition(attempt.Request, "attempt", attempt.state, state)
 		return
 	}
 	attempt.state = state
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -15,13 +15,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		engine.at += 100 * time.Microsecond
+		engine.elapsed += 100 * time.Microsecond
 		engine.send(&Request{
 			ID: id, Client: engine, Tag: Tag(id), Object: routing.ObjectID(id%500 + 1), SizeKB: 30, Timeout: 2 * time.Second,
-			ReceivedAt: engine.start.Add(engine.at),
+			ReceivedAt: engine.start.Add(engine.elapsed),
 		})
-		engine.end(len(engine.attempts)-1, routing.Succeeded, routing.NoteHit)
+		engine.deliverResult(len(engine.attempts)-1, routing.Succeeded, routing.NoteHit)
 		engine.attempts = engine.attempts[:0]
-		engine.Tick(engine.at)
+		engine.Tick(engine.elapsed)
 	}
 }
--- a/internal/engine/cancellation_test.go
+++ b/internal/engine/cancellation_test.go
@@ -39,7 +39,7 @@
 			request.Invariants.End(invariant.EndClientLeft, engine.start)
 			engine.isClosed = true
 			testCase.play(engine, request)
-			engine.pass(3 * time.Second)
+			engine.advance(3 * time.Second)
 			if len(engine.attempts) > 0 || len(engine.statuses) > 0 {
 				t.Errorf("%d attempts, %d responses", len(engine.attempts), len(engine.statuses))
 			}
@@ -58,9 +58,9 @@
 	}
 	request.Invariants.End(invariant.EndCancelled, engine.start)
 	engine.isClosed = true
-	engine.end(0, routing.CacheMiss, routing.NoteSourceMiss)
+	engine.deliverResult(0, routing.CacheMiss, routing.NoteSourceMiss)
 	engine.send(ClientGone{1})
-	engine.pass(3 * time.Second)
+	engine.advance(3 * time.Second)
 	if len(engine.attempts) != 1 {
 		t.Errorf("%d attempts", len(engine.attempts))
 	}
--- a/internal/engine/clockskew.go
+++ b/internal/engine/clockskew.go
@@ -72,12 +72,12 @@
 	for len(c.steps) > 0 && now-c.steps[0].at > c.horizon {
 		c.steps = c.steps[1:]
 	}
-	switch by := offset - c.offset; {
-	case by.Abs() >= minStep:
+	switch change := offset - c.offset; {
+	case change.Abs() >= minStep:
 		c.recordStep(clockStep{at: now, offsetBefore: c.offset})
 		c.offset = offset
-		c.onStep(by)
-	case by.Abs() >= minSlew:
+		c.onStep(change)
+	case change.Abs() >= minSlew:
 		c.offset = offset
 	}
 }
--- a/internal/engine/clockskew_test.go
+++ b/internal/engine/clockskew_test.go
@@ -11,8 +11,8 @@
 	"fennelarch/policy/routing"
 )
 
-// bootAge returns the age that the engine estimates for an endpoint with the given boot time.
-func (e *testEngine) bootAge(bootTime time.Time) time.Duration {
+// estimatedAge returns the age that the engine estimates for an endpoint with the given boot time.
+func (e *testEngine) estimatedAge(bootTime time.Time) time.Duration {
 	e.send(EndpointList{Endpoints: []Endpoint{{
 		Endpoint: routing.Endpoint{ID: 9, State: routing.Ready, Weight: 1}, BootTime: bootTime.Round(0),
 	}}})
@@ -52,19 +52,19 @@
 	const trueAge = 2 * time.Second
 	engine := newCheckedEngine(t, clocks.String())
 	engine.setWallClock(clocks.step)
-	engine.pass(10 * time.Second)
-	bootTime := engine.start.Add(engine.at - trueAge + clocks.otherAhead)
-	first := engine.bootAge(bootTime)
+	engine.advance(10 * time.Second)
+	bootTime := engine.start.Add(engine.elapsed - trueAge + clocks.otherAhead)
+	first := engine.estimatedAge(bootTime)
 	if first > trueAge || first < 0 || clocks.step == 0 && first != trueAge {
 		t.Errorf("estimated age of an endpoint that started %v ago: %v", trueAge, first)
 	}
-	engine.pass(3 * time.Second)
-	if again := engine.bootAge(bootTime); again != first+3*time.Second {
+	engine.advance(3 * time.Second)
+	if again := engine.estimatedAge(bootTime); again != first+3*time.Second {
 		t.Errorf("estimated age 3 s later: %v, was %v", again, first)
 	}
 
-	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at - trueAge + clocks.otherAhead).Round(0)})
-	engine.pass(time.Second)
+	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.elapsed - trueAge + clocks.otherAhead).Round(0)})
+	engine.advance(time.Second)
 	engine.send(engine.newRequest(1, idempotentClass, 2*time.Second))
 	if maxAge := engine.attempts[0].MaxAge; maxAge <= 0 || maxAge > trueAge+time.Second {
 		t.Errorf("maximum age of copies %v after a purge: %v", trueAge+time.Second, maxAge)
@@ -88,23 +88,23 @@
 			Body: []byte("bytes"), ETag: "tag", GeneratedAt: engine.start.Add(generatedAt).Round(0),
 		})
 	}
-	receive(1, engine.at+clocks.otherAhead)
+	receive(1, engine.elapsed+clocks.otherAhead)
 	engine.setWallClock(clocks.step)
-	engine.pass(time.Second)
+	engine.advance(time.Second)
 	if clocks.step == 0 && !isServed(time.Minute) {
 		t.Error("copy lost although the clock did not step")
 	}
-	engine.at += 30 * time.Minute
-	engine.Handle(engine.at, Event{})
+	engine.elapsed += 30 * time.Minute
+	engine.Handle(engine.elapsed, Event{})
 	if isServed(time.Minute) {
 		t.Error("copy half an hour old served with a maximum age of a minute")
 	}
-	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at + clocks.step).Round(0)})
+	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.elapsed + clocks.step).Round(0)})
 	if isServed(0) {
 		t.Error("purged copy served")
 	}
 	// A response that was on its way when the purge was received counts as older, whatever its timestamp says.
-	receive(2, engine.at-time.Second+clocks.otherAhead)
+	receive(2, engine.elapsed-time.Second+clocks.otherAhead)
 	if isServed(0) {
 		t.Error("copy generated before a purge was stored after it")
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,8 +14,8 @@
 	request := engine.newRequest(1, idempotentClass, time.Second)
 	request.SizeKB = 1
 	request.ReceivedAt = engine.start.Add(100 * time.Millisecond)
-	engine.at = 400 * time.Millisecond
-	engine.Handle(engine.at, Event{Time: request.ReceivedAt, Message: request})
+	engine.elapsed = 400 * time.Millisecond
+	engine.Handle(engine.elapsed, Event{Time: request.ReceivedAt, Message: request})
 	if len(engine.attempts) != 1 || engine.counts.EventQueueDelay != 300*time.Millisecond {
 		t.Fatalf("%d attempts, delay %v", len(engine.attempts), engine.counts.EventQueueDelay)
 	}
@@ -34,16 +34,16 @@
 	}
 	for i := range 5000 {
 		id := routing.RequestID(i + 1)
-		engine.request(id, routing.ClassID(i%5/4), time.Duration(i%400)*time.Millisecond)
-		engine.pass(time.Duration(i%3) * time.Millisecond)
+		engine.sendRequest(id, routing.ClassID(i%5/4), time.Duration(i%400)*time.Millisecond)
+		engine.advance(time.Duration(i%3) * time.Millisecond)
 		for k := max(0, len(engine.attempts)-4); k < len(engine.attempts); k++ {
-			engine.end(k, outcomes[(i+k)%len(outcomes)], routing.Note(i%11))
+			engine.deliverResult(k, outcomes[(i+k)%len(outcomes)], routing.Note(i%11))
 		}
 		if i%7 == 0 {
 			engine.send(ClientGone{Request: id})
 		}
 	}
-	engine.pass(10 * time.Second)
+	engine.advance(10 * time.Second)
 	engine.checkEmpty()
 	if len(engine.timers) > 1 || len(engine.pending) > 0 {
 		t.Errorf("%d timers, %d pending events", len(engine.timers), len(engine.pending))
@@ -75,7 +75,7 @@
 			engine := newTestEngine()
 			engine.quiet = true
 			engine.monitor = newTestMonitor(nil)
-			engine.request(1, idempotentClass, time.Second)
+			engine.sendRequest(1, idempotentClass, time.Second)
 			request := engine.requests[1]
 			testCase.play(engine, request)
 			counts, _ := engine.monitor.Counts()
--- a/internal/engine/example_test.go
+++ b/internal/engine/example_test.go
@@ -10,12 +10,12 @@
 // If the source of a fill lacks the object, the next attempt fills from the next source.
 func Example_retryAfterMiss() {
 	engine := newTestEngine()
-	engine.request(1, idempotentClass, 2*time.Second)
-	engine.pass(50 * time.Millisecond)
-	engine.end(0, routing.CacheMiss, routing.NoteSourceMiss)
-	engine.pass(50 * time.Millisecond)
-	engine.end(1, routing.Succeeded, routing.NoteFilled)
-	engine.end(1, routing.Succeeded, routing.NoteFilled) // a second result is ignored
+	engine.sendRequest(1, idempotentClass, 2*time.Second)
+	engine.advance(50 * time.Millisecond)
+	engine.deliverResult(0, routing.CacheMiss, routing.NoteSourceMiss)
+	engine.advance(50 * time.Millisecond)
+	engine.deliverResult(1, routing.Succeeded, routing.NoteFilled)
+	engine.deliverResult(1, routing.Succeeded, routing.NoteFilled) // a second result is ignored
 	fmt.Println(len(engine.requests), engine.InFlight())
 	// Output:
 	//      0s request 1: attempt at A, fill from P, for 2s
@@ -27,10 +27,10 @@
 // At the deadline of a request, its attempts are aborted and its client gets a single response.
 func Example_deadline() {
 	engine := newTestEngine()
-	engine.request(1, idempotentClass, 300*time.Millisecond)
-	engine.request(2, nonIdempotentClass, 300*time.Millisecond)
-	engine.pass(time.Second)
-	engine.end(0, routing.Succeeded, routing.NoteHit)
+	engine.sendRequest(1, idempotentClass, 300*time.Millisecond)
+	engine.sendRequest(2, nonIdempotentClass, 300*time.Millisecond)
+	engine.advance(time.Second)
+	engine.deliverResult(0, routing.Succeeded, routing.NoteHit)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	// Output:
 	//      0s request 1: attempt at A, fill from P, for 300ms
@@ -45,12 +45,12 @@
 // A client that has gone gets no response, and the attempts of its request are aborted.
 func Example_clientGone() {
 	engine := newTestEngine()
-	engine.request(1, idempotentClass, 2*time.Second)
-	engine.pass(10 * time.Millisecond)
+	engine.sendRequest(1, idempotentClass, 2*time.Second)
+	engine.advance(10 * time.Millisecond)
 	engine.send(ClientGone{Request: 1})
 	engine.send(ClientGone{Request: 1})
-	engine.end(0, routing.Succeeded, routing.NoteHit)
-	engine.pass(3 * time.Second)
+	engine.deliverResult(0, routing.Succeeded, routing.NoteHit)
+	engine.advance(3 * time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	// Output:
 	//      0s request 1: attempt at A, fill from P, for 2s
@@ -61,13 +61,13 @@
 // A request that is not idempotent is retried, or rejected, only if it provably did not run. Otherwise it fails.
 func Example_nonIdempotent() {
 	engine := newTestEngine()
-	engine.request(1, nonIdempotentClass, 2*time.Second)
-	engine.end(0, routing.ConnectFailed, 0)
-	engine.pass(200 * time.Millisecond)
-	engine.end(1, routing.ConnectionBroken, 0)
-	engine.request(2, nonIdempotentClass, 100*time.Millisecond)
+	engine.sendRequest(1, nonIdempotentClass, 2*time.Second)
+	engine.deliverResult(0, routing.ConnectFailed, 0)
+	engine.advance(200 * time.Millisecond)
+	engine.deliverResult(1, routing.ConnectionBroken, 0)
+	engine.sendRequest(2, nonIdempotentClass, 100*time.Millisecond)
 	engine.abortWritten = false // at its deadline, no part of the next attempt has been written
-	engine.pass(time.Second)
+	engine.advance(time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	// Output:
 	//      0s request 1: attempt at O, fill from none, for 2s
@@ -82,15 +82,15 @@
 // At a shutdown, every request gets its response within the grace, including requests that arrive later.
 func Example_shutdown() {
 	engine := newTestEngine()
-	engine.request(1, idempotentClass, 5*time.Second)
-	engine.pass(100 * time.Millisecond)
+	engine.sendRequest(1, idempotentClass, 5*time.Second)
+	engine.advance(100 * time.Millisecond)
 	engine.send(Shutdown{Grace: time.Second})
-	engine.pass(500 * time.Millisecond)
-	engine.request(2, idempotentClass, 5*time.Second)
-	engine.request(3, idempotentClass, 5*time.Second)
-	engine.pass(100 * time.Millisecond)
-	engine.end(2, routing.Succeeded, routing.NoteHit)
-	engine.pass(time.Second)
+	engine.advance(500 * time.Millisecond)
+	engine.sendRequest(2, idempotentClass, 5*time.Second)
+	engine.sendRequest(3, idempotentClass, 5*time.Second)
+	engine.advance(100 * time.Millisecond)
+	engine.deliverResult(2, routing.Succeeded, routing.NoteHit)
+	engine.advance(time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	// Output:
 	//      0s request 1: attempt at A, fill from P, for 5s
@@ -113,24 +113,24 @@
 	engine := newTestEngine(LocalCacheSettings{
 		Bytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxTransferTime: 10 * time.Second,
 	})
-	engine.request(1, idempotentClass, 2*time.Second)
-	engine.end(0, routing.Succeeded, routing.NoteHit)
+	engine.sendRequest(1, idempotentClass, 2*time.Second)
+	engine.deliverResult(0, routing.Succeeded, routing.NoteHit)
 	engine.send(EndpointList{Complete: true}) // no endpoint is left
-	engine.request(2, idempotentClass, 2*time.Second)
+	engine.sendRequest(2, idempotentClass, 2*time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight())
-	engine.request(3, idempotentClass, 2*time.Second) // queued on the link behind request 2, and still in time
-	engine.pass(100 * time.Millisecond)
+	engine.sendRequest(3, idempotentClass, 2*time.Second) // queued on the link behind request 2, and still in time
+	engine.advance(100 * time.Millisecond)
 	fmt.Println(len(engine.requests), engine.InFlight())
 	conditional := engine.newRequest(4, idempotentClass, time.Second)
 	conditional.HeldETag = "tag"
 	engine.send(conditional)
-	engine.pass(100 * time.Millisecond)
-	engine.send(Purge{Group: 1, Issued: engine.start.Add(engine.at)})
-	engine.request(5, idempotentClass, 2*time.Second)
-	engine.pass(100 * time.Millisecond)
-	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at)})
-	engine.request(6, idempotentClass, 2*time.Second)
-	engine.pass(time.Second)
+	engine.advance(100 * time.Millisecond)
+	engine.send(Purge{Group: 1, Issued: engine.start.Add(engine.elapsed)})
+	engine.sendRequest(5, idempotentClass, 2*time.Second)
+	engine.advance(100 * time.Millisecond)
+	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.elapsed)})
+	engine.sendRequest(6, idempotentClass, 2*time.Second)
+	engine.advance(time.Second)
 	fmt.Println(len(engine.requests), engine.InFlight(), engine.counts.LocalCacheHits)
 	// Output:
 	//      0s request 1: attempt at A, fill from P, for 2s
--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -24,7 +24,7 @@
 type testEngine struct {
 	*Engine
 	start        time.Time
-	at           time.Duration
+	elapsed      time.Duration // time since start on the test's clock
 	attempts     []*Attempt
 	abortWritten bool // what Abort returns
 	quiet        bool
@@ -69,19 +69,21 @@
 
 // setWallClock sets how far the wall clock is ahead of the time that has passed on the test's clock.
 func (e *testEngine) setWallClock(ahead time.Duration) {
-	e.ages.clock.readClocks = func() (time.Duration, time.Time) { return e.at, e.start.Add(e.at + ahead).Round(0) }
+	e.ages.clock.readClocks = func() (time.Duration, time.Time) {
+		return e.elapsed, e.start.Add(e.elapsed + ahead).Round(0)
+	}
 }
 
 // send makes the engine handle a message now.
 func (e *testEngine) send(message Message) {
-	e.Handle(e.at, Event{Time: e.start.Add(e.at), Message: message})
+	e.Handle(e.elapsed, Event{Time: e.start.Add(e.elapsed), Message: message})
 }
 
-// pass advances the clock in steps of at most a millisecond.
-func (e *testEngine) pass(d time.Duration) {
-	for end := e.at + d; e.at < end; {
-		e.at = min(end, e.at+time.Millisecond)
-		e.Tick(e.at)
+// advance advances the test's clock in steps of at most a millisecond.
+func (e *testEngine) advance(d time.Duration) {
+	for end := e.elapsed + d; e.elapsed < end; {
+		e.elapsed = min(end, e.elapsed+time.Millisecond)
+		e.Tick(e.elapsed)
 	}
 }
 
@@ -89,25 +91,25 @@
 func (e *testEngine) newRequest(id routing.RequestID, class routing.ClassID, timeout time.Duration) *Request {
 	return &Request{
 		ID: id, Client: e, Tag: Tag(id), Class: class, Write: class == nonIdempotentClass, Object: 7, SizeKB: 100,
-		Timeout: timeout, ReceivedAt: e.start.Add(e.at),
+		Timeout: timeout, ReceivedAt: e.start.Add(e.elapsed),
 	}
 }
 
-func (e *testEngine) request(id routing.RequestID, class routing.ClassID, timeout time.Duration) {
+func (e *testEngine) sendRequest(id routing.RequestID, class routing.ClassID, timeout time.Duration) {
 	e.send(e.newRequest(id, class, timeout))
 }
 
-// end sends the result of an attempt, identified by its index in the order of sending.
-func (e *testEngine) end(attempt int, outcome routing.Outcome, note routing.Note) {
+// deliverResult sends the result of an attempt, identified by its index in the order of sending.
+func (e *testEngine) deliverResult(attempt int, outcome routing.Outcome, note routing.Note) {
 	e.send(AttemptResult{
 		Attempt: e.attempts[attempt], Outcome: outcome, Note: note, Body: []byte("bytes"), ETag: "tag",
-		GeneratedAt: e.start.Add(e.at),
+		GeneratedAt: e.start.Add(e.elapsed),
 	})
 }
 
 func (e *testEngine) printf(format string, args ...any) {
 	if !e.quiet {
-		fmt.Printf("%7v ", e.at)
+		fmt.Printf("%7v ", e.elapsed)
 		fmt.Printf(format+"\n", args...)
 	}
 }
@@ -128,7 +130,7 @@
 func (e *testEngine) Send(attempt *Attempt) {
 	e.attempts = append(e.attempts, attempt)
 	e.printf("request %d: attempt at %s, fill from %s, for %v", attempt.Request.ID, endpointNames[attempt.Endpoint],
-		endpointNames[attempt.Source], attempt.Deadline.Sub(e.start.Add(e.at)))
+		endpointNames[attempt.Source], attempt.Deadline.Sub(e.start.Add(e.elapsed)))
 }
 
 func (e *testEngine) Abort(attempt *Attempt) bool {
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -42,12 +42,12 @@
 
 // cacheEntry is a copy of one response.
 type cacheEntry struct {
-	key         cacheKey
-	group       routing.GroupID
-	body        []byte
-	etag        string
-	generatedAt time.Time     // timestamp of the origin
-	notBefore   time.Duration // earliest possible time of generation, on the engine's clock
+	key                cacheKey
+	group              routing.GroupID
+	body               []byte
+	etag               string
+	generatedAt        time.Time     // timestamp of the origin
+	generatedNotBefore time.Duration // earliest possible time of generation, on the engine's clock
 }
 
 func (c *cacheEntry) bytes() int { return len(c.body) + entryOverheadBytes }
@@ -60,14 +60,14 @@
 // isPurgedBy reports whether a purge names the copy and may be newer than it, by their timestamps or by the engine's
 // clock.
 func (c *cacheEntry) isPurgedBy(purge *receivedPurge) bool {
-	return c.matches(purge) && (!c.generatedAt.After(purge.Issued) || c.notBefore <= purge.issuedBy)
+	return c.matches(purge) && (!c.generatedAt.After(purge.Issued) || c.generatedNotBefore <= purge.issuedNotAfter)
 }
 
 // receivedPurge is a purge with its times on the engine's clock.
 type receivedPurge struct {
 	Purge
-	receivedAt time.Duration
-	issuedBy   time.Duration // latest possible time of issue
+	receivedAt     time.Duration
+	issuedNotAfter time.Duration // latest possible time of issue
 }
 
 // localCache holds copies of responses that passed through the router, and models the link on which they are sent to
@@ -90,12 +90,12 @@
 	}
 }
 
-// store stores a response that was generated at notBefore at the earliest, unless the response may be older than a
-// purge. It evicts the least recently used copies to make room.
-func (c *localCache) store(request *Request, result *AttemptResult, now, notBefore time.Duration) {
+// store stores a response that was not generated before generatedNotBefore, unless it may be older than a purge. It
+// evicts the least recently used copies to make room.
+func (c *localCache) store(request *Request, result *AttemptResult, now, generatedNotBefore time.Duration) {
 	entry := cacheEntry{
 		key: cacheKey{request.Object, request.Part}, group: request.Group, body: result.Body, etag: result.ETag,
-		generatedAt: result.GeneratedAt, notBefore: notBefore,
+		generatedAt: result.GeneratedAt, generatedNotBefore: generatedNotBefore,
 	}
 	c.forgetOldPurges(now)
 	if !c.isStorable(&entry) || c.isPurged(&entry) {
@@ -133,9 +133,10 @@
 	return slices.ContainsFunc(c.purges, func(purge receivedPurge) bool { return entry.isPurgedBy(&purge) })
 }
 
-// purge applies a purge that is received now: it removes the copies that may be older.
-func (c *localCache) purge(purge Purge, now, issuedBy time.Duration) {
-	received := receivedPurge{purge, now, issuedBy}
+// purge applies a purge that is received now and was not issued after issuedNotAfter: it removes the copies that may be
+// older.
+func (c *localCache) purge(purge Purge, now, issuedNotAfter time.Duration) {
+	received := receivedPurge{purge, now, issuedNotAfter}
 	c.purges = append(c.purges, received)
 	for element := c.recentlyUsed.Front(); element != nil; {
 		next := element.Next()
@@ -153,7 +154,7 @@
 		return nil
 	}
 	entry := element.Value.(*cacheEntry)
-	if maxAge > 0 && now-entry.notBefore > maxAge {
+	if maxAge > 0 && now-entry.generatedNotBefore > maxAge {
 		return nil
 	}
 	c.recentlyUsed.MoveToFront(element)
--- a/internal/engine/localcache_test.go
+++ b/internal/engine/localcache_test.go
@@ -7,15 +7,15 @@
 	"fennelarch/policy/routing"
 )
 
-// cacheTest is a local cache with methods that take object ids.
-type cacheTest struct {
+// testCache is a local cache with methods that take object ids.
+type testCache struct {
 	*localCache
 	now   time.Duration
 	epoch time.Time
 }
 
-func newCacheTest() *cacheTest {
-	return &cacheTest{
+func newTestCache() *testCache {
+	return &testCache{
 		localCache: newLocalCache(LocalCacheSettings{
 			Bytes:              3 * (1000 + entryOverheadBytes),
 			FlowBytesPerSecond: 1000, LinkBytesPerSecond: 2500, MaxTransferTime: 10 * time.Second,
@@ -28,17 +28,17 @@
 	return &Request{Object: object, Group: routing.GroupID(object % 2)}
 }
 
-func (c *cacheTest) storeObject(object routing.ObjectID, generatedAt time.Duration) {
+func (c *testCache) storeObject(object routing.ObjectID, generatedAt time.Duration) {
 	result := &AttemptResult{Body: make([]byte, 1000), GeneratedAt: c.epoch.Add(generatedAt)}
 	c.store(requestFor(object), result, c.now, generatedAt)
 }
 
-func (c *cacheTest) holds(object routing.ObjectID) bool {
+func (c *testCache) holds(object routing.ObjectID) bool {
 	return c.find(requestFor(object), 0, c.now) != nil
 }
 
 func TestLocalCacheEvictsLeastRecentlyUsed(t *testing.T) {
-	c := newCacheTest()
+	c := newTestCache()
 	for object := range routing.ObjectID(3) {
 		c.storeObject(object+1, c.now)
 	}
@@ -54,7 +54,7 @@
 }
 
 func TestLocalCachePurgesGroup(t *testing.T) {
-	c := newCacheTest()
+	c := newTestCache()
 	for _, object := range []routing.ObjectID{1, 3, 4} {
 		c.storeObject(object, c.now)
 	}
@@ -69,14 +69,14 @@
 }
 
 func TestLocalCacheStoresNothingOfUnknownAge(t *testing.T) {
-	c := newCacheTest()
+	c := newTestCache()
 	if c.store(requestFor(5), &AttemptResult{Body: make([]byte, 1000)}, c.now, c.now); c.holds(5) {
 		t.Error("copy of unknown age stored")
 	}
 }
 
 func TestLocalCacheTransfersShareLink(t *testing.T) {
-	c := newCacheTest()
+	c := newTestCache()
 	for i, want := range []time.Duration{2, 2, 3} { // two slots on the link
 		if got := c.transfer(time.Second, 1000); got != want*time.Second {
 			t.Errorf("transfer %d ends at %v", i, got)
@@ -91,11 +91,11 @@
 		name   string
 		remove func(engine *checkedEngine)
 	}{
-		{"purged", func(engine *checkedEngine) { engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.at)}) }},
+		{"purged", func(engine *checkedEngine) { engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.elapsed)}) }},
 		{"evicted", func(engine *checkedEngine) {
 			other := &Request{Object: 8, Timeout: time.Second}
-			result := &AttemptResult{Body: make([]byte, 900), ETag: "other", GeneratedAt: engine.start.Add(engine.at)}
-			engine.localCache.store(other, result, engine.at, engine.at)
+			result := &AttemptResult{Body: make([]byte, 900), ETag: "other", GeneratedAt: engine.start.Add(engine.elapsed)}
+			engine.localCache.store(other, result, engine.elapsed, engine.elapsed)
 		}},
 		{"client left", func(engine *checkedEngine) { engine.send(ClientGone{2}) }},
 	} {
@@ -104,18 +104,18 @@
 				Bytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxTransferTime: time.Second,
 			})
 			engine.send(engine.newRequest(1, idempotentClass, 3*time.Second))
-			engine.end(0, routing.Succeeded, routing.NoteHit)
+			engine.deliverResult(0, routing.Succeeded, routing.NoteHit)
 			engine.isClosed = false
 			engine.send(engine.newRequest(2, idempotentClass, 3*time.Second))
 			// All endpoints are overloaded: only the local cache remains.
 			for i := 1; i < len(engine.attempts) && len(engine.statuses) < 2; i++ {
-				engine.end(i, routing.Overloaded, 0)
+				engine.deliverResult(i, routing.Overloaded, 0)
 			}
 			if len(engine.statuses) != 2 || engine.statuses[1] != StatusOK {
 				t.Fatalf("responses %v", engine.statuses)
 			}
 			testCase.remove(engine)
-			engine.pass(time.Second)
+			engine.advance(time.Second)
 			if len(engine.statuses) != 2 {
 				t.Errorf("%d responses", len(engine.statuses))
 			}
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -46,7 +46,7 @@
 // closeRequest moves an open request to a closed state. Any other transition is a violation and changes nothing.
 func (e *Engine) closeRequest(request *activeRequest, state requestState) (closed bool) {
 	if !requestTransitions[request.state][state] {
-		e.violateTransition(request.Request, "request", request.state, state)
+		e.reportInvalidTransition(request.Request, "request", request.state, state)
 		return false
 	}
 	request.state = state
@@ -54,9 +54,9 @@
 	return true
 }
 
-func (e *Engine) violateTransition(request *Request, of string, from, to fmt.Stringer) {
+func (e *Engine) reportInvalidTransition(request *Request, subject string, from, to fmt.Stringer) {
 	e.monitor.Violate(invariant.InvalidTransition, uint64(request.ClientRequestID),
-		zap.String("of", of), zap.Stringer("from", from), zap.Stringer("to", to))
+		zap.String("of", subject), zap.Stringer("from", from), zap.Stringer("to", to))
 }
 
 func (e *Engine) handleRequest(request *Request) {
--- a/internal/engine/simultaneous_test.go
+++ b/internal/engine/simultaneous_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// turn is the outcome of the simultaneous events.
-type turn struct {
+// simultaneousOutcome is the outcome of the simultaneous events.
+type simultaneousOutcome struct {
 	clientGone          bool
 	responsesBeforeGone int
 	mayHaveRun          bool // according to the result of the first attempt
@@ -85,15 +85,15 @@
 	if len(engine.attempts) != 1 {
 		t.Fatalf("%v: %d attempts", testCase, len(engine.attempts))
 	}
-	engine.pass(299 * time.Millisecond)
+	engine.advance(299 * time.Millisecond)
 	attemptsBefore := len(engine.attempts)
-	engine.at += time.Millisecond
-	after := engine.playTurn(testCase)
-	engine.pass(4 * time.Second)
+	engine.elapsed += time.Millisecond
+	after := engine.playEvents(testCase)
+	engine.advance(4 * time.Second)
 	for i := range engine.attempts { // ends the attempts still in flight
-		engine.end(i, routing.ConnectionBroken, 0)
+		engine.deliverResult(i, routing.ConnectionBroken, 0)
 	}
-	engine.pass(time.Second)
+	engine.advance(time.Second)
 	mustNotRepeat := testCase.class == nonIdempotentClass && after.mayHaveRun
 	switch n := len(engine.statuses); {
 	case n > 1 || n == 0 && !after.clientGone:
@@ -108,13 +108,13 @@
 	engine.checkEmpty()
 }
 
-func (e *checkedEngine) playTurn(c *simultaneousCase) (after turn) {
+func (e *checkedEngine) playEvents(c *simultaneousCase) (after simultaneousOutcome) {
 	for _, step := range c.order {
 		switch step {
 		case 0:
 			mayRun := c.outcome == routing.ConnectionBroken || c.outcome == routing.Failed
 			after.mayHaveRun = after.mayHaveRun || !e.attempts[0].hasEnded() && mayRun
-			e.end(0, c.outcome, c.note)
+			e.deliverResult(0, c.outcome, c.note)
 		case 1:
 			if !after.clientGone {
 				after.responsesBeforeGone = len(e.statuses)
@@ -122,9 +122,9 @@
 			after.clientGone, e.isClosed = true, true
 			e.send(ClientGone{1})
 		case 2:
-			e.Tick(e.at)
+			e.Tick(e.elapsed)
 		case 3:
-			e.end(0, routing.Succeeded, routing.NoteHit) // a second result
+			e.deliverResult(0, routing.Succeeded, routing.NoteHit) // a second result
 		case 4:
 			e.send(Shutdown{Grace: time.Second})
 		}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -92,7 +92,7 @@
 // checkHealth queues a health check.
 func (c *connection) checkHealth() {
 	c.mu.Lock()
-	c.session.checkHealth(c.endpoint, c.pool.verb, time.Now())
+	c.session.checkHealth(c.endpoint, c.pool.healthCheckVerb, time.Now())
 	c.mu.Unlock()
 	c.wakeWriter()
 }
@@ -163,9 +163,9 @@
 	return c.session.takeFirstWaiting(), true
 }
 
-// isProvenSince reports whether the connection is open, idle and not suspect, and has received a response after the
+// isResponsiveSince reports whether the connection is open, idle and not suspect, and has received a response after the
 // given time.
-func (c *connection) isProvenSince(since time.Time) bool {
+func (c *connection) isResponsiveSince(since time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.isUp() && c.state.acceptsAttempts() && c.session.pending() == 0 && !c.session.isSuspect() &&
--- a/internal/upstream/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -48,7 +48,7 @@
 	}
 
 	t.Run("slow dial", func(t *testing.T) {
-		socket := newHeldSocket(takesAll)
+		socket := newBlockingSocket(acceptAll)
 		pool := newPoolWithSockets(t, nil, socket)
 		dial := pool.dial
 		pool.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -56,18 +56,18 @@
 			return dial(network, address, timeout)
 		}
 		pool.sendAttempt(1, 1)
-		check(t, deadlineIn(t, receive(t, socket.taken)))
+		check(t, deadlineIn(t, receive(t, socket.written)))
 	})
 
 	t.Run("frame before it", func(t *testing.T) {
-		socket := newHeldSocket(takesAll)
+		socket := newBlockingSocket(acceptAll)
 		pool := newPoolWithSockets(t, oneConnection, socket)
 		pool.sendAttempt(1, 1)
-		receive(t, socket.taken)
+		receive(t, socket.written)
 		pool.sendAttempt(2, 1)
 		time.Sleep(waitBeforeWrite)
 		socket.writeResult <- nil
-		check(t, deadlineIn(t, receive(t, socket.taken)))
+		check(t, deadlineIn(t, receive(t, socket.written)))
 	})
 
 	t.Run("moved to another connection", func(t *testing.T) {
@@ -78,7 +78,7 @@
 		pool.listEndpoint(1, routing.Ready, server.Addr().String())
 		busy := pool.sendAttempt(1, 1)
 		receive(t, server.verbs)
-		ends := pool.holdFirstDial()
+		dialResult := pool.blockFirstDial()
 		moved := pool.sendAttempt(2, 1)
 		time.Sleep(waitBeforeWrite)
 		server.answers <- true
@@ -87,6 +87,6 @@
 		check(t, time.Duration(server.deadlineMillis.Load())*time.Millisecond)
 		server.answers <- true
 		pool.wantResult(routing.Succeeded, moved)
-		ends <- errScripted
+		dialResult <- errScripted
 	})
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -16,7 +16,7 @@
 	defer overdue.Stop()
 	socket, err := c.dial(address)
 	if err != nil {
-		c.noteDialError(err)
+		c.recordDialError(err)
 		return nil
 	}
 	overdue.Stop()
@@ -32,7 +32,7 @@
 	return socket
 }
 
-func (c *connection) noteDialError(err error) {
+func (c *connection) recordDialError(err error) {
 	var failed *dialError
 	isLocal := errors.As(err, &failed) && failed.fault == system.FaultLocal
 	c.mu.Lock()
@@ -47,9 +47,9 @@
 	started := time.Now()
 	socket, err := c.pool.dial("tcp", address, l.ConnectTimeout)
 	attempts := 1
-	for ; attempts <= l.Redials && c.isWorthRedial(err, time.Since(started)); attempts++ {
+	for ; attempts <= l.Redials && c.shouldRedial(err, time.Since(started)); attempts++ {
 		if attempts > 1 && system.Exhausted(err) { // more than momentary
-			c.pool.makeRoomForDescriptor()
+			c.pool.freeDescriptors()
 		}
 		time.Sleep(l.RecheckInterval)
 		timeout := max(l.RecheckInterval, l.ConnectTimeout-time.Since(started))
@@ -72,8 +72,8 @@
 	return socket, nil
 }
 
-// isWorthRedial reports whether to redial after an error that came when elapsed had passed since the first dial.
-func (c *connection) isWorthRedial(err error, elapsed time.Duration) bool {
+// shouldRedial reports whether to redial after an error that came this long after the first dial began.
+func (c *connection) shouldRedial(err error, elapsed time.Duration) bool {
 	switch system.Classify(err) {
 	case system.FaultLocal:
 		return true
@@ -84,9 +84,9 @@
 	}
 }
 
-// makeRoomForDescriptor frees file descriptors that are not needed at the moment, since attempts in progress take
+// freeDescriptors frees file descriptors that are not needed at the moment, since attempts in progress take
 // priority: it closes idle connections and lets other parts of the process do the same.
-func (p *Pool) makeRoomForDescriptor() {
+func (p *Pool) freeDescriptors() {
 	p.CloseIdle()
 	if p.onDescriptorShortage != nil {
 		p.onDescriptorShortage()
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -103,9 +103,9 @@
 		"draining":           routing.Draining,
 	} {
 		t.Run(name, func(t *testing.T) {
-			socket := newHeldSocket(takesAll)
+			socket := newBlockingSocket(acceptAll)
 			pool := newPoolWithSockets(t, nil, socket)
-			released := pool.holdDials()
+			released := pool.blockDials()
 			attempt := newAttempt(1)
 			attempt.Endpoint, attempt.NotAfter = 1, time.Now().Add(20*time.Millisecond)
 			if state == routing.Draining {
@@ -116,23 +116,23 @@
 			time.Sleep(testLimits.DrainingStartWithin + 30*time.Millisecond)
 			close(released)
 			pool.wantResult(routing.ConnectFailed, attempt)
-			socket.wantNothingTaken(t)
+			socket.wantNothingWritten(t)
 		})
 	}
 }
 
 // A client leaves while the connection for its attempt is being dialled: no part of the attempt is ever written.
 func TestAbortDuringDial(t *testing.T) {
-	socket := newHeldSocket(takesAll)
+	socket := newBlockingSocket(acceptAll)
 	pool := newPoolWithSockets(t, nil, socket)
-	released := pool.holdDials()
+	released := pool.blockDials()
 	attempt := pool.sendAttempt(1, 1)
 	if pool.Abort(attempt) {
 		t.Error("attempt counts as possibly run")
 	}
 	close(released)
 	pool.sendAttempt(2, 1)
-	if text := receive(t, socket.taken); !containsID(text, 2) || containsID(text, 1) {
+	if text := receive(t, socket.written); !containsID(text, 2) || containsID(text, 1) {
 		t.Errorf("written: %q", text)
 	}
 	pool.wantNoResult()
@@ -147,9 +147,9 @@
 		"expired":   func(*invariant.Request) { time.Sleep(120 * time.Millisecond) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			socket := newHeldSocket(takesAll)
+			socket := newBlockingSocket(acceptAll)
 			pool := newPoolWithSockets(t, nil, socket)
-			released := pool.holdDials()
+			released := pool.blockDials()
 			attempt := newAttempt(1)
 			attempt.Endpoint, attempt.Deadline = 1, time.Now().Add(100*time.Millisecond)
 			monitor := newTestMonitor()
@@ -158,7 +158,7 @@
 			end(attempt.Request.Invariants)
 			close(released)
 			pool.wantResult(routing.NotSent, attempt)
-			socket.wantNothingTaken(t)
+			socket.wantNothingWritten(t)
 			if monitor.Violations() != 0 {
 				t.Error("counted as a violation")
 			}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -20,8 +20,8 @@
 	"go.uber.org/zap"
 )
 
-// patience is how long a test waits for an event that must occur.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for an event that must occur.
+const testTimeout = 10 * time.Second
 
 var testLimits = limits.From(limits.Inputs{
 	MemoryMB:             64,
@@ -44,7 +44,7 @@
 	t.Helper()
 	select {
 	case value = <-channel:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("timed out on the channel")
 	}
 	return value
@@ -187,7 +187,7 @@
 // waitForConnectionCount waits until there are at most count connections.
 func (p *testPool) waitForConnectionCount(count int) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); p.ConnectionCount() > count; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.ConnectionCount() > count; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			p.t.Fatalf("%d connections left, want %d", p.ConnectionCount(), count)
 		}
@@ -215,7 +215,7 @@
 			p.t.Fatalf("attempt of request %x ended with outcome %d, want attempt of request %x with outcome %d",
 				result.Attempt.Request.ClientRequestID, result.Outcome, attempt.Request.ClientRequestID, outcome)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("no result")
 	}
 }
@@ -236,8 +236,8 @@
 	return p.endpoints[1].connections[0]
 }
 
-// holdDials makes each dial wait until the test closes the returned channel.
-func (p *testPool) holdDials() chan struct{} {
+// blockDials makes each dial wait until the test closes the returned channel.
+func (p *testPool) blockDials() chan struct{} {
 	released := make(chan struct{})
 	dial := p.dial
 	p.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -247,28 +247,28 @@
 	return released
 }
 
-// holdFirstDial makes the first dial wait until the test sends its result on the returned channel. Later dials are not
+// blockFirstDial makes the first dial wait until the test sends its result on the returned channel. Later dials are not
 // delayed.
-func (p *testPool) holdFirstDial() chan error {
-	ends := make(chan error)
-	var isHeld atomic.Bool
+func (p *testPool) blockFirstDial() chan error {
+	dialResult := make(chan error)
+	var isBlocked atomic.Bool
 	p.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
-		if isHeld.CompareAndSwap(false, true) {
-			if err := <-ends; err != nil {
+		if isBlocked.CompareAndSwap(false, true) {
+			if err := <-dialResult; err != nil {
 				return nil, err
 			}
 		}
 		return net.DialTimeout(network, address, timeout)
 	}
-	return ends
+	return dialResult
 }
 
-// heldSocket is a net.Conn whose writes block. Each write accepts at most takesBytes bytes, sends them on taken, and
-// returns once the test sends the error for it on writeResult or the connection is closed.
-type heldSocket struct {
+// blockingSocket is a net.Conn whose writes block. Each write accepts at most acceptBytes bytes, sends them on written,
+// and returns once the test sends the error for it on writeResult or the connection is closed.
+type blockingSocket struct {
 	net.Conn
-	takesBytes  int // per write
-	taken       chan string
+	acceptBytes int // per write
+	written     chan string
 	writeResult chan error
 	closed      chan struct{}
 	closeOnce   sync.Once
@@ -276,21 +276,21 @@
 
 var errScripted = errors.New("scripted error")
 
-// takesAll is more bytes than any test writes.
-const takesAll = 1 << 20
+// acceptAll is more bytes than any test writes.
+const acceptAll = 1 << 20
 
-func newHeldSocket(takesBytes int) *heldSocket {
-	return &heldSocket{
-		takesBytes:  takesBytes,
-		taken:       make(chan string, 100),
+func newBlockingSocket(acceptBytes int) *blockingSocket {
+	return &blockingSocket{
+		acceptBytes: acceptBytes,
+		written:     make(chan string, 100),
 		writeResult: make(chan error),
 		closed:      make(chan struct{}),
 	}
 }
 
-func (s *heldSocket) Write(b []byte) (int, error) {
-	n := min(s.takesBytes, len(b))
-	s.taken <- string(b[:n])
+func (s *blockingSocket) Write(b []byte) (int, error) {
+	n := min(s.acceptBytes, len(b))
+	s.written <- string(b[:n])
 	select {
 	case err := <-s.writeResult:
 		return n, err
@@ -299,28 +299,28 @@
 	}
 }
 
-func (s *heldSocket) Read([]byte) (int, error) {
+func (s *blockingSocket) Read([]byte) (int, error) {
 	<-s.closed
 	return 0, net.ErrClosed
 }
 
-func (s *heldSocket) Close() error {
+func (s *blockingSocket) Close() error {
 	s.closeOnce.Do(func() { close(s.closed) })
 	return nil
 }
 
-func (s *heldSocket) SetWriteDeadline(time.Time) error { return nil }
+func (s *blockingSocket) SetWriteDeadline(time.Time) error { return nil }
 
-// wantNothingTaken fails the test if bytes were written that the test has not received from taken.
-func (s *heldSocket) wantNothingTaken(t *testing.T) {
+// wantNothingWritten fails the test if bytes were written that the test has not received from written.
+func (s *blockingSocket) wantNothingWritten(t *testing.T) {
 	t.Helper()
-	if len(s.taken) > 0 {
-		t.Errorf("unexpected write: %q", <-s.taken)
+	if len(s.written) > 0 {
+		t.Errorf("unexpected write: %q", <-s.written)
 	}
 }
 
 // newPoolWithSockets returns a pool whose dials return the given sockets in turn. Endpoint 1 is ready.
-func newPoolWithSockets(t *testing.T, change func(*limits.Limits), sockets ...*heldSocket) *testPool {
+func newPoolWithSockets(t *testing.T, change func(*limits.Limits), sockets ...*blockingSocket) *testPool {
 	t.Helper()
 	pool := newTestPool(t, func(l *limits.Limits) {
 		l.SlowConnect = time.Hour // no attempt moves to another connection
@@ -347,5 +347,5 @@
 func oneConnection(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }
 
 func containsID(text string, id engine.ClientRequestID) bool {
-	return strings.Contains(text, hexadecimal(uint64(id)))
+	return strings.Contains(text, formatID(uint64(id)))
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,17 +21,17 @@
 	"go.uber.org/zap"
 )
 
-// sendTries is how often Send tries to queue an attempt: the connection selected first may just be closing.
-const sendTries = 2
+// maxSendTries is how often Send tries to queue an attempt: the connection selected first may just be closing.
+const maxSendTries = 2
 
 // Pool is the connection pool of all endpoints. Its lock is acquired before that of a connection.
 type Pool struct {
-	limits limits.Limits
-	names  protocolNames
-	verb   string // of a health check
-	post   func(at time.Time, message engine.Message)
-	log    *zap.Logger
-	dial   func(network, address string, timeout time.Duration) (net.Conn, error)
+	limits          limits.Limits
+	names           protocolNames
+	healthCheckVerb string
+	post            func(at time.Time, message engine.Message)
+	log             *zap.Logger
+	dial            func(network, address string, timeout time.Duration) (net.Conn, error)
 
 	monitor              *invariant.Monitor
 	onDescriptorShortage func()
@@ -65,7 +65,7 @@
 	pool := &Pool{
 		limits:               options.Limits,
 		names:                protocolNames{classes: options.Names.Classes, reportColumns: options.Names.Columns},
-		verb:                 verbCheckHealth,
+		healthCheckVerb:      verbCheckHealth,
 		post:                 options.Post,
 		log:                  options.Log,
 		dial:                 system.DialTimeout,
@@ -74,7 +74,7 @@
 		endpoints:            map[routing.EndpointID]*endpoint{},
 	}
 	if options.ReportsWithHealthChecks {
-		pool.verb = verbCheckWithReport
+		pool.healthCheckVerb = verbCheckWithReport
 	}
 	return pool
 }
@@ -90,7 +90,7 @@
 // the router's connection limits are exhausted, the attempt counts as not sent, which says nothing about its endpoint.
 func (p *Pool) Send(attempt *engine.Attempt) {
 	now, outcome := time.Now(), routing.ConnectFailed
-	for range sendTries {
+	for range maxSendTries {
 		p.mu.Lock()
 		e, isKnown := p.prepare(attempt, now)
 		var c *connection
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -9,8 +9,8 @@
 	"fennelarch/internal/system"
 )
 
-// input is the outcome of one read.
-type input struct {
+// readResult is the outcome of one read.
+type readResult struct {
 	err        error // the bytes read are not valid responses
 	results    []engine.Message
 	becameIdle bool // a response has arrived and nothing is pending any more
@@ -27,38 +27,38 @@
 		c.mu.Unlock()
 		n, err := system.Read(socket, buffer)
 		now := time.Now()
-		came := c.received(n, now)
-		if came.becameIdle && came.err == nil && !came.isRetired {
+		input := c.handleRead(n, now)
+		if input.becameIdle && input.err == nil && !input.isRetired {
 			c.pool.reassignToIdle(c)
 		}
-		for _, result := range came.results {
+		for _, result := range input.results {
 			c.pool.post(now, result)
 		}
 		switch {
-		case came.err != nil:
+		case input.err != nil:
 			reason = invariant.CloseServerMalformed
 			return
 		case err != nil:
 			return
-		case came.isRetired:
+		case input.isRetired:
 			reason = invariant.CloseServerMoved
 			return
 		}
 	}
 }
 
-// received passes the bytes read to the session.
-func (c *connection) received(n int, now time.Time) (came input) {
+// handleRead passes the bytes read to the session.
+func (c *connection) handleRead(n int, now time.Time) (input readResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.session.responses
-	came.err = c.session.received(n, now)
+	input.err = c.session.handleRead(n, now)
 	c.lastUsed = now
 	if c.session.responses > before {
 		c.lastResponse = now
-		came.becameIdle = c.session.pending() == 0
+		input.becameIdle = c.session.pending() == 0
 	}
-	came.isRetired = came.becameIdle && c.state.isRetired()
-	came.results = c.session.takeResults()
-	return came
+	input.isRetired = input.becameIdle && c.state.isRetired()
+	input.results = c.session.takeResults()
+	return input
 }
--- a/internal/upstream/reassign.go
+++ b/internal/upstream/reassign.go
@@ -46,7 +46,7 @@
 	if from == to || !from.isDialOverdue() {
 		return
 	}
-	if to.isProvenSince(from.dialStarted) {
+	if to.isResponsiveSince(from.dialStarted) {
 		p.moveFirstWaiting(from, to)
 	}
 }
--- a/internal/upstream/reassign_test.go
+++ b/internal/upstream/reassign_test.go
@@ -15,7 +15,7 @@
 		t.Run(name, func(t *testing.T) {
 			server := newScriptedServer(t)
 			pool := newTestPool(t, func(l *limits.Limits) { l.SlowConnect = 5 * time.Millisecond })
-			ends := pool.holdFirstDial()
+			dialResult := pool.blockFirstDial()
 			pool.listEndpoint(1, routing.Ready, server.Addr().String())
 			attempt := pool.sendAttempt(1, 1)
 			server.answers <- true
@@ -27,7 +27,7 @@
 				t.Error("attempt counts as not run")
 			}
 			server.answers <- false
-			ends <- dialEnd
+			dialResult <- dialEnd
 			pool.wantNoResult()
 			left := 1
 			if dialEnd == nil {
@@ -49,7 +49,7 @@
 	pool.listEndpoint(1, routing.Ready, server.Addr().String())
 	busy := pool.sendAttempt(1, 1)
 	receive(t, server.verbs)
-	ends := pool.holdFirstDial()
+	dialResult := pool.blockFirstDial()
 	waiting := pool.sendAttempt(2, 1)
 	time.Sleep(30 * time.Millisecond) // the dial is overdue by now, and the limit allows no other
 	server.answers <- true
@@ -60,7 +60,7 @@
 	receive(t, server.verbs) // of request 2
 	receive(t, server.verbs)
 	waiting = pool.sendAttempt(4, 1) // waits for the overdue dial again
-	ends <- errScripted
+	dialResult <- errScripted
 	pool.wantResult(routing.ConnectFailed, waiting)
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, busy)
@@ -70,7 +70,7 @@
 // received a response since the dial began.
 func TestProvenConnection(t *testing.T) {
 	dialStarted := time.Now()
-	proven := func() *connection {
+	responsive := func() *connection {
 		return &connection{
 			state:        stateOpen,
 			session:      newTestSession(),
@@ -81,7 +81,7 @@
 		change func(c *connection)
 		want   bool
 	}{
-		"proven":                   {func(*connection) {}, true},
+		"responsive":               {func(*connection) {}, true},
 		"writing":                  {func(c *connection) { c.state = stateWriting }, true},
 		"dialling":                 {func(c *connection) { c.state = stateDialing }, false},
 		"retired":                  {func(c *connection) { c.state = stateRetired }, false},
@@ -92,9 +92,9 @@
 		"suspect":                  {func(c *connection) { c.session.hasSilentAbort = true }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := proven()
+			c := responsive()
 			test.change(c)
-			if got := c.isProvenSince(dialStarted); got != test.want {
+			if got := c.isResponsiveSince(dialStarted); got != test.want {
 				t.Errorf("got %v, want %v", got, test.want)
 			}
 		})
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -22,12 +22,12 @@
 	responseBody
 )
 
-// readBuffer returns the buffer for the next read. The caller passes the number of bytes read to received.
+// readBuffer returns the buffer for the next read. The caller passes the number of bytes read to handleRead.
 func (s *session) readBuffer() []byte { return s.input.Tail() }
 
-// received handles n bytes that were read into readBuffer. After an error, nothing more on the connection can be
+// handleRead handles n bytes that were read into readBuffer. After an error, nothing more on the connection can be
 // trusted.
-func (s *session) received(n int, now time.Time) error {
+func (s *session) handleRead(n int, now time.Time) error {
 	if n == 0 {
 		return nil
 	}
@@ -44,14 +44,14 @@
 		}
 		s.responses++
 		s.hasSilentAbort = false
-		if err := s.takeResponse(response, now); err != nil {
+		if err := s.handleResponse(response, now); err != nil {
 			return err
 		}
 	}
 }
 
-// takeResponse handles one complete response. A request id has 16 digits, the tag of a health check fewer.
-func (s *session) takeResponse(response [][]byte, now time.Time) error {
+// handleResponse handles one complete response. A request id has 16 digits, the tag of a health check fewer.
+func (s *session) handleResponse(response [][]byte, now time.Time) error {
 	if len(response) <= responseStatus {
 		return &responseError{problem: problemNoStatus}
 	}
@@ -61,7 +61,7 @@
 		s.parseFields(response[responseFields], &result)
 	}
 	if len(id) < requestIDDigits {
-		return s.takeHealth(id, status, result.LoadReport, now)
+		return s.handleHealthResponse(id, status, result.LoadReport, now)
 	}
 	number, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// takeHealth handles the answer to a health check.
-func (s *session) takeHealth(id, status string, report routing.LoadReport, now time.Time) error {
+// handleHealthResponse handles the answer to a health check.
+func (s *session) handleHealthResponse(id, status string, report routing.LoadReport, now time.Time) error {
 	tag, err := strconv.ParseUint(id, 10, 64)
 	if err != nil {
 		return newResponseError(id, problemBadID, err)
@@ -103,7 +103,7 @@
 	if !isInFlight {
 		return nil
 	}
-	outcome, isKnown := outcomesByHealth[status]
+	outcome, isKnown := outcomesByHealthStatus[status]
 	if !isKnown {
 		return newResponseError(id, problemUnknownStatus, nil)
 	}
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -39,7 +39,7 @@
 		for _, pieceBytes := range []int{1, 7, 1 << 16} {
 			t.Run(fmt.Sprintf("%s %s in pieces of %d", test.status, test.fields, pieceBytes), func(t *testing.T) {
 				response := frame(testIDText, test.status, test.fields+",stats=x1:2.5;util:0.25", "body")
-				attempt, result := exchangeFor(t, response, pieceBytes)
+				attempt, result := feedResponse(t, response, pieceBytes)
 				if result.Attempt != attempt || result.Outcome != test.outcome || result.Note != test.note {
 					t.Errorf("%+v", result)
 				}
@@ -63,8 +63,8 @@
 	}
 }
 
-// exchangeFor feeds a response to an attempt whose client holds a copy, and returns the attempt and its only result.
-func exchangeFor(t *testing.T, response string, pieceBytes int) (*engine.Attempt, engine.AttemptResult) {
+// feedResponse feeds a response to an attempt whose client holds a copy, and returns the attempt and its only result.
+func feedResponse(t *testing.T, response string, pieceBytes int) (*engine.Attempt, engine.AttemptResult) {
 	t.Helper()
 	session := newTestSession()
 	attempt := newAttempt(testID)
--- a/internal/upstream/session.go
+++ b/internal/upstream/session.go
@@ -52,15 +52,15 @@
 	decoder resp.Decoder
 	output  resp.Writer
 
-	waiting  []exchange                           // not begun: no byte is in the output stream
-	inFlight map[engine.ClientRequestID]exchange  // begun, without a response
-	aborted  map[engine.ClientRequestID]time.Time // recently: a late response may still arrive
-	answered []answeredRequest                    // recently: a duplicate response may still arrive
-	checks   map[uint64]healthCheck               // by tag
-	lastTag  uint64
-	control  []byte           // frames of aborts and health checks, to be written next
-	results  []engine.Message // engine.AttemptResult and engine.HealthCheckResult, until takeResults
-	sending  exchange         // being written; its attempt is nil if there is none
+	waiting       []exchange                           // not begun: no byte is in the output stream
+	inFlight      map[engine.ClientRequestID]exchange  // begun, without a response
+	aborted       map[engine.ClientRequestID]time.Time // recently: a late response may still arrive
+	answered      []answeredRequest                    // recently: a duplicate response may still arrive
+	checks        map[uint64]healthCheck               // by tag
+	lastTag       uint64
+	controlFrames []byte           // frames of aborts and health checks, to be written next
+	results       []engine.Message // engine.AttemptResult and engine.HealthCheckResult, until takeResults
+	sending       exchange         // being written; its attempt is nil if there is none
 
 	responses         int  // complete responses received
 	hasSilentAbort    bool // no complete response has arrived since an attempt, now aborted, was queued
@@ -132,15 +132,15 @@
 // attempt is partly written, abort sets hasPartialAbort, and the connection must be closed: writing the rest would
 // start an attempt for a client that has gone.
 func (s *session) abort(attempt *engine.Attempt, now time.Time) (mayHaveRun bool) {
-	guard := attempt.Request.Invariants
+	invariants := attempt.Request.Invariants
 	for i := range s.waiting {
 		if s.waiting[i].attempt == attempt {
 			s.waiting = slices.Delete(s.waiting, i, i+1)
-			guard.Record(flightrecorder.AttemptAborted, attempt.Number, attempt.Endpoint, 0, 0)
+			invariants.Record(flightrecorder.AttemptAborted, attempt.Number, attempt.Endpoint, 0, 0)
 			return false
 		}
 	}
-	guard.Record(flightrecorder.AttemptAborted, attempt.Number, attempt.Endpoint, 0, 1)
+	invariants.Record(flightrecorder.AttemptAborted, attempt.Number, attempt.Endpoint, 0, 1)
 	id := attempt.Request.ClientRequestID
 	e, isInFlight := s.inFlight[id]
 	if !isInFlight || e.attempt != attempt {
@@ -149,7 +149,7 @@
 	delete(s.inFlight, id)
 	s.hasPartialAbort = s.hasPartialAbort || e.streamEnd > s.output.TakenBytes
 	s.hasSilentAbort = s.hasSilentAbort || e.responsesBefore == s.responses
-	s.control = appendAbort(s.control, id)
+	s.controlFrames = appendAbort(s.controlFrames, id)
 	maps.DeleteFunc(s.aborted, func(_ engine.ClientRequestID, at time.Time) bool {
 		return now.Sub(at) > s.limits.ForgetAfter
 	})
@@ -161,7 +161,7 @@
 func (s *session) checkHealth(endpoint routing.EndpointID, verb string, now time.Time) {
 	s.lastTag++
 	s.checks[s.lastTag] = healthCheck{endpoint: endpoint, sentAt: now}
-	s.control = appendHealthCheck(s.control, verb, s.lastTag)
+	s.controlFrames = appendHealthCheck(s.controlFrames, verb, s.lastTag)
 }
 
 // nextOutput returns the bytes to write next.
@@ -175,9 +175,9 @@
 	if !s.output.Empty() {
 		return false
 	}
-	if len(s.control) > 0 {
-		s.output.PutRaw(s.control)
-		s.control = nil
+	if len(s.controlFrames) > 0 {
+		s.output.PutRaw(s.controlFrames)
+		s.controlFrames = nil
 		return true
 	}
 	for len(s.waiting) > 0 {
@@ -218,8 +218,8 @@
 	return true
 }
 
-// wrote records that the system has accepted the next n bytes of the output stream.
-func (s *session) wrote(n int, now time.Time) {
+// recordWritten records that the system has accepted the next n bytes of the output stream.
+func (s *session) recordWritten(n int, now time.Time) {
 	s.output.Advance(n)
 	if e := &s.sending; e.attempt != nil && e.streamEnd <= s.output.TakenBytes {
 		e.attempt.Request.Invariants.Complete(e.attempt.Number, e.server.Endpoint, now)
@@ -239,13 +239,13 @@
 // finish adds the result of an attempt, and records in the request's invariants whether it proves that the attempt did
 // not run.
 func (s *session) finish(result engine.AttemptResult, endpoint routing.EndpointID) {
-	number, guard := result.Attempt.Number, result.Attempt.Request.Invariants
+	number, invariants := result.Attempt.Number, result.Attempt.Request.Invariants
 	switch result.Outcome {
 	case routing.ConnectFailed, routing.NotSent, routing.CacheMiss, routing.Overloaded:
-		guard.MarkNotRun(number, endpoint)
+		invariants.MarkNotRun(number, endpoint)
 	default: // it may have run
 	}
-	guard.Record(flightrecorder.AttemptEnded, number, endpoint, uint8(result.Outcome), 0)
+	invariants.Record(flightrecorder.AttemptEnded, number, endpoint, uint8(result.Outcome), 0)
 	s.results = append(s.results, result)
 }
 
--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -41,7 +41,7 @@
 func (s *session) feed(stream string, pieceBytes int) error {
 	for len(stream) > 0 {
 		n := copy(s.readBuffer(), stream[:min(pieceBytes, len(stream))])
-		if err := s.received(n, time.Now()); err != nil {
+		if err := s.handleRead(n, time.Now()); err != nil {
 			return err
 		}
 		stream = stream[n:]
@@ -153,9 +153,9 @@
 		now := time.Now()
 		session.answered = session.answered[:0] // allows the same request id again
 		session.enqueue(exchange{attempt: attempt, notAfter: now.Add(time.Minute)})
-		session.wrote(len(session.nextOutput(now)), now)
+		session.recordWritten(len(session.nextOutput(now)), now)
 		n := copy(session.readBuffer(), response)
-		if err := session.received(n, now); err != nil {
+		if err := session.handleRead(n, now); err != nil {
 			b.Fatal(err)
 		}
 		if results := session.takeResults(); len(results) != 1 {
--- a/internal/upstream/wireformat.go
+++ b/internal/upstream/wireformat.go
@@ -84,8 +84,8 @@
 	"504":             routing.NotSent,
 }
 
-// outcomesByHealth maps the answer to a health check to its outcome.
-var outcomesByHealth = map[string]routing.Outcome{
+// outcomesByHealthStatus maps the answer to a health check to its outcome.
+var outcomesByHealthStatus = map[string]routing.Outcome{
 	"alive": routing.Succeeded,
 	"dead":  routing.Failed,
 }
@@ -109,14 +109,14 @@
 	classes, reportColumns []string
 }
 
-// hexadecimal formats an id in 16 hexadecimal digits.
-func hexadecimal(id uint64) string {
+// formatID formats an id in 16 hexadecimal digits.
+func formatID(id uint64) string {
 	digits := strconv.FormatUint(id, 16)
 	return zeros[len(digits):] + digits
 }
 
 func appendAbort(frames []byte, id engine.ClientRequestID) []byte {
-	return resp.AppendStrings(frames, verbAbort, hexadecimal(uint64(id)))
+	return resp.AppendStrings(frames, verbAbort, formatID(uint64(id)))
 }
 
 func appendHealthCheck(frames []byte, verb string, tag uint64) []byte {
@@ -126,7 +126,7 @@
 // putFetch adds the frame of an attempt to the output and returns the offset in the stream at which the frame ends.
 func putFetch(output *resp.Writer, names *protocolNames, e exchange, timeLeft time.Duration) (streamEnd int64) {
 	request := e.attempt.Request
-	id := hexadecimal(uint64(request.ClientRequestID))
+	id := formatID(uint64(request.ClientRequestID))
 	return output.Put(request.Body, []byte(verbFetch), []byte(id), requestFields(names, e, timeLeft))
 }
 
@@ -137,7 +137,7 @@
 	fields = append(fields, fieldClass...)
 	fields = append(fields, names.classes[request.Class]...)
 	fields = append(fields, fieldObject...)
-	fields = append(fields, hexadecimal(uint64(request.Object))...)
+	fields = append(fields, formatID(uint64(request.Object))...)
 	fields = append(fields, fieldPart...)
 	fields = strconv.AppendInt(fields, int64(request.Part), 10)
 	fields = append(fields, fieldDeadline...)
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -12,8 +12,8 @@
 // idleChecksPerTimeout is how often a connection is checked for idleness during the idle timeout.
 const idleChecksPerTimeout = 4
 
-// output is the next step of the writer.
-type output struct {
+// writeStep is the next step of the writer.
+type writeStep struct {
 	isClosed bool // stop writing
 	frames   []byte
 	timeout  time.Duration // for writing the frames
@@ -51,7 +51,7 @@
 }
 
 // nextOutput gets the next step of the writer from the session.
-func (c *connection) nextOutput(now time.Time) (next output) {
+func (c *connection) nextOutput(now time.Time) (next writeStep) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next.isClosed = c.state.isClosed() || c.state.isRetired() && c.session.pending() == 0
@@ -67,12 +67,12 @@
 }
 
 // writeFrames writes frames to the socket and records how many bytes the system accepted.
-func (c *connection) writeFrames(socket net.Conn, next output, now time.Time) error {
+func (c *connection) writeFrames(socket net.Conn, next writeStep, now time.Time) error {
 	_ = socket.SetWriteDeadline(now.Add(next.timeout))
 	n, err := system.Write(socket, next.frames)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.session.wrote(n, time.Now())
+	c.session.recordWritten(n, time.Now())
 	c.advance(eventWriteFinished)
 	c.lastUsed = now
 	return err
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -17,18 +17,18 @@
 // attempt may have run if all its bytes were accepted, and has not run otherwise.
 func TestCloseDuringWrite(t *testing.T) {
 	for name, test := range map[string]struct {
-		takesBytes int
-		want       routing.Outcome
+		acceptBytes int
+		want        routing.Outcome
 	}{
-		"whole frame": {takesAll, routing.ConnectionBroken},
+		"whole frame": {acceptAll, routing.ConnectionBroken},
 		"one byte":    {1, routing.ConnectFailed},
 		"half":        {30, routing.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			socket := newHeldSocket(test.takesBytes)
+			socket := newBlockingSocket(test.acceptBytes)
 			pool := newPoolWithSockets(t, nil, socket)
 			attempt := pool.sendAttempt(1, 1)
-			receive(t, socket.taken)
+			receive(t, socket.written)
 			pool.onlyConnection().close(invariant.CloseServerEnded) // as the reader does after a reset
 			pool.wantResult(test.want, attempt)
 			if pool.ConnectionCount() != 0 {
@@ -41,10 +41,10 @@
 // An attempt that is aborted when partly written is never completed: its connection is closed at once, whether or not
 // the server reads. An attempt that waits behind it can be aborted and has not run.
 func TestAbortOfHalfWrittenAttemptClosesConnection(t *testing.T) {
-	socket, other := newHeldSocket(10), newHeldSocket(takesAll)
+	socket, other := newBlockingSocket(10), newBlockingSocket(acceptAll)
 	pool := newPoolWithSockets(t, oneConnection, socket, other)
 	half := pool.sendAttempt(1, 1)
-	receive(t, socket.taken)
+	receive(t, socket.written)
 	behind := pool.sendAttempt(2, 1)
 	if pool.Abort(behind) {
 		t.Error("attempt that waits behind a write counts as possibly run")
@@ -54,25 +54,25 @@
 	}
 	select {
 	case <-socket.closed:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("connection not closed: the rest of the attempt may still be written")
 	}
 	pool.wantNoResult()
 	pool.waitForConnectionCount(0)
 	pool.sendAttempt(3, 1)
-	if text := receive(t, other.taken); len(socket.taken) > 0 || len(text) < 50 {
-		t.Errorf("%q written, and %d more writes on the closed connection", text, len(socket.taken))
+	if text := receive(t, other.written); len(socket.written) > 0 || len(text) < 50 {
+		t.Errorf("%q written, and %d more writes on the closed connection", text, len(socket.written))
 	}
 }
 
 // Two attempts wait for one connection: while the first is being written, the second can be aborted without having run.
 func TestOneFrameAtATime(t *testing.T) {
-	socket := newHeldSocket(takesAll)
+	socket := newBlockingSocket(acceptAll)
 	pool := newPoolWithSockets(t, oneConnection, socket)
-	released := pool.holdDials()
+	released := pool.blockDials()
 	first, second := pool.sendAttempt(1, 1), pool.sendAttempt(2, 1)
 	close(released)
-	if text := receive(t, socket.taken); !containsID(text, 1) || containsID(text, 2) {
+	if text := receive(t, socket.written); !containsID(text, 1) || containsID(text, 2) {
 		t.Errorf("%q", text)
 	}
 	if pool.Abort(second) {
@@ -82,7 +82,7 @@
 	pool.onlyConnection().close(invariant.CloseServerEnded)
 	pool.wantResult(routing.ConnectionBroken, first)
 	pool.wantNoResult()
-	socket.wantNothingTaken(t)
+	socket.wantNothingWritten(t)
 }
 
 // A server does not read: a request that is only partly written after RequestWriteTimeout, a tenth of a second, is
