--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -13,7 +13,7 @@
 const (
 	attemptInFlight  attemptState = iota
 	attemptCompleted              // the endpoint, or the local cache, has returned a result
-	attemptAborted                // the engine has aborted it
+	attemptAborted                // the engine has aborted the attempt
 	attemptStates
 )
 
@@ -27,7 +27,7 @@
 	attemptInFlight: {attemptCompleted: true, attemptAborted: true},
 }
 
-// Attempt is one attempt to serve a request at an endpoint.
+// Attempt is one try to get a request served by an endpoint.
 type Attempt struct {
 	Request  *Request
 	Number   routing.AttemptNumber
@@ -35,7 +35,7 @@
 	Source   routing.EndpointID // where the endpoint fills from; 0: no fill
 
 	Deadline time.Time // when the attempt is aborted; the endpoint is sent the time left until then
-	NotAfter time.Time // when the attempt must have been sent, or never is; zero: no limit of its own
+	NotAfter time.Time // latest time to send the attempt; zero: no limit of its own
 
 	MaxAge      time.Duration
 	CacheRank   uint8
--- a/internal/engine/clockskew.go
+++ b/internal/engine/clockskew.go
@@ -12,7 +12,7 @@
 	minStep = 100 * time.Millisecond
 	// minSlew is the smallest change of the wall clock against the monotonic clock that is tracked.
 	minSlew = minStep / 20
-	// compareInterval is how often the clocks are compared.
+	// compareInterval is the time between two comparisons of the clocks.
 	compareInterval = 20 * time.Millisecond
 	// maxSteps limits how many steps are remembered.
 	maxSteps = 8
--- a/internal/engine/clockskew_test.go
+++ b/internal/engine/clockskew_test.go
@@ -103,7 +103,7 @@
 	if isServed(0) {
 		t.Error("purged copy served")
 	}
-	// A response that was on its way when the purge was received counts as older, whatever its timestamp says.
+	// A response that was in transit when the purge was received counts as older, whatever its timestamp says.
 	receive(2, engine.elapsed-time.Second+clocks.otherAhead)
 	if isServed(0) {
 		t.Error("copy generated before a purge was stored after it")
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -16,7 +16,7 @@
 	Bytes              int           // memory for all copies
 	FlowBytesPerSecond float64       // rate of one transfer
 	LinkBytesPerSecond float64       // rate of all transfers together
-	MaxTransferTime    time.Duration // longest time that a response can be on its way
+	MaxTransferTime    time.Duration // longest time that a response can be in transit
 }
 
 // Capacity returns how many transfers fit on the link, or 0 if no copies can be kept.
@@ -121,7 +121,7 @@
 	}
 }
 
-// forgetOldPurges drops the purges that are older than any response still on its way.
+// forgetOldPurges drops the purges received more than MaxTransferTime ago: any response still in transit is newer.
 func (c *localCache) forgetOldPurges(now time.Duration) {
 	c.purges = slices.DeleteFunc(c.purges, func(purge receivedPurge) bool {
 		return now-purge.receivedAt > c.settings.MaxTransferTime
--- a/internal/engine/simultaneous_test.go
+++ b/internal/engine/simultaneous_test.go
@@ -33,11 +33,11 @@
 	note         routing.Note
 	abortWritten bool
 	timeout      time.Duration
-	order        []int
+	order        []int // of the events, by their numbers in playEvents
 }
 
 func (c *simultaneousCase) String() string {
-	return fmt.Sprintf("class %d, %s, abort finds it written %v, timeout %v, order %v",
+	return fmt.Sprintf("class %d, %s, abort reports written %v, timeout %v, order %v",
 		c.class, c.name, c.abortWritten, c.timeout, c.order)
 }
 
@@ -121,7 +121,7 @@
 			}
 			after.clientGone, e.isClosed = true, true
 			e.send(ClientGone{1})
-		case 2:
+		case 2: // the deadline, if it has passed
 			e.Tick(e.elapsed)
 		case 3:
 			e.deliverResult(0, routing.Succeeded, routing.NoteHit) // a second result
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -26,7 +26,7 @@
 	endpoint    routing.EndpointID
 	purpose     dialPurpose
 	dialStarted time.Time
-	wake        chan struct{} // tells the writer to look for output
+	wake        chan struct{} // signals the writer to look for output
 
 	mu           sync.Mutex
 	state        connectionState
@@ -97,7 +97,7 @@
 	c.wakeWriter()
 }
 
-// wakeWriter tells the writer to look for output.
+// wakeWriter signals the writer to look for output.
 func (c *connection) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -105,8 +105,7 @@
 	}
 }
 
-// load returns the load of the connection for the selection of one for an attempt, or for a health check if attempt is
-// nil.
+// load returns what selectConnection needs to know about the connection. The attempt is nil for a health check.
 func (c *connection) load(attempt *engine.Attempt) connectionLoad {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -72,7 +72,7 @@
 	return socket, nil
 }
 
-// shouldRedial reports whether to redial after an error that came this long after the first dial began.
+// shouldRedial reports whether to redial after an error, given the time since the first dial began.
 func (c *connection) shouldRedial(err error, elapsed time.Duration) bool {
 	switch system.Classify(err) {
 	case system.FaultLocal:
@@ -84,8 +84,8 @@
 	}
 }
 
-// freeDescriptors frees file descriptors that are not needed at the moment, since attempts in progress take
-// priority: it closes idle connections and lets other parts of the process do the same.
+// freeDescriptors frees file descriptors for attempts in progress: it closes idle connections and lets other parts of
+// the process free theirs.
 func (p *Pool) freeDescriptors() {
 	p.CloseIdle()
 	if p.onDescriptorShortage != nil {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			socket := newBlockingSocket(acceptAll)
 			pool := newPoolWithSockets(t, nil, socket)
-			released := pool.blockDials()
+			release := pool.blockDials()
 			attempt := newAttempt(1)
 			attempt.Endpoint, attempt.NotAfter = 1, time.Now().Add(20*time.Millisecond)
 			if state == routing.Draining {
@@ -114,7 +114,7 @@
 			}
 			pool.Send(attempt)
 			time.Sleep(testLimits.DrainingStartWithin + 30*time.Millisecond)
-			close(released)
+			close(release)
 			pool.wantResult(routing.ConnectFailed, attempt)
 			socket.wantNothingWritten(t)
 		})
@@ -125,12 +125,12 @@
 func TestAbortDuringDial(t *testing.T) {
 	socket := newBlockingSocket(acceptAll)
 	pool := newPoolWithSockets(t, nil, socket)
-	released := pool.blockDials()
+	release := pool.blockDials()
 	attempt := pool.sendAttempt(1, 1)
 	if pool.Abort(attempt) {
 		t.Error("attempt counts as possibly run")
 	}
-	close(released)
+	close(release)
 	pool.sendAttempt(2, 1)
 	if text := receive(t, socket.written); !containsID(text, 2) || containsID(text, 1) {
 		t.Errorf("written: %q", text)
@@ -149,14 +149,14 @@
 		t.Run(name, func(t *testing.T) {
 			socket := newBlockingSocket(acceptAll)
 			pool := newPoolWithSockets(t, nil, socket)
-			released := pool.blockDials()
+			release := pool.blockDials()
 			attempt := newAttempt(1)
 			attempt.Endpoint, attempt.Deadline = 1, time.Now().Add(100*time.Millisecond)
 			monitor := newTestMonitor()
 			attempt.Request.Invariants = monitor.NewRequest(1, attempt.Deadline, invariant.RepeatPolicy{})
 			pool.Send(attempt)
 			end(attempt.Request.Invariants)
-			close(released)
+			close(release)
 			pool.wantResult(routing.NotSent, attempt)
 			socket.wantNothingWritten(t)
 			if monitor.Violations() != 0 {
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -48,11 +48,11 @@
 		t.Error("old connection was used again")
 	}
 
-	released := make(chan struct{})
+	release := make(chan struct{})
 	dial := pool.dial
 	pool.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
 		if address == old.Addr().String() {
-			<-released
+			<-release
 		}
 		return dial(network, address, timeout)
 	}
@@ -60,7 +60,7 @@
 	waiting := pool.sendAttempt(3, 1)
 	pool.listEndpoint(1, routing.Ready, current.Addr().String())
 	pool.wantResult(routing.ConnectFailed, waiting)
-	close(released)
+	close(release)
 }
 
 // A retired connection is closed once its last attempt has been aborted, even if no response arrives.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -94,19 +94,19 @@
 			return
 		}
 		select {
-		case isAnswered := <-s.answers:
-			fetch <- isAnswered
+		case shouldAnswer := <-s.answers:
+			fetch <- shouldAnswer
 		case <-s.closing:
 			return
 		}
 	}
 }
 
-// isAnswered waits until the test decides whether a fetch is answered, and returns the decision.
-func (s *scriptedServer) isAnswered(fetch chan bool) bool {
+// shouldAnswer waits until the test decides whether a fetch is answered, and returns the decision.
+func (s *scriptedServer) shouldAnswer(fetch chan bool) bool {
 	select {
-	case isAnswered := <-fetch:
-		return isAnswered
+	case shouldAnswer := <-fetch:
+		return shouldAnswer
 	case <-s.closing:
 		return false
 	}
@@ -142,7 +142,7 @@
 			s.fetches <- fetch
 		}
 		s.verbs <- string(command.Args[0])
-		if string(command.Args[0]) == verbFetch && s.isAnswered(fetch) {
+		if string(command.Args[0]) == verbFetch && s.shouldAnswer(fetch) {
 			_, _ = socket.Write([]byte(frame(string(command.Args[1]), statusOK, "-", "bytes")))
 		}
 	}
@@ -238,13 +238,13 @@
 
 // blockDials makes each dial wait until the test closes the returned channel.
 func (p *testPool) blockDials() chan struct{} {
-	released := make(chan struct{})
+	release := make(chan struct{})
 	dial := p.dial
 	p.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
-		<-released
+		<-release
 		return dial(network, address, timeout)
 	}
-	return released
+	return release
 }
 
 // blockFirstDial makes the first dial wait until the test sends its result on the returned channel. Later dials are not
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -24,7 +24,8 @@
 // maxSendTries is how often Send tries to queue an attempt: the connection selected first may just be closing.
 const maxSendTries = 2
 
-// Pool is the connection pool of all endpoints. Its lock is acquired before that of a connection.
+// Pool is the connection pool of all endpoints. Code that holds both locks acquires that of the pool before that of a
+// connection.
 type Pool struct {
 	limits          limits.Limits
 	names           protocolNames
@@ -118,7 +119,7 @@
 }
 
 // prepare returns the exchange for an attempt, and whether its endpoint and source are known. If one of them is
-// draining, the attempt must be sent sooner.
+// draining, the attempt must be sent within limits.DrainingStartWithin.
 func (p *Pool) prepare(attempt *engine.Attempt, now time.Time) (e exchange, isKnown bool) {
 	e = exchange{
 		attempt:  attempt,
--- a/internal/upstream/reassign_test.go
+++ b/internal/upstream/reassign_test.go
@@ -8,8 +8,8 @@
 	"fennelarch/policy/routing"
 )
 
-// One dial is slow although the server is up. Attempts that wait for the dial move to a replacement connection, and one
-// of them is aborted there. No part of them is written to the slow connection, which serves a later attempt.
+// One dial is slow although the server is up. The attempt that waits for it moves to a replacement connection, and a
+// second attempt is aborted there. No part of either is written to the slow connection, which can serve a third.
 func TestOverdueDialIsReplaced(t *testing.T) {
 	for name, dialEnd := range map[string]error{"comes up late": nil, "fails late": errScripted} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -41,7 +41,7 @@
 				response := frame(testIDText, test.status, test.fields+",stats=x1:2.5;util:0.25", "body")
 				attempt, result := feedResponse(t, response, pieceBytes)
 				if result.Attempt != attempt || result.Outcome != test.outcome || result.Note != test.note {
-					t.Errorf("%+v", result)
+					t.Errorf("result %+v", result)
 				}
 				checkContent(t, result, test.status)
 				if test.fields == "how=pulled,slow=12.5" && result.FirstByteWait != 12500*time.Microsecond {
@@ -93,10 +93,10 @@
 		"not modified, another ETag": frame(testIDText, "304", "sum=other,how=local"),
 		"not modified, no ETag":      frame(testIDText, "304", "how=local,sum="),
 		"no status":                  frame(testIDText),
-		"unknown health":             frame("1", "asleep"),
-		"id is no number":            frame("zz", "200"),
+		"unknown health status":      frame("1", "asleep"),
+		"id not a number":            frame("zz", "200"),
 		"body too long":              "*4\r\n$16\r\n" + testIDText + "\r\n$3\r\n200\r\n$1\r\n-\r\n$3000000000\r\n",
-		"no frame":                   "noise",
+		"not a frame":                "noise",
 	} {
 		t.Run(name, func(t *testing.T) {
 			session := newTestSession()
@@ -111,7 +111,7 @@
 			}
 			session.failAll()
 			if result := session.takeResults()[0].(engine.AttemptResult); result.Outcome != routing.ConnectionBroken {
-				t.Errorf("%+v", result)
+				t.Errorf("result %+v", result)
 			}
 		})
 	}
@@ -125,7 +125,7 @@
 		id   string
 		sent engine.ClientRequestID
 	}{
-		{"no hexadecimal number", "zzzzzzzzzzzzzzzz", 0},
+		{"not hexadecimal", "zzzzzzzzzzzzzzzz", 0},
 		{"too large", "fffffffffffffffff", math.MaxUint64},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/upstream/session.go
+++ b/internal/upstream/session.go
@@ -21,7 +21,7 @@
 type exchange struct {
 	attempt   *engine.Attempt
 	server    invariant.Server
-	sourceUID string    // empty where the attempt names no source
+	sourceUID string    // empty if the attempt names no source
 	notAfter  time.Time // latest time to begin writing it
 	streamEnd int64     // offset of its end in the output stream; 0 while it waits
 
@@ -30,7 +30,7 @@
 
 func (e *exchange) requestID() engine.ClientRequestID { return e.attempt.Request.ClientRequestID }
 
-// answeredRequest is a request whose response has been received.
+// answeredRequest is a request whose response was received at a given time.
 type answeredRequest struct {
 	id engine.ClientRequestID
 	at time.Time
@@ -243,7 +243,7 @@
 	switch result.Outcome {
 	case routing.ConnectFailed, routing.NotSent, routing.CacheMiss, routing.Overloaded:
 		invariants.MarkNotRun(number, endpoint)
-	default: // it may have run
+	default: // the attempt may have run
 	}
 	invariants.Record(flightrecorder.AttemptEnded, number, endpoint, uint8(result.Outcome), 0)
 	s.results = append(s.results, result)
--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -114,7 +114,7 @@
 	}
 	results := session.takeResults()
 	if len(results) != 1 || results[0].(engine.AttemptResult).Outcome != routing.ConnectFailed {
-		t.Errorf("%+v", results)
+		t.Errorf("results %+v", results)
 	}
 }
 
--- a/internal/upstream/state_test.go
+++ b/internal/upstream/state_test.go
@@ -92,11 +92,11 @@
 	c := &connection{pool: &Pool{monitor: monitor}, state: stateDialing}
 	c.advance(eventConnected)
 	if c.state != stateOpen || monitor.Violations() != 0 {
-		t.Errorf("%v, %d violations", c.state, monitor.Violations())
+		t.Errorf("state %v, %d violations", c.state, monitor.Violations())
 	}
 	c.advance(eventConnected)
 	counts, _ := monitor.Counts()
 	if c.state != stateOpen || monitor.Violations() != 1 || counts[invariant.InvalidTransition.String()] != 1 {
-		t.Errorf("%v, %v", c.state, counts)
+		t.Errorf("state %v, violations %v", c.state, counts)
 	}
 }
--- a/internal/upstream/wireformat.go
+++ b/internal/upstream/wireformat.go
@@ -60,7 +60,7 @@
 	statusNotModified = "304"
 
 	requestIDDigits = 16
-	zeros           = "0000000000000000"
+	zeroPadding     = "0000000000000000"
 )
 
 // fillOptionWords lists the words for the fill options in the order in which they are sent.
@@ -112,7 +112,7 @@
 // formatID formats an id in 16 hexadecimal digits.
 func formatID(id uint64) string {
 	digits := strconv.FormatUint(id, 16)
-	return zeros[len(digits):] + digits
+	return zeroPadding[len(digits):] + digits
 }
 
 func appendAbort(frames []byte, id engine.ClientRequestID) []byte {
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -69,9 +69,9 @@
 func TestOneFrameAtATime(t *testing.T) {
 	socket := newBlockingSocket(acceptAll)
 	pool := newPoolWithSockets(t, oneConnection, socket)
-	released := pool.blockDials()
+	release := pool.blockDials()
 	first, second := pool.sendAttempt(1, 1), pool.sendAttempt(2, 1)
-	close(released)
+	close(release)
 	if text := receive(t, socket.written); !containsID(text, 1) || containsID(text, 2) {
 		t.Errorf("%q", text)
 	}
