--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -7,15 +7,15 @@
 	"fennelarch/policy/routing"
 )
 
-// The time in the queue is taken off the client's time, and reported.
+// The time that a request waits in the queue is deducted from its timeout and reported in the counts.
 func TestEventQueueDelay(t *testing.T) {
 	engine := newTestEngine()
 	engine.quiet = true
 	request := engine.newRequest(1, idempotentClass, time.Second)
 	request.SizeKB = 1
 	request.ReceivedAt = engine.start.Add(100 * time.Millisecond)
-	engine.at = 400 * time.Millisecond
-	engine.Handle(engine.at, Event{Time: request.ReceivedAt, Message: request})
+	engine.elapsed = 400 * time.Millisecond
+	engine.Handle(engine.elapsed, Event{Time: request.ReceivedAt, Message: request})
 	if len(engine.attempts) != 1 || engine.counts.EventQueueDelay != 300*time.Millisecond {
 		t.Fatalf("%d attempts, delay %v", len(engine.attempts), engine.counts.EventQueueDelay)
 	}
@@ -24,37 +24,37 @@
 	}
 }
 
-// Many requests that end in every way leave nothing behind.
+// The engine keeps no state of requests that have ended, however they ended.
 func TestNoRequestIsLeft(t *testing.T) {
 	engine := newCheckedEngine(t, "every way to end")
-	engine.transport = engine.testEngine // attempts overlap here, so that none is checked against one client
+	engine.transport = engine.testEngine // requests overlap here, and checkedEngine supports only one at a time
 	outcomes := []routing.Outcome{
 		routing.Succeeded, routing.Failed, routing.Overloaded, routing.ConnectFailed, routing.ConnectionBroken,
 		routing.NotSent, routing.CacheMiss,
 	}
 	for i := range 5000 {
 		id := routing.RequestID(i + 1)
-		engine.request(id, routing.ClassID(i%5/4), time.Duration(i%400)*time.Millisecond)
-		engine.pass(time.Duration(i%3) * time.Millisecond)
+		engine.sendRequest(id, routing.ClassID(i%5/4), time.Duration(i%400)*time.Millisecond)
+		engine.advance(time.Duration(i%3) * time.Millisecond)
 		for k := max(0, len(engine.attempts)-4); k < len(engine.attempts); k++ {
-			engine.end(k, outcomes[(i+k)%len(outcomes)], routing.Note(i%11))
+			engine.deliverResult(k, outcomes[(i+k)%len(outcomes)], routing.Note(i%11))
 		}
 		if i%7 == 0 {
 			engine.send(ClientGone{Request: id})
 		}
 	}
-	engine.pass(10 * time.Second)
+	engine.advance(10 * time.Second)
 	engine.checkEmpty()
 	if len(engine.timers) > 1 || len(engine.pending) > 0 {
-		t.Errorf("%d timers, %d events", len(engine.timers), len(engine.pending))
+		t.Errorf("%d timers, %d pending events", len(engine.timers), len(engine.pending))
 	}
 	c := engine.counts
 	if c.Succeeded+c.Rejected+c.Failed+c.ClientCancelled != c.Requests || c.Succeeded == 0 || c.ClientCancelled == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v", c)
 	}
 }
 
-// A transition that cannot happen is counted as a violation and changes nothing.
+// An invalid transition is counted as a violation and changes nothing.
 func TestInvalidTransitionsAreCounted(t *testing.T) {
 	for _, testCase := range []struct {
 		name string
@@ -75,12 +75,12 @@
 			engine := newTestEngine()
 			engine.quiet = true
 			engine.monitor = newTestMonitor(nil)
-			engine.request(1, idempotentClass, time.Second)
+			engine.sendRequest(1, idempotentClass, time.Second)
 			request := engine.requests[1]
 			testCase.play(engine, request)
 			counts, _ := engine.monitor.Counts()
 			if engine.monitor.Violations() != 1 || counts["invalid_transition"] != 1 {
-				t.Errorf("counted %v", counts)
+				t.Errorf("violations %v", counts)
 			}
 			if request.attemptsInFlight != testCase.wantAttempts || engine.InFlight() != testCase.wantInFlight {
 				t.Errorf("%d attempts in flight, %d requests in flight", request.attemptsInFlight, engine.InFlight())
--- a/internal/upstream/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -1,6 +1,7 @@
 package upstream
 
-// The deadline that a server is told: what the client has left when the request is written, however long it waited.
+// These tests check the deadline that is sent to a server: the time that the client has left when the request is
+// written, however long the request has waited.
 
 import (
 	"net"
@@ -14,19 +15,19 @@
 )
 
 const (
-	// deadlineSlack is how far a deadline that is passed on may exceed what the client has left.
+	// deadlineSlack is how far a deadline sent to a server may exceed the time that the client has left.
 	deadlineSlack = 150 * time.Millisecond
 
 	// waitBeforeWrite is how long a request waits in these tests.
 	waitBeforeWrite = 400 * time.Millisecond
 )
 
-// deadlineIn reads the deadline out of a request on the wire.
+// deadlineIn returns the deadline in a request frame.
 func deadlineIn(t *testing.T, text string) time.Duration {
 	t.Helper()
 	_, rest, isFound := strings.Cut(text, fieldDeadline)
 	if !isFound {
-		t.Fatalf("no deadline in %q", text)
+		t.Fatalf("request without deadline: %q", text)
 	}
 	millis, err := strconv.Atoi(rest[:strings.IndexAny(rest, ",\r")])
 	if err != nil {
@@ -35,19 +36,19 @@
 	return time.Duration(millis) * time.Millisecond
 }
 
-// A request waits for its connection to come up, for the frame before it, or for a dial that is overdue and is taken to
-// another connection: each time the deadline shrinks by the wait.
+// A request waits for a dial, for the frame before it, or for an overdue dial before it is moved to another connection.
+// In each case the deadline shrinks by the time of the wait.
 func TestDeadlineShrinksWhileWaiting(t *testing.T) {
 	left := time.Until(newAttempt(1).Deadline) - waitBeforeWrite
 	check := func(t *testing.T, deadline time.Duration) {
 		t.Helper()
 		if deadline > left+deadlineSlack {
-			t.Errorf("the server is told %v, the client has %v left", deadline, left)
+			t.Errorf("deadline sent to the server: %v, time left to the client: %v", deadline, left)
 		}
 	}
 
 	t.Run("slow dial", func(t *testing.T) {
-		socket := newHeldSocket(takesAll)
+		socket := newBlockingSocket(acceptAll)
 		pool := newPoolWithSockets(t, nil, socket)
 		dial := pool.dial
 		pool.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
@@ -55,18 +56,18 @@
 			return dial(network, address, timeout)
 		}
 		pool.sendAttempt(1, 1)
-		check(t, deadlineIn(t, receive(t, socket.taken)))
+		check(t, deadlineIn(t, receive(t, socket.written)))
 	})
 
 	t.Run("frame before it", func(t *testing.T) {
-		socket := newHeldSocket(takesAll)
+		socket := newBlockingSocket(acceptAll)
 		pool := newPoolWithSockets(t, oneConnection, socket)
 		pool.sendAttempt(1, 1)
-		receive(t, socket.taken)
+		receive(t, socket.written)
 		pool.sendAttempt(2, 1)
 		time.Sleep(waitBeforeWrite)
 		socket.writeResult <- nil
-		check(t, deadlineIn(t, receive(t, socket.taken)))
+		check(t, deadlineIn(t, receive(t, socket.written)))
 	})
 
 	t.Run("moved to another connection", func(t *testing.T) {
@@ -77,7 +78,7 @@
 		pool.listEndpoint(1, routing.Ready, server.Addr().String())
 		busy := pool.sendAttempt(1, 1)
 		receive(t, server.verbs)
-		ends := pool.holdFirstDial()
+		dialResult := pool.blockFirstDial()
 		moved := pool.sendAttempt(2, 1)
 		time.Sleep(waitBeforeWrite)
 		server.answers <- true
@@ -86,6 +87,6 @@
 		check(t, time.Duration(server.deadlineMillis.Load())*time.Millisecond)
 		server.answers <- true
 		pool.wantResult(routing.Succeeded, moved)
-		ends <- errScripted
+		dialResult <- errScripted
 	})
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -20,8 +20,8 @@
 	"go.uber.org/zap"
 )
 
-// patience is how long a test waits for what must come.
-const patience = 10 * time.Second
+// testTimeout is how long a test waits for an event that must occur.
+const testTimeout = 10 * time.Second
 
 var testLimits = limits.From(limits.Inputs{
 	MemoryMB:             64,
@@ -44,21 +44,21 @@
 	t.Helper()
 	select {
 	case value = <-channel:
-	case <-time.After(patience):
-		t.Fatal("nothing came")
+	case <-time.After(testTimeout):
+		t.Fatal("timed out on the channel")
 	}
 	return value
 }
 
-// scriptedServer answers only while it is told to, and counts its connections.
+// scriptedServer answers each fetch as the test tells it to, and reports its connections and the verbs it receives.
 type scriptedServer struct {
 	net.Listener
 	accepted       chan net.Conn
 	verbs          chan string
-	answers        chan bool      // one a fetch, in the order in which they came: whether it is answered
-	fetches        chan chan bool // those that wait for that
+	answers        chan bool      // for each fetch, in order of arrival: whether to answer it
+	fetches        chan chan bool // the fetches that wait for a value of answers
 	closing        chan struct{}  // closed at the end of the test
-	deadlineMillis atomic.Int64   // that the last request named
+	deadlineMillis atomic.Int64   // in the last request
 }
 
 func newScriptedServer(t *testing.T) *scriptedServer {
@@ -84,7 +84,7 @@
 	return server
 }
 
-// dispatchAnswers hands each answer to the fetch that came first, whichever connection it came on.
+// dispatchAnswers passes each value of answers to the fetch that arrived first, on whichever connection.
 func (s *scriptedServer) dispatchAnswers() {
 	for {
 		var fetch chan bool
@@ -94,19 +94,19 @@
 			return
 		}
 		select {
-		case isAnswered := <-s.answers:
-			fetch <- isAnswered
+		case shouldAnswer := <-s.answers:
+			fetch <- shouldAnswer
 		case <-s.closing:
 			return
 		}
 	}
 }
 
-// isAnswered waits for the answer to a fetch that has just come.
-func (s *scriptedServer) isAnswered(fetch chan bool) bool {
+// shouldAnswer waits until the test decides whether a fetch is answered, and returns the decision.
+func (s *scriptedServer) shouldAnswer(fetch chan bool) bool {
 	select {
-	case isAnswered := <-fetch:
-		return isAnswered
+	case shouldAnswer := <-fetch:
+		return shouldAnswer
 	case <-s.closing:
 		return false
 	}
@@ -142,13 +142,13 @@
 			s.fetches <- fetch
 		}
 		s.verbs <- string(command.Args[0])
-		if string(command.Args[0]) == verbFetch && s.isAnswered(fetch) {
+		if string(command.Args[0]) == verbFetch && s.shouldAnswer(fetch) {
 			_, _ = socket.Write([]byte(frame(string(command.Args[1]), statusOK, "-", "bytes")))
 		}
 	}
 }
 
-// testPool is a pool whose results come by a channel.
+// testPool is a pool that sends its results to a channel.
 type testPool struct {
 	*Pool
 	t       *testing.T
@@ -184,12 +184,12 @@
 	return pool
 }
 
-// waitForConnectionCount waits until there are no more than so many connections.
+// waitForConnectionCount waits until there are at most count connections.
 func (p *testPool) waitForConnectionCount(count int) {
 	p.t.Helper()
-	for end := time.Now().Add(patience); p.ConnectionCount() > count; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); p.ConnectionCount() > count; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("%d connections are left, not %d", p.ConnectionCount(), count)
+			p.t.Fatalf("%d connections left, want %d", p.ConnectionCount(), count)
 		}
 	}
 }
@@ -212,10 +212,10 @@
 	select {
 	case result := <-p.results:
 		if result.Attempt != attempt || result.Outcome != outcome {
-			p.t.Fatalf("attempt of %x ended with %d, not of %x with %d",
+			p.t.Fatalf("attempt of request %x ended with outcome %d, want attempt of request %x with outcome %d",
 				result.Attempt.Request.ClientRequestID, result.Outcome, attempt.Request.ClientRequestID, outcome)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("no result")
 	}
 }
@@ -224,72 +224,73 @@
 	p.t.Helper()
 	select {
 	case result := <-p.results:
-		p.t.Fatalf("attempt of %x ended with %d", result.Attempt.Request.ClientRequestID, result.Outcome)
+		p.t.Fatalf("attempt of request %x ended with outcome %d", result.Attempt.Request.ClientRequestID, result.Outcome)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// onlyConnection is the pool's only connection, to endpoint 1.
+// onlyConnection returns the pool's only connection, which is to endpoint 1.
 func (p *testPool) onlyConnection() *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[1].connections[0]
 }
 
-// holdDials has each dial wait until the channel is closed that is returned.
-func (p *testPool) holdDials() chan struct{} {
-	released := make(chan struct{})
+// blockDials makes each dial wait until the test closes the returned channel.
+func (p *testPool) blockDials() chan struct{} {
+	release := make(chan struct{})
 	dial := p.dial
 	p.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
-		<-released
+		<-release
 		return dial(network, address, timeout)
 	}
-	return released
+	return release
 }
 
-// holdFirstDial has the first dial wait until it is told how it ends; later ones go to the address.
-func (p *testPool) holdFirstDial() chan error {
-	ends := make(chan error)
-	var isHeld atomic.Bool
+// blockFirstDial makes the first dial wait until the test sends its result on the returned channel. Later dials are not
+// delayed.
+func (p *testPool) blockFirstDial() chan error {
+	dialResult := make(chan error)
+	var isBlocked atomic.Bool
 	p.dial = func(network, address string, timeout time.Duration) (net.Conn, error) {
-		if isHeld.CompareAndSwap(false, true) {
-			if err := <-ends; err != nil {
+		if isBlocked.CompareAndSwap(false, true) {
+			if err := <-dialResult; err != nil {
 				return nil, err
 			}
 		}
 		return net.DialTimeout(network, address, timeout)
 	}
-	return ends
+	return dialResult
 }
 
-// heldSocket is a connection of which each write is held up: after it took its bytes it says so on taken, and goes on
-// once it is told how the write ends, or is closed.
-type heldSocket struct {
+// blockingSocket is a net.Conn whose writes block. Each write accepts at most acceptBytes bytes, sends them on written,
+// and returns once the test sends the error for it on writeResult or the connection is closed.
+type blockingSocket struct {
 	net.Conn
-	takesBytes  int // of each write
-	taken       chan string
+	acceptBytes int // per write
+	written     chan string
 	writeResult chan error
 	closed      chan struct{}
 	closeOnce   sync.Once
 }
 
-var errScripted = errors.New("the test says so")
+var errScripted = errors.New("scripted error")
 
-// takesAll is more bytes than a test writes.
-const takesAll = 1 << 20
+// acceptAll is more bytes than any test writes.
+const acceptAll = 1 << 20
 
-func newHeldSocket(takesBytes int) *heldSocket {
-	return &heldSocket{
-		takesBytes:  takesBytes,
-		taken:       make(chan string, 100),
+func newBlockingSocket(acceptBytes int) *blockingSocket {
+	return &blockingSocket{
+		acceptBytes: acceptBytes,
+		written:     make(chan string, 100),
 		writeResult: make(chan error),
 		closed:      make(chan struct{}),
 	}
 }
 
-func (s *heldSocket) Write(b []byte) (int, error) {
-	n := min(s.takesBytes, len(b))
-	s.taken <- string(b[:n])
+func (s *blockingSocket) Write(b []byte) (int, error) {
+	n := min(s.acceptBytes, len(b))
+	s.written <- string(b[:n])
 	select {
 	case err := <-s.writeResult:
 		return n, err
@@ -298,31 +299,31 @@
 	}
 }
 
-func (s *heldSocket) Read([]byte) (int, error) {
+func (s *blockingSocket) Read([]byte) (int, error) {
 	<-s.closed
 	return 0, net.ErrClosed
 }
 
-func (s *heldSocket) Close() error {
+func (s *blockingSocket) Close() error {
 	s.closeOnce.Do(func() { close(s.closed) })
 	return nil
 }
 
-func (s *heldSocket) SetWriteDeadline(time.Time) error { return nil }
+func (s *blockingSocket) SetWriteDeadline(time.Time) error { return nil }
 
-// wantNothingTaken fails if anything was written that the test has not received.
-func (s *heldSocket) wantNothingTaken(t *testing.T) {
+// wantNothingWritten fails the test if bytes were written that the test has not received from written.
+func (s *blockingSocket) wantNothingWritten(t *testing.T) {
 	t.Helper()
-	if len(s.taken) > 0 {
-		t.Errorf("%q was written all the same", <-s.taken)
+	if len(s.written) > 0 {
+		t.Errorf("unexpected write: %q", <-s.written)
 	}
 }
 
-// newPoolWithSockets returns a pool whose dials give these connections in turn; endpoint 1 is ready.
-func newPoolWithSockets(t *testing.T, change func(*limits.Limits), sockets ...*heldSocket) *testPool {
+// newPoolWithSockets returns a pool whose dials return the given sockets in turn. Endpoint 1 is ready.
+func newPoolWithSockets(t *testing.T, change func(*limits.Limits), sockets ...*blockingSocket) *testPool {
 	t.Helper()
 	pool := newTestPool(t, func(l *limits.Limits) {
-		l.SlowConnect = time.Hour // nothing goes by another connection
+		l.SlowConnect = time.Hour // no attempt moves to another connection
 		if change != nil {
 			change(l)
 		}
@@ -342,9 +343,9 @@
 	return pool
 }
 
-// oneConnection is a limit of one connection to each endpoint.
+// oneConnection limits the pool to one connection per endpoint.
 func oneConnection(l *limits.Limits) { l.ConnectionsPerEndpoint = 1 }
 
 func containsID(text string, id engine.ClientRequestID) bool {
-	return strings.Contains(text, hexadecimal(uint64(id)))
+	return strings.Contains(text, formatID(uint64(id)))
 }
