--- a/policy/sharedstore/action.go
+++ b/policy/sharedstore/action.go
@@ -6,37 +6,37 @@
 	"fennelarch/policy/routing"
 )
 
-// ActionKind says what the caller is to do. The comments name the fields of Action that are set.
+// ActionKind identifies what the caller must do. The comment of each kind lists the fields of Action that are set.
 type ActionKind uint8
 
-// The actions that a Coordinator asks for.
+// The actions that a Coordinator requests.
 const (
 	// ActionGet asks the store for the operation's copy: Operation.
 	ActionGet ActionKind = iota
 	// ActionAcquireLease tries to acquire the lease on the operation's copy: Operation, TTL.
 	ActionAcquireLease
-	// ActionReleaseLease gives the lease back: Operation.
+	// ActionReleaseLease releases the lease: Operation.
 	ActionReleaseLease
 	// ActionStartFill fetches the copy from the operation's source: Operation, MaxAge.
 	ActionStartFill
 	// ActionAbortFill abandons the fill: Operation.
 	ActionAbortFill
-	// ActionSet stores the copy that the fill brought: Operation, TTL, ValidFrom.
+	// ActionSet stores the copy that the fill returned: Operation, TTL, ValidFrom.
 	ActionSet
 	// ActionComplete answers the operation: Operation, CopyFrom (the operation that has the copy), Outcome, Note,
 	// FirstByteWait.
 	ActionComplete
-	// ActionForget says that no further action names the operation: Operation.
+	// ActionForget announces that no further action names the operation: Operation.
 	ActionForget
-	// ActionSetTimer wants an EventTimer after a delay: Operation or Endpoint, Delay, TimerID.
+	// ActionSetTimer requests an EventTimer after a delay: Operation or Endpoint, Delay, TimerID.
 	ActionSetTimer
-	// ActionAnnounceStart reports when a store was started: Endpoint, Uptime.
+	// ActionAnnounceStart reports that a store started, and how long ago: Endpoint, Uptime.
 	ActionAnnounceStart
 	// ActionLog writes a line to the log: Endpoint, Message.
 	ActionLog
 )
 
-// Action is one output of a Coordinator. Actions are to be carried out in the order given.
+// Action is one output of a Coordinator. The caller must carry out actions in the order given.
 type Action struct {
 	Kind          ActionKind
 	Operation     OperationID
@@ -45,7 +45,7 @@
 	TTL           time.Duration
 	Delay         time.Duration
 	Uptime        time.Duration
-	MaxAge        time.Duration // oldest copy that the source may return, 0: any
+	MaxAge        time.Duration // maximum age of a copy that the source may return, 0: any
 	ValidFrom     Timestamp
 	Outcome       routing.Outcome
 	Note          routing.Note
--- a/policy/sharedstore/coalesce.go
+++ b/policy/sharedstore/coalesce.go
@@ -6,11 +6,11 @@
 	"fennelarch/policy/routing"
 )
 
-// joinSlack is how much sooner an operation's objective may be than that of the one it joins: the usual time of a fill
-// varies by as much.
+// joinSlack is how much later the objective of a leader may be than that of an operation that joins it. The usual time
+// of a fill varies by as much; with more slack, the leader's copy could come too late for the joining operation.
 const joinSlack = 50 * ms
 
-// join has an operation wait for another one of this router that is after the same copy.
+// join has an operation wait for its leader, an operation of this router that requests the same copy.
 func (c *Coordinator) join(op, leader *operation) {
 	c.Counts.Coalesced++
 	op.state = stateJoined
@@ -19,7 +19,7 @@
 	c.setTimer(op, c.maxWait(op))
 }
 
-// leave takes an operation out of its leader's list.
+// leave removes an operation from its leader's list, if it has a leader.
 func (c *Coordinator) leave(op *operation) {
 	if op.leader == nil {
 		return
@@ -33,8 +33,8 @@
 	op.leader, op.nextFollower = nil, nil
 }
 
-// completeFollowers tells those that joined an operation of its end. A failure of its source is one of theirs too where
-// they name the same source.
+// completeFollowers tells the followers of an operation how the operation ended. If its source failed, the followers
+// with the same source fail too.
 func (c *Coordinator) completeFollowers(leader *operation, outcome routing.Outcome, note routing.Note) {
 	if c.leaders[leader.key] == leader {
 		delete(c.leaders, leader.key)
@@ -56,12 +56,13 @@
 	}
 }
 
-// maxWaitBeyondFill bounds a wait past the usual time of a fill. Routing takes an attempt for overdue 150 ms past twice
-// its prediction, hedges it and attributes the delay to its source; a fill begun after the wait must end before that.
+// maxWaitBeyondFill limits how far a wait may exceed the usual time of a fill. Routing considers an attempt overdue
+// 150 ms past twice its predicted time, hedges the attempt and attributes the delay to its source. A fill that begins
+// after the wait must end before then.
 const maxWaitBeyondFill = 100 * ms
 
-// maxWait is how long an operation may wait for somebody else's fill: so long that a fill of its own would still meet
-// the objective, and no longer than maxWaitBeyondFill past the usual time of a fill.
+// maxWait returns how long an operation may wait for another fill: no longer than its own fill would still meet the
+// objective after the wait, and no longer than maxWaitBeyondFill past the usual time of a fill.
 func (c *Coordinator) maxWait(op *operation) time.Duration {
 	untilOwnFill := op.objective - c.now - c.fillTime.upper()
 	untilOverdue := op.startedAt + c.fillTime.typical() + maxWaitBeyondFill - c.now
--- a/policy/sharedstore/completion.go
+++ b/policy/sharedstore/completion.go
@@ -6,22 +6,23 @@
 	"fennelarch/policy/routing"
 )
 
-// refuse answers an operation that can have neither the store nor a fill.
+// refuse fails an operation that can use neither the store nor a fill.
 func (c *Coordinator) refuse(op *operation) {
 	c.Counts.Rejected++
 	switch {
 	case op.store.health.state == healthUnavailable:
 		c.complete(op, 0, routing.ConnectFailed, routing.NoteNone, 0)
 	case op.source == 0:
-		// Not NoteNoFillCapacity: routing would name no source for 100 ms, and the next request would fail the same way.
+		// With NoteNoFillCapacity, routing would name no source for 100 ms, and the next request would fail the same way.
 		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
 	default:
 		c.complete(op, 0, routing.Overloaded, routing.NoteNoFillCapacity, 0)
 	}
 }
 
-// successNote is how a success is reported. One that waited for another router's fill is reported as coalesced: its
-// time says nothing of the store or the source, and must not enter their statistics.
+// successNote returns the note and the wait to report with a success. An operation that waited for another router's
+// fill is reported as coalesced: its duration says nothing about the store or the source and must not enter their
+// statistics.
 func (c *Coordinator) successNote(op *operation, note routing.Note, wait time.Duration) (routing.Note, time.Duration) {
 	if op.waitedForHolder {
 		return routing.NoteCoalesced, c.now - op.startedAt
@@ -29,7 +30,7 @@
 	return note, wait
 }
 
-// cancel ends an operation that nobody waits for any more.
+// cancel ends an operation that no request waits for any longer.
 func (c *Coordinator) cancel(op *operation) {
 	if op.isComplete {
 		return
@@ -56,7 +57,7 @@
 	}
 }
 
-// close releases what a completed operation still has in flight.
+// close aborts the fill of a completed operation, releases its lease and forgets the operation.
 func (c *Coordinator) close(op *operation) {
 	if op.fillState == fillInFlight {
 		c.releaseFill(op.source)
@@ -67,8 +68,8 @@
 	c.forget(op)
 }
 
-// forget drops an operation. The reply to a command that is still in flight counts for the store all the same: its
-// event names the endpoint.
+// forget drops an operation. The reply to a command that is still in flight is recorded for the store nevertheless,
+// because its event names the endpoint.
 func (c *Coordinator) forget(op *operation) {
 	c.leave(op)
 	if c.leaders[op.key] == op {
--- a/policy/sharedstore/concurrencylimit.go
+++ b/policy/sharedstore/concurrencylimit.go
@@ -6,31 +6,37 @@
 )
 
 const (
-	// initialCommandLimit holds before any answer: a round of requests at most; it grows with each good answer.
+	// initialCommandLimit limits the commands in flight to a store that has not answered yet. It applies for one round
+	// trip at most, because each good reply raises the limit. With a higher value, the first burst could overload the
+	// store.
 	initialCommandLimit = 16
-	minLimit            = 1
-	// latencyDecrease is the factor for an answer that took twice the usual time, errorDecrease for an error or a lost
-	// connection.
+	// minLimit is the lowest limit. With 0, no reply could ever raise the limit again.
+	minLimit = 1
+	// latencyDecrease is the factor that reduces the limit after a reply that took twice the usual time, errorDecrease the
+	// factor after an error or a lost connection. Higher factors relieve an overloaded store too slowly, lower ones leave
+	// a healthy store idle after a single fault.
 	latencyDecrease, errorDecrease = 0.9, 0.7
 )
 
-// concurrencyLimit is an adaptive limit on what is in flight at once: additive increase, multiplicative decrease.
+// concurrencyLimit is an adaptive limit on the commands or fills in flight, with additive increase and multiplicative
+// decrease.
 type concurrencyLimit struct {
 	limit     float64
 	max       float64
 	inFlight  int
-	reducedAt time.Duration // when it was last reduced, 0: never
+	reducedAt time.Duration // when the limit was last reduced, 0: never
 }
 
 func (l *concurrencyLimit) hasRoom() bool { return float64(l.inFlight) < math.Max(minLimit, l.limit) }
 
-// isHalfFree leaves half of the limit to what clients wait for.
+// isHalfFree reports whether less than half of the limit is in use. Commands that no client waits for require this, so
+// that they leave the other half to those that clients wait for.
 func (l *concurrencyLimit) isHalfFree() bool {
 	return float64(l.inFlight) < math.Max(minLimit, l.limit/2)
 }
 
-// increase raises the limit: by one until it was first reduced, so that it doubles each round trip of a full load; by
-// one a round trip after that.
+// increase raises the limit after a good reply. Until the first reduction, each reply adds one, which doubles the limit
+// per round trip under full load. After that, the limit grows by one per round trip.
 func (l *concurrencyLimit) increase() {
 	step := 1.0
 	if l.reducedAt > 0 {
@@ -39,7 +45,8 @@
 	l.limit = math.Min(l.max, l.limit+step)
 }
 
-// decrease reduces the limit by a factor, at most once a round trip: what was in flight together counts as one.
+// decrease multiplies the limit by a factor, at most once per round trip: failures of commands that were in flight
+// together count as one.
 func (l *concurrencyLimit) decrease(factor float64, now, roundTrip time.Duration) {
 	if now-l.reducedAt >= roundTrip {
 		l.limit, l.reducedAt = math.Max(minLimit, l.limit*factor), now
--- a/policy/sharedstore/concurrencylimit_test.go
+++ b/policy/sharedstore/concurrencylimit_test.go
@@ -11,7 +11,7 @@
 		limit.increase()
 	}
 	if limit.limit != 18 {
-		t.Errorf("limit %v after three good answers, want the maximum of 18", limit.limit)
+		t.Errorf("limit %v after three good replies, want the maximum of 18", limit.limit)
 	}
 	limit.decrease(errorDecrease, time.Second, 10*ms)
 	reduced := limit.limit
@@ -24,7 +24,7 @@
 	}
 	limit.increase()
 	if grown := limit.limit - reduced; grown <= 0 || grown >= 1 {
-		t.Errorf("a good answer after a reduction adds %v, want less than 1", grown)
+		t.Errorf("a good reply after a reduction adds %v, want more than 0 and less than 1", grown)
 	}
 }
 
@@ -38,13 +38,13 @@
 	}
 	limit.inFlight = 1
 	if limit.hasRoom() {
-		t.Error("there is room beyond the limit")
+		t.Error("there is room for a command beyond the limit")
 	}
 }
 
 func TestConcurrencyLimitLeavesHalfToRequests(t *testing.T) {
 	limit := concurrencyLimit{limit: 10, max: 10, inFlight: 5}
 	if limit.isHalfFree() || !limit.hasRoom() {
-		t.Error("five of ten in flight must leave room for requests alone")
+		t.Error("with five of ten commands in flight, there must be room for requests but not for sets")
 	}
 }
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -1,10 +1,10 @@
-// Package sharedstore decides how a shared store is used as a cache of a location: when it is asked, written or
-// bypassed, how many commands may be in flight, how much a store that just started may be asked, which router fills a
-// miss, and which copies are proved to be newer than every purge. It is free of I/O, clocks and goroutines:
-// Coordinator.Handle takes events with their time and returns the actions to carry out.
+// Package sharedstore decides how a location uses a shared store as a cache: when the store is asked, written or
+// bypassed, how many commands may be in flight, how many a store may receive just after its start, which router fills
+// a miss, and which copies are proved to be newer than every purge. The package performs no I/O, reads no clock and
+// starts no goroutine: Coordinator.Handle takes events with their time and returns the actions to carry out.
 //
-// An operation is a small state machine; see operation.go for its states and transitions. A store has a health state;
-// see health.go.
+// Each request to a store is an operation, a state machine whose states and transitions are in operation.go. Each
+// store has a health state, see health.go.
 package sharedstore
 
 import (
@@ -15,19 +15,20 @@
 
 const ms = time.Millisecond
 
-// goneEndpointTTL is how long an endpoint that is gone is remembered: longer than any operation that may name it.
+// goneEndpointTTL is how long an endpoint that is gone is remembered. With a time shorter than an operation that names
+// the endpoint, a fill could still be sent there.
 const goneEndpointTTL = time.Minute
 
-// Coordinator holds all decisions on the shared stores of one router. It is not safe for concurrent use.
+// Coordinator makes one router's decisions about its shared stores. It is not safe for concurrent use.
 type Coordinator struct {
 	settings        Settings
 	now             time.Duration
 	actions         []Action
 	operations      map[OperationID]*operation
-	freeOperations  []*operation           // for reuse
-	leaders         map[copyKey]*operation // the operation that later ones for the same copy join
-	sharedFrom      OperationID            // the operation whose copy is being shared
-	stores          []*storeStatus         // in the order of New
+	freeOperations  []*operation           // forgotten operations for reuse
+	leaders         map[copyKey]*operation // the operation that later operations for the same copy join
+	sharedFrom      OperationID            // the leader whose copy is being shared
+	stores          []*storeStatus         // in the order passed to New
 	storeByID       map[routing.EndpointID]*storeStatus
 	endpoints       map[routing.EndpointID]listedEndpoint
 	fillLimits      map[routing.EndpointID]*concurrencyLimit // by source
@@ -35,19 +36,19 @@
 	log             invalidationLog
 	random          randomSource
 	lastTimerID     uint64
-	slowStartMargin float64 // defaultSlowStartMargin; only tests change it
+	slowStartMargin float64 // defaultSlowStartMargin, except in tests
 
-	// Counts is what was decided so far.
+	// Counts holds the numbers of decisions made so far.
 	Counts Counts
 }
 
-// listedEndpoint is what the endpoint list says of an endpoint.
+// listedEndpoint is an endpoint's state in the endpoint list.
 type listedEndpoint struct {
 	state routing.EndpointState
 	since time.Duration
 }
 
-// New returns a Coordinator for the stores named, of which nothing is known yet.
+// New returns a Coordinator for the given stores. Each store is unavailable until it is reported as connected.
 func New(settings Settings, seed uint64, stores ...routing.EndpointID) *Coordinator {
 	settings.Routers = max(1, settings.Routers)
 	coordinator := &Coordinator{
@@ -69,7 +70,7 @@
 	return coordinator
 }
 
-// Handle takes one event and appends the actions that follow from it.
+// Handle processes an event that happened at now and appends the resulting actions to actions.
 func (c *Coordinator) Handle(now time.Duration, event *Event, actions []Action) []Action {
 	c.now, c.actions = max(now, c.now), actions
 	switch event.Kind {
@@ -98,10 +99,10 @@
 	return actions
 }
 
-// InFlight is the number of operations and sets that are not finished.
+// InFlight returns the number of operations that are not finished, including those that only wait for a set.
 func (c *Coordinator) InFlight() int { return len(c.operations) }
 
-// handleRequest starts an operation.
+// handleRequest starts an operation or has it join another one for the same copy.
 func (c *Coordinator) handleRequest(event *Event) {
 	store := c.storeByID[event.Endpoint]
 	if store == nil {
@@ -133,7 +134,7 @@
 	c.apply(op, transition{stateGetting, effectStart})
 }
 
-// handleCommandDone takes the end of a command: first for the store, then for the operation, which may be gone by now.
+// handleCommandDone reports the end of a command first to the store, then to the operation, which may be gone by now.
 func (c *Coordinator) handleCommandDone(event *Event) {
 	if store := c.storeByID[event.Endpoint]; store != nil {
 		c.recordReply(store, event)
@@ -169,7 +170,7 @@
 
 func (c *Coordinator) handleHit(op *operation, event *Event) {
 	if !op.handlesInput(inputHit) {
-		return // the operation was answered meanwhile
+		return // the operation has already been answered
 	}
 	if !op.accepts(event.GeneratedAt) || c.isInFuture(event.GeneratedAt, event.ValidFrom) ||
 		!c.log.proves(op.key.object, op.group, event.GeneratedAt, event.ValidFrom) {
@@ -182,7 +183,7 @@
 	c.input(op, inputHit)
 }
 
-// handleTimer takes a timer of an operation or, without one, of a store.
+// handleTimer handles the timer of an operation or, if the event names no operation, of a store.
 func (c *Coordinator) handleTimer(event *Event) {
 	if event.Operation == 0 {
 		if store := c.storeByID[event.Endpoint]; store != nil && store.timerID == event.TimerID {
@@ -206,21 +207,21 @@
 		c.endpoints[event.Endpoint] = listedEndpoint{event.State, c.now}
 	}
 	c.dropFillLimit(event.Endpoint)
-	for id, listed := range c.endpoints { // endpoints come and go for months
+	for id, listed := range c.endpoints { // without the cleanup, the map would grow for months
 		if listed.state == routing.Gone && c.now-listed.since > goneEndpointTTL {
 			delete(c.endpoints, id)
 		}
 	}
 }
 
-// input takes the transition that follows an input, if there is one.
+// input applies the transition that follows an input, if there is one.
 func (c *Coordinator) input(op *operation, input operationInput) {
 	if op.handlesInput(input) {
 		c.apply(op, operationTransitions[op.state][input])
 	}
 }
 
-// apply carries a transition out. The functions it calls may move the operation on to another state.
+// apply carries out a transition. The functions that it calls may move the operation on to another state.
 func (c *Coordinator) apply(op *operation, step transition) {
 	op.state, op.timerID = step.next, 0
 	switch step.effect {
@@ -259,7 +260,7 @@
 	}
 }
 
-// start asks the store, or bypasses it with a fill.
+// start sends a get to the store, or bypasses the store with a fill.
 func (c *Coordinator) start(op *operation) {
 	c.leave(op)
 	if c.leaders[op.key] == nil {
@@ -270,7 +271,7 @@
 		return
 	}
 	if op.source == 0 {
-		// Without a source there is no bypass: fail at once, so that the request may go elsewhere.
+		// Without a source, no fill can bypass the store. Failing at once lets the request go elsewhere.
 		c.refuse(op)
 		return
 	}
@@ -297,7 +298,7 @@
 	}
 }
 
-// hedge starts a fill beside a late get; without one the get goes on alone.
+// hedge starts a fill in parallel with a late get. If no fill can start, the operation waits for the get alone.
 func (c *Coordinator) hedge(op *operation) {
 	isPastDeadline := c.now > op.startedAt && op.deadline <= c.now
 	if op.source == 0 || isPastDeadline || !c.startFill(op) {
@@ -317,17 +318,18 @@
 
 func (c *Coordinator) emit(action Action) { c.actions = append(c.actions, action) }
 
-// setTimer sets the operation's timer; an earlier one counts no more.
+// setTimer sets the operation's timer, which replaces any earlier one.
 func (c *Coordinator) setTimer(op *operation, delay time.Duration) {
 	c.lastTimerID++
 	op.timerID = c.lastTimerID
 	c.emit(Action{Kind: ActionSetTimer, Operation: op.id, Delay: delay, TimerID: op.timerID})
 }
 
-// wallClock is the current wall-clock time.
+// wallClock returns the current wall-clock time.
 func (c *Coordinator) wallClock() Timestamp { return c.settings.Epoch + Timestamp(c.now/ms) }
 
-// isInFuture says whether a copy's times lie ahead: a clock has been set back since, and they prove nothing.
+// isInFuture reports whether a copy's times are ahead of the wall clock. In that case a clock has been set back since,
+// and the times prove nothing.
 func (c *Coordinator) isInFuture(generatedAt, validFrom Timestamp) bool {
 	return max(generatedAt, validFrom) > c.wallClock()+maxClockSkew
 }
--- a/policy/sharedstore/coordinator_test.go
+++ b/policy/sharedstore/coordinator_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// simulate plays a history of so many steps to its end.
+// simulate runs a simulation of the given number of steps to its end.
 func simulate(draw func(int) int, steps int, alter func(*Coordinator)) *simulation {
 	sim := newSimulation(draw, alter)
 	for i := 0; i < steps && sim.err == nil; i++ {
@@ -29,9 +29,9 @@
 	return func(n int) int { return random.IntN(n) }
 }
 
-// Whatever comes in whatever order: one end for each operation, nothing left open, no command to a store that is
-// draining, no fill from a source past its grace, no copy from before a purge, and no health state that is a dead
-// end.
+// Events in any order break no rule: each operation ends exactly once, nothing stays in flight, no command goes to a
+// draining store, no fill to a source past its grace, no copy from before a purge is served, and no health state is a
+// dead end.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		steps := rapid.IntRange(10, 400).Draw(t, "steps")
@@ -42,7 +42,7 @@
 	})
 }
 
-// A lease that another router holds for ever costs nobody the objective, as long as a fill fits before it.
+// A lease whose holder crashed makes no request miss its objective, as long as a fill fits before the objective.
 func TestLeaseHolderDies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(seededDraw(1), nil)
@@ -61,12 +61,12 @@
 			sim.advance(ms / 2)
 		}
 		if request.completions == 0 || sim.now > request.objective {
-			t.Fatalf("%d completions, by %v of %v", request.completions, sim.now-request.startedAt, objective)
+			t.Fatalf("%d completions after %v, want one within %v", request.completions, sim.now-request.startedAt, objective)
 		}
 	})
 }
 
-// replyWithLeaseHeld answers all that is in flight, with the lease in other hands and fills that take so long.
+// replyWithLeaseHeld answers everything in flight. Another router holds the lease, and each fill takes fillTime.
 func replyWithLeaseHeld(sim *simulation, request *simulatedRequest, fillTime time.Duration) {
 	for i := 0; i < len(sim.pending); i++ {
 		pending := sim.pending[i]
@@ -80,7 +80,7 @@
 	}
 }
 
-// firstFault plays seeds until one shows a fault.
+// firstFault simulates one seed after the other until one shows a fault.
 func firstFault(seeds int, alter func(*Coordinator)) error {
 	for seed := range uint64(seeds) {
 		if sim := simulate(seededDraw(seed), 300, alter); sim.err != nil {
@@ -90,24 +90,24 @@
 	return errors.Join(checkSlowStartBudget(alter), checkSlowStore(alter))
 }
 
-// The checks can fail: with a fault planted in the health states or the budget, one of them does.
-// TestTracesCoverTransitions sees the states of operations.
+// The checks of the simulation detect faults: with a fault in the health transitions or the budget, one of them fails.
+// TestTracesCoverTransitions covers the transitions of operations.
 func TestSimulationFindsPlantedFaults(t *testing.T) {
 	if err := firstFault(60, nil); err != nil {
 		t.Fatal(err)
 	}
 	unlimitedBudget := func(c *Coordinator) { c.slowStartMargin = 100 }
 	if firstFault(60, unlimitedBudget) == nil {
-		t.Error("a slow start without a budget is not found")
+		t.Error("no check detects a slow start without a budget")
 	}
 	for name, plant := range map[string]func(){
-		"unavailable without an end": func() {
+		"unavailable is a dead end": func() {
 			healthTransitions[healthUnavailable] = [healthSignals]healthState{}
 		},
-		"slow without an end": func() {
+		"slow is a dead end": func() {
 			healthTransitions[healthSlow][signalBackoffOver] = healthSlow
 		},
-		"probing without an end": func() {
+		"probing is a dead end": func() {
 			healthTransitions[healthProbing][signalInTime] = healthProbing
 		},
 	} {
@@ -116,7 +116,7 @@
 			defer func() { healthTransitions = original }()
 			plant()
 			if firstFault(60, nil) == nil {
-				t.Error("not found")
+				t.Error("no check detects the fault")
 			}
 		})
 	}
--- a/policy/sharedstore/example_test.go
+++ b/policy/sharedstore/example_test.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// A miss is filled by whoever has the lease; a second request of this router joins it, and one of another router's
-// waits.
+// A miss is filled by the router that holds the lease. A second request of the same router joins the first one, and a
+// request whose lease another router holds waits for that router's fill.
 func ExampleCoordinator() {
 	coordinator := New(testSettings(), 1, storeS)
 	now := time.Second
-	handle := func(what string, event Event) {
+	handle := func(title string, event Event) {
 		event.Endpoint = storeS
-		fmt.Println(what)
+		fmt.Println(title)
 		printActions(coordinator.Handle(now, &event, nil))
 	}
 	handle("connected", Event{Kind: EventConnected, RunID: 1, Uptime: time.Hour})
@@ -50,22 +50,22 @@
 	}
 	handle("a request", request)
 	request.Operation = 2
-	handle("another for the same object", request)
+	handle("another request for the same object", request)
 	now += ms / 2
 	handle("the store has no copy", Event{Kind: EventGetDone, Operation: 1, Reply: ReplyMiss, Elapsed: ms / 2})
 	now += ms / 2
-	handle("the lease is ours", Event{Kind: EventLeaseDone, Operation: 1, Reply: ReplyOK, Elapsed: ms / 2})
+	handle("the router acquires the lease", Event{Kind: EventLeaseDone, Operation: 1, Reply: ReplyOK, Elapsed: ms / 2})
 	now += 40 * ms
-	handle("the source returns it", Event{
+	handle("the source returns the object", Event{
 		Kind: EventFillDone, Operation: 1, Outcome: routing.Succeeded, Note: routing.NoteHit, GeneratedAt: epoch + 500,
 		BodyBytes: 10, Elapsed: 40 * ms,
 	})
 	now += ms
-	handle("it is stored", Event{Kind: EventSetDone, Operation: 1, Reply: ReplyOK, Elapsed: ms})
+	handle("the copy is stored", Event{Kind: EventSetDone, Operation: 1, Reply: ReplyOK, Elapsed: ms})
 	request.Operation, request.Object = 3, 8
 	handle("a request for another object", request)
 	handle("the store has no copy", Event{Kind: EventGetDone, Operation: 3, Reply: ReplyMiss, Elapsed: ms / 2})
-	handle("another router has the lease", Event{
+	handle("another router holds the lease", Event{
 		Kind: EventLeaseDone, Operation: 3, Reply: ReplyLeaseHeld, Elapsed: ms / 2,
 	})
 	// Output:
@@ -74,20 +74,20 @@
 	// a request
 	//   get 1
 	//   timer 1 in 25ms
-	// another for the same object
+	// another request for the same object
 	//   timer 2 in 150ms
 	// the store has no copy
 	//   acquire lease 1 150ms
 	//   timer 1 in 2ms
-	// the lease is ours
+	// the router acquires the lease
 	//   fill 1
-	// the source returns it
+	// the source returns the object
 	//   complete 1 outcome 1 note 2 from 1
 	//   complete 2 outcome 1 note 4 from 1
 	//   forget 2
 	//   set 1 9m59.459s
 	//   release lease 1
-	// it is stored
+	// the copy is stored
 	//   forget 1
 	// a request for another object
 	//   get 3
@@ -95,11 +95,11 @@
 	// the store has no copy
 	//   acquire lease 3 120ms
 	//   timer 3 in 2ms
-	// another router has the lease
+	// another router holds the lease
 	//   timer 3 in 80ms
 }
 
-// A store that falls silent is bypassed after a few requests, and probed after a backoff.
+// A store that stops answering is bypassed after a few requests, and probed after a backoff.
 func ExampleCoordinator_slow() {
 	coordinator := New(testSettings(), 1, storeS)
 	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}, nil)
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	// initialFillLimit is what a source is taken to bear before any answer: as much as one busy router without a store has
-	// in flight there at its start.
+	// initialFillLimit limits the fills in flight to a source that has not answered yet. It equals what one busy router
+	// without a store has in flight there at its start; a lower limit would reject requests that the source can handle.
 	initialFillLimit = 64
-	// maxFillLimit is far over that, and still what a source can be sent in bad times.
+	// maxFillLimit is the highest limit on fills in flight to a source: far above the initial limit, yet no more than a
+	// source can handle in bad times.
 	maxFillLimit = 256
-	// drainGraceDivisor gives the part of the drain grace in which a source that was draining already may still be asked.
+	// drainGraceDivisor divides the drain grace to give the time in which a source that was already draining may still be
+	// sent a fill. With a lower divisor, a fill could reach a source that is about to stop.
 	drainGraceDivisor = 10
 )
 
-// fill starts a fill, or answers that there can be none.
+// fill starts a fill, or fails the operation if no fill can start.
 func (c *Coordinator) fill(op *operation) {
 	switch {
 	case op.fillState == fillFailed:
@@ -29,7 +31,8 @@
 	}
 }
 
-// startFill asks the source, where that is still allowed and its limit has room. It says whether a fill is in flight.
+// startFill sends a fill to the source if that is still allowed and the source's limit has room. It reports whether a
+// fill is in flight.
 func (c *Coordinator) startFill(op *operation) bool {
 	if op.fillState == fillInFlight {
 		return true
@@ -48,7 +51,8 @@
 	return true
 }
 
-// fillMaxAge is the age of the oldest copy that the source may return: one from after the latest purge.
+// fillMaxAge returns the maximum age of the copy that the source may return, 0 for any age. The copy must be from after
+// the latest purge.
 func (c *Coordinator) fillMaxAge(op *operation) time.Duration {
 	oldest := max(op.minGeneratedAt, c.log.latest(op.key.object, op.group)+1)
 	if oldest <= 1 {
@@ -57,8 +61,9 @@
 	return max(ms, time.Duration(c.wallClock()-oldest)*ms)
 }
 
-// canAskSource says whether the source may still be sent a fill. One that began to drain after the operation started is
-// not asked; one that was draining already was named within its grace, which holds for what starts at once.
+// canAskSource reports whether the source may still be sent a fill. A source that began to drain after the operation
+// started may not. A source that was already draining was named within its drain grace, which covers only a fill that
+// starts at once.
 func (c *Coordinator) canAskSource(op *operation) bool {
 	listed, known := c.endpoints[op.source]
 	if !known || listed.state == routing.Ready {
@@ -77,7 +82,7 @@
 	}
 	op.generatedAt, op.bodyBytes = event.GeneratedAt, event.BodyBytes
 	if event.GeneratedAt > 0 && !c.log.isNewer(op.key.object, op.group, event.GeneratedAt) {
-		// The source had the copy from before a purge: it must not be served, and the request finds another way.
+		// The source's copy is from before a purge and must not be served. After a miss the request goes elsewhere.
 		c.Counts.Stale++
 		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, event.FirstByteWait)
 		return
@@ -85,7 +90,7 @@
 	c.input(op, inputFilled)
 }
 
-// recordFill learns from the end of a fill what the source bears and how long fills take.
+// recordFill adjusts the source's limit and the usual fill time to the result of a fill.
 func (c *Coordinator) recordFill(source routing.EndpointID, event *Event) {
 	limit := c.releaseFill(source)
 	switch event.Outcome {
@@ -100,7 +105,7 @@
 	}
 }
 
-// fillLimit is the limit on fills from one source.
+// fillLimit returns the limit on fills from one source.
 func (c *Coordinator) fillLimit(source routing.EndpointID) *concurrencyLimit {
 	limit := c.fillLimits[source]
 	if limit == nil {
@@ -110,7 +115,7 @@
 	return limit
 }
 
-// completeFill answers with what the fill brought, and stores it where that is worthwhile.
+// completeFill answers with the copy that the fill returned, and stores the copy if possible.
 func (c *Coordinator) completeFill(op *operation) {
 	note := routing.NoteFilled
 	if op.fill.note == routing.NoteFilled || op.fill.note == routing.NoteViaOrigin {
@@ -128,7 +133,7 @@
 	c.countCommand(op.store)
 	c.emit(Action{Kind: ActionSet, Operation: op.id, TTL: ttl, ValidFrom: c.validFrom(op)})
 	if op.hasLease && c.now-op.fillStartedAt < c.leaseTTL()/2 {
-		c.releaseLease(op) // it is surely still ours
+		c.releaseLease(op) // the lease cannot have expired yet
 	}
 }
 
@@ -138,8 +143,9 @@
 		!store.refusesWrites && store.health.isUsable() && store.limit.isHalfFree() && c.canSend(store, setCommands)
 }
 
-// validFrom is the time before which no purge can have been missed on a copy's way here: its generation or, for an old
-// copy of a source that had dropped by then what was purged, the time at which the source was asked.
+// validFrom returns the time up to which the operation's copy reflects every purge: the time of the copy's generation
+// or, if later, PurgeCompleteAfter before the fill started. Copies purged by then had been dropped by the source when
+// the fill reached it.
 func (c *Coordinator) validFrom(op *operation) Timestamp {
 	if c.settings.PurgeCompleteAfter <= 0 {
 		return op.generatedAt
@@ -147,8 +153,8 @@
 	return max(op.generatedAt, c.settings.Epoch+Timestamp((op.fillStartedAt-c.settings.PurgeCompleteAfter)/ms))
 }
 
-// copyTTL is how long a copy may stay in the store: its class's time from its generation on, and from its validity on
-// no longer than invalidations are remembered.
+// copyTTL returns how long a copy may stay in the store: no longer than its class allows after its generation, and no
+// longer after validFrom than invalidations are remembered.
 func (c *Coordinator) copyTTL(op *operation) time.Duration {
 	ttl := c.settings.MaxTTL - time.Duration(max(0, c.wallClock()-c.validFrom(op)))*ms
 	if op.ttl > 0 {
@@ -157,7 +163,7 @@
 	return ttl
 }
 
-// fillFailureNotes says how a source's answer is reported by a cache that tried to fill from it.
+// fillFailureNotes gives the note with which a cache reports each outcome of a failed fill.
 var fillFailureNotes = map[routing.Outcome]routing.Note{
 	routing.CacheMiss:        routing.NoteSourceMiss,
 	routing.Overloaded:       routing.NoteSourceRefused,
@@ -169,19 +175,19 @@
 	routing.Cancelled:        routing.NoteSourceUnreachable,
 }
 
-// failFill answers with what the source said.
+// failFill answers with the source's failure.
 func (c *Coordinator) failFill(op *operation) {
 	note := fillFailureNotes[op.fill.outcome]
 	switch op.fill.note {
 	case routing.NoteSourceRefused, routing.NoteSourceUnreachable, routing.NoteOriginFailed:
-		note = routing.NoteOriginFailed // the source is a parent and speaks of the origin behind it
+		note = routing.NoteOriginFailed // the source is a parent and reports a failure of the origin behind it
 	default:
 	}
 	c.releaseLease(op)
 	c.complete(op, 0, routing.CacheMiss, note, op.fill.firstByteWait)
 }
 
-// releaseFill takes a fill off its source's limit, which is dropped with the last fill of a source that has gone.
+// releaseFill removes a fill from its source's limit, which is dropped with the last fill of a source that is gone.
 func (c *Coordinator) releaseFill(source routing.EndpointID) *concurrencyLimit {
 	limit := c.fillLimit(source)
 	limit.inFlight--
@@ -189,7 +195,7 @@
 	return limit
 }
 
-// dropFillLimit forgets what a source that has gone bears, once none of its fills is in flight.
+// dropFillLimit drops the limit of a source that is gone, once none of its fills is in flight.
 func (c *Coordinator) dropFillLimit(source routing.EndpointID) {
 	limit, hasLimit := c.fillLimits[source]
 	listed, isListed := c.endpoints[source]
--- a/policy/sharedstore/fill_test.go
+++ b/policy/sharedstore/fill_test.go
@@ -7,7 +7,7 @@
 	"fennelarch/policy/routing"
 )
 
-// A fill that outlives the listing of its source is counted to its end, also where the source has come back meanwhile.
+// A fill in flight counts until it ends, even if its source leaves the endpoint list, or leaves and returns.
 func TestFillsOfDepartedSource(t *testing.T) {
 	ready := Event{Kind: EventEndpointState, Endpoint: parentP, State: routing.Ready}
 	gone := Event{Kind: EventEndpointState, Endpoint: parentP, State: routing.Gone}
@@ -17,17 +17,17 @@
 		wantFills  int
 		wantLimits int
 	}{
-		{"a fill", []Event{fillRequestEvent(1), getFailedEvent(1)}, 1, 1},
+		{"a fill is in flight", []Event{fillRequestEvent(1), getFailedEvent(1)}, 1, 1},
 		{"its source has gone", []Event{fillRequestEvent(1), getFailedEvent(1), gone}, 1, 1},
-		{"cancelled after that", []Event{fillRequestEvent(1), getFailedEvent(1), gone, cancelEvent(1)}, 0, 0},
-		{"filled after that", []Event{fillRequestEvent(1), getFailedEvent(1), gone, filledEvent(1)}, 0, 0},
+		{"cancelled after its source has gone", []Event{fillRequestEvent(1), getFailedEvent(1), gone, cancelEvent(1)}, 0, 0},
+		{"filled after its source has gone", []Event{fillRequestEvent(1), getFailedEvent(1), gone, filledEvent(1)}, 0, 0},
 		{
-			"the source is back",
+			"a second fill after its source has returned",
 			[]Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2)},
 			2, 1,
 		},
 		{
-			"the first ends then",
+			"the first of two such fills ends",
 			[]Event{fillRequestEvent(1), getFailedEvent(1), gone, ready, fillRequestEvent(2), getFailedEvent(2), cancelEvent(1)},
 			1, 1,
 		},
--- a/policy/sharedstore/health.go
+++ b/policy/sharedstore/health.go
@@ -3,25 +3,26 @@
 import "time"
 
 const (
-	// lateGetsUntilSlow is how many late gets in a row make a store slow: a single one may be a pause of the machine, and
-	// six cost a few requests some milliseconds each.
+	// lateGetsUntilSlow is the number of consecutive late gets that make a store slow. A single late get may come from a
+	// pause of the machine, while six cost a few requests some milliseconds each.
 	lateGetsUntilSlow = 6
-	// minLatePeriod is how long they must go on: under load one pause makes many gets late at the same moment.
+	// minLatePeriod is the shortest time over which these gets must be late. Under load, a single pause makes many gets
+	// late at the same moment, and with a shorter period it would make a healthy store slow.
 	minLatePeriod = 50 * ms
-	// minBackoff and maxBackoff bound the time before a probe: short enough that a store that recovered is missed by few
-	// requests, doubled up to what probing a silent one may cost.
+	// minBackoff and maxBackoff bound the time before a probe. The minimum is short enough that few requests bypass a
+	// store that has recovered; the time doubles up to the maximum, which limits the cost of probing a silent store.
 	minBackoff, maxBackoff = 250 * ms, 4 * time.Second
 )
 
-// healthState says how a store may be used.
+// healthState determines how a store may be used.
 type healthState uint8
 
 const (
-	healthUnavailable healthState = iota // no connection, or it refuses: bypassed
-	healthProbing                        // one get at a time shows whether it has recovered
-	healthSlow                           // it answers too late: bypassed, with probes
-	healthWarmingUp                      // just started: asked within its slow-start budget
-	healthReady
+	healthUnavailable healthState = iota // no connection, or the store refuses commands: bypassed
+	healthProbing                        // one get at a time tests whether the store has recovered
+	healthSlow                           // the store answers too late: bypassed except for probes
+	healthWarmingUp                      // the store has just started: asked within its slow-start budget
+	healthReady                          // asked within its concurrency limit alone
 	healthStates
 )
 
@@ -29,22 +30,22 @@
 	return [healthStates]string{"unavailable", "probing", "slow", "warming up", "ready"}[s]
 }
 
-// healthSignal is what changes a store's health.
+// healthSignal is an observation that can change a store's health.
 type healthSignal uint8
 
 const (
-	signalConnected    healthSignal = iota // a connection to a store that has been running for long
-	signalStarted                          // a connection to a store that has just started
-	signalDisconnected                     // no connection, or it refuses everything
-	signalLate                             // several gets in a row were late
+	signalConnected    healthSignal = iota // a connection to a store that has been running for some time
+	signalStarted                          // a connection to a store that has just started, or the loss of a store's data
+	signalDisconnected                     // no connection, or the store refuses all commands
+	signalLate                             // several consecutive gets were late, or a probe was
 	signalInTime                           // a get was answered in time
-	signalWarm                             // its slow start is over
+	signalWarm                             // the store's slow start is over
 	signalBackoffOver                      // the time before a probe is over
 	healthSignals
 )
 
-// healthTransitions says which state follows a signal. Each state has a way out: unavailable and slow by their backoff,
-// probing by a get, warming up by time.
+// healthTransitions maps each state and signal to the next state. No state is a dead end: unavailable and slow end with
+// their backoff, probing ends with a get, and warming up ends after a fixed time.
 var healthTransitions = [healthStates][healthSignals]healthState{
 	healthUnavailable: {
 		signalConnected:    healthReady,
@@ -93,17 +94,17 @@
 	},
 }
 
-// health follows whether a store can be used. The zero value is unavailable.
+// health tracks whether a store can be used. The zero value is unavailable.
 type health struct {
 	state       healthState
-	backoff     time.Duration // the last time before a probe
+	backoff     time.Duration // the latest wait before a probe
 	probe       OperationID   // the operation whose get is the probe, 0: none
-	lateGets    int           // in a row
-	firstLateAt time.Duration // when the first of them was late
+	lateGets    int           // consecutive
+	firstLateAt time.Duration // when the first of these gets was late
 }
 
-// handle moves to the state that follows a signal. It says whether the state changed, and how long to wait before the
-// next probe where that wait begins now.
+// handle moves to the state that follows a signal. It reports whether the state changed and, if a wait before the next
+// probe begins now, how long the wait is.
 func (h *health) handle(signal healthSignal) (changed bool, probeIn time.Duration) {
 	previous := h.state
 	h.state = healthTransitions[previous][signal]
@@ -125,8 +126,8 @@
 	return changed, probeIn
 }
 
-// nextBackoff starts at the minimum after a failure of a store that was in use, and doubles after a failed probe.
-// Between unavailable and slow the backoff that runs goes on.
+// nextBackoff returns the wait before the next probe: the minimum after a failure of a store that was in use, twice the
+// latest wait after a failed probe, and 0 for a change between unavailable and slow, where the current wait continues.
 func (h *health) nextBackoff(previous healthState) time.Duration {
 	switch previous {
 	case healthReady, healthWarmingUp:
@@ -139,7 +140,8 @@
 	return h.backoff
 }
 
-// admit says whether an operation may ask the store. While probing only one may, and only one that could be filled.
+// admit reports whether an operation may ask the store. A store in probing admits one operation at a time, and only an
+// operation that has a source for a fill.
 func (h *health) admit(op *operation) bool {
 	switch h.state {
 	case healthReady, healthWarmingUp:
@@ -154,10 +156,10 @@
 	return false
 }
 
-// isUsable says whether the store is used without probing.
+// isUsable reports whether the store is used without probing.
 func (h *health) isUsable() bool { return h.state == healthWarmingUp || h.state == healthReady }
 
-// recordLate counts a get that is late, and says whether the store is slow by that.
+// recordLate counts a late get, and reports whether this get makes the store slow.
 func (h *health) recordLate(now time.Duration, id OperationID) (isSlow bool) {
 	h.lateGets++
 	if h.lateGets == 1 {
--- a/policy/sharedstore/health_test.go
+++ b/policy/sharedstore/health_test.go
@@ -13,9 +13,9 @@
 	want    healthState
 	probeIn time.Duration // after the last signal
 }{
-	{"a warm store is ready at once", health{}, []healthSignal{signalConnected}, healthReady, 0},
+	{"a warm store is ready immediately", health{}, []healthSignal{signalConnected}, healthReady, 0},
 	{"a new store warms up", health{}, []healthSignal{signalStarted}, healthWarmingUp, 0},
-	{"a store is warm in the end", health{}, []healthSignal{signalStarted, signalWarm}, healthReady, 0},
+	{"a store is ready after its slow start", health{}, []healthSignal{signalStarted, signalWarm}, healthReady, 0},
 	{
 		"a failure of a ready store starts the backoff",
 		health{state: healthReady},
@@ -41,7 +41,7 @@
 		healthSlow, maxBackoff,
 	},
 	{
-		"a backoff that runs goes on",
+		"a running backoff continues",
 		health{state: healthSlow, backoff: minBackoff},
 		[]healthSignal{signalDisconnected},
 		healthUnavailable, 0,
@@ -62,7 +62,7 @@
 				_, probeIn = store.handle(signal)
 			}
 			if store.state != test.want || probeIn != test.probeIn {
-				t.Errorf("%v, probe in %v, want %v, %v", store.state, probeIn, test.want, test.probeIn)
+				t.Errorf("state %v, probe in %v, want %v, probe in %v", store.state, probeIn, test.want, test.probeIn)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 func TestProbingAdmitsOneGet(t *testing.T) {
 	store := health{state: healthProbing}
 	if store.admit(&operation{id: 1}) {
-		t.Error("an operation without a source is a probe")
+		t.Error("an operation without a source is admitted as the probe")
 	}
 	if !store.admit(&operation{id: 2, source: parentP}) {
 		t.Error("no probe is admitted")
@@ -85,11 +85,11 @@
 	store := health{state: healthReady}
 	for i := range 2 * lateGetsUntilSlow {
 		if store.recordLate(time.Second, OperationID(i+1)) {
-			t.Fatal("late gets of one moment make a store slow")
+			t.Fatal("late gets at a single moment make a store slow")
 		}
 	}
 	if !store.recordLate(time.Second+minLatePeriod, 100) {
-		t.Error("late gets over a while do not make a store slow")
+		t.Error("late gets over minLatePeriod do not make a store slow")
 	}
 }
 
@@ -99,13 +99,13 @@
 	}
 }
 
-// checkSlowStore: a store that is silent for a while is bypassed soon, and used again when it has recovered.
+// checkSlowStore verifies that a store that stops answering soon becomes slow, and is used again after it recovers.
 func checkSlowStore(alter func(*Coordinator)) error {
 	sim := newSimulation(seededDraw(2), alter)
 	sim.isCalm = true
 	for i := 0; sim.store().health.state != healthSlow; i++ {
 		if i > 3*lateGetsUntilSlow {
-			return fmt.Errorf("after %d gets without an answer it is %s", i, sim.store().health.state)
+			return fmt.Errorf("after %d gets without a reply the store is %s, want slow", i, sim.store().health.state)
 		}
 		sim.request(parentP, 400*ms, 0)
 		sim.advance(30 * ms)
--- a/policy/sharedstore/invalidationlog.go
+++ b/policy/sharedstore/invalidationlog.go
@@ -8,29 +8,31 @@
 )
 
 const (
-	// maxInvalidations bounds the log: a purge a second for over an hour. What falls out shortens its range.
+	// maxInvalidations limits the entries of the log to a purge a second for over an hour. Each entry that is dropped
+	// shortens the log's range, so with a lower limit fewer stored copies are proved.
 	maxInvalidations = 4096
-	// maxClockSkew is how far the clocks of routers, origin and purger may be apart.
+	// maxClockSkew is the largest difference in milliseconds between the clocks of routers, origin and purger. With a
+	// larger difference, a copy could be served whose purge this router has missed.
 	maxClockSkew Timestamp = 500
 )
 
-// Invalidation is one purge: of an object, or of a group where the object is 0.
+// Invalidation is one purge, of an object or, if Object is 0, of a group.
 type Invalidation struct {
 	Object   routing.ObjectID
 	Group    routing.GroupID
 	IssuedAt Timestamp
 }
 
-// invalidationLog is what this router knows of purges: all that were issued in a range of time.
+// invalidationLog holds the purges that this router knows: all those that were issued in a range of time.
 type invalidationLog struct {
-	completeFrom Timestamp // every purge issued from here on
-	completeTo   Timestamp // to here is known
+	completeFrom Timestamp // start of the range in which every purge is known
+	completeTo   Timestamp // end of that range
 	maxTTL       time.Duration
-	byObject     map[routing.ObjectID]Timestamp // the latest of each
+	byObject     map[routing.ObjectID]Timestamp // the time of the latest purge of each
 	byGroup      map[routing.GroupID]Timestamp
-	entries      []Invalidation // in the order in which they were recorded
-	dropped      int            // entries that have fallen out: the position of an entry is its index plus this
-	maxGap       Timestamp      // ranges that lie so far apart are taken for contiguous; only tests change it
+	entries      []Invalidation // in the order of recording
+	dropped      int            // number of entries dropped; the position of an entry is its index plus dropped
+	maxGap       Timestamp      // ranges at most this far apart count as contiguous; 0 except in tests
 }
 
 func newInvalidationLog(start Timestamp, maxTTL time.Duration) invalidationLog {
@@ -43,37 +45,37 @@
 	}
 }
 
-// latest is the latest purge of an object or its group.
+// latest returns the time of the latest purge of an object or its group.
 func (l *invalidationLog) latest(object routing.ObjectID, group routing.GroupID) Timestamp {
 	return max(l.byObject[object], l.byGroup[group])
 }
 
-// isNewer says whether a copy is newer than every purge that is known.
+// isNewer reports whether a copy is newer than every known purge of it.
 func (l *invalidationLog) isNewer(object routing.ObjectID, group routing.GroupID, generatedAt Timestamp) bool {
 	return generatedAt > l.latest(object, group)
 }
 
-// proves says whether a copy is newer than every purge that there was: this router must know all purges since the time
-// before which none can have been missed by the copy.
+// proves reports whether a copy is certainly newer than every purge of it. For this, the router must know all purges
+// that the copy might not reflect.
 func (l *invalidationLog) proves(
 	object routing.ObjectID, group routing.GroupID, generatedAt, validFrom Timestamp,
 ) bool {
 	return max(generatedAt, validFrom) >= l.completeFrom+maxClockSkew && l.isNewer(object, group, generatedAt)
 }
 
-// adjoins says whether the range joins one that ends at a time without a gap.
+// adjoins reports whether there is no gap between a range that ends at the given time and the log's range.
 func (l *invalidationLog) adjoins(end Timestamp) bool { return l.completeFrom <= end+l.maxGap }
 
-// end is the position after the last entry.
+// end returns the position after the last entry.
 func (l *invalidationLog) end() int { return l.dropped + len(l.entries) }
 
-// since returns the entries from a position on, and the position of the first of them.
+// since returns the entries from a position on, and the position of the first entry returned.
 func (l *invalidationLog) since(position int) (entries []Invalidation, first int) {
 	first = max(position, l.dropped)
 	return l.entries[first-l.dropped:], first
 }
 
-// add records a purge, and says whether it is news.
+// add records a purge, and reports whether the purge is new to this router.
 func (l *invalidationLog) add(entry Invalidation) bool {
 	if entry.Object != 0 {
 		if l.byObject[entry.Object] >= entry.IssuedAt {
@@ -96,7 +98,7 @@
 	return true
 }
 
-// drop forgets the first entries.
+// drop removes the first count entries.
 func (l *invalidationLog) drop(count int) {
 	for _, entry := range l.entries[:count] {
 		switch {
@@ -110,7 +112,7 @@
 	l.dropped += count
 }
 
-// expire forgets purges that are older than any copy can be. They no longer matter, so the range stays.
+// expire drops purges that are older than any copy can be. They no longer matter, so the range stays the same.
 func (l *invalidationLog) expire(now Timestamp) {
 	count := 0
 	for count < len(l.entries) && l.entries[count].IssuedAt < l.horizon(now) {
@@ -121,12 +123,12 @@
 	}
 }
 
-// horizon is the time before which no copy that is still in a store can have been generated.
+// horizon returns the time before which no copy that is still in a store can have been generated.
 func (l *invalidationLog) horizon(now Timestamp) Timestamp {
 	return now - Timestamp(l.maxTTL/ms) - 2*maxClockSkew - Timestamp(takeoverDelay/ms)
 }
 
-// restart begins a new range: what lies before is unknown from now on.
+// restart begins a new range at the given time. Purges from before count as unknown from now on.
 func (l *invalidationLog) restart(at Timestamp) {
 	l.completeFrom = at
 	l.completeTo = max(l.completeTo, at)
--- a/policy/sharedstore/latency.go
+++ b/policy/sharedstore/latency.go
@@ -6,9 +6,11 @@
 )
 
 const (
-	// minSampleWeight is the weight of one sample: twenty of them are a second or less of any load that matters.
+	// minSampleWeight is the lowest weight of a new sample, so that the average follows the last twenty or so samples.
+	// Under any load that matters these span a second or less; with a lower weight the average would lag behind.
 	minSampleWeight = 0.05
-	// unknownLatency is assumed before the first sample: a fill across two hops with its bytes.
+	// unknownLatency is the latency assumed before the first sample: a fill across two hops, including the body. With a
+	// lower one, the first gets would appear late.
 	unknownLatency = 50 * ms
 )
 
@@ -38,7 +40,7 @@
 	return time.Duration(l.mean * float64(time.Second))
 }
 
-// upper is longer than nineteen of twenty.
+// upper returns a latency that nineteen of twenty samples do not exceed.
 func (l *latencyEstimate) upper() time.Duration {
 	if l.samples == 0 {
 		return 2 * unknownLatency
--- a/policy/sharedstore/lease.go
+++ b/policy/sharedstore/lease.go
@@ -7,13 +7,16 @@
 )
 
 const (
-	// minLeaseTTL covers a round trip to a distant store, maxLeaseTTL the longest that a request is worth waiting for.
+	// minLeaseTTL and maxLeaseTTL bound the time after which a lease expires. The minimum covers a round trip to a distant
+	// store, so that no lease expires before its holder knows of the lease. The maximum is the longest wait that is
+	// worthwhile for a request; with a higher one, the lease of a crashed holder would delay requests for nothing.
 	minLeaseTTL, maxLeaseTTL = 50 * ms, 3 * time.Second
-	minHolderWait            = 2 * ms
+	// minHolderWait is the shortest wait for the lease holder's fill. Shorter waits would flood the store with gets.
+	minHolderWait = 2 * ms
 )
 
-// acquireLease asks for the right to fill. It is not worthwhile where the source serves only what it has cached, where
-// another router's fill would come too late, or where nothing can be stored.
+// acquireLease asks the store for the right to fill. A lease is not worthwhile if the source serves only what it has
+// cached, if another router's fill would come too late, or if nothing can be stored.
 func (c *Coordinator) acquireLease(op *operation) {
 	switch {
 	case op.fillState == fillFailed:
@@ -36,8 +39,9 @@
 		!op.store.refusesWrites && c.canSend(op.store, leaseCommands)
 }
 
-// leaseTTL is half as long again as a fill that is slower than nearly all: a slow holder mostly keeps the lease, and
-// those that wait for a dead one find it free before they have to fill themselves.
+// leaseTTL returns one and a half times the duration of a fill that is slower than nearly all. A slow holder then
+// usually keeps the lease, and operations that wait for a crashed holder find the lease free before they must fill
+// without one.
 func (c *Coordinator) leaseTTL() time.Duration {
 	return min(max(3*c.fillTime.upper()/2, minLeaseTTL), maxLeaseTTL)
 }
@@ -49,7 +53,7 @@
 		if op.state == stateAcquiringLease {
 			c.input(op, inputLeaseAcquired)
 		} else if op.fillState != fillInFlight {
-			c.releaseLease(op) // it came too late to be of use
+			c.releaseLease(op) // the lease came too late to be of use
 		}
 	case ReplyLeaseHeld:
 		c.input(op, inputLeaseHeld)
@@ -58,8 +62,8 @@
 	}
 }
 
-// waitForHolder gives the holder of the lease the time in which nearly all fills are done, then a quarter of a usual
-// one again and again, as long as a fill of the operation's own would be in time after it.
+// waitForHolder waits for the lease holder's fill: first for the time in which nearly all fills end, then repeatedly
+// for a quarter of the usual fill time, as long as the operation's own fill would still be in time after the wait.
 func (c *Coordinator) waitForHolder(op *operation) {
 	wait := c.fillTime.upper()
 	if op.waitedForHolder {
@@ -76,7 +80,8 @@
 	c.setTimer(op, wait)
 }
 
-// releaseLease gives the lease back. A store that is draining is not asked any more: the lease expires.
+// releaseLease releases the operation's lease. A store that is draining receives no more commands, so there the lease
+// expires.
 func (c *Coordinator) releaseLease(op *operation) {
 	if op.hasLease && c.isListedReady(op.store) {
 		c.emit(Action{Kind: ActionReleaseLease, Operation: op.id})
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -2,18 +2,18 @@
 
 // Synchronization of the invalidation log with the stores.
 //
-// Each router knows every purge that was issued in a range of time. Each store keeps such a log too, in one value:
-// its entries and the ends of its range, from which to which every purge is in it. The ends only ever grow, and so
-// does the time of an entry, so routers write without agreement and in any order. A router may move the end of the
-// store's range to that of its own if the two ranges adjoin; if they do not, a purge that nobody knows may lie
-// between, and the start of the store's range moves up to that of the router's. A copy is served if the time from
-// which it is valid lies in a range that reaches to now without a gap, and it was generated after every purge of it
-// therein.
+// Each router knows every purge that was issued in a range of time. Each store keeps such a log too, as one value that
+// holds the entries and the range in which the log is complete. Both ends of the range and the time of an entry only
+// ever grow, so routers can write without coordination and in any order. A router may move the end of the store's range
+// to the end of its own if the two ranges adjoin. If they do not, a purge that nobody knows may lie between them, and
+// the start of the store's range moves up to the start of the router's range. A copy is served if the time from which
+// the copy is valid lies in a range that reaches to now without a gap, and the copy was generated after every purge of
+// it in that range.
 //
-// A store that comes back empty, with an old snapshot, or without the value (it may drop any value, but only as a
-// whole) shows a range that ends early or none; whichever router knows more writes it again. A router that starts
-// late takes over what the store knows as soon as another has moved the end of the store's range past that router's
-// start.
+// A store that comes back empty, with an old snapshot, or without the value (a store may drop any value, but only as a
+// whole) shows a range that ends early, or no range. Any router that knows more writes the missing part again. A router
+// that starts late takes over what the store knows as soon as another router has moved the end of the store's range
+// past the start of that router.
 
 import (
 	"time"
@@ -22,65 +22,67 @@
 )
 
 const (
-	// LogSyncInterval is how often the log of a store is read and moved on; a purge moves it at once. It is well under
-	// takeoverDelay.
+	// LogSyncInterval is the time between two synchronizations with the log of a store; a purge is written at once. The
+	// interval must be well under takeoverDelay, so that older routers extend the store's range before a new one gives up.
 	LogSyncInterval = time.Second
-	// takeoverDelay is how long a router that has just connected leaves it to older ones to extend the store's range to
-	// now, before it gives up what was stored earlier: they write at least once each LogSyncInterval.
+	// takeoverDelay is how long a router that has just connected waits for older routers to extend the store's range to
+	// now, which they do at least once each LogSyncInterval. After the delay, the new router moves up the start of the
+	// range, and copies stored earlier are no longer proved; a shorter delay would give up copies without need.
 	takeoverDelay = 5 * time.Second
-	// maxInvalidationsPerUpdate is how many entries go into one command: some 30 KB.
+	// maxInvalidationsPerUpdate limits the entries in one command, to some 30 KB. A longer command would delay others.
 	maxInvalidationsPerUpdate = 1000
-	// logSyncCommands is what a synchronization takes from a slow-start budget: a read and a write.
+	// logSyncCommands is the number of commands that a synchronization takes from a slow-start budget: a read and a write.
 	logSyncCommands = 2
 )
 
-// LogRange is what the log of a store says of itself: every purge issued between the two times is in it. A log without
-// an end does not exist.
+// LogRange is the range of time of a store's log: every purge issued between the two times is in the log. If CompleteTo
+// is 0, the store has no log.
 type LogRange struct{ CompleteFrom, CompleteTo Timestamp }
 
-// LogUpdate is what a router writes into the log of a store in one command. The zero value writes nothing.
+// LogUpdate is what a router writes to the log of a store in one command. The zero value writes nothing.
 type LogUpdate struct {
-	IsDataLost    bool // the store lost its data: EventDataLost is to be handled before the update is carried out
-	NeedsAll      bool // read all entries of the store first, instead of writing
+	IsDataLost    bool // the store lost its data: handle EventDataLost before carrying out the update
+	NeedsAll      bool // read all entries of the store's log instead of writing
 	Invalidations []Invalidation
 	CompleteFrom  Timestamp // 0: unchanged
 	CompleteTo    Timestamp // 0: unchanged
 	WrittenUpTo   int       // position in this router's log, for LogUpdateWritten
-	TrimBefore    Timestamp // older entries may be removed from the store, 0: none now
+	TrimBefore    Timestamp // entries from before this time may be removed from the store, 0: none
 }
 
-// logSync is how far this router and the log of one store know of each other on one connection.
+// logSync is the state of the synchronization with the log of one store on one connection.
 type logSync struct {
-	connectedAt  time.Duration
-	wasRead      bool // the store's range was read on this connection
-	exists       bool // the store has a log
+	connectedAt  time.Duration // when the store's range was first read on this connection
+	wasRead      bool          // the store's range was read on this connection
+	exists       bool          // the store has a log
 	completeFrom Timestamp
 	completeTo   Timestamp
-	writtenUpTo  int  // position in this router's log up to which the store has all
-	isReadingAll bool // all entries of the store are being read
-	isTooLarge   bool // they are more than can be read or kept
+	writtenUpTo  int  // position in this router's log up to which the store has all entries
+	isReadingAll bool // all entries of the store's log are being read
+	isTooLarge   bool // the store's log has more entries than can be read or kept
 }
 
-// RecordInvalidation records a purge, and says whether the stores are to be told of it now.
+// RecordInvalidation records a purge, and reports whether the stores must be told of the purge now.
 func (c *Coordinator) RecordInvalidation(now time.Duration, entry Invalidation) bool {
 	c.now = max(now, c.now)
 	c.log.expire(c.wallClock())
 	return c.log.add(entry)
 }
 
-// DiscoveryCurrent says that every purge issued before a time has been recorded.
+// DiscoveryCurrent notes that every purge issued before asOf has been recorded.
 func (c *Coordinator) DiscoveryCurrent(asOf Timestamp) {
 	c.log.completeTo = max(c.log.completeTo, asOf)
 }
 
-// DiscoveryGap says that purges may have been issued until now of which this router will never hear.
+// DiscoveryGap notes that this router may never receive some of the purges issued until now.
 func (c *Coordinator) DiscoveryGap(now time.Duration) {
 	c.now = max(now, c.now)
 	c.log.restart(c.wallClock())
 }
 
-// ClockStepped says that the wall clock was set by so much. Times from before and after cannot be compared: nothing
-// that was stored until now is proved any more, until the clock has passed both readings.
+// ClockStepped notes that the wall clock was changed by the given duration. Times from before and after the change
+// cannot be compared: no copy stored until now is proved any more, and later copies are proved only once the clock has
+// passed both readings.
 func (c *Coordinator) ClockStepped(now, by time.Duration) {
 	c.now = max(now, c.now)
 	before := c.wallClock()
@@ -88,8 +90,8 @@
 	c.log.restart(max(before, c.wallClock()))
 }
 
-// PlanLogUpdate takes the range of a store's log, as read on this connection, and says what to write. The entries are
-// valid until the next call.
+// PlanLogUpdate takes the range of a store's log, as read on the current connection, and returns what to write. The
+// returned entries are valid until the next call.
 func (c *Coordinator) PlanLogUpdate(now time.Duration, id routing.EndpointID, stored LogRange) LogUpdate {
 	c.now = max(now, c.now)
 	store := c.storeByID[id]
@@ -112,8 +114,8 @@
 	return update
 }
 
-// recordLogRange compares what the store's log says with what was written there. Whatever went missing is written
-// again. It reports whether the log is lost, and the store's data with it.
+// recordLogRange compares the range of the store's log with what was written there, and has all entries written again
+// if some went missing. It reports whether the log is lost, and the store's data with it.
 func (c *Coordinator) recordLogRange(store *storeStatus, stored LogRange) (isLost bool) {
 	sync := &store.logSync
 	exists := stored.CompleteTo > 0
@@ -131,13 +133,14 @@
 	return isLost
 }
 
-// canTakeOver says whether the store knows of purges from before this router's range, and its range reaches into it.
+// canTakeOver reports whether the store knows of purges from before this router's range, and the store's range reaches
+// into this router's range.
 func (c *Coordinator) canTakeOver(sync *logSync) bool {
 	knowsMore := c.log.completeFrom > max(sync.completeFrom, c.log.horizon(c.wallClock()))
 	return sync.exists && !sync.isTooLarge && knowsMore && sync.completeTo >= c.log.completeFrom+maxClockSkew
 }
 
-// logUpdate is what the store's log lacks.
+// logUpdate returns what the store's log lacks.
 func (c *Coordinator) logUpdate(sync *logSync) LogUpdate {
 	entries, first := c.log.since(sync.writtenUpTo)
 	sync.writtenUpTo = first
@@ -148,7 +151,7 @@
 	}
 	isPartial := len(entries) > maxInvalidationsPerUpdate
 	if isPartial {
-		// The range must not include what has not been written: its ends go with the last entries.
+		// The range must not cover entries that are not written yet: its ends are written with the last entries.
 		update.Invalidations = entries[:maxInvalidationsPerUpdate]
 		update.CompleteTo = 0
 		update.WrittenUpTo = first + maxInvalidationsPerUpdate
@@ -162,7 +165,7 @@
 	return update
 }
 
-// LogUpdateWritten says that an update is in the store, and whether there is more to write at once.
+// LogUpdateWritten notes that an update is in the store, and reports whether there is more to write at once.
 func (c *Coordinator) LogUpdateWritten(id routing.EndpointID, update LogUpdate) (more bool) {
 	store := c.storeByID[id]
 	if store == nil {
@@ -175,9 +178,9 @@
 	return update.CompleteTo == 0 && len(update.Invalidations) > 0
 }
 
-// MergeInvalidations takes all entries of a store's log, read after its range on the same connection: from now on this
-// router knows what the store knew. Where they are more than can be kept, what was stored before this router's start
-// stays unproved here.
+// MergeInvalidations adds all entries of a store's log, read after the log's range on the same connection, so that this
+// router knows what the store knows. If there are too many entries to keep, copies stored before this router's start
+// remain unproved here.
 func (c *Coordinator) MergeInvalidations(now time.Duration, id routing.EndpointID, entries []Invalidation) {
 	c.now = max(now, c.now)
 	store := c.storeByID[id]
@@ -197,8 +200,8 @@
 	c.log.completeFrom = min(c.log.completeFrom, oldest)
 }
 
-// AbandonMerge says that the entries of a store's log could not be read to the end. It is not tried again on this
-// connection.
+// AbandonMerge notes that the entries of a store's log could not be read completely. The read is not tried again on
+// this connection.
 func (c *Coordinator) AbandonMerge(id routing.EndpointID) {
 	store := c.storeByID[id]
 	if store != nil && store.logSync.isReadingAll {
--- a/policy/sharedstore/logsync_model_test.go
+++ b/policy/sharedstore/logsync_model_test.go
@@ -10,22 +10,22 @@
 
 const modelObject routing.ObjectID = 7
 
-// modelStore is what a store has: its log as commands leave it, and a copy.
+// modelStore is the content of a store: its log and one copy.
 type modelStore struct {
-	completeFrom, completeTo Timestamp // of the log; completeTo 0: there is none
-	purgedAt                 Timestamp // the last purge of the object in the log
-	generatedAt, validFrom   Timestamp // of the copy; 0: there is none
+	completeFrom, completeTo Timestamp // range of the log; completeTo 0: no log
+	purgedAt                 Timestamp // the latest purge of the object in the log
+	generatedAt, validFrom   Timestamp // of the copy; 0: no copy
 }
 
-// logModel is a model of the synchronization: two routers, one store, one object and its purges, explored in every
-// order of events to a depth. The routers are Coordinators.
+// logModel models the synchronization of two routers with one store, for one object and its purges. The routers are
+// Coordinators. An explorer tries every sequence of moves up to a given length.
 type logModel struct {
 	now      time.Duration
-	purgedAt Timestamp // when the object was really purged last
+	purgedAt Timestamp // when the object was last purged
 	store    modelStore
 	snapshot modelStore
 	routers  [2]*Coordinator
-	read     [2]*LogRange // read on the connection that is up, nothing written yet
+	read     [2]*LogRange // read on the current connection, and not followed by a write yet; nil: none
 	maxGap   Timestamp    // see invalidationLog
 }
 
@@ -37,7 +37,7 @@
 	return model
 }
 
-// start starts a router: it knows nothing of before.
+// start starts a router, which knows nothing of earlier purges.
 func (m *logModel) start(router int) {
 	coordinator := newLogCoordinator()
 	coordinator.log.completeFrom, coordinator.log.completeTo = m.wallClock(), m.wallClock()
@@ -63,7 +63,8 @@
 	return true
 }
 
-// writeLog carries out what a router plans on what it read; the store may have changed since, but not the connection.
+// writeLog writes the update that a router plans from the range it read. The store may have changed since, the
+// connection has not.
 func (m *logModel) writeLog(router int) bool {
 	coordinator, stored := m.routers[router], m.read[router]
 	if stored == nil {
@@ -89,14 +90,14 @@
 	return true
 }
 
-// modelMove is something that may happen; do says whether it applies.
+// modelMove is an event of the model. The function do reports whether the event applies.
 type modelMove struct {
 	name string
 	do   func(m *logModel) bool
 }
 
 var modelMoves = []modelMove{
-	{"store A's fill", func(m *logModel) bool {
+	{"a copy is stored", func(m *logModel) bool {
 		m.store.generatedAt, m.store.validFrom = m.wallClock(), m.wallClock()
 		return true
 	}},
@@ -107,7 +108,7 @@
 		}
 		return true
 	}},
-	{"all die, a purge, all are back", func(m *logModel) bool {
+	{"both routers stop, a purge, both start", func(m *logModel) bool {
 		m.purgedAt = m.wallClock()
 		m.now += ms
 		m.start(0)
@@ -120,48 +121,48 @@
 	{"A writes", func(m *logModel) bool { return m.writeLog(0) }},
 	{"B reads", func(m *logModel) bool { return m.readLog(1) }},
 	{"B writes", func(m *logModel) bool { return m.writeLog(1) }},
-	{"A dies and is back", func(m *logModel) bool { m.start(0); return true }},
-	{"B dies and is back", func(m *logModel) bool { m.start(1); return true }},
-	{"snapshot", func(m *logModel) bool {
+	{"A restarts", func(m *logModel) bool { m.start(0); return true }},
+	{"B restarts", func(m *logModel) bool { m.start(1); return true }},
+	{"the store takes a snapshot", func(m *logModel) bool {
 		m.snapshot = m.store
 		return m.store != modelStore{}
 	}},
-	{"restart with it", func(m *logModel) bool {
+	{"the store restarts from the snapshot", func(m *logModel) bool {
 		m.store = m.snapshot
 		m.connect(0)
 		m.connect(1)
 		return true
 	}},
-	{"log evicted", func(m *logModel) bool {
+	{"the store evicts its log", func(m *logModel) bool {
 		existed := m.store.completeTo > 0
 		m.store.completeFrom, m.store.completeTo, m.store.purgedAt = 0, 0, 0
 		return existed
 	}},
 }
 
-// check is what must be true: no router would serve the copy if it is older than the purge.
+// check verifies that no router would serve the copy if the copy is older than the purge.
 func (m *logModel) check() error {
 	if m.store.generatedAt == 0 || m.store.generatedAt > m.purgedAt {
 		return nil
 	}
 	for i, router := range m.routers {
 		if router.log.proves(modelObject, 0, m.store.generatedAt, m.store.validFrom) {
-			return fmt.Errorf("router %c would serve a copy of %d, purged %d",
+			return fmt.Errorf("router %c would serve a copy generated at %d, purged at %d",
 				'A'+i, m.store.generatedAt-epoch, m.purgedAt-epoch)
 		}
 	}
 	return nil
 }
 
-// explorer plays every order of moves to a depth.
+// explorer runs every sequence of moves up to a length.
 type explorer struct {
-	step   time.Duration // between moves
+	step   time.Duration // time between moves
 	maxGap Timestamp
 	path   []int
 	orders int
 }
 
-// explore returns the first order that breaks the rule.
+// explore extends the path by up to depth moves, and returns the first violation that check finds.
 func (e *explorer) explore(depth int) error {
 	for i := range modelMoves {
 		e.path = append(e.path, i)
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// replay plays the path from the start, and says whether all its moves apply.
+// replay runs the path from the start, and reports whether all its moves apply.
 func (e *explorer) replay() (applies bool, err error) {
 	model := newLogModel(e.maxGap)
 	for _, i := range e.path {
@@ -201,13 +202,13 @@
 	return names
 }
 
-// Every order of five events, at steps shorter and longer than the takeover delay.
+// Every sequence of five moves, at steps shorter and longer than the takeover delay.
 func TestLogModel(t *testing.T) {
 	for _, step := range []time.Duration{700 * ms, takeoverDelay + time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
 			explorer := explorer{step: step}
 			err := explorer.explore(5)
-			t.Logf("%d orders", explorer.orders)
+			t.Logf("%d sequences", explorer.orders)
 			if err != nil {
 				t.Errorf("%v: %v", explorer.moves(), err)
 			}
@@ -215,12 +216,12 @@
 	}
 }
 
-// The model can fail: a router that joins a range with a gap serves an old copy.
+// The model detects a fault: a router that extends a range across a gap serves an old copy.
 func TestLogModelFindsPlantedFault(t *testing.T) {
 	explorer := explorer{step: takeoverDelay + time.Second, maxGap: contiguousAlways}
 	err := explorer.explore(5)
 	if err == nil {
-		t.Fatal("a router that joins a range with a gap is not found")
+		t.Fatal("the model does not detect a router that extends a range across a gap")
 	}
 	t.Log(explorer.moves(), err)
 }
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// contiguousAlways is a planted fault: a router that joins any range of a store to its own.
+// contiguousAlways is a value of maxGap that plants a fault: any two ranges count as contiguous.
 const contiguousAlways Timestamp = 1 << 60
 
 func newLogCoordinator() *Coordinator {
@@ -16,7 +16,8 @@
 	return New(settings, 1, storeS)
 }
 
-// A router that starts late takes over what the store's log proves, once an older one has moved its end past its start.
+// A router that starts late takes over the store's log once an older router has moved the end of the log's range past
+// the start of the younger router.
 func ExampleCoordinator_PlanLogUpdate() {
 	older, younger := newLogCoordinator(), newLogCoordinator()
 	younger.log.completeFrom, younger.log.completeTo = epoch+60_000, epoch+60_000
@@ -26,29 +27,28 @@
 	}
 	older.RecordInvalidation(30*time.Second, Invalidation{Object: 7, IssuedAt: epoch + 30_000})
 	older.DiscoveryCurrent(epoch + 50_000)
-	show("older, the store has nothing", older.PlanLogUpdate(50*time.Second, storeS, LogRange{}))
+	show("older, the store has no log", older.PlanLogUpdate(50*time.Second, storeS, LogRange{}))
 	stored := LogRange{epoch, epoch + 50_000}
 	show("younger, too early", younger.PlanLogUpdate(61*time.Second, storeS, stored))
 	older.DiscoveryCurrent(epoch + 62_000)
-	show("older moves it on", older.PlanLogUpdate(62*time.Second, storeS, stored))
+	show("older extends the range", older.PlanLogUpdate(62*time.Second, storeS, stored))
 	stored.CompleteTo = epoch + 62_000
 	show("younger", younger.PlanLogUpdate(63*time.Second, storeS, stored))
-	fmt.Println("copies from before its start are proved:", younger.log.proves(8, 0, epoch+40_000, 0))
+	fmt.Println("before the merge, a copy from before the start is proved:", younger.log.proves(8, 0, epoch+40_000, 0))
 	younger.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
-	fmt.Println("then:", younger.log.proves(8, 0, epoch+40_000, 0),
-		"but not one from before a purge:", younger.log.proves(7, 0, epoch+20_000, 0))
+	fmt.Println("after the merge:", younger.log.proves(8, 0, epoch+40_000, 0),
+		"a copy from before a purge:", younger.log.proves(7, 0, epoch+20_000, 0))
 	// Output:
-	// older, the store has nothing: needs all false, entries 1, from 0, to 50000
+	// older, the store has no log: needs all false, entries 1, from 0, to 50000
 	// younger, too early: needs all false, entries 0, from 0, to 0
-	// older moves it on: needs all false, entries 1, from 0, to 62000
+	// older extends the range: needs all false, entries 1, from 0, to 62000
 	// younger: needs all true, entries 0, from 0, to 0
-	// copies from before its start are proved: false
-	// then: true but not one from before a purge: false
+	// before the merge, a copy from before the start is proved: false
+	// after the merge: true a copy from before a purge: false
 }
 
-// The wall clock is set back or forward by an hour: no copy that was stored before is proved any more, whichever
-// purge came after; what is stored later is, once the clock has passed both readings; and no end is written that lies
-// in the future.
+// After the wall clock is set back or forward by an hour, no copy stored before is proved, whichever purge follows. A
+// copy stored later is proved once the clock has passed both readings. No range is written that ends in the future.
 func TestClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -61,11 +61,11 @@
 			coordinator.now = now
 			coordinator.DiscoveryCurrent(epoch + Timestamp(now/ms))
 			if !isProved(coordinator, old, old) {
-				t.Fatal("a copy is not proved without any step")
+				t.Fatal("a copy is not proved before the clock steps")
 			}
 			coordinator.ClockStepped(now, step)
 			if coordinator.wallClock() != epoch+Timestamp((now+step)/ms) {
-				t.Errorf("the time is %d", coordinator.wallClock()-epoch)
+				t.Errorf("the wall clock is %d ms past the epoch", coordinator.wallClock()-epoch)
 			}
 			purge := Invalidation{Object: modelObject, IssuedAt: coordinator.wallClock()}
 			coordinator.RecordInvalidation(now, purge)
@@ -76,24 +76,24 @@
 			}
 			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, storeS, LogRange{})
 			if update.CompleteTo > coordinator.wallClock()+maxClockSkew {
-				t.Errorf("an end is written that lies %d ms ahead", update.CompleteTo-coordinator.wallClock())
+				t.Errorf("the written range ends %d ms in the future", update.CompleteTo-coordinator.wallClock())
 			}
 			coordinator.now = now + time.Hour + time.Minute
 			if generatedAt := coordinator.wallClock(); !isProved(coordinator, generatedAt, generatedAt) {
-				t.Error("a copy from after it is never proved")
+				t.Error("a copy from after the step is not proved")
 			}
 		})
 	}
 }
 
-// A store whose log is gone has lost its data and warms up anew; one whose log has an end, however early, has not.
+// A store whose log is gone has lost its data and warms up again. A store whose log has an end, however early, has not.
 func TestLossOfLog(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		completeTo Timestamp
 		wantHealth healthState
 	}{
-		{"moved on", epoch + 1, healthReady},
+		{"extended", epoch + 1, healthReady},
 		{"rolled back", epoch - 1, healthReady},
 		{"an end before the Unix epoch", -1, healthReady},
 		{"gone", 0, healthWarmingUp},
@@ -106,7 +106,7 @@
 			coordinator.PlanLogUpdate(time.Second, storeS, LogRange{CompleteTo: epoch})
 			update := coordinator.PlanLogUpdate(2*time.Second, storeS, LogRange{CompleteTo: test.completeTo})
 			if update.IsDataLost != (test.wantHealth == healthWarmingUp) {
-				t.Errorf("data lost: %v", update.IsDataLost)
+				t.Errorf("update.IsDataLost is %v", update.IsDataLost)
 			}
 			if update.IsDataLost {
 				lost := Event{Kind: EventDataLost, Endpoint: storeS}
@@ -119,14 +119,14 @@
 	}
 }
 
-// isProved says whether a copy of the model's object would be served.
+// isProved reports whether a copy of the model's object would be served.
 func isProved(coordinator *Coordinator, generatedAt, validFrom Timestamp) bool {
 	return coordinator.log.proves(modelObject, 0, generatedAt, validFrom) &&
 		!coordinator.isInFuture(generatedAt, validFrom)
 }
 
-// checkSlowStartIsAnnounced checks for the timer at the end of the slow start of a store that lost its data, a line of
-// the log, and the announced start of a store whose capacity is not known.
+// checkSlowStartIsAnnounced checks the actions after a store of unknown capacity lost its data: a timer for the end of
+// the slow start, a log line and the announcement of a start.
 func checkSlowStartIsAnnounced(t *testing.T, actions []Action) {
 	t.Helper()
 	for _, want := range []ActionKind{ActionSetTimer, ActionLog, ActionAnnounceStart} {
--- a/policy/sharedstore/operation.go
+++ b/policy/sharedstore/operation.go
@@ -11,9 +11,9 @@
 	id              OperationID
 	store           *storeStatus
 	state           operationState
-	isComplete      bool // it was answered or cancelled; only a set can remain
+	isComplete      bool // answered or cancelled; only a set can still be in flight
 	hasLease        bool
-	waitedForHolder bool // it has waited for another router's fill
+	waitedForHolder bool // whether the operation has waited for another router's fill
 	onlyIfCached    bool
 	source          routing.EndpointID
 	key             copyKey
@@ -21,35 +21,35 @@
 	startedAt       time.Duration
 	objective       time.Duration // time of the latency objective
 	deadline        time.Duration // time at which the attempt is abandoned
-	minGeneratedAt  Timestamp     // older copies will not do
+	minGeneratedAt  Timestamp     // copies generated earlier are too old
 	ttl             time.Duration
 	fillStartedAt   time.Duration
-	timerID         uint64     // the timer that counts; earlier ones are ignored
+	timerID         uint64     // ID of the current timer; earlier timers are ignored
 	leader          *operation // the operation that this one joined
-	firstFollower   *operation // head of the list of those that joined this one
-	nextFollower    *operation // next in the leader's list
-	generatedAt     Timestamp  // of the copy
+	firstFollower   *operation // head of the list of operations that joined this one
+	nextFollower    *operation // next operation in the leader's list
+	generatedAt     Timestamp  // when the copy was generated
 	bodyBytes       int
 	fillState       fillState
 	fill            fillResult
 }
 
-// copyKey identifies a copy: operations with the same key can share one.
+// copyKey identifies a copy. Operations with the same key can share one copy.
 type copyKey struct {
 	object routing.ObjectID
 	part   int
 }
 
-// fillState is how far the operation's fill has come.
+// fillState is the progress of an operation's fill.
 type fillState uint8
 
 const (
 	fillNone     fillState = iota // not started, or its result has been used
-	fillInFlight                  // the source has not answered
-	fillFailed                    // it failed while a get was in flight: there will be no other
+	fillInFlight                  // the source has not answered yet
+	fillFailed                    // the fill failed while a get was in flight; no second fill is tried
 )
 
-// fillResult is how a source answered.
+// fillResult is a source's answer to a fill.
 type fillResult struct {
 	outcome       routing.Outcome
 	note          routing.Note
@@ -63,62 +63,62 @@
 	stateNew               operationState = iota
 	stateJoined                           // another operation of this router for the same copy
 	stateGetting                          // the reply to a get
-	stateGettingAndFilling                // that or the fill begun meanwhile, whichever comes first
-	stateAcquiringLease                   // the lease
+	stateGettingAndFilling                // the reply to a get or the result of a fill, whichever comes first
+	stateAcquiringLease                   // the reply to an attempt to acquire the lease
 	stateWaitingForHolder                 // another router's fill
-	stateGettingAgain                     // the reply to a get after that
-	stateFilling                          // the fill
-	stateStoring                          // the reply to a set; the operation itself is complete
+	stateGettingAgain                     // the reply to a get sent after another router's fill
+	stateFilling                          // the result of a fill
+	stateStoring                          // the reply to a set; the operation has been answered
 	operationStates
 )
 
-// operationInput is what an operation hears of.
+// operationInput is something that can change an operation's state.
 type operationInput uint8
 
 const (
-	inputHit           operationInput = iota // a usable copy
-	inputMiss                                // no usable copy
-	inputStoreFailed                         // the store refused or disconnected
+	inputHit           operationInput = iota // the store has a usable copy
+	inputMiss                                // the store has no usable copy
+	inputStoreFailed                         // the store returned an error or disconnected
 	inputTimeout                             // the operation's timer fired
-	inputLeaseAcquired                       // the lease is ours
+	inputLeaseAcquired                       // this router holds the lease
 	inputLeaseHeld                           // another router holds the lease
 	inputFilled                              // the source returned the object
-	inputFillFailed                          // the source did not
+	inputFillFailed                          // the source did not return the object
 	inputCopyShared                          // the leader has a usable copy
-	inputLeaderFailed                        // the leader has none
-	inputStored                              // the set is done, whatever its result
+	inputLeaderFailed                        // the leader has no usable copy
+	inputStored                              // the set has ended, whatever its result
 	operationInputs
 )
 
-// effect is what a transition does. Where an effect cannot be had (no budget, no source, no time), the function that
-// carries it out falls back to a lesser one: a fill without the lease, bypassing the store, an error.
+// effect is what a transition does. If an effect is impossible (no budget, no source, no time), the function that
+// carries out the effect falls back to a lesser one: a fill without the lease, a bypass of the store, or an error.
 type effect uint8
 
 const (
 	effectNone          effect = iota
 	effectServeCopy            // answer with the store's copy
-	effectAcquireLease         // try to acquire the lease, or fill where that is not worthwhile
-	effectWaitForHolder        // give the lease holder time for its fill, or fill where there is none left
+	effectAcquireLease         // try to acquire the lease, or fill if a lease is not worthwhile
+	effectWaitForHolder        // give the lease holder time for its fill, or fill if there is no time left
 	effectGetAgain             // ask the store again
-	effectFill                 // fill, with the lease where it is ours
-	effectHedge                // fill beside the get that is late
-	effectCompleteFill         // answer with what the fill brought, and store it afterwards
-	effectFailFill             // answer with what the source said
+	effectFill                 // fill, with the lease if this router holds it
+	effectHedge                // fill in parallel with the late get
+	effectCompleteFill         // answer with the copy that the fill returned, then store the copy
+	effectFailFill             // answer with the source's failure
 	effectShareCopy            // answer with the leader's copy
 	effectStart                // ask the store, or bypass it
-	effectJoinOrStart          // the same, or join an operation that does so already
-	effectForget               // nothing more comes
-	effectAwaitGet             // the late get goes on alone: nothing else can be done
+	effectJoinOrStart          // the same, or join an operation that has already done so
+	effectForget               // drop the operation, for which nothing is in flight
+	effectAwaitGet             // wait for the late get alone, because no second fill is tried
 )
 
-// transition is the state that follows an input, and what is done on the way.
+// transition is the state that follows an input, and the effect on the way there.
 type transition struct {
 	next   operationState
 	effect effect
 }
 
-// operationTransitions is the state machine of an operation. An input without an entry leaves all as it was: late
-// replies and timers are normal.
+// operationTransitions is the state machine of an operation. An input without an entry changes nothing: late replies
+// and timers are normal.
 var operationTransitions = [operationStates][operationInputs]transition{
 	stateJoined: {
 		inputCopyShared:   {stateJoined, effectShareCopy},
@@ -162,10 +162,10 @@
 	},
 }
 
-// handlesInput says whether an input means anything in the operation's state.
+// handlesInput reports whether an input has a transition in the operation's state.
 func (op *operation) handlesInput(input operationInput) bool {
 	return operationTransitions[op.state][input] != (transition{})
 }
 
-// accepts says whether a copy of that time is fresh enough for this operation.
+// accepts reports whether a copy generated at the given time is fresh enough for the operation.
 func (op *operation) accepts(generatedAt Timestamp) bool { return generatedAt >= op.minGeneratedAt }
--- a/policy/sharedstore/operation_test.go
+++ b/policy/sharedstore/operation_test.go
@@ -9,7 +9,8 @@
 	"fennelarch/policy/routing"
 )
 
-// operationScripts are short lives of one operation. Each word is an event; a 2 behind it means the second operation.
+// operationScripts are short event sequences for one or two operations. Each word is an event; the suffix 2 directs the
+// event to the second operation.
 var operationScripts = []string{
 	"request hit",
 	"request miss acquired filled stored",
@@ -41,7 +42,7 @@
 	"request old acquired filled",
 }
 
-// scriptPlayer plays such a script and records what is done at once.
+// scriptPlayer runs a script and records the actions that follow from each event.
 type scriptPlayer struct {
 	coordinator *Coordinator
 	now         time.Duration
@@ -52,7 +53,7 @@
 func newScriptPlayer() *scriptPlayer {
 	player := &scriptPlayer{
 		coordinator: New(testSettings(), 1, storeS),
-		now:         5 * time.Second, // no copy below is from later
+		now:         5 * time.Second, // later than the generation of every copy in the scripts
 		lastCommand: map[OperationID]ActionKind{1: ActionGet, 2: ActionGet},
 		timers:      map[OperationID]uint64{},
 	}
@@ -64,7 +65,7 @@
 	return player
 }
 
-// play returns the trace of a script: each event with the actions that follow from it.
+// play runs a script and returns its trace: each event with the actions that follow from it.
 func play(script string) string {
 	player := newScriptPlayer()
 	var trace []string
@@ -111,7 +112,7 @@
 	}
 }
 
-// replyEvent answers the operation's last command.
+// replyEvent returns the reply to the operation's last command.
 func (p *scriptPlayer) replyEvent(word string, id OperationID) Event {
 	event := Event{Kind: EventGetDone, Operation: id, Endpoint: storeS, Elapsed: ms}
 	switch p.lastCommand[id] {
@@ -146,7 +147,7 @@
 	return event
 }
 
-// record notes commands and timers, and returns the names of the actions.
+// record stores the last commands and timers, and returns the names of the actions.
 func (p *scriptPlayer) record(actions []Action) string {
 	names := [...]string{
 		ActionGet: "get", ActionAcquireLease: "lease", ActionReleaseLease: "release", ActionStartFill: "fill",
@@ -178,7 +179,7 @@
 	return strings.Join(done, " ")
 }
 
-// Every life that an operation can have, but for what chance adds.
+// Every course that an operation can take, apart from random choices.
 func Example_operations() {
 	for _, script := range operationScripts {
 		fmt.Println(play(script))
@@ -214,7 +215,7 @@
 	// request: get; old: lease; acquired: fill; filled: complete(1,2) set release
 }
 
-// Each transition shows in some trace: without any one of them, one of the traces is another.
+// Each transition is covered by a trace: without the transition, at least one trace differs.
 func TestTracesCoverTransitions(t *testing.T) {
 	want := make([]string, len(operationScripts))
 	for i, script := range operationScripts {
@@ -235,7 +236,7 @@
 			}
 			operationTransitions[state][input] = transition{}
 			if !differs() {
-				t.Errorf("state %d, input %d: no trace shows that it is missing", state, input)
+				t.Errorf("state %d, input %d: no trace differs without the transition", state, input)
 			}
 			operationTransitions[state][input] = original
 		}
--- a/policy/sharedstore/random.go
+++ b/policy/sharedstore/random.go
@@ -1,7 +1,7 @@
 package sharedstore
 
 // randomSource is a permuted congruential generator (PCG-XSH-RR) with 64 bits of state. Decisions must be reproducible
-// from a seed, so they do not use the standard library's.
+// from a seed, so they do not use the standard library's generators.
 type randomSource struct{ state uint64 }
 
 func newRandomSource(seed uint64) randomSource {
@@ -17,5 +17,5 @@
 	return shifted>>rotation | shifted<<((-rotation)&31)
 }
 
-// float returns a number from 0 to 1, 1 excluded.
+// float returns a number in [0, 1).
 func (r *randomSource) float() float64 { return float64(r.next()) / (1 << 32) }
--- a/policy/sharedstore/simulation_steps_test.go
+++ b/policy/sharedstore/simulation_steps_test.go
@@ -27,7 +27,7 @@
 	return request
 }
 
-// reply answers one command or fill that is in flight.
+// reply answers the command or fill at index i of those in flight.
 func (sim *simulation) reply(i int) {
 	pending := sim.pending[i]
 	sim.pending = slices.Delete(sim.pending, i, i+1)
@@ -61,7 +61,7 @@
 			Kind: EventFillDone, Operation: request.id, Elapsed: sim.now - pending.sentAt, Outcome: failures[n],
 		}
 	} else if n < 6 {
-		event.GeneratedAt -= Timestamp(sim.draw(4000)) // the source had it cached
+		event.GeneratedAt -= Timestamp(sim.draw(4000)) // the source had the copy cached
 	}
 	if event.Outcome == routing.Succeeded && request.completions == 0 {
 		request.copyGeneratedAt = event.GeneratedAt
@@ -69,7 +69,7 @@
 	sim.handle(&event)
 }
 
-// commandResult is how a store answers; a command that is broken has no effect on its values.
+// commandResult returns the store's reply to a command. A command whose reply is broken stores no value.
 func (sim *simulation) commandResult(pending *pendingReply, isBroken bool) Event {
 	request, key := pending.request, copyKey{pending.request.object, 0}
 	event := Event{Operation: request.id, Endpoint: pending.store, Elapsed: sim.now - pending.sentAt}
@@ -97,12 +97,12 @@
 			sim.values[key] = &storedValue{request.copyGeneratedAt, pending.action.ValidFrom}
 		}
 	default:
-		sim.fail("action %d is no command", pending.action.Kind)
+		sim.fail("action %d is not a command", pending.action.Kind)
 	}
 	return event
 }
 
-// advance moves time on and fires timers on the way.
+// advance moves the time forward and fires the timers that are due.
 func (sim *simulation) advance(duration time.Duration) {
 	for end := sim.now + duration; ; {
 		next := -1
@@ -122,7 +122,7 @@
 	}
 }
 
-// step draws one thing that may happen.
+// step draws one event and simulates it.
 func (sim *simulation) step() {
 	switch kind := sim.draw(40); {
 	case kind < 12:
@@ -165,7 +165,8 @@
 	sim.handle(&Event{Kind: EventEndpointState, Endpoint: id, State: state})
 }
 
-// reconnect ends a connection and begins another one, to the same run of the store or to one that is new and empty.
+// reconnect simulates a new connection, to the same run of the store or to a new run with no values. The end of the
+// previous connection is reported or not.
 func (sim *simulation) reconnect() {
 	if sim.draw(2) == 0 {
 		sim.handle(&Event{Kind: EventDisconnected, Endpoint: storeS})
@@ -187,7 +188,7 @@
 	}
 }
 
-// finish answers all that is in flight, and checks that nothing is left.
+// finish answers everything in flight without faults, and checks that nothing is left and that the store recovers.
 func (sim *simulation) finish() {
 	sim.isCalm = true
 	for _, id := range []routing.EndpointID{storeS, parentP, originO} {
--- a/policy/sharedstore/simulation_test.go
+++ b/policy/sharedstore/simulation_test.go
@@ -9,27 +9,28 @@
 	"fennelarch/policy/routing"
 )
 
-// simulation surrounds a Coordinator: stores that answer anything at any time, sources, purges and an endpoint list,
-// moved by draws. It checks after every step what must always hold, and at its end that nothing is left open.
+// simulation is the environment of a Coordinator: stores that give any reply at any time, sources, purges and an
+// endpoint list, all driven by random draws. Each action is checked against the rules, and at the end nothing may be
+// left in flight.
 type simulation struct {
 	coordinator *Coordinator
 	now         time.Duration
-	draw        func(n int) int // 0 to n-1
-	err         error           // the first fault
+	draw        func(n int) int // returns a number from 0 to n-1
+	err         error           // the first rule that was broken
 	requests    map[OperationID]*simulatedRequest
 	lastRequest OperationID
 	pending     []*pendingReply
 	timers      []pendingTimer
 	values      map[copyKey]*storedValue
-	leases      map[copyKey]time.Duration // until when
+	leases      map[copyKey]time.Duration // expiry of each lease
 	states      map[routing.EndpointID]routing.EndpointState
 	stateSince  map[routing.EndpointID]time.Duration
 	purges      map[routing.ObjectID]Timestamp
 	inFlight    map[routing.EndpointID]int
-	runID       uint64          // of storeS
-	commands    []time.Duration // when commands were sent
-	isCalm      bool            // nothing fails
-	kinds       map[string]int
+	runID       uint64          // of the current run of storeS
+	commands    []time.Duration // the time at which each command was sent
+	isCalm      bool            // no command and no fill fails
+	kinds       map[string]int  // how often each kind of event happened
 }
 
 type simulatedRequest struct {
@@ -39,8 +40,8 @@
 	startedAt       time.Duration
 	objective       time.Duration
 	minGeneratedAt  Timestamp
-	completions     int
-	forgotten       int
+	completions     int // number of ActionComplete
+	forgotten       int // number of ActionForget
 	isCancelled     bool
 	copyGeneratedAt Timestamp // of the copy that the operation has
 	isFilling       bool
@@ -77,7 +78,8 @@
 	}
 }
 
-// newSimulation starts with both stores connected. Faults are planted by alter, which may be nil.
+// newSimulation returns a simulation with both stores connected. The function alter plants a fault in the Coordinator,
+// unless it is nil.
 func newSimulation(draw func(int) int, alter func(*Coordinator)) *simulation {
 	sim := &simulation{
 		coordinator: New(testSettings(), 7, storeS, storeT),
@@ -114,7 +116,7 @@
 
 func (sim *simulation) wallClock() Timestamp { return epoch + Timestamp(sim.now/ms) }
 
-// store is the status of the store that requests go to.
+// store returns the status of the store that requests go to.
 func (sim *simulation) store() *storeStatus { return sim.coordinator.stores[0] }
 
 func (sim *simulation) handle(event *Event) {
@@ -124,7 +126,7 @@
 	}
 }
 
-// check carries an action out, if it is allowed.
+// check verifies that an action is allowed, and carries out the action.
 func (sim *simulation) check(action *Action) {
 	request := sim.requests[action.Operation]
 	switch action.Kind {
@@ -155,16 +157,16 @@
 	}
 	sim.timers = append(sim.timers, pendingTimer{event, sim.now + action.Delay})
 	if action.Delay < 0 {
-		sim.fail("a timer in the past")
+		sim.fail("a timer is set in the past")
 	}
 }
 
 func (sim *simulation) checkCommand(request *simulatedRequest, action *Action) {
 	if sim.states[request.store] != routing.Ready && sim.now > sim.stateSince[request.store] {
-		sim.fail("a command to a store that is draining")
+		sim.fail("a command is sent to a store that is draining")
 	}
 	if request.forgotten > 0 {
-		sim.fail("a command for an operation that is forgotten")
+		sim.fail("a command is sent for a forgotten operation")
 	}
 	if action.Kind == ActionReleaseLease {
 		delete(sim.leases, copyKey{request.object, 0})
@@ -176,30 +178,30 @@
 	sim.commands = append(sim.commands, sim.now)
 	if action.Kind == ActionSet {
 		if action.TTL <= 0 || action.TTL > sim.coordinator.settings.MaxTTL {
-			sim.fail("a copy stays for %v", action.TTL)
+			sim.fail("a copy is stored with a TTL of %v", action.TTL)
 		}
 		if action.ValidFrom < request.copyGeneratedAt || action.ValidFrom > sim.wallClock() {
-			sim.fail("a copy is called valid from %d", action.ValidFrom)
+			sim.fail("a copy is stored as valid from %d", action.ValidFrom)
 		}
 	}
 }
 
 func (sim *simulation) checkFill(request *simulatedRequest, action *Action) {
 	if request.isFilling {
-		sim.fail("two fills of one operation")
+		sim.fail("one operation has two fills in flight")
 	}
 	source := request.source
 	if source == 0 {
-		sim.fail("a fill from nowhere")
+		sim.fail("a fill starts without a source")
 	}
 	wasDraining := sim.stateSince[source] <= request.startedAt
 	isInGrace := sim.now-request.startedAt <= sim.coordinator.settings.DrainGrace/10
 	if sim.states[source] != routing.Ready && (!wasDraining || !isInGrace) {
-		sim.fail("a fill from a source that is draining since %v", sim.now-sim.stateSince[source])
+		sim.fail("a fill starts from a source that has been draining for %v", sim.now-sim.stateSince[source])
 	}
 	if purgedAt := sim.purges[request.object]; purgedAt > 0 && sim.wallClock() > purgedAt+1 {
 		if action.MaxAge == 0 || sim.wallClock()-Timestamp(action.MaxAge/ms) <= purgedAt {
-			sim.fail("a fill that may bring a copy from before a purge")
+			sim.fail("a fill may return a copy from before a purge")
 		}
 	}
 	request.isFilling = true
@@ -209,7 +211,7 @@
 func (sim *simulation) checkCompletion(request *simulatedRequest, action *Action) {
 	request.completions++
 	if request.completions > 1 || request.isCancelled {
-		sim.fail("operation %d completes again", action.Operation)
+		sim.fail("operation %d completes again or after its cancellation", action.Operation)
 	}
 	sim.kinds[fmt.Sprint("end ", action.Outcome)]++
 	if action.Outcome != routing.Succeeded {
@@ -217,14 +219,14 @@
 	}
 	from := sim.requests[action.CopyFrom]
 	if from == nil || from.object != request.object || from.forgotten > 0 {
-		sim.fail("an answer from a copy that is not there")
+		sim.fail("an operation is answered with a copy that does not exist")
 		return
 	}
 	if purgedAt := sim.purges[request.object]; from.copyGeneratedAt <= purgedAt {
-		sim.fail("a copy from before a purge: %d, purged %d", from.copyGeneratedAt, purgedAt)
+		sim.fail("a copy generated at %d is served, but the object was purged at %d", from.copyGeneratedAt, purgedAt)
 	}
 	if action.Note == routing.NoteHit && from.copyGeneratedAt < request.minGeneratedAt {
-		sim.fail("a copy older than asked for")
+		sim.fail("a copy older than the maximum age is served")
 	}
 	if action.CopyFrom != action.Operation {
 		sim.kinds["shared"]++
@@ -237,34 +239,34 @@
 		sim.fail("operation %d is forgotten twice", request.id)
 	}
 	if request.completions == 0 && !request.isCancelled {
-		sim.fail("operation %d is forgotten without an end", request.id)
+		sim.fail("operation %d is forgotten before it completes", request.id)
 	}
 	if request.isFilling {
 		sim.fail("operation %d is forgotten with a fill in flight", request.id)
 	}
 }
 
-// checkNothingLeft is for the end, when all was answered.
+// checkNothingLeft verifies, after everything was answered, that no operation and no fill is left.
 func (sim *simulation) checkNothingLeft() {
 	for _, request := range sim.requests {
 		if request.completions == 0 && !request.isCancelled {
-			sim.fail("operation %d has no end", request.id)
+			sim.fail("operation %d never completes", request.id)
 		}
 		if request.forgotten == 0 {
-			sim.fail("operation %d is not forgotten", request.id)
+			sim.fail("operation %d is never forgotten", request.id)
 		}
 	}
 	for _, limit := range sim.coordinator.fillLimits {
 		if limit.inFlight != 0 {
-			sim.fail("%d fills are still counted", limit.inFlight)
+			sim.fail("%d fills are still counted as in flight", limit.inFlight)
 		}
 	}
 	if count := len(sim.coordinator.leaders); count > 0 {
-		sim.fail("%d keys are still joined", count)
+		sim.fail("%d leaders are left", count)
 	}
 }
 
-// checkRecovers finds health states without a way out: a store that is well is used again.
+// checkRecovers verifies that a store without faults becomes ready again, so that no health state is a dead end.
 func (sim *simulation) checkRecovers() {
 	for range 40 {
 		if sim.store().health.state == healthReady {
@@ -277,10 +279,10 @@
 			sim.reply(0)
 		}
 	}
-	sim.fail("a store that is well stays %s", sim.store().health.state)
+	sim.fail("a store without faults stays %s", sim.store().health.state)
 }
 
-// TestSimulationDraws keeps the simulation honest: what it can draw does happen.
+// Every important kind of event happens in the simulation: shared copies, successes and misses.
 func TestSimulationDraws(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(40) {
@@ -290,7 +292,7 @@
 	}
 	for _, kind := range []string{"shared", fmt.Sprint("end ", routing.Succeeded), fmt.Sprint("end ", routing.CacheMiss)} {
 		if seen[kind] == 0 {
-			t.Errorf("%q does not happen in any of the histories", kind)
+			t.Errorf("%q does not happen in any simulation", kind)
 		}
 	}
 }
--- a/policy/sharedstore/slowstart_test.go
+++ b/policy/sharedstore/slowstart_test.go
@@ -12,7 +12,8 @@
 	}
 }
 
-// checkSlowStartBudget: a store that just started is asked for no more than its budget, however much is wanted.
+// checkSlowStartBudget verifies that a store that has just started receives no more commands than its budget allows,
+// however many requests there are.
 func checkSlowStartBudget(alter func(*Coordinator)) error {
 	sim := newSimulation(seededDraw(3), alter)
 	sim.isCalm = true
@@ -34,16 +35,16 @@
 			}
 		}
 		if share := shareOfSecond(from - startedAt); float64(count) > share {
-			return fmt.Errorf("%d commands in the second from %v on, the share is %.0f", count, from-startedAt, share)
+			return fmt.Errorf("%d commands in the second from %v on, want at most %.0f", count, from-startedAt, share)
 		}
 	}
 	if len(sim.commands) < 200 {
-		return fmt.Errorf("only %d commands during the slow start", len(sim.commands))
+		return fmt.Errorf("only %d commands during the slow start, want at least 200", len(sim.commands))
 	}
 	return sim.err
 }
 
-// shareOfSecond is how many commands one router may send in the second that begins so long after a store's start.
+// shareOfSecond returns how many commands one router may send in the second that begins at the given age of a store.
 func shareOfSecond(age time.Duration) float64 {
 	settings := testSettings()
 	capacity := 0.0
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -8,17 +8,20 @@
 )
 
 const (
-	// minGetTimeout: below it a busy machine looks like a slow store.
+	// minGetTimeout is the shortest timeout of a get. With a shorter one, a busy machine looks like a slow store.
 	minGetTimeout = 2 * ms
-	// minFillShare is the least that half the usual time of a fill counts for in a get's timeout.
+	// minFillShare is the lower bound of half the usual fill time, which limits the timeout of a get. With a smaller
+	// one, gets of ordinary duration would be late where fills are fast.
 	minFillShare = 5 * ms
-	// initialGetTimeout is used until a first get has been answered.
+	// initialGetTimeout is the timeout of a get before the store's first reply. With a longer one, a silent store would
+	// delay the first requests.
 	initialGetTimeout = unknownLatency / 2
-	// refusedWritesFor is how long nothing is stored after a store refused a write.
+	// refusedWritesFor is how long nothing is stored after a store refused a write. With a shorter time, more fills would
+	// be sent to a store that cannot keep them.
 	refusedWritesFor = maxBackoff
 )
 
-// storeStatus is what is known of one store.
+// storeStatus is the state of one store as known to this router.
 type storeStatus struct {
 	id             routing.EndpointID
 	health         health
@@ -29,7 +32,7 @@
 	wasConnected   bool // runID is known
 	isDisconnected bool
 	refusesWrites  bool
-	timerID        uint64 // the timer that counts; earlier ones are ignored
+	timerID        uint64 // ID of the current timer; earlier timers are ignored
 	logSync        logSync
 }
 
@@ -41,8 +44,8 @@
 	}
 }
 
-// getTimeout is how long a get may take before a fill begins beside it: longer than nearly all gets so far, yet no
-// more than half of a usual fill, and an eighth of the time that the request has left.
+// getTimeout returns how long a get may take before a fill starts in parallel: longer than nearly all gets so far, but
+// at most half the usual fill time and an eighth of the time left until the request's objective.
 func (s *storeStatus) getTimeout(fillTime latencyEstimate, left time.Duration) time.Duration {
 	timeout := initialGetTimeout
 	if s.latency.samples > 0 {
@@ -53,13 +56,14 @@
 
 func halfFill(fillTime latencyEstimate) time.Duration { return max(fillTime.typical()/2, minFillShare) }
 
-// isListedReady says whether the endpoint list lets the store be asked.
+// isListedReady reports whether the endpoint list allows commands to the store. A store that is not listed is allowed.
 func (c *Coordinator) isListedReady(store *storeStatus) bool {
 	listed, known := c.endpoints[store.id]
 	return !known || listed.state == routing.Ready
 }
 
-// canSend says whether so many commands can be sent now: there is room, and a store that warms up has budget for them.
+// canSend reports whether that many commands can be sent now: the limit has room, and the slow-start budget of a store
+// that warms up allows them.
 func (c *Coordinator) canSend(store *storeStatus, commands float64) bool {
 	if store.health.state == healthUnavailable || !store.limit.hasRoom() || !c.isListedReady(store) {
 		return false
@@ -67,17 +71,17 @@
 	return c.hasBudget(store, commands)
 }
 
-// countCommand counts a command that is sent and will be answered.
+// countCommand counts a command that is being sent and will receive a reply.
 func (c *Coordinator) countCommand(store *storeStatus) {
 	c.consumeBudget(store, 1)
 	store.limit.inFlight++
 }
 
-// signalHealth moves a store's health on, and sets the timer for the next probe.
+// signalHealth passes a signal to a store's health, and sets the timer for the next probe.
 func (c *Coordinator) signalHealth(store *storeStatus, signal healthSignal) {
 	changed, probeIn := store.health.handle(signal)
 	if probeIn > 0 {
-		// Routers that saw the same event must not probe at the same moment.
+		// The random factor keeps routers that saw the same event from probing at the same moment.
 		c.setStoreTimer(store, time.Duration(float64(probeIn)*(0.75+c.random.float()/2)))
 	}
 	if changed {
@@ -89,7 +93,7 @@
 	c.emit(Action{Kind: ActionLog, Endpoint: store.id, Message: message})
 }
 
-// setStoreTimer sets the store's timer; an earlier one counts no more.
+// setStoreTimer sets the store's timer, which replaces any earlier one.
 func (c *Coordinator) setStoreTimer(store *storeStatus, delay time.Duration) {
 	c.lastTimerID++
 	store.timerID = c.lastTimerID
@@ -104,13 +108,13 @@
 	case store.health.state == healthWarmingUp:
 		c.setWarmTimer(store)
 	case store.health.state == healthUnavailable && store.isDisconnected:
-		// The transport reconnects, and says so.
+		// The transport reconnects and reports the new connection.
 	default:
 		c.signalHealth(store, signalBackoffOver)
 	}
 }
 
-// setWarmTimer has the store looked at again when its slow start is over.
+// setWarmTimer sets the store's timer to the end of its slow start.
 func (c *Coordinator) setWarmTimer(store *storeStatus) {
 	c.setStoreTimer(store, max(ms, store.slowStart.startedAt+c.settings.SlowStartFor-c.now))
 }
@@ -121,7 +125,8 @@
 		store.isDisconnected, store.logSync = true, logSync{}
 		c.signalHealth(store, signalDisconnected)
 	case EventDataLost:
-		// Its process is as warm as before, but its data are gone: sources must not get at once all that it served.
+		// The process is as warm as before, but its data is gone. The slow start keeps the sources from receiving all that
+		// the store served before at once.
 		c.beginSlowStart(store, c.now)
 	default:
 		c.handleConnected(store, event)
@@ -140,7 +145,7 @@
 	}
 }
 
-// beginSlowStart treats a store as just started. What was known of its latency no longer holds.
+// beginSlowStart treats a store as just started. Its earlier latencies no longer apply.
 func (c *Coordinator) beginSlowStart(store *storeStatus, startedAt time.Duration) {
 	store.slowStart = newSlowStart(startedAt, c.now)
 	store.limit.limit = math.Min(store.limit.limit, initialCommandLimit)
@@ -152,7 +157,7 @@
 	}
 }
 
-// storeErrors says what a store's errors mean for its use.
+// storeErrors maps each error reply to its effect on the use of the store and to a log message.
 var storeErrors = [...]struct {
 	isUnavailable bool
 	refusesWrites bool
@@ -171,7 +176,7 @@
 	ReplyDisconnected: {},
 }
 
-// recordReply learns from the end of a command, whatever became of its operation.
+// recordReply updates a store's state at the end of a command, whatever became of its operation.
 func (c *Coordinator) recordReply(store *storeStatus, event *Event) {
 	store.limit.inFlight = max(0, store.limit.inFlight-1)
 	isProbe := store.health.probe == event.Operation
