--- a/policy/sharedstore/completion.go
+++ b/policy/sharedstore/completion.go
@@ -6,8 +6,8 @@
 	"fennelarch/policy/routing"
 )
 
-// refuse fails an operation that can use neither the store nor a fill.
-func (c *Coordinator) refuse(op *operation) {
+// reject fails an operation that can use neither the store nor a fill.
+func (c *Coordinator) reject(op *operation) {
 	c.Counts.Rejected++
 	switch {
 	case op.store.health.state == healthUnavailable:
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -33,7 +33,7 @@
 	endpoints       map[routing.EndpointID]listedEndpoint
 	fillLimits      map[routing.EndpointID]*concurrencyLimit // by source
 	fillTime        latencyEstimate
-	log             invalidationLog
+	invalidations   invalidationLog
 	random          randomSource
 	lastTimerID     uint64
 	slowStartMargin float64 // defaultSlowStartMargin, except in tests
@@ -58,7 +58,7 @@
 		storeByID:       map[routing.EndpointID]*storeStatus{},
 		endpoints:       map[routing.EndpointID]listedEndpoint{},
 		fillLimits:      map[routing.EndpointID]*concurrencyLimit{},
-		log:             newInvalidationLog(settings.Epoch, settings.MaxTTL),
+		invalidations:   newInvalidationLog(settings.Epoch, settings.MaxTTL),
 		random:          newRandomSource(seed),
 		slowStartMargin: defaultSlowStartMargin,
 	}
@@ -131,7 +131,7 @@
 		c.join(op, leader)
 		return
 	}
-	c.apply(op, transition{stateGetting, effectStart})
+	c.applyTransition(op, transition{stateGetting, effectStart})
 }
 
 // handleCommandDone reports the end of a command first to the store, then to the operation, which may be gone by now.
@@ -173,7 +173,7 @@
 		return // the operation has already been answered
 	}
 	if !op.accepts(event.GeneratedAt) || c.isInFuture(event.GeneratedAt, event.ValidFrom) ||
-		!c.log.proves(op.key.object, op.group, event.GeneratedAt, event.ValidFrom) {
+		!c.invalidations.provesCurrent(op.key.object, op.group, event.GeneratedAt, event.ValidFrom) {
 		c.Counts.Stale++
 		c.input(op, inputMiss)
 		return
@@ -217,12 +217,12 @@
 // input applies the transition that follows an input, if there is one.
 func (c *Coordinator) input(op *operation, input operationInput) {
 	if op.handlesInput(input) {
-		c.apply(op, operationTransitions[op.state][input])
+		c.applyTransition(op, operationTransitions[op.state][input])
 	}
 }
 
-// apply carries out a transition. The functions that it calls may move the operation on to another state.
-func (c *Coordinator) apply(op *operation, step transition) {
+// applyTransition carries out a transition. The functions that it calls may move the operation on to another state.
+func (c *Coordinator) applyTransition(op *operation, step transition) {
 	op.state, op.timerID = step.next, 0
 	switch step.effect {
 	case effectStart:
@@ -272,7 +272,7 @@
 	}
 	if op.source == 0 {
 		// Without a source, no fill can bypass the store. Failing at once lets the request go elsewhere.
-		c.refuse(op)
+		c.reject(op)
 		return
 	}
 	c.Counts.Bypassed++
--- a/policy/sharedstore/coordinator_test.go
+++ b/policy/sharedstore/coordinator_test.go
@@ -13,8 +13,8 @@
 )
 
 // simulate runs a simulation of the given number of steps to its end.
-func simulate(draw func(int) int, steps int, alter func(*Coordinator)) *simulation {
-	sim := newSimulation(draw, alter)
+func simulate(draw func(int) int, steps int, plantFault func(*Coordinator)) *simulation {
+	sim := newSimulation(draw, plantFault)
 	for i := 0; i < steps && sim.err == nil; i++ {
 		sim.step()
 	}
@@ -46,13 +46,13 @@
 func TestLeaseHolderDies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(seededDraw(1), nil)
-		sim.isCalm = true
+		sim.isFaultFree = true
 		fillTime := time.Duration(rapid.IntRange(5, 60).Draw(t, "fill")) * ms
 		for range 30 {
 			sim.coordinator.fillTime.add(fillTime)
 		}
 		objective := fillTime*time.Duration(rapid.IntRange(3, 12).Draw(t, "due")) + 20*ms
-		request := sim.request(parentP, objective, 0)
+		request := sim.request(testParent, objective, 0)
 		for range 10000 {
 			if request.completions > 0 {
 				break
@@ -81,13 +81,13 @@
 }
 
 // firstFault simulates one seed after the other until one shows a fault.
-func firstFault(seeds int, alter func(*Coordinator)) error {
+func firstFault(seeds int, plantFault func(*Coordinator)) error {
 	for seed := range uint64(seeds) {
-		if sim := simulate(seededDraw(seed), 300, alter); sim.err != nil {
+		if sim := simulate(seededDraw(seed), 300, plantFault); sim.err != nil {
 			return fmt.Errorf("seed %d: %w", seed, sim.err)
 		}
 	}
-	return errors.Join(checkSlowStartBudget(alter), checkSlowStore(alter))
+	return errors.Join(checkSlowStartBudget(plantFault), checkSlowStore(plantFault))
 }
 
 // The checks of the simulation detect faults: with a fault in the health transitions or the budget, one of them fails.
@@ -123,8 +123,8 @@
 }
 
 func BenchmarkHit(b *testing.B) {
-	coordinator := New(testSettings(), 1, storeS)
-	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}, nil)
+	coordinator := New(testSettings(), 1, testStore)
+	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}, nil)
 	actions := make([]Action, 0, 16)
 	now := time.Minute
 	id := OperationID(0)
@@ -133,11 +133,11 @@
 		id++
 		now += 10 * time.Microsecond
 		actions = coordinator.Handle(now, &Event{
-			Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(id%1000 + 1),
+			Kind: EventRequest, Operation: id, Endpoint: testStore, Source: testParent, Object: routing.ObjectID(id%1000 + 1),
 			UntilObjective: 400 * ms, UntilDeadline: time.Second,
 		}, actions[:0])
 		actions = coordinator.Handle(now, &Event{
-			Kind: EventGetDone, Operation: id, Endpoint: storeS, Reply: ReplyHit, GeneratedAt: epoch + 50_000,
+			Kind: EventGetDone, Operation: id, Endpoint: testStore, Reply: ReplyHit, GeneratedAt: epoch + 50_000,
 			ValidFrom: epoch + 50_000, Elapsed: 300 * time.Microsecond,
 		}, actions[:0])
 	}
--- a/policy/sharedstore/example_test.go
+++ b/policy/sharedstore/example_test.go
@@ -37,16 +37,16 @@
 // A miss is filled by the router that holds the lease. A second request of the same router joins the first one, and a
 // request whose lease another router holds waits for that router's fill.
 func ExampleCoordinator() {
-	coordinator := New(testSettings(), 1, storeS)
+	coordinator := New(testSettings(), 1, testStore)
 	now := time.Second
 	handle := func(title string, event Event) {
-		event.Endpoint = storeS
+		event.Endpoint = testStore
 		fmt.Println(title)
 		printActions(coordinator.Handle(now, &event, nil))
 	}
 	handle("connected", Event{Kind: EventConnected, RunID: 1, Uptime: time.Hour})
 	request := Event{
-		Kind: EventRequest, Operation: 1, Source: parentP, Object: 7, UntilObjective: 400 * ms, UntilDeadline: time.Second,
+		Kind: EventRequest, Operation: 1, Source: testParent, Object: 7, UntilObjective: 400 * ms, UntilDeadline: time.Second,
 	}
 	handle("a request", request)
 	request.Operation = 2
@@ -101,13 +101,13 @@
 
 // A store that stops answering is bypassed after a few requests, and probed after a backoff.
 func ExampleCoordinator_slow() {
-	coordinator := New(testSettings(), 1, storeS)
-	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}, nil)
+	coordinator := New(testSettings(), 1, testStore)
+	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}, nil)
 	now := time.Second
 	for id := OperationID(1); id <= 8; id++ {
 		fmt.Println("a request")
 		actions := coordinator.Handle(now, &Event{
-			Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(id),
+			Kind: EventRequest, Operation: id, Endpoint: testStore, Source: testParent, Object: routing.ObjectID(id),
 			UntilObjective: 400 * ms, UntilDeadline: time.Second,
 		}, nil)
 		printActions(actions)
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -27,7 +27,7 @@
 	case op.source == 0:
 		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, 0)
 	default:
-		c.refuse(op)
+		c.reject(op)
 	}
 }
 
@@ -54,7 +54,7 @@
 // fillMaxAge returns the maximum age of the copy that the source may return, 0 for any age. The copy must be from after
 // the latest purge.
 func (c *Coordinator) fillMaxAge(op *operation) time.Duration {
-	oldest := max(op.minGeneratedAt, c.log.latest(op.key.object, op.group)+1)
+	oldest := max(op.minGeneratedAt, c.invalidations.latest(op.key.object, op.group)+1)
 	if oldest <= 1 {
 		return 0
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	op.generatedAt, op.bodyBytes = event.GeneratedAt, event.BodyBytes
-	if event.GeneratedAt > 0 && !c.log.isNewer(op.key.object, op.group, event.GeneratedAt) {
+	if event.GeneratedAt > 0 && !c.invalidations.isNewer(op.key.object, op.group, event.GeneratedAt) {
 		// The source's copy is from before a purge and must not be served. After a miss the request goes elsewhere.
 		c.Counts.Stale++
 		c.complete(op, 0, routing.CacheMiss, routing.NoteSourceMiss, event.FirstByteWait)
@@ -122,10 +122,10 @@
 		note = routing.NoteViaOrigin
 	}
 	ttl := c.copyTTL(op)
-	stores := ttl > 0 && c.canStore(op)
+	willStore := ttl > 0 && c.canStore(op)
 	note, wait := c.successNote(op, note, op.fill.firstByteWait)
 	c.complete(op, op.id, routing.Succeeded, note, wait)
-	if !stores {
+	if !willStore {
 		c.close(op)
 		return
 	}
--- a/policy/sharedstore/fill_test.go
+++ b/policy/sharedstore/fill_test.go
@@ -9,8 +9,8 @@
 
 // A fill in flight counts until it ends, even if its source leaves the endpoint list, or leaves and returns.
 func TestFillsOfDepartedSource(t *testing.T) {
-	ready := Event{Kind: EventEndpointState, Endpoint: parentP, State: routing.Ready}
-	gone := Event{Kind: EventEndpointState, Endpoint: parentP, State: routing.Gone}
+	ready := Event{Kind: EventEndpointState, Endpoint: testParent, State: routing.Ready}
+	gone := Event{Kind: EventEndpointState, Endpoint: testParent, State: routing.Gone}
 	for _, test := range []struct {
 		name       string
 		events     []Event
@@ -34,8 +34,8 @@
 		{"no fill was in flight", []Event{fillRequestEvent(1), getFailedEvent(1), filledEvent(1), gone}, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			coordinator := New(testSettings(), 1, storeS)
-			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			coordinator := New(testSettings(), 1, testStore)
+			connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 			for i, event := range append([]Event{connected, ready}, test.events...) {
 				coordinator.Handle(time.Duration(i)*ms, &event, nil)
 			}
@@ -53,13 +53,13 @@
 
 func fillRequestEvent(id OperationID) Event {
 	return Event{
-		Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(id),
+		Kind: EventRequest, Operation: id, Endpoint: testStore, Source: testParent, Object: routing.ObjectID(id),
 		UntilObjective: time.Second, UntilDeadline: 2 * time.Second,
 	}
 }
 
 func getFailedEvent(id OperationID) Event {
-	return Event{Kind: EventGetDone, Operation: id, Endpoint: storeS, Reply: ReplyDisconnected}
+	return Event{Kind: EventGetDone, Operation: id, Endpoint: testStore, Reply: ReplyDisconnected}
 }
 
 func filledEvent(id OperationID) Event {
--- a/policy/sharedstore/health_test.go
+++ b/policy/sharedstore/health_test.go
@@ -73,10 +73,10 @@
 	if store.admit(&operation{id: 1}) {
 		t.Error("an operation without a source is admitted as the probe")
 	}
-	if !store.admit(&operation{id: 2, source: parentP}) {
+	if !store.admit(&operation{id: 2, source: testParent}) {
 		t.Error("no probe is admitted")
 	}
-	if store.admit(&operation{id: 3, source: parentP}) {
+	if store.admit(&operation{id: 3, source: testParent}) {
 		t.Error("a second probe is admitted")
 	}
 }
@@ -100,14 +100,14 @@
 }
 
 // checkSlowStore verifies that a store that stops answering soon becomes slow, and is used again after it recovers.
-func checkSlowStore(alter func(*Coordinator)) error {
-	sim := newSimulation(seededDraw(2), alter)
-	sim.isCalm = true
+func checkSlowStore(plantFault func(*Coordinator)) error {
+	sim := newSimulation(seededDraw(2), plantFault)
+	sim.isFaultFree = true
 	for i := 0; sim.store().health.state != healthSlow; i++ {
 		if i > 3*lateGetsUntilSlow {
 			return fmt.Errorf("after %d gets without a reply the store is %s, want slow", i, sim.store().health.state)
 		}
-		sim.request(parentP, 400*ms, 0)
+		sim.request(testParent, 400*ms, 0)
 		sim.advance(30 * ms)
 	}
 	sim.finish()
--- a/policy/sharedstore/invalidationlog.go
+++ b/policy/sharedstore/invalidationlog.go
@@ -55,9 +55,9 @@
 	return generatedAt > l.latest(object, group)
 }
 
-// proves reports whether a copy is certainly newer than every purge of it. For this, the router must know all purges
-// that the copy might not reflect.
-func (l *invalidationLog) proves(
+// provesCurrent reports whether a copy is certainly newer than every purge of it. For this, the router must know all
+// purges that the copy might not reflect.
+func (l *invalidationLog) provesCurrent(
 	object routing.ObjectID, group routing.GroupID, generatedAt, validFrom Timestamp,
 ) bool {
 	return max(generatedAt, validFrom) >= l.completeFrom+maxClockSkew && l.isNewer(object, group, generatedAt)
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -52,7 +52,7 @@
 
 // logSync is the state of the synchronization with the log of one store on one connection.
 type logSync struct {
-	connectedAt  time.Duration // when the store's range was first read on this connection
+	firstReadAt  time.Duration // when the store's range was first read on this connection
 	wasRead      bool          // the store's range was read on this connection
 	exists       bool          // the store has a log
 	completeFrom Timestamp
@@ -65,19 +65,19 @@
 // RecordInvalidation records a purge, and reports whether the stores must be told of the purge now.
 func (c *Coordinator) RecordInvalidation(now time.Duration, entry Invalidation) bool {
 	c.now = max(now, c.now)
-	c.log.expire(c.wallClock())
-	return c.log.add(entry)
+	c.invalidations.expire(c.wallClock())
+	return c.invalidations.add(entry)
 }
 
 // DiscoveryCurrent notes that every purge issued before asOf has been recorded.
 func (c *Coordinator) DiscoveryCurrent(asOf Timestamp) {
-	c.log.completeTo = max(c.log.completeTo, asOf)
+	c.invalidations.completeTo = max(c.invalidations.completeTo, asOf)
 }
 
 // DiscoveryGap notes that this router may never receive some of the purges issued until now.
 func (c *Coordinator) DiscoveryGap(now time.Duration) {
 	c.now = max(now, c.now)
-	c.log.restart(c.wallClock())
+	c.invalidations.restart(c.wallClock())
 }
 
 // ClockStepped notes that the wall clock was changed by the given duration. Times from before and after the change
@@ -87,7 +87,7 @@
 	c.now = max(now, c.now)
 	before := c.wallClock()
 	c.settings.Epoch += Timestamp(by / ms)
-	c.log.restart(max(before, c.wallClock()))
+	c.invalidations.restart(max(before, c.wallClock()))
 }
 
 // PlanLogUpdate takes the range of a store's log, as read on the current connection, and returns what to write. The
@@ -98,18 +98,18 @@
 	if store == nil {
 		return LogUpdate{}
 	}
-	c.log.expire(c.wallClock())
+	c.invalidations.expire(c.wallClock())
 	isLost := c.recordLogRange(store, stored)
 	sync := &store.logSync
-	isYoung := c.now-sync.connectedAt < takeoverDelay
+	isNewlyConnected := c.now-sync.firstReadAt < takeoverDelay
 	switch {
 	case c.canTakeOver(sync):
 		sync.isReadingAll = true
 		return LogUpdate{NeedsAll: true}
-	case sync.exists && !c.log.adjoins(sync.completeTo) && isYoung:
+	case sync.exists && !c.invalidations.adjoins(sync.completeTo) && isNewlyConnected:
 		return LogUpdate{}
 	}
-	update := c.logUpdate(sync)
+	update := c.buildLogUpdate(sync)
 	update.IsDataLost = isLost
 	return update
 }
@@ -122,10 +122,10 @@
 	isLost = sync.wasRead && sync.exists && stored.CompleteTo == 0
 	isRolledBack := sync.wasRead && sync.exists && exists && stored.CompleteTo < sync.completeTo
 	if !sync.wasRead {
-		sync.connectedAt, sync.writtenUpTo = c.now, c.log.dropped
+		sync.firstReadAt, sync.writtenUpTo = c.now, c.invalidations.dropped
 	}
 	if isLost || isRolledBack {
-		sync.writtenUpTo = c.log.dropped
+		sync.writtenUpTo = c.invalidations.dropped
 	}
 	sync.wasRead, sync.exists = true, exists
 	sync.completeFrom, sync.completeTo = stored.CompleteFrom, stored.CompleteTo
@@ -136,18 +136,19 @@
 // canTakeOver reports whether the store knows of purges from before this router's range, and the store's range reaches
 // into this router's range.
 func (c *Coordinator) canTakeOver(sync *logSync) bool {
-	knowsMore := c.log.completeFrom > max(sync.completeFrom, c.log.horizon(c.wallClock()))
-	return sync.exists && !sync.isTooLarge && knowsMore && sync.completeTo >= c.log.completeFrom+maxClockSkew
+	storeKnowsMore := c.invalidations.completeFrom > max(sync.completeFrom, c.invalidations.horizon(c.wallClock()))
+	return sync.exists && !sync.isTooLarge && storeKnowsMore &&
+		sync.completeTo >= c.invalidations.completeFrom+maxClockSkew
 }
 
-// logUpdate returns what the store's log lacks.
-func (c *Coordinator) logUpdate(sync *logSync) LogUpdate {
-	entries, first := c.log.since(sync.writtenUpTo)
+// buildLogUpdate returns what the store's log lacks.
+func (c *Coordinator) buildLogUpdate(sync *logSync) LogUpdate {
+	entries, first := c.invalidations.since(sync.writtenUpTo)
 	sync.writtenUpTo = first
 	update := LogUpdate{
 		Invalidations: entries,
-		CompleteTo:    min(max(c.log.completeTo, c.log.completeFrom), c.wallClock()+maxClockSkew),
-		WrittenUpTo:   c.log.end(),
+		CompleteTo:    min(max(c.invalidations.completeTo, c.invalidations.completeFrom), c.wallClock()+maxClockSkew),
+		WrittenUpTo:   c.invalidations.end(),
 	}
 	isPartial := len(entries) > maxInvalidationsPerUpdate
 	if isPartial {
@@ -156,11 +157,11 @@
 		update.CompleteTo = 0
 		update.WrittenUpTo = first + maxInvalidationsPerUpdate
 	}
-	if !isPartial && (!sync.exists || !c.log.adjoins(sync.completeTo)) {
-		update.CompleteFrom = c.log.completeFrom
+	if !isPartial && (!sync.exists || !c.invalidations.adjoins(sync.completeTo)) {
+		update.CompleteFrom = c.invalidations.completeFrom
 	}
-	if c.now-sync.connectedAt > takeoverDelay {
-		update.TrimBefore = c.log.horizon(c.wallClock())
+	if c.now-sync.firstReadAt > takeoverDelay {
+		update.TrimBefore = c.invalidations.horizon(c.wallClock())
 	}
 	return update
 }
@@ -188,16 +189,16 @@
 		return
 	}
 	sync := &store.logSync
-	if len(entries)+len(c.log.entries) > maxInvalidations {
+	if len(entries)+len(c.invalidations.entries) > maxInvalidations {
 		c.AbandonMerge(id)
 		return
 	}
 	sync.isReadingAll = false
 	for _, entry := range entries {
-		c.log.add(entry)
+		c.invalidations.add(entry)
 	}
-	oldest := max(sync.completeFrom, c.log.horizon(c.wallClock()))
-	c.log.completeFrom = min(c.log.completeFrom, oldest)
+	oldest := max(sync.completeFrom, c.invalidations.horizon(c.wallClock()))
+	c.invalidations.completeFrom = min(c.invalidations.completeFrom, oldest)
 }
 
 // AbandonMerge notes that the entries of a store's log could not be read completely. The read is not tried again on
--- a/policy/sharedstore/logsync_model_test.go
+++ b/policy/sharedstore/logsync_model_test.go
@@ -40,15 +40,15 @@
 // start starts a router, which knows nothing of earlier purges.
 func (m *logModel) start(router int) {
 	coordinator := newLogCoordinator()
-	coordinator.log.completeFrom, coordinator.log.completeTo = m.wallClock(), m.wallClock()
-	coordinator.log.maxGap = m.maxGap
+	coordinator.invalidations.completeFrom, coordinator.invalidations.completeTo = m.wallClock(), m.wallClock()
+	coordinator.invalidations.maxGap = m.maxGap
 	m.routers[router] = coordinator
 	m.connect(router)
 }
 
 func (m *logModel) connect(router int) {
 	m.read[router] = nil
-	connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+	connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 	m.routers[router].Handle(m.now, &connected, nil)
 }
 
@@ -72,13 +72,13 @@
 	}
 	m.read[router] = nil
 	coordinator.DiscoveryCurrent(m.wallClock())
-	update := coordinator.PlanLogUpdate(m.now, storeS, *stored)
+	update := coordinator.PlanLogUpdate(m.now, testStore, *stored)
 	if update.NeedsAll {
 		var entries []Invalidation
 		if m.store.purgedAt > 0 {
 			entries = []Invalidation{{Object: modelObject, IssuedAt: m.store.purgedAt}}
 		}
-		coordinator.MergeInvalidations(m.now, storeS, entries)
+		coordinator.MergeInvalidations(m.now, testStore, entries)
 		return true
 	}
 	for _, entry := range update.Invalidations {
@@ -86,14 +86,14 @@
 	}
 	m.store.completeFrom = max(m.store.completeFrom, update.CompleteFrom)
 	m.store.completeTo = max(m.store.completeTo, update.CompleteTo)
-	coordinator.LogUpdateWritten(storeS, update)
+	coordinator.LogUpdateWritten(testStore, update)
 	return true
 }
 
 // modelMove is an event of the model. The function do reports whether the event applies.
 type modelMove struct {
-	name string
-	do   func(m *logModel) bool
+	name  string
+	apply func(m *logModel) bool
 }
 
 var modelMoves = []modelMove{
@@ -146,7 +146,7 @@
 		return nil
 	}
 	for i, router := range m.routers {
-		if router.log.proves(modelObject, 0, m.store.generatedAt, m.store.validFrom) {
+		if router.invalidations.provesCurrent(modelObject, 0, m.store.generatedAt, m.store.validFrom) {
 			return fmt.Errorf("router %c would serve a copy generated at %d, purged at %d",
 				'A'+i, m.store.generatedAt-epoch, m.purgedAt-epoch)
 		}
@@ -156,17 +156,17 @@
 
 // explorer runs every sequence of moves up to a length.
 type explorer struct {
-	step   time.Duration // time between moves
-	maxGap Timestamp
-	path   []int
-	orders int
+	step      time.Duration // time between moves
+	maxGap    Timestamp
+	path      []int
+	sequences int
 }
 
 // explore extends the path by up to depth moves, and returns the first violation that check finds.
 func (e *explorer) explore(depth int) error {
 	for i := range modelMoves {
 		e.path = append(e.path, i)
-		e.orders++
+		e.sequences++
 		applies, err := e.replay()
 		if err == nil && applies && depth > 1 {
 			err = e.explore(depth - 1)
@@ -184,7 +184,7 @@
 	model := newLogModel(e.maxGap)
 	for _, i := range e.path {
 		model.now += e.step
-		if !modelMoves[i].do(model) {
+		if !modelMoves[i].apply(model) {
 			return false, nil
 		}
 		if err := model.check(); err != nil {
@@ -208,7 +208,7 @@
 		t.Run(step.String(), func(t *testing.T) {
 			explorer := explorer{step: step}
 			err := explorer.explore(5)
-			t.Logf("%d sequences", explorer.orders)
+			t.Logf("%d sequences", explorer.sequences)
 			if err != nil {
 				t.Errorf("%v: %v", explorer.moves(), err)
 			}
@@ -218,7 +218,7 @@
 
 // The model detects a fault: a router that extends a range across a gap serves an old copy.
 func TestLogModelFindsPlantedFault(t *testing.T) {
-	explorer := explorer{step: takeoverDelay + time.Second, maxGap: contiguousAlways}
+	explorer := explorer{step: takeoverDelay + time.Second, maxGap: unlimitedGap}
 	err := explorer.explore(5)
 	if err == nil {
 		t.Fatal("the model does not detect a router that extends a range across a gap")
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// contiguousAlways is a value of maxGap that plants a fault: any two ranges count as contiguous.
-const contiguousAlways Timestamp = 1 << 60
+// unlimitedGap is a value of maxGap that plants a fault: any two ranges count as contiguous.
+const unlimitedGap Timestamp = 1 << 60
 
 func newLogCoordinator() *Coordinator {
 	settings := testSettings()
 	settings.PurgeCompleteAfter = 0
-	return New(settings, 1, storeS)
+	return New(settings, 1, testStore)
 }
 
 // A router that starts late takes over the store's log once an older router has moved the end of the log's range past
 // the start of the younger router.
 func ExampleCoordinator_PlanLogUpdate() {
 	older, younger := newLogCoordinator(), newLogCoordinator()
-	younger.log.completeFrom, younger.log.completeTo = epoch+60_000, epoch+60_000
+	younger.invalidations.completeFrom, younger.invalidations.completeTo = epoch+60_000, epoch+60_000
 	show := func(who string, update LogUpdate) {
 		fmt.Printf("%s: needs all %v, entries %d, from %d, to %d\n", who, update.NeedsAll, len(update.Invalidations),
 			max(0, update.CompleteFrom-epoch), max(0, update.CompleteTo-epoch))
 	}
 	older.RecordInvalidation(30*time.Second, Invalidation{Object: 7, IssuedAt: epoch + 30_000})
 	older.DiscoveryCurrent(epoch + 50_000)
-	show("older, the store has no log", older.PlanLogUpdate(50*time.Second, storeS, LogRange{}))
+	show("older, the store has no log", older.PlanLogUpdate(50*time.Second, testStore, LogRange{}))
 	stored := LogRange{epoch, epoch + 50_000}
-	show("younger, too early", younger.PlanLogUpdate(61*time.Second, storeS, stored))
+	show("younger, too early", younger.PlanLogUpdate(61*time.Second, testStore, stored))
 	older.DiscoveryCurrent(epoch + 62_000)
-	show("older extends the range", older.PlanLogUpdate(62*time.Second, storeS, stored))
+	show("older extends the range", older.PlanLogUpdate(62*time.Second, testStore, stored))
 	stored.CompleteTo = epoch + 62_000
-	show("younger", younger.PlanLogUpdate(63*time.Second, storeS, stored))
-	fmt.Println("before the merge, a copy from before the start is proved:", younger.log.proves(8, 0, epoch+40_000, 0))
-	younger.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
-	fmt.Println("after the merge:", younger.log.proves(8, 0, epoch+40_000, 0),
-		"a copy from before a purge:", younger.log.proves(7, 0, epoch+20_000, 0))
+	show("younger", younger.PlanLogUpdate(63*time.Second, testStore, stored))
+	fmt.Println("before the merge, a copy from before the start is proved:",
+		younger.invalidations.provesCurrent(8, 0, epoch+40_000, 0))
+	younger.MergeInvalidations(63*time.Second, testStore, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
+	fmt.Println("after the merge:", younger.invalidations.provesCurrent(8, 0, epoch+40_000, 0),
+		"a copy from before a purge:", younger.invalidations.provesCurrent(7, 0, epoch+20_000, 0))
 	// Output:
 	// older, the store has no log: needs all false, entries 1, from 0, to 50000
 	// younger, too early: needs all false, entries 0, from 0, to 0
@@ -55,8 +56,8 @@
 			now := 10 * time.Minute
 			old := epoch + Timestamp((now-time.Minute)/ms)
 			coordinator := newLogCoordinator()
-			coordinator.log.completeFrom, coordinator.log.completeTo = epoch, epoch
-			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			coordinator.invalidations.completeFrom, coordinator.invalidations.completeTo = epoch, epoch
+			connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 			coordinator.Handle(0, &connected, nil)
 			coordinator.now = now
 			coordinator.DiscoveryCurrent(epoch + Timestamp(now/ms))
@@ -74,7 +75,7 @@
 					t.Error("a copy from before a purge is proved")
 				}
 			}
-			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, storeS, LogRange{})
+			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, testStore, LogRange{})
 			if update.CompleteTo > coordinator.wallClock()+maxClockSkew {
 				t.Errorf("the written range ends %d ms in the future", update.CompleteTo-coordinator.wallClock())
 			}
@@ -101,15 +102,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			coordinator := newLogCoordinator()
 			coordinator.settings.Capacity = 0 // a start is announced only where the capacity is not known
-			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 			coordinator.Handle(0, &connected, nil)
-			coordinator.PlanLogUpdate(time.Second, storeS, LogRange{CompleteTo: epoch})
-			update := coordinator.PlanLogUpdate(2*time.Second, storeS, LogRange{CompleteTo: test.completeTo})
+			coordinator.PlanLogUpdate(time.Second, testStore, LogRange{CompleteTo: epoch})
+			update := coordinator.PlanLogUpdate(2*time.Second, testStore, LogRange{CompleteTo: test.completeTo})
 			if update.IsDataLost != (test.wantHealth == healthWarmingUp) {
 				t.Errorf("update.IsDataLost is %v", update.IsDataLost)
 			}
 			if update.IsDataLost {
-				lost := Event{Kind: EventDataLost, Endpoint: storeS}
+				lost := Event{Kind: EventDataLost, Endpoint: testStore}
 				checkSlowStartIsAnnounced(t, coordinator.Handle(2*time.Second, &lost, nil))
 			}
 			if health := coordinator.stores[0].health.state; health != test.wantHealth {
@@ -121,7 +122,7 @@
 
 // isProved reports whether a copy of the model's object would be served.
 func isProved(coordinator *Coordinator, generatedAt, validFrom Timestamp) bool {
-	return coordinator.log.proves(modelObject, 0, generatedAt, validFrom) &&
+	return coordinator.invalidations.provesCurrent(modelObject, 0, generatedAt, validFrom) &&
 		!coordinator.isInFuture(generatedAt, validFrom)
 }
 
--- a/policy/sharedstore/operation_test.go
+++ b/policy/sharedstore/operation_test.go
@@ -42,54 +42,54 @@
 	"request old acquired filled",
 }
 
-// scriptPlayer runs a script and records the actions that follow from each event.
-type scriptPlayer struct {
+// scriptRunner runs a script and records the actions that follow from each event.
+type scriptRunner struct {
 	coordinator *Coordinator
 	now         time.Duration
 	lastCommand map[OperationID]ActionKind
 	timers      map[OperationID]uint64
 }
 
-func newScriptPlayer() *scriptPlayer {
-	player := &scriptPlayer{
-		coordinator: New(testSettings(), 1, storeS),
+func newScriptRunner() *scriptRunner {
+	runner := &scriptRunner{
+		coordinator: New(testSettings(), 1, testStore),
 		now:         5 * time.Second, // later than the generation of every copy in the scripts
 		lastCommand: map[OperationID]ActionKind{1: ActionGet, 2: ActionGet},
 		timers:      map[OperationID]uint64{},
 	}
-	connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
-	player.coordinator.Handle(player.now, &connected, nil)
+	connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
+	runner.coordinator.Handle(runner.now, &connected, nil)
 	for range 20 {
-		player.coordinator.fillTime.add(40 * ms)
+		runner.coordinator.fillTime.add(40 * ms)
 	}
-	return player
+	return runner
 }
 
-// play runs a script and returns its trace: each event with the actions that follow from it.
-func play(script string) string {
-	player := newScriptPlayer()
+// runScript runs a script and returns its trace: each event with the actions that follow from it.
+func runScript(script string) string {
+	runner := newScriptRunner()
 	var trace []string
 	for word := range strings.FieldsSeq(script) {
-		player.now += ms
+		runner.now += ms
 		id := OperationID(1)
 		if first, isSecond := strings.CutSuffix(word, "2"); isSecond {
 			word, id = first, 2
 		}
-		event := player.event(word, id)
-		actions := player.coordinator.Handle(player.now, &event, nil)
-		trace = append(trace, strings.TrimSpace(word+": "+player.record(actions)))
+		event := runner.event(word, id)
+		actions := runner.coordinator.Handle(runner.now, &event, nil)
+		trace = append(trace, strings.TrimSpace(word+": "+runner.record(actions)))
 	}
 	return strings.Join(trace, "; ")
 }
 
-func (p *scriptPlayer) event(word string, id OperationID) Event {
+func (r *scriptRunner) event(word string, id OperationID) Event {
 	switch word {
 	case "request":
 		return requestEvent(id)
 	case "join":
 		return requestEvent(2)
 	case "timeout":
-		return Event{Kind: EventTimer, Operation: id, TimerID: p.timers[id]}
+		return Event{Kind: EventTimer, Operation: id, TimerID: r.timers[id]}
 	case "filled":
 		return Event{
 			Kind: EventFillDone, Operation: id, Outcome: routing.Succeeded, GeneratedAt: epoch + 3000, BodyBytes: 9,
@@ -102,20 +102,20 @@
 	case "cancel":
 		return Event{Kind: EventCancel, Operation: id}
 	}
-	return p.replyEvent(word, id)
+	return r.replyEvent(word, id)
 }
 
 func requestEvent(id OperationID) Event {
 	return Event{
-		Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: 7, UntilObjective: 400 * ms,
+		Kind: EventRequest, Operation: id, Endpoint: testStore, Source: testParent, Object: 7, UntilObjective: 400 * ms,
 		UntilDeadline: time.Second,
 	}
 }
 
 // replyEvent returns the reply to the operation's last command.
-func (p *scriptPlayer) replyEvent(word string, id OperationID) Event {
-	event := Event{Kind: EventGetDone, Operation: id, Endpoint: storeS, Elapsed: ms}
-	switch p.lastCommand[id] {
+func (r *scriptRunner) replyEvent(word string, id OperationID) Event {
+	event := Event{Kind: EventGetDone, Operation: id, Endpoint: testStore, Elapsed: ms}
+	switch r.lastCommand[id] {
 	case ActionAcquireLease:
 		event.Kind = EventLeaseDone
 	case ActionSet:
@@ -148,7 +148,7 @@
 }
 
 // record stores the last commands and timers, and returns the names of the actions.
-func (p *scriptPlayer) record(actions []Action) string {
+func (r *scriptRunner) record(actions []Action) string {
 	names := [...]string{
 		ActionGet: "get", ActionAcquireLease: "lease", ActionReleaseLease: "release", ActionStartFill: "fill",
 		ActionAbortFill: "abort", ActionSet: "set", ActionForget: "forget", ActionAnnounceStart: "announce",
@@ -159,14 +159,14 @@
 		var name string
 		switch action.Kind {
 		case ActionSetTimer:
-			p.timers[action.Operation] = action.TimerID
+			r.timers[action.Operation] = action.TimerID
 			continue
 		case ActionLog:
 			continue
 		case ActionComplete:
 			name = fmt.Sprintf("complete(%d,%d)", action.Outcome, action.Note)
 		case ActionGet, ActionAcquireLease, ActionSet:
-			p.lastCommand[action.Operation] = action.Kind
+			r.lastCommand[action.Operation] = action.Kind
 			name = names[action.Kind]
 		default:
 			name = names[action.Kind]
@@ -182,7 +182,7 @@
 // Every course that an operation can take, apart from random choices.
 func Example_operations() {
 	for _, script := range operationScripts {
-		fmt.Println(play(script))
+		fmt.Println(runScript(script))
 	}
 	// Output:
 	// request: get; hit: complete(1,1) forget
@@ -219,11 +219,11 @@
 func TestTracesCoverTransitions(t *testing.T) {
 	want := make([]string, len(operationScripts))
 	for i, script := range operationScripts {
-		want[i] = play(script)
+		want[i] = runScript(script)
 	}
 	differs := func() bool {
 		for i, script := range operationScripts {
-			if play(script) != want[i] {
+			if runScript(script) != want[i] {
 				return true
 			}
 		}
--- a/policy/sharedstore/simulation_steps_test.go
+++ b/policy/sharedstore/simulation_steps_test.go
@@ -12,7 +12,7 @@
 func (sim *simulation) request(source routing.EndpointID, objective, maxAge time.Duration) *simulatedRequest {
 	sim.lastRequest++
 	request := &simulatedRequest{
-		id: sim.lastRequest, store: storeS, source: source, object: routing.ObjectID(1 + sim.draw(3)),
+		id: sim.lastRequest, store: testStore, source: source, object: routing.ObjectID(1 + sim.draw(3)),
 		startedAt: sim.now, objective: sim.now + objective,
 	}
 	if maxAge > 0 {
@@ -22,7 +22,7 @@
 	sim.handle(&Event{
 		Kind: EventRequest, Operation: request.id, Endpoint: request.store, Source: source, Object: request.object,
 		UntilObjective: objective, UntilDeadline: objective + time.Second, MaxAge: maxAge,
-		OnlyIfCached: source == originO && sim.draw(4) == 0,
+		OnlyIfCached: source == testOrigin && sim.draw(4) == 0,
 	})
 	return request
 }
@@ -36,13 +36,13 @@
 		return
 	}
 	sim.inFlight[pending.store]--
-	isBroken := !sim.isCalm && sim.draw(10) == 0
+	isBroken := !sim.isFaultFree && sim.draw(10) == 0
 	failure := Reply(int(ReplyLoading) + sim.draw(int(ReplyDisconnected-ReplyLoading)+1))
 	event := sim.commandResult(pending, isBroken)
 	if isBroken {
 		event.Reply = failure
 	}
-	sim.kinds[fmt.Sprint("reply ", event.Kind, event.Reply)]++
+	sim.eventCounts[fmt.Sprint("reply ", event.Kind, event.Reply)]++
 	sim.handle(&event)
 }
 
@@ -53,7 +53,7 @@
 		Kind: EventFillDone, Operation: request.id, Elapsed: sim.now - pending.sentAt, Outcome: routing.Succeeded,
 		Note: routing.NoteHit, BodyBytes: 100, GeneratedAt: sim.wallClock(),
 	}
-	if n := sim.draw(12); !sim.isCalm && n < 4 {
+	if n := sim.draw(12); !sim.isFaultFree && n < 4 {
 		failures := []routing.Outcome{
 			routing.CacheMiss, routing.Overloaded, routing.ConnectionBroken, routing.TimedOut,
 		}
@@ -126,7 +126,7 @@
 func (sim *simulation) step() {
 	switch kind := sim.draw(40); {
 	case kind < 12:
-		source := []routing.EndpointID{parentP, parentP, originO, 0}[sim.draw(4)]
+		source := []routing.EndpointID{testParent, testParent, testOrigin, 0}[sim.draw(4)]
 		objective := time.Duration(20+sim.draw(600)) * ms
 		sim.request(source, objective, time.Duration(sim.draw(3))*time.Second)
 	case kind < 28 && len(sim.pending) > 0:
@@ -144,8 +144,8 @@
 	case kind == 38 && sim.lastRequest > 0:
 		sim.cancel()
 	}
-	if counted := sim.store().limit.inFlight; counted != sim.inFlight[storeS] {
-		sim.fail("%d commands are in flight, %d counted", sim.inFlight[storeS], counted)
+	if counted := sim.store().limit.inFlight; counted != sim.inFlight[testStore] {
+		sim.fail("%d commands are in flight, %d counted", sim.inFlight[testStore], counted)
 	}
 }
 
@@ -156,7 +156,7 @@
 }
 
 func (sim *simulation) changeEndpointState() {
-	id := []routing.EndpointID{storeS, parentP, originO}[sim.draw(3)]
+	id := []routing.EndpointID{testStore, testParent, testOrigin}[sim.draw(3)]
 	state := routing.EndpointState(sim.draw(3))
 	if sim.states[id] == state {
 		return
@@ -169,15 +169,15 @@
 // previous connection is reported or not.
 func (sim *simulation) reconnect() {
 	if sim.draw(2) == 0 {
-		sim.handle(&Event{Kind: EventDisconnected, Endpoint: storeS})
+		sim.handle(&Event{Kind: EventDisconnected, Endpoint: testStore})
 	}
 	if sim.draw(3) == 0 {
 		sim.runID++
 		sim.values = map[copyKey]*storedValue{}
-		sim.handle(&Event{Kind: EventConnected, Endpoint: storeS, RunID: sim.runID})
+		sim.handle(&Event{Kind: EventConnected, Endpoint: testStore, RunID: sim.runID})
 		return
 	}
-	sim.handle(&Event{Kind: EventConnected, Endpoint: storeS, RunID: sim.runID, Uptime: time.Hour})
+	sim.handle(&Event{Kind: EventConnected, Endpoint: testStore, RunID: sim.runID, Uptime: time.Hour})
 }
 
 func (sim *simulation) cancel() {
@@ -190,12 +190,12 @@
 
 // finish answers everything in flight without faults, and checks that nothing is left and that the store recovers.
 func (sim *simulation) finish() {
-	sim.isCalm = true
-	for _, id := range []routing.EndpointID{storeS, parentP, originO} {
+	sim.isFaultFree = true
+	for _, id := range []routing.EndpointID{testStore, testParent, testOrigin} {
 		sim.states[id] = routing.Ready
 		sim.handle(&Event{Kind: EventEndpointState, Endpoint: id, State: routing.Ready})
 	}
-	sim.handle(&Event{Kind: EventConnected, Endpoint: storeS, RunID: sim.runID, Uptime: time.Hour})
+	sim.handle(&Event{Kind: EventConnected, Endpoint: testStore, RunID: sim.runID, Uptime: time.Hour})
 	for i := 0; i < 4000 && sim.coordinator.InFlight() > 0; i++ {
 		if len(sim.pending) > 0 {
 			sim.reply(0)
--- a/policy/sharedstore/simulation_test.go
+++ b/policy/sharedstore/simulation_test.go
@@ -27,10 +27,10 @@
 	stateSince  map[routing.EndpointID]time.Duration
 	purges      map[routing.ObjectID]Timestamp
 	inFlight    map[routing.EndpointID]int
-	runID       uint64          // of the current run of storeS
+	runID       uint64          // of the current run of testStore
 	commands    []time.Duration // the time at which each command was sent
-	isCalm      bool            // no command and no fill fails
-	kinds       map[string]int  // how often each kind of event happened
+	isFaultFree bool            // no command and no fill fails
+	eventCounts map[string]int  // how often each kind of event happened
 }
 
 type simulatedRequest struct {
@@ -62,10 +62,10 @@
 type storedValue struct{ generatedAt, validFrom Timestamp }
 
 const (
-	storeS  routing.EndpointID = 11
-	storeT  routing.EndpointID = 12
-	parentP routing.EndpointID = 21
-	originO routing.EndpointID = 22
+	testStore  routing.EndpointID = 11
+	otherStore routing.EndpointID = 12
+	testParent routing.EndpointID = 21
+	testOrigin routing.EndpointID = 22
 )
 
 const epoch Timestamp = 1_700_000_000_000
@@ -78,11 +78,11 @@
 	}
 }
 
-// newSimulation returns a simulation with both stores connected. The function alter plants a fault in the Coordinator,
-// unless it is nil.
-func newSimulation(draw func(int) int, alter func(*Coordinator)) *simulation {
+// newSimulation returns a simulation with both stores connected. The function plantFault may change the Coordinator to
+// plant a fault; nil plants none.
+func newSimulation(draw func(int) int, plantFault func(*Coordinator)) *simulation {
 	sim := &simulation{
-		coordinator: New(testSettings(), 7, storeS, storeT),
+		coordinator: New(testSettings(), 7, testStore, otherStore),
 		draw:        draw,
 		now:         time.Second,
 		requests:    map[OperationID]*simulatedRequest{},
@@ -93,16 +93,16 @@
 		purges:      map[routing.ObjectID]Timestamp{},
 		inFlight:    map[routing.EndpointID]int{},
 		runID:       1,
-		kinds:       map[string]int{},
+		eventCounts: map[string]int{},
 	}
-	if alter != nil {
-		alter(sim.coordinator)
+	if plantFault != nil {
+		plantFault(sim.coordinator)
 	}
-	for _, id := range []routing.EndpointID{storeS, storeT, parentP, originO} {
+	for _, id := range []routing.EndpointID{testStore, otherStore, testParent, testOrigin} {
 		sim.states[id] = routing.Ready
 		sim.handle(&Event{Kind: EventEndpointState, Endpoint: id, State: routing.Ready})
 	}
-	for _, id := range []routing.EndpointID{storeS, storeT} {
+	for _, id := range []routing.EndpointID{testStore, otherStore} {
 		sim.handle(&Event{Kind: EventConnected, Endpoint: id, RunID: 1, Uptime: time.Hour})
 	}
 	return sim
@@ -146,7 +146,7 @@
 	case ActionForget:
 		sim.checkForget(request)
 	case ActionAnnounceStart:
-		sim.kinds["cold"]++
+		sim.eventCounts["start announced"]++
 	case ActionLog:
 	}
 }
@@ -213,7 +213,7 @@
 	if request.completions > 1 || request.isCancelled {
 		sim.fail("operation %d completes again or after its cancellation", action.Operation)
 	}
-	sim.kinds[fmt.Sprint("end ", action.Outcome)]++
+	sim.eventCounts[fmt.Sprint("end ", action.Outcome)]++
 	if action.Outcome != routing.Succeeded {
 		return
 	}
@@ -229,7 +229,7 @@
 		sim.fail("a copy older than the maximum age is served")
 	}
 	if action.CopyFrom != action.Operation {
-		sim.kinds["shared"]++
+		sim.eventCounts["shared"]++
 	}
 }
 
@@ -273,7 +273,7 @@
 			return
 		}
 		sim.advance(maxBackoff * 2)
-		sim.request(parentP, time.Second, 0)
+		sim.request(testParent, time.Second, 0)
 		for len(sim.pending) > 0 {
 			sim.advance(ms / 4)
 			sim.reply(0)
@@ -286,7 +286,7 @@
 func TestSimulationDraws(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(40) {
-		for kind, count := range simulate(seededDraw(seed), 300, nil).kinds {
+		for kind, count := range simulate(seededDraw(seed), 300, nil).eventCounts {
 			seen[kind] += count
 		}
 	}
--- a/policy/sharedstore/slowstart.go
+++ b/policy/sharedstore/slowstart.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// greetingCommands is the number of commands that a new connection sends before all others.
-	greetingCommands = 4
+	// handshakeCommands is the number of commands that a new connection sends before all others.
+	handshakeCommands = 4
 	// getCommands and setCommands are the numbers of commands that a get and a set need.
 	getCommands, setCommands = 1, 1
 	// getAgainCommands is the number of commands that a repeated get needs: the get and, after a miss, the attempt to
@@ -22,7 +22,7 @@
 	// would receive longer bursts.
 	burstsPerSecond = 50
 	// defaultSlowStartMargin is the share of the overload factor that routers use. Routers learn of a start at different
-	// moments, and the greetings of their connections come on top; a higher share could overload the store.
+	// moments, and the handshakes of their connections come on top; a higher share could overload the store.
 	defaultSlowStartMargin = 0.8
 )
 
@@ -34,10 +34,10 @@
 	refilledAt time.Duration
 }
 
-// newSlowStart returns the budget of a store that started at startedAt. The budget already counts the greeting of the
-// connection.
+// newSlowStart returns the budget of a store that started at startedAt. The budget already counts the handshake of the
+// new connection.
 func newSlowStart(startedAt, now time.Duration) slowStart {
-	return slowStart{startedAt: startedAt, tokens: 1 - greetingCommands, refilledAt: now}
+	return slowStart{startedAt: startedAt, tokens: 1 - handshakeCommands, refilledAt: now}
 }
 
 // refill adds the tokens that have accrued since the last refill, at a rate in commands a second.
--- a/policy/sharedstore/slowstart_test.go
+++ b/policy/sharedstore/slowstart_test.go
@@ -14,14 +14,14 @@
 
 // checkSlowStartBudget verifies that a store that has just started receives no more commands than its budget allows,
 // however many requests there are.
-func checkSlowStartBudget(alter func(*Coordinator)) error {
-	sim := newSimulation(seededDraw(3), alter)
-	sim.isCalm = true
-	sim.handle(&Event{Kind: EventConnected, Endpoint: storeS, RunID: 2})
+func checkSlowStartBudget(plantFault func(*Coordinator)) error {
+	sim := newSimulation(seededDraw(3), plantFault)
+	sim.isFaultFree = true
+	sim.handle(&Event{Kind: EventConnected, Endpoint: testStore, RunID: 2})
 	sim.commands = nil
 	startedAt := sim.now
 	for sim.now < startedAt+testSettings().SlowStartFor {
-		sim.request(parentP, 300*ms, 0)
+		sim.request(testParent, 300*ms, 0)
 		sim.advance(ms)
 		for len(sim.pending) > 0 {
 			sim.reply(0)
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -10,15 +10,15 @@
 const (
 	// minGetTimeout is the shortest timeout of a get. With a shorter one, a busy machine looks like a slow store.
 	minGetTimeout = 2 * ms
-	// minFillShare is the lower bound of half the usual fill time, which limits the timeout of a get. With a smaller
+	// minHalfFillTime is the lower bound of half the usual fill time, which limits the timeout of a get. With a smaller
 	// one, gets of ordinary duration would be late where fills are fast.
-	minFillShare = 5 * ms
+	minHalfFillTime = 5 * ms
 	// initialGetTimeout is the timeout of a get before the store's first reply. With a longer one, a silent store would
 	// delay the first requests.
 	initialGetTimeout = unknownLatency / 2
-	// refusedWritesFor is how long nothing is stored after a store refused a write. With a shorter time, more fills would
+	// writeSuspension is how long nothing is stored after a store refused a write. With a shorter time, more fills would
 	// be sent to a store that cannot keep them.
-	refusedWritesFor = maxBackoff
+	writeSuspension = maxBackoff
 )
 
 // storeStatus is the state of one store as known to this router.
@@ -46,15 +46,17 @@
 
 // getTimeout returns how long a get may take before a fill starts in parallel: longer than nearly all gets so far, but
 // at most half the usual fill time and an eighth of the time left until the request's objective.
-func (s *storeStatus) getTimeout(fillTime latencyEstimate, left time.Duration) time.Duration {
+func (s *storeStatus) getTimeout(fillTime latencyEstimate, untilObjective time.Duration) time.Duration {
 	timeout := initialGetTimeout
 	if s.latency.samples > 0 {
 		timeout = s.latency.typical() + time.Duration(6*s.latency.deviation*float64(time.Second))
 	}
-	return max(minGetTimeout, min(timeout, halfFill(fillTime), left/8))
+	return max(minGetTimeout, min(timeout, halfFillTime(fillTime), untilObjective/8))
 }
 
-func halfFill(fillTime latencyEstimate) time.Duration { return max(fillTime.typical()/2, minFillShare) }
+func halfFillTime(fillTime latencyEstimate) time.Duration {
+	return max(fillTime.typical()/2, minHalfFillTime)
+}
 
 // isListedReady reports whether the endpoint list allows commands to the store. A store that is not listed is allowed.
 func (c *Coordinator) isListedReady(store *storeStatus) bool {
@@ -85,11 +87,11 @@
 		c.setStoreTimer(store, time.Duration(float64(probeIn)*(0.75+c.random.float()/2)))
 	}
 	if changed {
-		c.logStore(store, "store "+store.health.state.String())
+		c.emitLog(store, "store "+store.health.state.String())
 	}
 }
 
-func (c *Coordinator) logStore(store *storeStatus, message string) {
+func (c *Coordinator) emitLog(store *storeStatus, message string) {
 	c.emit(Action{Kind: ActionLog, Endpoint: store.id, Message: message})
 }
 
@@ -106,7 +108,7 @@
 	case store.health.state == healthWarmingUp && !c.isWarmingUp(store):
 		c.signalHealth(store, signalWarm)
 	case store.health.state == healthWarmingUp:
-		c.setWarmTimer(store)
+		c.setSlowStartTimer(store)
 	case store.health.state == healthUnavailable && store.isDisconnected:
 		// The transport reconnects and reports the new connection.
 	default:
@@ -114,8 +116,8 @@
 	}
 }
 
-// setWarmTimer sets the store's timer to the end of its slow start.
-func (c *Coordinator) setWarmTimer(store *storeStatus) {
+// setSlowStartTimer sets the store's timer to the end of its slow start.
+func (c *Coordinator) setSlowStartTimer(store *storeStatus) {
 	c.setStoreTimer(store, max(ms, store.slowStart.startedAt+c.settings.SlowStartFor-c.now))
 }
 
@@ -151,7 +153,7 @@
 	store.limit.limit = math.Min(store.limit.limit, initialCommandLimit)
 	store.latency, store.health.lateGets = latencyEstimate{}, 0
 	c.signalHealth(store, signalStarted)
-	c.setWarmTimer(store)
+	c.setSlowStartTimer(store)
 	if c.settings.Capacity <= 0 {
 		c.emit(Action{Kind: ActionAnnounceStart, Endpoint: store.id, Uptime: c.now - startedAt})
 	}
@@ -195,17 +197,17 @@
 
 func (c *Coordinator) recordError(store *storeStatus, reply Reply, isProbe bool) {
 	store.limit.decrease(errorDecrease, c.now, store.latency.typical())
-	meaning := &storeErrors[reply]
+	storeError := &storeErrors[reply]
 	switch {
-	case meaning.isUnavailable:
+	case storeError.isUnavailable:
 		if store.health.state != healthUnavailable {
-			c.logStore(store, meaning.message)
+			c.emitLog(store, storeError.message)
 		}
 		c.signalHealth(store, signalDisconnected)
-	case meaning.refusesWrites && !store.refusesWrites:
-		c.logStore(store, meaning.message)
+	case storeError.refusesWrites && !store.refusesWrites:
+		c.emitLog(store, storeError.message)
 		store.refusesWrites = true
-		c.setStoreTimer(store, refusedWritesFor)
+		c.setStoreTimer(store, writeSuspension)
 	case isProbe && reply == ReplyDisconnected:
 		c.signalHealth(store, signalDisconnected)
 	}
@@ -213,7 +215,7 @@
 
 func (c *Coordinator) recordGet(store *storeStatus, elapsed time.Duration, isProbe bool) {
 	switch {
-	case elapsed <= max(minGetTimeout, halfFill(c.fillTime)):
+	case elapsed <= max(minGetTimeout, halfFillTime(c.fillTime)):
 		store.health.lateGets = 0
 		c.signalHealth(store, signalInTime)
 	case isProbe:
