--- a/policy/sharedstore/coalesce.go
+++ b/policy/sharedstore/coalesce.go
@@ -61,8 +61,8 @@
 // after the wait must end before then.
 const maxWaitBeyondFill = 100 * ms
 
-// maxWait returns how long an operation may wait for another fill: no longer than its own fill would still meet the
-// objective after the wait, and no longer than maxWaitBeyondFill past the usual time of a fill.
+// maxWait returns how long an operation may wait for another fill. The wait ends in time for the operation's own fill
+// to meet the objective, and at most maxWaitBeyondFill past the usual time of a fill.
 func (c *Coordinator) maxWait(op *operation) time.Duration {
 	untilOwnFill := op.objective - c.now - c.fillTime.upper()
 	untilOverdue := op.startedAt + c.fillTime.typical() + maxWaitBeyondFill - c.now
--- a/policy/sharedstore/concurrencylimit.go
+++ b/policy/sharedstore/concurrencylimit.go
@@ -29,8 +29,8 @@
 
 func (l *concurrencyLimit) hasRoom() bool { return float64(l.inFlight) < math.Max(minLimit, l.limit) }
 
-// isHalfFree reports whether less than half of the limit is in use. Commands that no client waits for require this, so
-// that they leave the other half to those that clients wait for.
+// isHalfFree reports whether less than half of the limit is in use. Commands that no client waits for are sent only
+// then, which leaves the other half of the limit to the commands that clients wait for.
 func (l *concurrencyLimit) isHalfFree() bool {
 	return float64(l.inFlight) < math.Max(minLimit, l.limit/2)
 }
--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -4,7 +4,7 @@
 // starts no goroutine: Coordinator.Handle takes events with their time and returns the actions to carry out.
 //
 // Each request to a store is an operation, a state machine whose states and transitions are in operation.go. Each
-// store has a health state, see health.go.
+// store has a health state; see health.go.
 package sharedstore
 
 import (
@@ -15,8 +15,8 @@
 
 const ms = time.Millisecond
 
-// goneEndpointTTL is how long an endpoint that is gone is remembered. With a time shorter than an operation that names
-// the endpoint, a fill could still be sent there.
+// goneEndpointTTL is how long an endpoint that is gone is remembered. It must exceed the duration of any operation that
+// names the endpoint; otherwise a fill could still be sent there.
 const goneEndpointTTL = time.Minute
 
 // Coordinator makes one router's decisions about its shared stores. It is not safe for concurrent use.
@@ -48,7 +48,7 @@
 	since time.Duration
 }
 
-// New returns a Coordinator for the given stores. Each store is unavailable until it is reported as connected.
+// New returns a Coordinator for the given stores, each of which is unavailable until an EventConnected names it.
 func New(settings Settings, seed uint64, stores ...routing.EndpointID) *Coordinator {
 	settings.Routers = max(1, settings.Routers)
 	coordinator := &Coordinator{
@@ -207,7 +207,7 @@
 		c.endpoints[event.Endpoint] = listedEndpoint{event.State, c.now}
 	}
 	c.dropFillLimit(event.Endpoint)
-	for id, listed := range c.endpoints { // without the cleanup, the map would grow for months
+	for id, listed := range c.endpoints { // the map would otherwise grow for months
 		if listed.state == routing.Gone && c.now-listed.since > goneEndpointTTL {
 			delete(c.endpoints, id)
 		}
--- a/policy/sharedstore/health.go
+++ b/policy/sharedstore/health.go
@@ -99,8 +99,8 @@
 	state       healthState
 	backoff     time.Duration // the latest wait before a probe
 	probe       OperationID   // the operation whose get is the probe, 0: none
-	lateGets    int           // consecutive
-	firstLateAt time.Duration // when the first of these gets was late
+	lateGets    int           // number of consecutive late gets
+	firstLateAt time.Duration // when the first of them was late
 }
 
 // handle moves to the state that follows a signal. It reports whether the state changed and, if a wait before the next
@@ -126,8 +126,8 @@
 	return changed, probeIn
 }
 
-// nextBackoff returns the wait before the next probe: the minimum after a failure of a store that was in use, twice the
-// latest wait after a failed probe, and 0 for a change between unavailable and slow, where the current wait continues.
+// nextBackoff sets and returns the wait before the next probe: the minimum after a failure of a store that was in use,
+// or twice the latest wait after a failed probe. Between unavailable and slow it returns 0, and the wait continues.
 func (h *health) nextBackoff(previous healthState) time.Duration {
 	switch previous {
 	case healthReady, healthWarmingUp:
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -69,18 +69,18 @@
 	return c.invalidations.add(entry)
 }
 
-// DiscoveryCurrent notes that every purge issued before asOf has been recorded.
+// DiscoveryCurrent records that this router knows every purge issued before asOf.
 func (c *Coordinator) DiscoveryCurrent(asOf Timestamp) {
 	c.invalidations.completeTo = max(c.invalidations.completeTo, asOf)
 }
 
-// DiscoveryGap notes that this router may never receive some of the purges issued until now.
+// DiscoveryGap records that this router may never receive some of the purges issued until now.
 func (c *Coordinator) DiscoveryGap(now time.Duration) {
 	c.now = max(now, c.now)
 	c.invalidations.restart(c.wallClock())
 }
 
-// ClockStepped notes that the wall clock was changed by the given duration. Times from before and after the change
+// ClockStepped records that the wall clock was changed by the given duration. Times from before and after the change
 // cannot be compared: no copy stored until now is proved any more, and later copies are proved only once the clock has
 // passed both readings.
 func (c *Coordinator) ClockStepped(now, by time.Duration) {
@@ -166,7 +166,7 @@
 	return update
 }
 
-// LogUpdateWritten notes that an update is in the store, and reports whether there is more to write at once.
+// LogUpdateWritten records that an update is in the store, and reports whether there is more to write at once.
 func (c *Coordinator) LogUpdateWritten(id routing.EndpointID, update LogUpdate) (more bool) {
 	store := c.storeByID[id]
 	if store == nil {
@@ -201,7 +201,7 @@
 	c.invalidations.completeFrom = min(c.invalidations.completeFrom, oldest)
 }
 
-// AbandonMerge notes that the entries of a store's log could not be read completely. The read is not tried again on
+// AbandonMerge records that the entries of a store's log could not be read completely. The read is not tried again on
 // this connection.
 func (c *Coordinator) AbandonMerge(id routing.EndpointID) {
 	store := c.storeByID[id]
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -38,14 +38,14 @@
 		younger.invalidations.provesCurrent(8, 0, epoch+40_000, 0))
 	younger.MergeInvalidations(63*time.Second, testStore, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
 	fmt.Println("after the merge:", younger.invalidations.provesCurrent(8, 0, epoch+40_000, 0),
-		"a copy from before a purge:", younger.invalidations.provesCurrent(7, 0, epoch+20_000, 0))
+		"and a copy from before a purge:", younger.invalidations.provesCurrent(7, 0, epoch+20_000, 0))
 	// Output:
 	// older, the store has no log: needs all false, entries 1, from 0, to 50000
 	// younger, too early: needs all false, entries 0, from 0, to 0
 	// older extends the range: needs all false, entries 1, from 0, to 62000
 	// younger: needs all true, entries 0, from 0, to 0
 	// before the merge, a copy from before the start is proved: false
-	// after the merge: true a copy from before a purge: false
+	// after the merge: true and a copy from before a purge: false
 }
 
 // After the wall clock is set back or forward by an hour, no copy stored before is proved, whichever purge follows. A
--- a/policy/sharedstore/operation.go
+++ b/policy/sharedstore/operation.go
@@ -105,9 +105,9 @@
 	effectCompleteFill         // answer with the copy that the fill returned, then store the copy
 	effectFailFill             // answer with the source's failure
 	effectShareCopy            // answer with the leader's copy
-	effectStart                // ask the store, or bypass it
-	effectJoinOrStart          // the same, or join an operation that has already done so
-	effectForget               // drop the operation, for which nothing is in flight
+	effectStart                // ask the store, or bypass the store with a fill
+	effectJoinOrStart          // join another operation for the same copy, or do the same as effectStart
+	effectForget               // drop the operation, which has nothing left in flight
 	effectAwaitGet             // wait for the late get alone, because no second fill is tried
 )
 
--- a/policy/sharedstore/settings.go
+++ b/policy/sharedstore/settings.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// defaultOverloadFactor is the multiple of its capacity that a store may receive during its slow start if nothing is
-	// known of how much more the store can handle. A higher factor could overload the store.
+	// defaultOverloadFactor is the OverloadFactor if nothing is known of how much more than its capacity a store can
+	// handle. A higher factor could overload the store.
 	defaultOverloadFactor = 1
 	// defaultMaxInFlight limits the commands in flight: about a millisecond of work for a store that handles 100,000
 	// commands a second. With a lower limit such a store would be idle at times, with a higher one commands would queue.
@@ -35,7 +35,7 @@
 }
 
 // WithDefaults returns the settings with defaults for the fields that are not set. A store without slow-start settings
-// uses those of the caches, which r has.
+// uses those that r has for caches.
 func (s Settings) WithDefaults(r *routing.Settings) Settings {
 	if s.Routers <= 0 {
 		s.Routers = r.Routers
--- a/policy/sharedstore/simulation_test.go
+++ b/policy/sharedstore/simulation_test.go
@@ -282,7 +282,7 @@
 	sim.fail("a store without faults stays %s", sim.store().health.state)
 }
 
-// Every important kind of event happens in the simulation: shared copies, successes and misses.
+// The draws of the simulation do lead to shared copies, successes and misses, so that its checks cover them.
 func TestSimulationDraws(t *testing.T) {
 	seen := map[string]int{}
 	for seed := range uint64(40) {
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -29,7 +29,7 @@
 	limit          concurrencyLimit // on commands in flight
 	latency        latencyEstimate  // of commands
 	runID          uint64
-	wasConnected   bool // runID is known
+	wasConnected   bool // a connection was reported, so runID is known
 	isDisconnected bool
 	refusesWrites  bool
 	timerID        uint64 // ID of the current timer; earlier timers are ignored
@@ -64,8 +64,8 @@
 	return !known || listed.state == routing.Ready
 }
 
-// canSend reports whether that many commands can be sent now: the limit has room, and the slow-start budget of a store
-// that warms up allows them.
+// canSend reports whether that many commands can be sent now: the store is available, its limit has room, and the
+// slow-start budget of a store that warms up allows them.
 func (c *Coordinator) canSend(store *storeStatus, commands float64) bool {
 	if store.health.state == healthUnavailable || !store.limit.hasRoom() || !c.isListedReady(store) {
 		return false
