--- a/policy/sharedstore/concurrencylimit.go
+++ b/policy/sharedstore/concurrencylimit.go
@@ -10,11 +10,11 @@
 	// trip at most, because each good reply raises the limit. With a higher value, the first burst could overload the
 	// store.
 	initialCommandLimit = 16
-	// minLimit is the lowest limit. With 0, no reply could ever raise the limit again.
+	// minLimit is the lowest limit. It leaves room for one command or fill, whose reply can raise the limit again.
 	minLimit = 1
 	// latencyDecrease is the factor that reduces the limit after a reply that took twice the usual time, errorDecrease the
-	// factor after an error or a lost connection. Higher factors relieve an overloaded store too slowly, lower ones leave
-	// a healthy store idle after a single fault.
+	// factor after an error or a lost connection. Higher factors reduce the load too slowly in an overload, lower ones
+	// waste capacity after a single fault.
 	latencyDecrease, errorDecrease = 0.9, 0.7
 )
 
--- a/policy/sharedstore/slowstart.go
+++ b/policy/sharedstore/slowstart.go
@@ -6,17 +6,19 @@
 )
 
 const (
-	// handshakeCommands is the number of commands that a new connection sends before all others.
+	// handshakeCommands is the number of commands that a new connection sends before all others. With a lower number, a
+	// store that has just started would receive more than its budget.
 	handshakeCommands = 4
 	// getCommands and setCommands are the numbers of commands that a get and a set need.
 	getCommands, setCommands = 1, 1
 	// getAgainCommands is the number of commands that a repeated get needs: the get and, after a miss, the attempt to
-	// acquire the lease.
+	// acquire the lease. With a lower number, the budget could run out between the two.
 	getAgainCommands = 2
 	// leaseCommands is the number of commands that a lease needs: the attempt to acquire it and the set after the fill.
+	// With a lower number, the lease could be acquired although there is no budget for the set.
 	leaseCommands = 2
 	// commandsPerRequest is the number of commands that one request may need: a get, a lease and a set. A budget that
-	// holds fewer could not serve the request.
+	// holds fewer may not suffice for the whole request.
 	commandsPerRequest = 3
 	// burstsPerSecond limits a budget to the commands of a fiftieth of a second. With a lower value, a store that warms up
 	// would receive longer bursts.
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -16,8 +16,8 @@
 	// initialGetTimeout is the timeout of a get before the store's first reply. With a longer one, a silent store would
 	// delay the first requests.
 	initialGetTimeout = unknownLatency / 2
-	// writeSuspension is how long nothing is stored after a store refused a write. With a shorter time, more fills would
-	// be sent to a store that cannot keep them.
+	// writeSuspension is how long nothing is stored after a store refused a write. With a shorter time, more copies
+	// would be sent to a store that cannot keep them.
 	writeSuspension = maxBackoff
 )
 
