--- a/policy/sharedstore/coordinator_test.go
+++ b/policy/sharedstore/coordinator_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// simulate plays a history of so many steps to its end.
-func simulate(draw func(int) int, steps int, alter func(*Coordinator)) *simulation {
-	sim := newSimulation(draw, alter)
+// simulate runs a simulation of the given number of steps to its end.
+func simulate(draw func(int) int, steps int, plantFault func(*Coordinator)) *simulation {
+	sim := newSimulation(draw, plantFault)
 	for i := 0; i < steps && sim.err == nil; i++ {
 		sim.step()
 	}
@@ -29,9 +29,9 @@
 	return func(n int) int { return random.IntN(n) }
 }
 
-// Whatever comes in whatever order: one end for each operation, nothing left open, no command to a store that is
-// draining, no fill from a source past its grace, no copy from before a purge, and no health state that is a dead
-// end.
+// Events in any order break no rule: each operation ends exactly once, nothing stays in flight, no command goes to a
+// draining store, no fill to a source past its grace, no copy from before a purge is served, and no health state is a
+// dead end.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		steps := rapid.IntRange(10, 400).Draw(t, "steps")
@@ -42,17 +42,17 @@
 	})
 }
 
-// A lease that another router holds for ever costs nobody the objective, as long as a fill fits before it.
+// A lease whose holder crashed makes no request miss its objective, as long as a fill fits before the objective.
 func TestLeaseHolderDies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(seededDraw(1), nil)
-		sim.isCalm = true
+		sim.isFaultFree = true
 		fillTime := time.Duration(rapid.IntRange(5, 60).Draw(t, "fill")) * ms
 		for range 30 {
 			sim.coordinator.fillTime.add(fillTime)
 		}
 		objective := fillTime*time.Duration(rapid.IntRange(3, 12).Draw(t, "due")) + 20*ms
-		request := sim.request(parentP, objective, 0)
+		request := sim.request(testParent, objective, 0)
 		for range 10000 {
 			if request.completions > 0 {
 				break
@@ -61,12 +61,12 @@
 			sim.advance(ms / 2)
 		}
 		if request.completions == 0 || sim.now > request.objective {
-			t.Fatalf("%d completions, by %v of %v", request.completions, sim.now-request.startedAt, objective)
+			t.Fatalf("%d completions after %v, want one within %v", request.completions, sim.now-request.startedAt, objective)
 		}
 	})
 }
 
-// replyWithLeaseHeld answers all that is in flight, with the lease in other hands and fills that take so long.
+// replyWithLeaseHeld answers everything in flight. Another router holds the lease, and each fill takes fillTime.
 func replyWithLeaseHeld(sim *simulation, request *simulatedRequest, fillTime time.Duration) {
 	for i := 0; i < len(sim.pending); i++ {
 		pending := sim.pending[i]
@@ -80,34 +80,34 @@
 	}
 }
 
-// firstFault plays seeds until one shows a fault.
-func firstFault(seeds int, alter func(*Coordinator)) error {
+// firstFault simulates one seed after the other until one shows a fault.
+func firstFault(seeds int, plantFault func(*Coordinator)) error {
 	for seed := range uint64(seeds) {
-		if sim := simulate(seededDraw(seed), 300, alter); sim.err != nil {
+		if sim := simulate(seededDraw(seed), 300, plantFault); sim.err != nil {
 			return fmt.Errorf("seed %d: %w", seed, sim.err)
 		}
 	}
-	return errors.Join(checkSlowStartBudget(alter), checkSlowStore(alter))
+	return errors.Join(checkSlowStartBudget(plantFault), checkSlowStore(plantFault))
 }
 
-// The checks can fail: with a fault planted in the health states or the budget, one of them does.
-// TestTracesCoverTransitions sees the states of operations.
+// The checks of the simulation detect faults: with a fault in the health transitions or the budget, one of them fails.
+// TestTracesCoverTransitions covers the transitions of operations.
 func TestSimulationFindsPlantedFaults(t *testing.T) {
 	if err := firstFault(60, nil); err != nil {
 		t.Fatal(err)
 	}
 	unlimitedBudget := func(c *Coordinator) { c.slowStartMargin = 100 }
 	if firstFault(60, unlimitedBudget) == nil {
-		t.Error("a slow start without a budget is not found")
+		t.Error("no check detects a slow start without a budget")
 	}
 	for name, plant := range map[string]func(){
-		"unavailable without an end": func() {
+		"unavailable is a dead end": func() {
 			healthTransitions[healthUnavailable] = [healthSignals]healthState{}
 		},
-		"slow without an end": func() {
+		"slow is a dead end": func() {
 			healthTransitions[healthSlow][signalBackoffOver] = healthSlow
 		},
-		"probing without an end": func() {
+		"probing is a dead end": func() {
 			healthTransitions[healthProbing][signalInTime] = healthProbing
 		},
 	} {
@@ -116,15 +116,15 @@
 			defer func() { healthTransitions = original }()
 			plant()
 			if firstFault(60, nil) == nil {
-				t.Error("not found")
+				t.Error("no check detects the fault")
 			}
 		})
 	}
 }
 
 func BenchmarkHit(b *testing.B) {
-	coordinator := New(testSettings(), 1, storeS)
-	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}, nil)
+	coordinator := New(testSettings(), 1, testStore)
+	coordinator.Handle(0, &Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}, nil)
 	actions := make([]Action, 0, 16)
 	now := time.Minute
 	id := OperationID(0)
@@ -133,11 +133,11 @@
 		id++
 		now += 10 * time.Microsecond
 		actions = coordinator.Handle(now, &Event{
-			Kind: EventRequest, Operation: id, Endpoint: storeS, Source: parentP, Object: routing.ObjectID(id%1000 + 1),
+			Kind: EventRequest, Operation: id, Endpoint: testStore, Source: testParent, Object: routing.ObjectID(id%1000 + 1),
 			UntilObjective: 400 * ms, UntilDeadline: time.Second,
 		}, actions[:0])
 		actions = coordinator.Handle(now, &Event{
-			Kind: EventGetDone, Operation: id, Endpoint: storeS, Reply: ReplyHit, GeneratedAt: epoch + 50_000,
+			Kind: EventGetDone, Operation: id, Endpoint: testStore, Reply: ReplyHit, GeneratedAt: epoch + 50_000,
 			ValidFrom: epoch + 50_000, Elapsed: 300 * time.Microsecond,
 		}, actions[:0])
 	}
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -7,65 +7,66 @@
 	"time"
 )
 
-// contiguousAlways is a planted fault: a router that joins any range of a store to its own.
-const contiguousAlways Timestamp = 1 << 60
+// unlimitedGap is a value of maxGap that plants a fault: any two ranges count as contiguous.
+const unlimitedGap Timestamp = 1 << 60
 
 func newLogCoordinator() *Coordinator {
 	settings := testSettings()
 	settings.PurgeCompleteAfter = 0
-	return New(settings, 1, storeS)
+	return New(settings, 1, testStore)
 }
 
-// A router that starts late takes over what the store's log proves, once an older one has moved its end past its start.
+// A router that starts late takes over the store's log once an older router has moved the end of the log's range past
+// the start of the younger router.
 func ExampleCoordinator_PlanLogUpdate() {
 	older, younger := newLogCoordinator(), newLogCoordinator()
-	younger.log.completeFrom, younger.log.completeTo = epoch+60_000, epoch+60_000
+	younger.invalidations.completeFrom, younger.invalidations.completeTo = epoch+60_000, epoch+60_000
 	show := func(who string, update LogUpdate) {
 		fmt.Printf("%s: needs all %v, entries %d, from %d, to %d\n", who, update.NeedsAll, len(update.Invalidations),
 			max(0, update.CompleteFrom-epoch), max(0, update.CompleteTo-epoch))
 	}
 	older.RecordInvalidation(30*time.Second, Invalidation{Object: 7, IssuedAt: epoch + 30_000})
 	older.DiscoveryCurrent(epoch + 50_000)
-	show("older, the store has nothing", older.PlanLogUpdate(50*time.Second, storeS, LogRange{}))
+	show("older, the store has no log", older.PlanLogUpdate(50*time.Second, testStore, LogRange{}))
 	stored := LogRange{epoch, epoch + 50_000}
-	show("younger, too early", younger.PlanLogUpdate(61*time.Second, storeS, stored))
+	show("younger, too early", younger.PlanLogUpdate(61*time.Second, testStore, stored))
 	older.DiscoveryCurrent(epoch + 62_000)
-	show("older moves it on", older.PlanLogUpdate(62*time.Second, storeS, stored))
+	show("older extends the range", older.PlanLogUpdate(62*time.Second, testStore, stored))
 	stored.CompleteTo = epoch + 62_000
-	show("younger", younger.PlanLogUpdate(63*time.Second, storeS, stored))
-	fmt.Println("copies from before its start are proved:", younger.log.proves(8, 0, epoch+40_000, 0))
-	younger.MergeInvalidations(63*time.Second, storeS, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
-	fmt.Println("then:", younger.log.proves(8, 0, epoch+40_000, 0),
-		"but not one from before a purge:", younger.log.proves(7, 0, epoch+20_000, 0))
+	show("younger", younger.PlanLogUpdate(63*time.Second, testStore, stored))
+	fmt.Println("before the merge, a copy from before the start is proved:",
+		younger.invalidations.provesCurrent(8, 0, epoch+40_000, 0))
+	younger.MergeInvalidations(63*time.Second, testStore, []Invalidation{{Object: 7, IssuedAt: epoch + 30_000}})
+	fmt.Println("after the merge:", younger.invalidations.provesCurrent(8, 0, epoch+40_000, 0),
+		"and a copy from before a purge:", younger.invalidations.provesCurrent(7, 0, epoch+20_000, 0))
 	// Output:
-	// older, the store has nothing: needs all false, entries 1, from 0, to 50000
+	// older, the store has no log: needs all false, entries 1, from 0, to 50000
 	// younger, too early: needs all false, entries 0, from 0, to 0
-	// older moves it on: needs all false, entries 1, from 0, to 62000
+	// older extends the range: needs all false, entries 1, from 0, to 62000
 	// younger: needs all true, entries 0, from 0, to 0
-	// copies from before its start are proved: false
-	// then: true but not one from before a purge: false
+	// before the merge, a copy from before the start is proved: false
+	// after the merge: true and a copy from before a purge: false
 }
 
-// The wall clock is set back or forward by an hour: no copy that was stored before is proved any more, whichever
-// purge came after; what is stored later is, once the clock has passed both readings; and no end is written that lies
-// in the future.
+// After the wall clock is set back or forward by an hour, no copy stored before is proved, whichever purge follows. A
+// copy stored later is proved once the clock has passed both readings. No range is written that ends in the future.
 func TestClockStep(t *testing.T) {
 	for _, step := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			now := 10 * time.Minute
 			old := epoch + Timestamp((now-time.Minute)/ms)
 			coordinator := newLogCoordinator()
-			coordinator.log.completeFrom, coordinator.log.completeTo = epoch, epoch
-			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			coordinator.invalidations.completeFrom, coordinator.invalidations.completeTo = epoch, epoch
+			connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 			coordinator.Handle(0, &connected, nil)
 			coordinator.now = now
 			coordinator.DiscoveryCurrent(epoch + Timestamp(now/ms))
 			if !isProved(coordinator, old, old) {
-				t.Fatal("a copy is not proved without any step")
+				t.Fatal("a copy is not proved before the clock steps")
 			}
 			coordinator.ClockStepped(now, step)
 			if coordinator.wallClock() != epoch+Timestamp((now+step)/ms) {
-				t.Errorf("the time is %d", coordinator.wallClock()-epoch)
+				t.Errorf("the wall clock is %d ms past the epoch", coordinator.wallClock()-epoch)
 			}
 			purge := Invalidation{Object: modelObject, IssuedAt: coordinator.wallClock()}
 			coordinator.RecordInvalidation(now, purge)
@@ -74,26 +75,26 @@
 					t.Error("a copy from before a purge is proved")
 				}
 			}
-			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, storeS, LogRange{})
+			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, testStore, LogRange{})
 			if update.CompleteTo > coordinator.wallClock()+maxClockSkew {
-				t.Errorf("an end is written that lies %d ms ahead", update.CompleteTo-coordinator.wallClock())
+				t.Errorf("the written range ends %d ms in the future", update.CompleteTo-coordinator.wallClock())
 			}
 			coordinator.now = now + time.Hour + time.Minute
 			if generatedAt := coordinator.wallClock(); !isProved(coordinator, generatedAt, generatedAt) {
-				t.Error("a copy from after it is never proved")
+				t.Error("a copy from after the step is not proved")
 			}
 		})
 	}
 }
 
-// A store whose log is gone has lost its data and warms up anew; one whose log has an end, however early, has not.
+// A store whose log is gone has lost its data and warms up again. A store whose log has an end, however early, has not.
 func TestLossOfLog(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		completeTo Timestamp
 		wantHealth healthState
 	}{
-		{"moved on", epoch + 1, healthReady},
+		{"extended", epoch + 1, healthReady},
 		{"rolled back", epoch - 1, healthReady},
 		{"an end before the Unix epoch", -1, healthReady},
 		{"gone", 0, healthWarmingUp},
@@ -101,15 +102,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			coordinator := newLogCoordinator()
 			coordinator.settings.Capacity = 0 // a start is announced only where the capacity is not known
-			connected := Event{Kind: EventConnected, Endpoint: storeS, RunID: 1, Uptime: time.Hour}
+			connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 			coordinator.Handle(0, &connected, nil)
-			coordinator.PlanLogUpdate(time.Second, storeS, LogRange{CompleteTo: epoch})
-			update := coordinator.PlanLogUpdate(2*time.Second, storeS, LogRange{CompleteTo: test.completeTo})
+			coordinator.PlanLogUpdate(time.Second, testStore, LogRange{CompleteTo: epoch})
+			update := coordinator.PlanLogUpdate(2*time.Second, testStore, LogRange{CompleteTo: test.completeTo})
 			if update.IsDataLost != (test.wantHealth == healthWarmingUp) {
-				t.Errorf("data lost: %v", update.IsDataLost)
+				t.Errorf("update.IsDataLost is %v", update.IsDataLost)
 			}
 			if update.IsDataLost {
-				lost := Event{Kind: EventDataLost, Endpoint: storeS}
+				lost := Event{Kind: EventDataLost, Endpoint: testStore}
 				checkSlowStartIsAnnounced(t, coordinator.Handle(2*time.Second, &lost, nil))
 			}
 			if health := coordinator.stores[0].health.state; health != test.wantHealth {
@@ -119,14 +120,14 @@
 	}
 }
 
-// isProved says whether a copy of the model's object would be served.
+// isProved reports whether a copy of the model's object would be served.
 func isProved(coordinator *Coordinator, generatedAt, validFrom Timestamp) bool {
-	return coordinator.log.proves(modelObject, 0, generatedAt, validFrom) &&
+	return coordinator.invalidations.provesCurrent(modelObject, 0, generatedAt, validFrom) &&
 		!coordinator.isInFuture(generatedAt, validFrom)
 }
 
-// checkSlowStartIsAnnounced checks for the timer at the end of the slow start of a store that lost its data, a line of
-// the log, and the announced start of a store whose capacity is not known.
+// checkSlowStartIsAnnounced checks the actions after a store of unknown capacity lost its data: a timer for the end of
+// the slow start, a log line and the announcement of a start.
 func checkSlowStartIsAnnounced(t *testing.T, actions []Action) {
 	t.Helper()
 	for _, want := range []ActionKind{ActionSetTimer, ActionLog, ActionAnnounceStart} {
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -8,17 +8,20 @@
 )
 
 const (
-	// minGetTimeout: below it a busy machine looks like a slow store.
+	// minGetTimeout is the shortest timeout of a get. With a shorter one, a busy machine looks like a slow store.
 	minGetTimeout = 2 * ms
-	// minFillShare is the least that half the usual time of a fill counts for in a get's timeout.
-	minFillShare = 5 * ms
-	// initialGetTimeout is used until a first get has been answered.
+	// minHalfFillTime is the lower bound of half the usual fill time, which limits the timeout of a get. With a smaller
+	// one, gets of ordinary duration would be late where fills are fast.
+	minHalfFillTime = 5 * ms
+	// initialGetTimeout is the timeout of a get before the store's first reply. With a longer one, a silent store would
+	// delay the first requests.
 	initialGetTimeout = unknownLatency / 2
-	// refusedWritesFor is how long nothing is stored after a store refused a write.
-	refusedWritesFor = maxBackoff
+	// writeSuspension is how long nothing is stored after a store refused a write. With a shorter time, more copies
+	// would be sent to a store that cannot keep them.
+	writeSuspension = maxBackoff
 )
 
-// storeStatus is what is known of one store.
+// storeStatus is the state of one store as known to this router.
 type storeStatus struct {
 	id             routing.EndpointID
 	health         health
@@ -26,10 +29,10 @@
 	limit          concurrencyLimit // on commands in flight
 	latency        latencyEstimate  // of commands
 	runID          uint64
-	wasConnected   bool // runID is known
+	wasConnected   bool // a connection was reported, so runID is known
 	isDisconnected bool
 	refusesWrites  bool
-	timerID        uint64 // the timer that counts; earlier ones are ignored
+	timerID        uint64 // ID of the current timer; earlier timers are ignored
 	logSync        logSync
 }
 
@@ -41,25 +44,28 @@
 	}
 }
 
-// getTimeout is how long a get may take before a fill begins beside it: longer than nearly all gets so far, yet no
-// more than half of a usual fill, and an eighth of the time that the request has left.
-func (s *storeStatus) getTimeout(fillTime latencyEstimate, left time.Duration) time.Duration {
+// getTimeout returns how long a get may take before a fill starts in parallel: longer than nearly all gets so far, but
+// at most half the usual fill time and an eighth of the time left until the request's objective.
+func (s *storeStatus) getTimeout(fillTime latencyEstimate, untilObjective time.Duration) time.Duration {
 	timeout := initialGetTimeout
 	if s.latency.samples > 0 {
 		timeout = s.latency.typical() + time.Duration(6*s.latency.deviation*float64(time.Second))
 	}
-	return max(minGetTimeout, min(timeout, halfFill(fillTime), left/8))
+	return max(minGetTimeout, min(timeout, halfFillTime(fillTime), untilObjective/8))
 }
 
-func halfFill(fillTime latencyEstimate) time.Duration { return max(fillTime.typical()/2, minFillShare) }
+func halfFillTime(fillTime latencyEstimate) time.Duration {
+	return max(fillTime.typical()/2, minHalfFillTime)
+}
 
-// isListedReady says whether the endpoint list lets the store be asked.
+// isListedReady reports whether the endpoint list allows commands to the store. A store that is not listed is allowed.
 func (c *Coordinator) isListedReady(store *storeStatus) bool {
 	listed, known := c.endpoints[store.id]
 	return !known || listed.state == routing.Ready
 }
 
-// canSend says whether so many commands can be sent now: there is room, and a store that warms up has budget for them.
+// canSend reports whether that many commands can be sent now: the store is available, its limit has room, and the
+// slow-start budget of a store that warms up allows them.
 func (c *Coordinator) canSend(store *storeStatus, commands float64) bool {
 	if store.health.state == healthUnavailable || !store.limit.hasRoom() || !c.isListedReady(store) {
 		return false
@@ -67,29 +73,29 @@
 	return c.hasBudget(store, commands)
 }
 
-// countCommand counts a command that is sent and will be answered.
+// countCommand counts a command that is being sent and will receive a reply.
 func (c *Coordinator) countCommand(store *storeStatus) {
 	c.consumeBudget(store, 1)
 	store.limit.inFlight++
 }
 
-// signalHealth moves a store's health on, and sets the timer for the next probe.
+// signalHealth passes a signal to a store's health, and sets the timer for the next probe.
 func (c *Coordinator) signalHealth(store *storeStatus, signal healthSignal) {
 	changed, probeIn := store.health.handle(signal)
 	if probeIn > 0 {
-		// Routers that saw the same event must not probe at the same moment.
+		// The random factor keeps routers that saw the same event from probing at the same moment.
 		c.setStoreTimer(store, time.Duration(float64(probeIn)*(0.75+c.random.float()/2)))
 	}
 	if changed {
-		c.logStore(store, "store "+store.health.state.String())
+		c.emitLog(store, "store "+store.health.state.String())
 	}
 }
 
-func (c *Coordinator) logStore(store *storeStatus, message string) {
+func (c *Coordinator) emitLog(store *storeStatus, message string) {
 	c.emit(Action{Kind: ActionLog, Endpoint: store.id, Message: message})
 }
 
-// setStoreTimer sets the store's timer; an earlier one counts no more.
+// setStoreTimer sets the store's timer, which replaces any earlier one.
 func (c *Coordinator) setStoreTimer(store *storeStatus, delay time.Duration) {
 	c.lastTimerID++
 	store.timerID = c.lastTimerID
@@ -102,16 +108,16 @@
 	case store.health.state == healthWarmingUp && !c.isWarmingUp(store):
 		c.signalHealth(store, signalWarm)
 	case store.health.state == healthWarmingUp:
-		c.setWarmTimer(store)
+		c.setSlowStartTimer(store)
 	case store.health.state == healthUnavailable && store.isDisconnected:
-		// The transport reconnects, and says so.
+		// The transport reconnects and reports the new connection.
 	default:
 		c.signalHealth(store, signalBackoffOver)
 	}
 }
 
-// setWarmTimer has the store looked at again when its slow start is over.
-func (c *Coordinator) setWarmTimer(store *storeStatus) {
+// setSlowStartTimer sets the store's timer to the end of its slow start.
+func (c *Coordinator) setSlowStartTimer(store *storeStatus) {
 	c.setStoreTimer(store, max(ms, store.slowStart.startedAt+c.settings.SlowStartFor-c.now))
 }
 
@@ -121,7 +127,8 @@
 		store.isDisconnected, store.logSync = true, logSync{}
 		c.signalHealth(store, signalDisconnected)
 	case EventDataLost:
-		// Its process is as warm as before, but its data are gone: sources must not get at once all that it served.
+		// The process is as warm as before, but its data is gone. The slow start keeps the sources from receiving all that
+		// the store served before at once.
 		c.beginSlowStart(store, c.now)
 	default:
 		c.handleConnected(store, event)
@@ -140,19 +147,19 @@
 	}
 }
 
-// beginSlowStart treats a store as just started. What was known of its latency no longer holds.
+// beginSlowStart treats a store as just started. Its earlier latencies no longer apply.
 func (c *Coordinator) beginSlowStart(store *storeStatus, startedAt time.Duration) {
 	store.slowStart = newSlowStart(startedAt, c.now)
 	store.limit.limit = math.Min(store.limit.limit, initialCommandLimit)
 	store.latency, store.health.lateGets = latencyEstimate{}, 0
 	c.signalHealth(store, signalStarted)
-	c.setWarmTimer(store)
+	c.setSlowStartTimer(store)
 	if c.settings.Capacity <= 0 {
 		c.emit(Action{Kind: ActionAnnounceStart, Endpoint: store.id, Uptime: c.now - startedAt})
 	}
 }
 
-// storeErrors says what a store's errors mean for its use.
+// storeErrors maps each error reply to its effect on the use of the store and to a log message.
 var storeErrors = [...]struct {
 	isUnavailable bool
 	refusesWrites bool
@@ -171,7 +178,7 @@
 	ReplyDisconnected: {},
 }
 
-// recordReply learns from the end of a command, whatever became of its operation.
+// recordReply updates a store's state at the end of a command, whatever became of its operation.
 func (c *Coordinator) recordReply(store *storeStatus, event *Event) {
 	store.limit.inFlight = max(0, store.limit.inFlight-1)
 	isProbe := store.health.probe == event.Operation
@@ -190,17 +197,17 @@
 
 func (c *Coordinator) recordError(store *storeStatus, reply Reply, isProbe bool) {
 	store.limit.decrease(errorDecrease, c.now, store.latency.typical())
-	meaning := &storeErrors[reply]
+	storeError := &storeErrors[reply]
 	switch {
-	case meaning.isUnavailable:
+	case storeError.isUnavailable:
 		if store.health.state != healthUnavailable {
-			c.logStore(store, meaning.message)
+			c.emitLog(store, storeError.message)
 		}
 		c.signalHealth(store, signalDisconnected)
-	case meaning.refusesWrites && !store.refusesWrites:
-		c.logStore(store, meaning.message)
+	case storeError.refusesWrites && !store.refusesWrites:
+		c.emitLog(store, storeError.message)
 		store.refusesWrites = true
-		c.setStoreTimer(store, refusedWritesFor)
+		c.setStoreTimer(store, writeSuspension)
 	case isProbe && reply == ReplyDisconnected:
 		c.signalHealth(store, signalDisconnected)
 	}
@@ -208,7 +215,7 @@
 
 func (c *Coordinator) recordGet(store *storeStatus, elapsed time.Duration, isProbe bool) {
 	switch {
-	case elapsed <= max(minGetTimeout, halfFill(c.fillTime)):
+	case elapsed <= max(minGetTimeout, halfFillTime(c.fillTime)):
 		store.health.lateGets = 0
 		c.signalHealth(store, signalInTime)
 	case isProbe:
