--- a/internal/resp/bench_test.go
+++ b/internal/resp/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// BenchmarkFrame reads the frame of a request out of a ring.
+// BenchmarkFrame decodes the frame of a request in a ring.
 func BenchmarkFrame(b *testing.B) {
 	fields := "req=00000000000000a7,timeout=900,subject=00000000000000b1,piece=0,lot=1"
 	text := AppendStrings(nil, "DO", "17", "clip", fields, "")
@@ -22,7 +22,7 @@
 	}
 }
 
-// BenchmarkReply reads a store's reply of 20 KB out of a ring.
+// BenchmarkReply decodes a store's reply of 20 KB in a ring.
 func BenchmarkReply(b *testing.B) {
 	text := redcon.AppendBulkString(nil, strings.Repeat("x", 20_000))
 	ring, replies := Ring{MaxBytes: 256 << 10}, ReplyDecoder{MaxStringBytes: 240_000, MaxLineBytes: 1 << 10, MaxParts: 8}
--- a/internal/resp/decoder.go
+++ b/internal/resp/decoder.go
@@ -7,40 +7,41 @@
 	"github.com/tidwall/redcon"
 )
 
-// ErrFraming says that the bytes that come next are no frame within the bounds: where the one after it begins can't be
-// known any more.
+// ErrFraming reports input that is malformed or exceeds a limit. Decoding cannot resume after it, because the start of
+// the next frame is unknown.
 var ErrFraming = errors.New("not an array of bulk strings within the bounds")
 
 const (
 	lineEnd = "\r\n"
 
-	// maxHeaderBytes is the longest line that announces a length: its sign, ten digits, CR and LF.
+	// maxHeaderBytes is the maximum length of a header line: the kind, a length of up to ten digits, CR and LF.
 	maxHeaderBytes = 13
 )
 
-// Decoder finds whole frames, which are arrays of bulk strings, in a ring. It checks a length when it is announced, not
-// when its bytes have come, and looks at each header once, in whatever pieces it comes. It knows no verbs.
+// Decoder finds complete frames, which are arrays of bulk strings, in a ring. It checks a length as soon as its header
+// is complete, before the bytes arrive, and parses each header once, however the input is split. It does not interpret
+// the strings.
 type Decoder struct {
-	MaxStrings     int // most strings in a frame
-	MaxStringBytes int // most bytes in a string
-	MaxFrameBytes  int // most bytes in a frame
+	MaxStrings     int // maximum number of strings in a frame
+	MaxStringBytes int // maximum length of a string
+	MaxFrameBytes  int // maximum length of a frame
 
-	position int  // of the next header, or of the end of the frame; 0: no frame begun
-	headers  int  // still to come
-	isTaken  bool // the frame was handed out
-	args     [][]byte
+	position int      // offset of the next header, or of the end of the frame; 0: no frame begun
+	headers  int      // string headers still to be parsed
+	isTaken  bool     // Next has returned the frame and discards it when called again
+	args     [][]byte // returned by Next, for reuse
 }
 
-// Fresh is a decoder with the same bounds that has seen nothing.
+// Fresh returns a decoder with the same limits that has not parsed anything.
 func (d *Decoder) Fresh() Decoder {
 	return Decoder{MaxStrings: d.MaxStrings, MaxStringBytes: d.MaxStringBytes, MaxFrameBytes: d.MaxFrameBytes}
 }
 
-// FrameBytes is the length of the frame that was returned last.
+// FrameBytes returns the length of the frame that Next returned last.
 func (d *Decoder) FrameBytes() int { return d.position }
 
-// Next returns the strings of the next whole frame, or none if more bytes are needed. They hold until the next
-// call.
+// Next returns the strings of the next complete frame, or nil if more bytes are needed. The strings are valid until the
+// next call.
 func (d *Decoder) Next(r *Ring) ([][]byte, error) {
 	if d.isTaken {
 		r.Discard(d.position)
@@ -76,8 +77,8 @@
 	return args, nil
 }
 
-// Partial returns the strings that are whole of a frame that is not: they tell whose it is. They hold until the ring
-// changes.
+// Partial returns the complete strings of an incomplete frame, from which the caller can tell which request it belongs
+// to. The strings are valid until the ring changes.
 func (d *Decoder) Partial(r *Ring) (args [][]byte) {
 	count, position, err := parseHeader(r, 0, Array, d.MaxStrings)
 	if position == 0 || err != nil {
@@ -95,7 +96,8 @@
 	return args
 }
 
-// parseHeader reads the line at a position that announces a length after its sign; used is 0 while it is not whole.
+// parseHeader parses the header line at a position: the expected kind and a length of at most the limit. It returns
+// that length and the number of bytes used by the line, or 0 bytes if the line is incomplete.
 func parseHeader(r *Ring, position int, sign Kind, most int) (length, used int, err error) {
 	if position >= r.Len() {
 		return 0, 0, nil
@@ -126,7 +128,8 @@
 	}
 }
 
-// Field takes the first of a list of fields off, name=value,name=value: its name, its value and the rest.
+// Field splits the first field off a list of the form name=value,name=value. It returns the field's name, its value and
+// the rest of the list.
 func Field(list []byte) (name, value, rest []byte) {
 	list, rest, _ = bytes.Cut(list, []byte{','})
 	name, value, _ = bytes.Cut(list, []byte{'='})
--- a/internal/resp/decoder_test.go
+++ b/internal/resp/decoder_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// threeFrames is a ping, a frame that ends in an empty string, and one whose string looks like a frame.
+// threeFrames is a ping, a frame that ends in an empty string, and a frame whose string looks like a frame.
 const threeFrames = "*2\r\n$4\r\nPING\r\n$1\r\n8\r\n" +
 	"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n$0\r\n\r\n" +
 	"*1\r\n$6\r\n\r\n*1\r\n\r\n"
 
-// smallRing is a bound that several frames in a row do not fit.
+// smallRing is the size of a ring that cannot hold several frames at once.
 const smallRing = 64
 
-// decode feeds a stream in pieces that end at the cuts, and returns the frames as text.
+// decode feeds a stream to a decoder in pieces that end at the cuts, and returns the frames as text.
 func decode(stream string, bound int, cuts ...int) (string, error) {
 	ring := Ring{MaxBytes: bound}
 	decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: bound}
@@ -45,7 +45,7 @@
 	return joined(), nil
 }
 
-// Frames are the same in whatever pieces they come, and in a ring that they wrap around.
+// Frames are the same however the stream is split, and also where they wrap around in the ring.
 func TestDecoderSplits(t *testing.T) {
 	stream := strings.Repeat(threeFrames, 3)
 	want, err := decode(stream, 1<<10)
@@ -66,7 +66,7 @@
 	}
 }
 
-// What breaks the framing is an error when it is announced, and no frame comes of it.
+// A malformed frame, or one whose announced length exceeds a limit, gives an error and no frame.
 func TestMalformedFrames(t *testing.T) {
 	for name, stream := range map[string]string{
 		"no array":            "PING\r\n",
@@ -123,7 +123,7 @@
 	// a:b=c
 }
 
-// FuzzDecoder feeds any stream: none may crash the decoder, and a cut changes nothing.
+// FuzzDecoder checks that no stream crashes the decoder, and that splitting a stream does not change the result.
 func FuzzDecoder(f *testing.F) {
 	f.Add(threeFrames, 5)
 	f.Add("*2\r\n$1\r\na\r\n$41\r\n", 9)
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Kind is what a reply is: the sign with which it begins.
+// Kind is the type of a reply, given by the first byte of its encoding.
 type Kind byte
 
-// The kinds of RESP2.
+// The kinds of replies in RESP2.
 const (
 	SimpleString Kind = '+'
 	ErrorReply   Kind = '-'
@@ -14,44 +14,45 @@
 	Array        Kind = '*'
 )
 
-// nullLength is the length that announces a null.
+// nullLength is the announced length of a null bulk string or null array.
 const nullLength = -1
 
-// maxNumberBytes is the longest text of a number.
+// maxNumberBytes is the maximum length of a decimal number, sign included.
 const maxNumberBytes = 24
 
-// Reply is one reply, or one part of an array; its bytes hold until the next call.
+// Reply is a reply, or one element of an array. Text is valid until the next call of ReplyDecoder.Next.
 type Reply struct {
 	Kind      Kind
-	IsNull    bool // a bulk string or an array that is null
+	IsNull    bool // whether a bulk string or an array is null
 	Text      []byte
-	Int       int64
-	PartCount int // parts of an array, which follow it
+	Int       int64 // value of an integer, or the announced length
+	PartCount int   // number of elements of an array; they follow the array
 }
 
-// ReplyDecoder finds complete replies of RESP2 in a ring. It checks a length when it is announced,
-// not when its bytes have come. The zero value must be given its bounds.
+// ReplyDecoder finds complete RESP2 replies in a ring. It checks a length as soon as its header is complete, before the
+// bytes arrive. Its limits must be set before use.
 type ReplyDecoder struct {
-	MaxStringBytes int // most bytes in a string
-	MaxLineBytes   int // most bytes in a line
-	MaxParts       int // most parts in a reply, those of arrays in arrays counted
+	MaxStringBytes int // maximum length of a bulk string
+	MaxLineBytes   int // maximum length of a line, without CR and LF
+	MaxParts       int // maximum number of parts in a reply, nested arrays and their elements included
 
-	position  int // of the next part; those before it have been parsed
-	remaining int // parts to come
-	taken     int // bytes of the reply handed out last
+	position  int // offset of the next part to be parsed
+	remaining int // parts still to be parsed
+	taken     int // length of the reply that Next returned last, 0 if it has been discarded
 	parts     []part
 	replies   []Reply
 }
 
-// part is a reply, or one part of an array: its kind and where in the ring its text lies.
+// part is a parsed Reply whose text is still in the ring, between two offsets.
 type part struct {
 	kind     Kind
 	isNull   bool
 	from, to int
-	number   int64 // its value, or the length that it announces
+	number   int64 // value of an integer, or the announced length
 }
 
-// Next returns the parts of the next whole reply, an array before its parts, or none if more bytes are needed.
+// Next returns the parts of the next complete reply, an array before its elements, or nil if more bytes are needed. The
+// parts are valid until the next call.
 func (d *ReplyDecoder) Next(r *Ring) ([]Reply, error) {
 	if d.taken > 0 {
 		r.Discard(d.taken)
@@ -91,7 +92,7 @@
 	return d.replies, nil
 }
 
-// parsePart reads the part at the current position; used is 0 while it is not whole.
+// parsePart parses the part at the current position and returns it with its length, which is 0 if it is incomplete.
 func (d *ReplyDecoder) parsePart(r *Ring) (next part, used int, err error) {
 	lineLength, isWhole, err := d.findLine(r)
 	if !isWhole || err != nil {
@@ -127,7 +128,7 @@
 	return next, used, nil
 }
 
-// findLine looks for the end of the line at the current position; its length is that before CR and LF.
+// findLine finds the end of the line at the current position. The length does not include CR and LF.
 func (d *ReplyDecoder) findLine(r *Ring) (length int, isWhole bool, err error) {
 	if d.position >= r.Len() {
 		return 0, false, nil
@@ -149,7 +150,8 @@
 	return length, true, nil
 }
 
-// parseBulk finds the bytes of a bulk string behind its line, which used so many bytes.
+// parseBulk finds the content of a bulk string, which follows its header line of used bytes. It returns the part and
+// the length of both together.
 func (d *ReplyDecoder) parseBulk(r *Ring, next part, used int) (part, int, error) {
 	if next.number > int64(d.MaxStringBytes) {
 		return part{}, 0, ErrFraming
@@ -158,7 +160,7 @@
 	next.to = next.from + int(next.number)
 	used += int(next.number) + len(lineEnd)
 	if d.position+used > r.MaxBytes {
-		return part{}, 0, ErrFraming // it could never be whole
+		return part{}, 0, ErrFraming // the ring could never hold all of it
 	}
 	if r.Len() < d.position+used {
 		return part{}, 0, nil
@@ -169,7 +171,7 @@
 	return next, used, nil
 }
 
-// parseNumber reads the number between two positions.
+// parseNumber parses the number between two offsets.
 func parseNumber(r *Ring, from, to int) (int64, error) {
 	var text [maxNumberBytes]byte
 	if to-from > len(text) || to == from {
--- a/internal/resp/reply_test.go
+++ b/internal/resp/reply_test.go
@@ -10,7 +10,8 @@
 	return ReplyDecoder{MaxStringBytes: 64, MaxLineBytes: 40, MaxParts: 8}, Ring{MaxBytes: 128}
 }
 
-// Replies come whole in whatever pieces their bytes come, and a length out of bounds is an error when it is announced.
+// Replies are returned complete however the input is split. A length beyond the limits is an error as soon as it is
+// announced.
 func Example_replies() {
 	for _, text := range []string{
 		"+OK\r\n", "-OOM no memory\r\n", ":-12\r\n", "$5\r\na\r\nbc\r\n", "$-1\r\n",
@@ -50,7 +51,7 @@
 	// "*3\r\n*3\r\n*3\r\n": not an array of bulk strings within the bounds
 }
 
-// parseInPieces returns what replies come of a text as text, and how it ends.
+// parseInPieces feeds text in pieces and returns the parsed replies as text. A suffix tells why parsing stopped early.
 func parseInPieces(t *testing.T, text []byte, pieceBytes int) (parsed string) {
 	t.Helper()
 	replies, ring := newReplies()
@@ -69,7 +70,7 @@
 	return parsed
 }
 
-// nextReplies returns all replies that are whole as text.
+// nextReplies returns all complete replies as text.
 func nextReplies(t *testing.T, replies *ReplyDecoder, ring *Ring) (parsed string, err error) {
 	t.Helper()
 	for {
@@ -86,8 +87,7 @@
 	}
 }
 
-// FuzzReplies feeds any bytes: in whatever pieces they come, they give the same replies, and never more than the
-// bounds.
+// FuzzReplies checks that any input gives the same replies however it is split, and never exceeds MaxParts.
 func FuzzReplies(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n:3\r\n+OK\r\n"), 3)
 	f.Add([]byte("$-1\r\n-ERR x\r\n"), 1)
--- a/internal/resp/ring.go
+++ b/internal/resp/ring.go
@@ -1,27 +1,27 @@
-// Package resp frames messages of RESP2 over ring buffers: a Decoder finds arrays of bulk strings in a Ring, Replies
-// finds the replies of a store, and a Writer puts frames into one. It touches no socket and knows no command; calls
-// on bytes are those of package redcon.
+// Package resp encodes and decodes RESP2 messages in ring buffers: a Decoder finds arrays of bulk strings in a Ring, a
+// ReplyDecoder finds the replies of a store, and a Writer encodes frames into its Ring. The package uses no socket and
+// interprets no command. Byte slices are parsed and encoded with package redcon.
 package resp
 
-// minBufferBytes is the first size of a ring that is used at all.
+// minBufferBytes is the size of a ring's first buffer. A ring that was never used has no buffer.
 const minBufferBytes = 4 << 10
 
-// Ring is a byte queue of bounded size, for one direction of one connection. It grows to its bound and no further. The
-// zero value holds nothing; Bound must be set before use.
+// Ring is a byte queue for one direction of one connection. Its buffer grows as needed, up to MaxBytes. The zero value
+// is empty; MaxBytes must be set before use.
 type Ring struct {
-	MaxBytes int // most bytes that it holds
+	MaxBytes int // maximum number of bytes held
 	buffer   []byte
-	head     int // index of the first byte
-	size     int
+	head     int // index of the first byte in buffer
+	size     int // number of bytes held
 }
 
-// Len is how many bytes it holds.
+// Len returns the number of bytes held.
 func (r *Ring) Len() int { return r.size }
 
-// Room is how many more bytes fit within the bound.
+// Room returns how many more bytes fit within MaxBytes.
 func (r *Ring) Room() int { return r.MaxBytes - r.size }
 
-// grow makes room for n more bytes, within the bound.
+// grow makes room for n more bytes, or as many of them as MaxBytes allows.
 func (r *Ring) grow(n int) {
 	want := min(r.MaxBytes, r.size+n)
 	if want <= len(r.buffer) {
@@ -34,14 +34,15 @@
 	r.moveTo(make([]byte, min(capacity, r.MaxBytes)))
 }
 
-// moveTo copies all bytes into another buffer, in one piece, and goes on with it.
+// moveTo copies all bytes contiguously into another buffer, which replaces the current one.
 func (r *Ring) moveTo(buffer []byte) {
 	n := copy(buffer, r.Head())
 	copy(buffer[n:], r.buffer[:r.size-n])
 	r.buffer, r.head = buffer, 0
 }
 
-// Tail is free memory to read into: some of what fits, none if the ring is full. Commit says how much of it was filled.
+// Tail returns free memory to read into. It may be shorter than Room, and is empty only if the ring is full. Commit
+// adds the bytes that were read into it.
 func (r *Ring) Tail() []byte {
 	if r.size == len(r.buffer) {
 		r.grow(max(minBufferBytes, len(r.buffer)))
@@ -56,10 +57,10 @@
 	return r.buffer[from:]
 }
 
-// Commit adds the n bytes that were put into Tail.
+// Commit adds the first n bytes of Tail.
 func (r *Ring) Commit(n int) { r.size += n }
 
-// Append adds as much of p as fits and returns how much.
+// Append adds as much of p as fits and returns the number of bytes added.
 func (r *Ring) Append(p []byte) int {
 	n := min(len(p), r.Room())
 	r.grow(n)
@@ -71,7 +72,7 @@
 	return n
 }
 
-// Copy is a ring of its own that holds the same bytes.
+// Copy returns an independent ring that holds the same bytes.
 func (r *Ring) Copy() Ring {
 	duplicate := Ring{MaxBytes: r.MaxBytes}
 	if r.size > 0 {
@@ -82,7 +83,7 @@
 	return duplicate
 }
 
-// Head is the longest run of bytes from the first on that lies in one piece.
+// Head returns the longest contiguous run of bytes that begins with the first one.
 func (r *Ring) Head() []byte {
 	if r.size == 0 {
 		return nil
@@ -90,7 +91,7 @@
 	return r.buffer[r.head:min(len(r.buffer), r.head+r.size)]
 }
 
-// At is the byte at index i.
+// At returns the byte at index i.
 func (r *Ring) At(i int) byte {
 	if i += r.head; i >= len(r.buffer) {
 		i -= len(r.buffer)
@@ -98,7 +99,7 @@
 	return r.buffer[i]
 }
 
-// Peek is the first n bytes in one piece; it holds until the ring is next added to or dropped from.
+// Peek returns the first n bytes as one slice, which is valid until bytes are next added or discarded.
 func (r *Ring) Peek(n int) []byte {
 	if r.head+n > len(r.buffer) {
 		r.moveTo(make([]byte, len(r.buffer)))
@@ -106,7 +107,7 @@
 	return r.buffer[r.head : r.head+n]
 }
 
-// Discard takes the first n bytes off.
+// Discard removes the first n bytes.
 func (r *Ring) Discard(n int) {
 	if r.size -= n; r.size == 0 {
 		r.head = 0
@@ -122,7 +123,7 @@
 	}
 }
 
-// Shrink frees the memory of an empty ring that has grown past its first size.
+// Shrink frees the memory of an empty ring that has outgrown its first buffer.
 func (r *Ring) Shrink() {
 	if len(r.buffer) > minBufferBytes {
 		r.Release()
--- a/internal/resp/ring_test.go
+++ b/internal/resp/ring_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A ring keeps to its bound, gives bytes out in order, and frees its memory.
+// A ring never exceeds its maximum size, returns bytes in order, and frees its memory.
 func TestRing(t *testing.T) {
 	ring := Ring{MaxBytes: 5000}
 	var in, out []byte
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -6,7 +6,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// AppendStrings adds an array of strings to b.
+// AppendStrings appends an array of bulk strings to b.
 func AppendStrings(b []byte, words ...string) []byte {
 	b = redcon.AppendArray(b, len(words))
 	for _, word := range words {
@@ -15,19 +15,19 @@
 	return b
 }
 
-// Writer puts frames into a ring in parts, as there is room, and keeps account of the stream.
+// Writer encodes frames into a ring piece by piece, as room allows, and counts the bytes of the stream.
 type Writer struct {
 	Ring
-	TakenBytes int64 // bytes of the stream that were taken so far
-	added      int64 // bytes of the stream that were put into the ring so far
-	header     []byte
-	parts      [3][]byte // what is left of the frame that is being put in: its header, its body, its end
+	TakenBytes int64     // bytes of the stream that Advance has removed from the ring so far
+	added      int64     // bytes of the stream that were put into the ring so far
+	header     []byte    // for reuse
+	parts      [3][]byte // rest of the current frame: header, body and final line end
 }
 
 var lineEndBytes = []byte(lineEnd)
 
-// Put begins a frame with a body as its last string, and returns the position in the stream at which it ends. The body
-// must not change until the frame is in the ring.
+// Put starts a frame whose last string is the body, and returns the offset in the stream at which the frame ends. The
+// body must not change until the frame is in the ring.
 func (w *Writer) Put(body []byte, args ...[]byte) (end int64) {
 	header := redcon.AppendArray(w.header[:0], len(args)+1)
 	for _, arg := range args {
@@ -41,11 +41,11 @@
 	return w.added + int64(len(header)+len(body)+len(lineEnd))
 }
 
-// PutRaw begins what is framed already; it must not change until it is in the ring.
+// PutRaw starts frames that are already encoded. They must not change until they are in the ring.
 func (w *Writer) PutRaw(frames []byte) { w.parts = [3][]byte{frames} }
 
-// Next is what is to be written next. Whenever a frame is in the ring, more is asked to begin another one, and says
-// whether it did.
+// Next returns the bytes to be written next. Whenever the current frame is in the ring, Next calls more, which starts
+// another frame and reports whether there was one.
 func (w *Writer) Next(more func() bool) []byte {
 	for w.Room() > 0 {
 		part := &w.parts[0]
@@ -66,13 +66,13 @@
 	return w.Head()
 }
 
-// Advance says how much of it was taken.
+// Advance removes the first n bytes returned by Next.
 func (w *Writer) Advance(n int) {
 	w.Discard(n)
 	w.TakenBytes += int64(n)
 }
 
-// Empty says whether all that was begun has been taken.
+// Empty reports whether all frames that were started have been removed.
 func (w *Writer) Empty() bool {
 	return w.TakenBytes == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
 }
--- a/internal/resp/writer_test.go
+++ b/internal/resp/writer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Frames go through a small ring in parts, and each knows where in the stream it ends.
+// Frames are written in pieces through a small ring, and Put returns the offset at which each frame ends.
 func TestWriter(t *testing.T) {
 	const bound = 7
 	writer := Writer{Ring: Ring{MaxBytes: bound}}
--- a/internal/sharedstore/benchmark_test.go
+++ b/internal/sharedstore/benchmark_test.go
@@ -13,7 +13,8 @@
 	"go.uber.org/zap"
 )
 
-// What a get of 20 KB costs through the transport, and through the client library that was weighed against it.
+// BenchmarkGetTransport measures a get of 20 KB through the transport. BenchmarkGetLibrary measures the same get with
+// go-redis, a client library that could be used instead.
 func BenchmarkGetTransport(b *testing.B) {
 	f := newFixture(b, zap.NewNop())
 	time.Sleep(copyProvedAfter)
@@ -55,8 +56,7 @@
 	}
 }
 
-// A get that is abandoned: the library holds the caller's connection until its time is up, the transport goes on at
-// once.
+// Abandoning a get returns at once in the transport. In go-redis the get holds its connection until the read timeout.
 func TestAbortedGetReturnsAtOnce(t *testing.T) {
 	store, err := redis.Start(redis.Config{InitialAge: time.Hour})
 	if err != nil {
--- a/internal/sharedstore/command.go
+++ b/internal/sharedstore/command.go
@@ -7,37 +7,37 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// commandKind is what a command is for; it says how its reply is read.
+// commandKind is the purpose of a command, and determines how its reply is parsed.
 type commandKind uint8
 
 const (
-	commandAuthenticate commandKind = iota // AUTH, SELECT: an error ends the connection
-	commandInfo                            // INFO ends the greeting
+	commandAuthenticate commandKind = iota // AUTH or SELECT; an error reply ends the connection
+	commandInfo                            // INFO; its reply completes the setup of the connection
 	commandGet
 	commandAcquireLease
 	commandSet
-	commandIgnoreReply // nobody waits for the reply
+	commandIgnoreReply // any command whose reply is ignored
 	commandPing
 	commandReadLogRange
 	commandReadLogPage
 	commandWriteLog
 )
 
-// command is one command on its way to a store.
+// command is a command that is queued for a store or awaits its reply.
 type command struct {
 	kind      commandKind
 	operation decide.OperationID
 	key       copyKey
-	args      [][]byte // in use until they are in the output buffer; the last may be long
+	args      [][]byte // nil once they are in the output; the last one may be large
 	sentAt    time.Time
-	update    decide.LogUpdate // of commandWriteLog
-	fromScore float64          // of commandReadLogPage
+	update    decide.LogUpdate // for commandWriteLog
+	fromScore float64          // for commandReadLogPage
 }
 
-// logPageMembers is how many members of the invalidation log are read at once: some 60 KB.
+// logPageMembers is the number of members of the invalidation log that are read at once, which take about 60 KB.
 const logPageMembers = 1000
 
-// args makes arguments of words.
+// args converts words to the arguments of a command.
 func args(words ...string) [][]byte {
 	list := make([][]byte, len(words))
 	for i, word := range words {
@@ -46,7 +46,7 @@
 	return list
 }
 
-// greeting is what a new connection sends before anything else.
+// greeting returns the commands that set up a new connection. They are sent before any other command.
 func greeting(login Credentials) []command {
 	var commands []command
 	switch {
@@ -100,7 +100,7 @@
 	}
 }
 
-// readLogPageCommand reads the members of the log from a score on.
+// readLogPageCommand reads a page of the log that starts at a score.
 func readLogPageCommand(keys *keys, fromScore float64) command {
 	return command{
 		kind: commandReadLogPage, fromScore: fromScore,
@@ -112,7 +112,7 @@
 	}
 }
 
-// writeLogCommand writes an update of the log. GT lets scores only grow, so routers write in any order.
+// writeLogCommand writes an update of the log. With GT a score can only increase, so routers may write in any order.
 func writeLogCommand(keys *keys, update decide.LogUpdate) command {
 	list := [][]byte{[]byte("ZADD"), keys.invalidationLog(), []byte("GT")}
 	add := func(score decide.Timestamp, member []byte) {
@@ -127,13 +127,13 @@
 	if update.CompleteTo > 0 {
 		add(update.CompleteTo, []byte(memberCompleteTo))
 	}
-	// The entries lie in the coordinator's log. They are clipped, so that nothing appended here overwrites what follows
-	// them there. The log may shift them later: from here on only their number is used.
+	// The entries share memory with the coordinator's log. Their capacity is clipped, so that an append to them cannot
+	// overwrite later entries of the log. The log may move its entries, so from here on only their number is used.
 	update.Invalidations = update.Invalidations[:len(update.Invalidations):len(update.Invalidations)]
 	return command{kind: commandWriteLog, args: list, update: update}
 }
 
-// trimLogCommand removes members that are older than a time.
+// trimLogCommand removes the members of the log that are older than a timestamp.
 func trimLogCommand(keys *keys, before decide.Timestamp) command {
 	exclusive := append([]byte{'('}, timestampArg(before)...)
 	return command{
@@ -146,7 +146,7 @@
 	return strconv.AppendInt(nil, int64(timestamp), 10)
 }
 
-// milliseconds is a time to live, which stores take in milliseconds and not as 0.
+// milliseconds formats a time to live, which stores expect in milliseconds and reject if it is 0.
 func milliseconds(ttl time.Duration) []byte {
 	return strconv.AppendInt(nil, max(1, ttl.Milliseconds()), 10)
 }
--- a/internal/sharedstore/connection.go
+++ b/internal/sharedstore/connection.go
@@ -9,17 +9,17 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// connectionState is how far a connection has come.
+// connectionState is the state of a connection.
 type connectionState uint8
 
 const (
-	connectionGreeting connectionState = iota // authenticating; nothing else is sent
+	connectionGreeting connectionState = iota // authenticating; other commands are held back
 	connectionReady
 	connectionClosed
 	connectionStates
 )
 
-// connectionSignal is what changes the state.
+// connectionSignal is an event that changes the state of a connection.
 type connectionSignal uint8
 
 const (
@@ -34,26 +34,26 @@
 	connectionClosed:   {signalGreeted: connectionClosed, signalClosed: connectionClosed},
 }
 
-// connection is the state machine of one connection to a store: it greets, puts commands into the output, matches
-// replies to them in their order, and reports results. It is fed bytes and times, and never touches a socket.
+// connection is the state machine of one connection to a store. It authenticates, puts commands into the output,
+// matches replies to commands by their order, and collects results. It is given bytes and times and uses no socket.
 type connection struct {
 	state   connectionState
 	input   resp.Ring
 	replies resp.ReplyDecoder
 	output  resp.Writer
 
-	waiting    []command // to be sent
-	sent       []command // their replies are to come
-	results    []result
+	waiting    []command // not yet in the output
+	sent       []command // in the output or sent, without a reply
+	results    []result  // since the last call of takeResults
 	lastReadAt time.Time
-	shortReads int // in a row
+	shortReads int // consecutive reads of at most shortReadBytes
 }
 
 const (
-	// shortReadBytes is what a read is at most that holds no long value.
+	// shortReadBytes is the maximum size of a read that does not belong to a large value.
 	shortReadBytes = 4 << 10
-	// maxShortReads is how many in a row give the memory of the input back: more than come between two long values of a
-	// mixed load.
+	// maxShortReads is the number of consecutive short reads after which the next one frees the input buffer. Under a
+	// mixed load, fewer short reads come between two large values.
 	maxShortReads = 200
 )
 
@@ -72,12 +72,13 @@
 // send queues a command.
 func (c *connection) send(command command) { c.waiting = append(c.waiting, command) }
 
-// pendingOutput is what is to be written next.
+// pendingOutput returns the bytes to be written next.
 func (c *connection) pendingOutput(now time.Time) []byte {
 	return c.output.Next(func() bool { return c.putNext(now) })
 }
 
-// putNext puts the next command into the output. Nothing is asked of a store that has not been greeted.
+// putNext puts the next command into the output, and reports whether there was one. Until the connection is set up,
+// only the commands that set it up are sent.
 func (c *connection) putNext(now time.Time) bool {
 	if len(c.waiting) == 0 {
 		return false
@@ -88,7 +89,7 @@
 	}
 	c.waiting = c.waiting[1:]
 	if len(c.sent) == 0 {
-		c.lastReadAt = now // silence counts from here
+		c.lastReadAt = now // isSilent measures from here
 	}
 	next.sentAt = now
 	last := len(next.args) - 1
@@ -98,12 +99,12 @@
 	return true
 }
 
-// isSilent says whether commands are unanswered and nothing has come for so long.
+// isSilent reports whether commands are unanswered and nothing has been received for longer than the timeout.
 func (c *connection) isSilent(now time.Time, timeout time.Duration) bool {
 	return len(c.sent) > 0 && now.Sub(c.lastReadAt) > timeout
 }
 
-// readBuffer is where what comes next is to be read into; handleRead says how much came.
+// readBuffer returns the buffer for the next read. handleRead takes the number of bytes that were read into it.
 func (c *connection) readBuffer() []byte { return c.input.Tail() }
 
 func (c *connection) handleRead(count int, now time.Time) error {
@@ -124,7 +125,7 @@
 	}
 }
 
-// shrinkInput gives memory back where no long value has come for long.
+// shrinkInput frees the memory of the input buffer if the last reads were all short.
 func (c *connection) shrinkInput(count int) {
 	c.shortReads++
 	if count > shortReadBytes {
@@ -137,7 +138,7 @@
 
 func (c *connection) handleReply(parts []resp.Reply, now time.Time) error {
 	if len(c.sent) == 0 {
-		return errReplyShape // a reply to nothing
+		return errReplyShape // no command awaits a reply
 	}
 	sent := c.sent[0]
 	c.sent = c.sent[1:]
@@ -158,7 +159,7 @@
 	c.state = connectionTransitions[c.state][signal]
 }
 
-// close reports all that was not answered as failed.
+// close reports all unanswered commands as failed.
 func (c *connection) close(now time.Time) {
 	for _, unanswered := range append(c.sent, c.waiting...) {
 		switch unanswered.kind {
@@ -177,7 +178,7 @@
 	c.handleSignal(signalClosed)
 }
 
-// takeResults hands the results over.
+// takeResults returns the results collected since its last call.
 func (c *connection) takeResults() []result {
 	results := c.results
 	c.results = nil
--- a/internal/sharedstore/connection_test.go
+++ b/internal/sharedstore/connection_test.go
@@ -8,7 +8,8 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// A connection greets, asks nothing before that, matches replies in their order, and reports what never got one.
+// A connection sets itself up before it sends other commands, matches replies to commands by their order, and reports
+// commands that got no reply.
 func Example_connection() {
 	bounds, at := testLimits(), time.Unix(0, 0)
 	login := Credentials{User: "u", Password: "w", Database: 3}
@@ -63,7 +64,7 @@
 	// operation 7 reply 13 <nil>
 }
 
-// The bytes of each command are what operators grant permissions for.
+// The arguments of each command must not change, because operators grant permissions for them.
 func TestCommandBytes(t *testing.T) {
 	names, key := &keys{"p:"}, copyKey{0xab, 2}
 	stored := Copy{Object: 0xab, Part: 2}
--- a/internal/sharedstore/disconnect_test.go
+++ b/internal/sharedstore/disconnect_test.go
@@ -12,7 +12,7 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// A lost store is noticed while the reader of its connection is blocked because the engine takes no messages.
+// The loss of a connection is noticed even while its reader is blocked because the engine takes no messages.
 func TestDisconnectIsNoticedWhileReaderIsBlocked(t *testing.T) {
 	hasEnded := make(chan struct{})
 	t.Cleanup(func() { close(hasEnded) })
@@ -21,7 +21,7 @@
 	for range cap(f.results) {
 		f.results <- engine.AttemptResult{}
 	}
-	// Or the transport would wait for its reader for ever.
+	// Without this, the transport would wait for its reader forever.
 	t.Cleanup(func() { go f.discardResults(hasEnded) })
 	// A miss without a source: the reader delivers the result.
 	f.requestFrom(7, 0)
@@ -32,13 +32,14 @@
 		if time.Since(startedAt) > 2*time.Second {
 			t.Fatal("not noticed in 2 s")
 		}
-		f.request(object) // a write shows that the connection is gone
+		f.request(object) // the loss of the connection shows when a command is written
 		time.Sleep(5 * time.Millisecond)
 	}
 	t.Logf("noticed after %v", time.Since(startedAt).Round(time.Millisecond))
 }
 
-// What a reader of a connection that has ended reports late ends its commands, but does not mark the store connected.
+// Results that a reader reports after its connection has ended complete their commands, but do not mark the store as
+// connected.
 func TestLateResultsOfEndedConnection(t *testing.T) {
 	f := newUnconnectedFixture(t)
 	f.start(t)
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -10,8 +10,8 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// ObserveDiscovery sees every message of the discovery service before the engine does, and returns the message that the
-// engine is to get instead: one with the stores that the endpoint list does not name.
+// ObserveDiscovery takes every message of the discovery service before the engine does, and returns the message for the
+// engine. To a complete endpoint list it adds the stores that the list does not contain.
 func (t *Transport) ObserveDiscovery(message engine.Message) engine.Message {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +49,7 @@
 	return endpoints
 }
 
-// member is the endpoint of a store that this router adds to the list.
+// member returns the endpoint of a store that this router adds to the endpoint list.
 func (t *Transport) member(client *storeClient) engine.Endpoint {
 	if endpoint, known := t.members[client.id]; known {
 		return endpoint
@@ -63,7 +63,7 @@
 	return endpoint
 }
 
-// UpdateEndpoints keeps what the endpoint list says of stores, and passes the rest on to the inner transport.
+// UpdateEndpoints applies an endpoint list to the stores, and passes the other endpoints on to the inner transport.
 func (t *Transport) UpdateEndpoints(list engine.EndpointList) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
@@ -88,7 +88,7 @@
 	t.inner.UpdateEndpoints(list)
 }
 
-// updateEndpoint says whether the endpoint is a store.
+// updateEndpoint applies an entry of the endpoint list, and reports whether the endpoint is a store.
 func (t *Transport) updateEndpoint(endpoint *engine.Endpoint) bool {
 	t.kinds[endpoint.ID] = endpoint.Kind
 	if endpoint.Kind == t.routing.OriginKind && endpoint.State == routing.Ready {
@@ -106,21 +106,21 @@
 	return false
 }
 
-// DiscoveryCurrent says that every purge issued before a time has been observed.
+// DiscoveryCurrent records that every purge issued before a time has been observed.
 func (t *Transport) DiscoveryCurrent(asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.coordinator.DiscoveryCurrent(decide.Timestamp(asOf.UnixMilli()))
 }
 
-// DiscoveryGap says that purges may have been missed for ever.
+// DiscoveryGap records that purges may have been lost for good.
 func (t *Transport) DiscoveryGap() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.coordinator.DiscoveryGap(t.now())
 }
 
-// ClockStepped says that the wall clock was set by so much.
+// ClockStepped records that the wall clock was stepped by a duration.
 func (t *Transport) ClockStepped(by time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/sharedstore/discovery_test.go
+++ b/internal/sharedstore/discovery_test.go
@@ -12,13 +12,13 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// What discovery says of its completeness decides the range that is written into the log of a store.
+// The completeness that discovery reports determines the range that is written to the log of a store.
 func TestDiscoveryCompletenessReachesLog(t *testing.T) {
 	f := newUnconnectedFixture(t)
 	startedAt := f.startedAt.UnixMilli()
 
 	f.DiscoveryCurrent(f.startedAt.Add(300 * time.Millisecond))
-	f.DiscoveryCurrent(f.startedAt.Add(200 * time.Millisecond)) // an older answer takes nothing back
+	f.DiscoveryCurrent(f.startedAt.Add(200 * time.Millisecond)) // an older time does not shorten the range
 	update := f.planLogUpdate()
 	if from, to := int64(update.CompleteFrom)-startedAt, int64(update.CompleteTo)-startedAt; from != 0 || to != 300 {
 		t.Errorf("the range is from %d to %d ms after the start, want 0 to 300", from, to)
@@ -34,14 +34,14 @@
 	}
 }
 
-// planLogUpdate is what is written to a store without a log.
+// planLogUpdate returns the update for a store without a log.
 func (f *fixture) planLogUpdate() decide.LogUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.coordinator.PlanLogUpdate(f.now(), engine.EndpointID(storeUID), decide.LogRange{})
 }
 
-// A store that loses its data without a restart is reported, and treated as one in slow start.
+// A store that loses its data without a restart goes through slow start again, which is logged.
 func TestLossOfDataIsReported(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	f := newFixture(t, zap.New(core))
--- a/internal/sharedstore/keys.go
+++ b/internal/sharedstore/keys.go
@@ -8,14 +8,14 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// copyKey identifies a copy.
+// copyKey identifies a copy by its object and part.
 type copyKey struct {
 	object routing.ObjectID
 	part   int
 }
 
-// keys are the keys of one store. They are the same at every router and release: "v:" and "l:" with the object and the
-// part for values and leases, "purges" for the invalidation log.
+// keys builds the keys of one store, which are the same in all routers and releases: "v:" and "l:" with the object and
+// the part for values and leases, "purges" for the invalidation log.
 type keys struct{ prefix string }
 
 func (k *keys) value(key copyKey) []byte { return k.of("v:", key) }
@@ -29,8 +29,8 @@
 	return strconv.AppendInt(name, int64(key.part), 10)
 }
 
-// The invalidation log is a sorted set: a member for each purge, scored by its time, and the ends of the range from
-// which to which it is complete.
+// The invalidation log is a sorted set. It has a member for each purge, whose score is the time of the purge, and one
+// member each for the start and the end of the range of time in which the log is complete.
 const (
 	memberCompleteFrom = "floor"
 	memberCompleteTo   = "seen"
@@ -38,7 +38,7 @@
 	memberGroupPrefix  = 'g' // "g:" and the group, decimal
 )
 
-// appendMember appends the member of a purge.
+// appendMember appends the log member for a purge.
 func appendMember(name []byte, entry decide.Invalidation) []byte {
 	if entry.Object != 0 {
 		return strconv.AppendUint(append(name, memberObjectPrefix, ':'), uint64(entry.Object), 16)
@@ -46,7 +46,7 @@
 	return strconv.AppendUint(append(name, memberGroupPrefix, ':'), uint64(entry.Group), 10)
 }
 
-// parseMember reads a member and its score. Foreign members are ignored.
+// parseMember parses a log member and its score. The result is not ok if the member is not a purge.
 func parseMember(name, score []byte) (entry decide.Invalidation, ok bool) {
 	issuedAt, err := strconv.ParseFloat(string(score), 64)
 	if err != nil || len(name) < 3 || name[1] != ':' {
@@ -66,7 +66,7 @@
 	return entry, false
 }
 
-// parseTimestamp reads a score; a missing one is 0.
+// parseTimestamp parses a score; a missing score is 0.
 func parseTimestamp(score []byte) decide.Timestamp {
 	milliseconds, _ := strconv.ParseFloat(string(score), 64)
 	return decide.Timestamp(milliseconds)
--- a/internal/sharedstore/logsync.go
+++ b/internal/sharedstore/logsync.go
@@ -1,11 +1,11 @@
 package sharedstore
 
-// The client of the invalidation log: what policy/sharedstore plans is read and written here. One read or write is in
-// flight on a connection at a time. All of it is called with the transport's lock held.
+// This file reads and writes the invalidation log of a store as policy/sharedstore plans. At most one such read or
+// write is in flight on a connection. All functions must be called with the transport's lock held.
 
 import decide "fennelarch/policy/sharedstore"
 
-// syncLog begins to read the range of the log, if it is not being read or written already.
+// syncLog starts to read the range of the log, unless the log is already being read or written.
 func (s *storeClient) syncLog() {
 	if !s.isSyncingLog && !s.isDisconnected {
 		s.isSyncingLog = s.send(readLogRangeCommand(&s.keys))
@@ -25,7 +25,7 @@
 	s.updateLog(update)
 }
 
-// updateLog carries out what the decisions plan on the range that was read.
+// updateLog carries out the update that the policy has planned from the range that was read.
 func (s *storeClient) updateLog(update decide.LogUpdate) {
 	switch {
 	case update.NeedsAll:
@@ -39,8 +39,8 @@
 	}
 }
 
-// handleLogPage reads on until the last page. A page whose scores are all the same cannot be passed: then the entries
-// are incomplete.
+// handleLogPage requests the next page, and merges the entries after the last page. If all scores of a page are equal,
+// the next page cannot be requested, and the entries are discarded as incomplete.
 func (s *storeClient) handleLogPage(page *logPageResult) {
 	s.logEntries = append(s.logEntries, page.entries...)
 	if page.ok && !page.isLast && page.lastScore > page.fromScore {
--- a/internal/sharedstore/logsync_test.go
+++ b/internal/sharedstore/logsync_test.go
@@ -62,10 +62,10 @@
 	}
 }
 
-// readPage reads a page that was asked for from score 5.
+// readPage parses the reply to a request for the page that starts at score 5.
 func readPage(parts []resp.Reply) logPageResult { return readLogPage(parts, 5).(logPageResult) }
 
-// logPageReply is the reply that lists members and their scores.
+// logPageReply returns a reply that lists members and their scores.
 func logPageReply(fields ...string) []resp.Reply {
 	parts := []resp.Reply{{Kind: resp.Array}}
 	for _, field := range fields {
@@ -74,13 +74,14 @@
 	return parts
 }
 
-// The pages of a store's log are read on from the last score. Their entries are merged if all of them were read.
+// Each page of a store's log is requested from the last score of the previous page. The entries are merged only if all
+// pages were read.
 func TestLogIsReadInPages(t *testing.T) {
 	first := logPageResult{lastScore: 17, ok: true}
 	for _, test := range []struct {
 		name       string
 		pages      []logPageResult
-		wantScores []float64 // from which pages were asked for
+		wantScores []float64 // scores from which pages were requested
 		wantMerged bool
 	}{
 		{"one", []logPageResult{{isLast: true, ok: true}}, []float64{0}, true},
@@ -111,8 +112,8 @@
 	}
 }
 
-// readLog reads a log of a store that knows more than this router, and returns the scores from which pages were asked
-// for.
+// readLog plays the pages of a store's log that has purges unknown to this router. It returns the scores from which
+// pages were requested.
 func (f *fixture) readLog(pages []logPageResult) []float64 {
 	bounds := testLimits()
 	client := f.clients[engine.EndpointID(storeUID)]
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -11,30 +11,30 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// operation is one attempt at a store, as the decisions number it.
+// operation is one attempt at a store. The policy knows it by its OperationID.
 type operation struct {
 	attempt       *engine.Attempt
 	client        *storeClient
-	source        routing.EndpointID // fills come from here, 0: none
-	isRelay       bool               // another cache was to be filled from the store
+	source        routing.EndpointID // endpoint that fills come from, 0: none
+	isRelay       bool               // the attempt is at a cache that was to be filled from the store
 	isComplete    bool
-	fill          *engine.Attempt // in flight, or nil
+	fill          *engine.Attempt // the fill in flight, or nil
 	fillStartedAt time.Time
 	copy          Copy
-	generatedAt   time.Time // of the copy, as exact as the source gave it
+	generatedAt   time.Time // when the copy was generated, as precisely as its source reported
 }
 
 func (op *operation) key() copyKey {
 	return copyKey{op.attempt.Request.Object, op.attempt.Request.Part}
 }
 
-// unsentCommand is a command that found no connection.
+// unsentCommand is a command that could not be sent because there was no connection.
 type unsentCommand struct {
 	command command
 	client  *storeClient
 }
 
-// startOperation begins an operation.
+// startOperation numbers an operation and passes its request to the policy.
 func (t *Transport) startOperation(op *operation) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
@@ -65,14 +65,14 @@
 	t.handle(&event)
 }
 
-// refuseWrite answers a write: none reaches a store.
+// refuseWrite rejects a write, since writes are never sent to a store.
 func (t *Transport) refuseWrite(attempt *engine.Attempt) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
 	t.post(engine.AttemptResult{Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity})
 }
 
-// untilObjective is the time left until a request's latency objective, which grows with its size.
+// untilObjective returns the time left until a request's latency objective, which grows with the size of the object.
 func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
 	sending := time.Duration(0)
 	if t.routing.FlowKBPerSecond > 0 {
@@ -82,7 +82,7 @@
 	return min(class.LatencyObjective+sending, request.Timeout) - time.Since(request.ReceivedAt)
 }
 
-// handle passes an event to the decisions and carries their actions out.
+// handle passes an event to the policy and carries out the resulting actions.
 func (t *Transport) handle(event *decide.Event) {
 	t.actions = t.coordinator.Handle(t.now(), event, t.actions[:0])
 	for i := range t.actions {
@@ -90,7 +90,7 @@
 	}
 }
 
-// failNextUnsent reports the next command that found no connection as failed. It says whether there are more.
+// failNextUnsent reports the next unsent command as failed, and returns whether there are more.
 func (t *Transport) failNextUnsent() (hasMore bool) {
 	if len(t.unsent) == 0 {
 		return false
@@ -106,7 +106,7 @@
 	return t.unsent != nil
 }
 
-// perform carries an action out.
+// perform carries out an action.
 func (t *Transport) perform(action *decide.Action) {
 	switch action.Kind {
 	case decide.ActionSetTimer:
@@ -122,7 +122,7 @@
 	}
 }
 
-// performFor carries an action of an operation out.
+// performFor carries out an action of an operation.
 func (t *Transport) performFor(op *operation, action *decide.Action) {
 	keys := &op.client.keys
 	switch action.Kind {
@@ -148,8 +148,8 @@
 	}
 }
 
-// send sends a command of an operation. One that finds no connection is reported as failed by Run, as the caller may be
-// the engine, and each failure may make the next of many requests send a command.
+// send sends a command of an operation. If there is no connection, the command is left to Run, which reports its
+// failure: the caller may be the engine, and each failure may cause the next of many requests to send a command.
 func (t *Transport) send(op *operation, command command) {
 	if op.client.send(command) {
 		return
@@ -158,7 +158,7 @@
 	t.wakeRun()
 }
 
-// announceStart tells the engine that a store has just started, so that routing limits it as it does a cache.
+// announceStart tells the engine that a store has just started, so that routing applies slow start to it as to a cache.
 func (t *Transport) announceStart(action *decide.Action) {
 	endpoint, known := t.members[action.Endpoint]
 	if !known || endpoint.State != routing.Ready {
@@ -169,11 +169,11 @@
 	t.post(engine.EndpointList{Endpoints: []engine.Endpoint{endpoint}})
 }
 
-// startFill asks the source in the store's stead: a parent fetches from the origin what it has not cached, unless it
-// is to serve only what it has; any other cache serves what it has.
+// startFill requests the copy from the operation's source. A parent fetches from the origin what it has not cached,
+// unless the attempt asks for cached copies only; any other cache returns only what it has cached.
 func (t *Transport) startFill(op *operation, action *decide.Action) {
 	request := *op.attempt.Request
-	request.HeldETag = "" // the store needs the bytes
+	request.HeldETag = "" // the store needs the body even if the client has it
 	const notForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
 	fill := &engine.Attempt{
 		Request:     &request,
@@ -201,7 +201,7 @@
 	op.fill = nil
 }
 
-// finishFill takes the end of an attempt at the inner transport, and says whether it was a fill.
+// finishFill handles the result of an attempt on the inner transport, and reports whether the attempt was a fill.
 func (t *Transport) finishFill(result *engine.AttemptResult, at time.Time) bool {
 	defer t.flush()
 	t.mu.Lock()
@@ -213,7 +213,7 @@
 	delete(t.byAttempt, result.Attempt)
 	op := t.operations[id]
 	if op.fill != result.Attempt {
-		return true // abandoned
+		return true // the fill was abandoned
 	}
 	op.fill = nil
 	event := decide.Event{
@@ -235,7 +235,7 @@
 	return true
 }
 
-// complete tells the engine how the attempt ended.
+// complete reports the result of the attempt to the engine.
 func (t *Transport) complete(op *operation, action *decide.Action) {
 	op.isComplete = true
 	delete(t.byAttempt, op.attempt)
--- a/internal/sharedstore/reply.go
+++ b/internal/sharedstore/reply.go
@@ -14,46 +14,46 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// result is what a connection reports: one of the types below.
+// result is what a connection reports to the transport: one of the types below.
 type result interface{ isResult() }
 
-// connectedResult says that the connection has greeted.
+// connectedResult reports that the connection is set up.
 type connectedResult struct {
 	runID  uint64        // identifies the run of the store's process
-	uptime time.Duration // of that run
+	uptime time.Duration // how long that run has lasted
 }
 
-// commandResult ends a get, the attempt to acquire a lease, or a set.
+// commandResult is the result of a get, a set or an attempt to acquire a lease.
 type commandResult struct {
 	command command
 	reply   decide.Reply
-	copy    Copy          // of a hit
-	err     error         // why a value cannot be used, or the store's error
-	elapsed time.Duration // since it was sent
+	copy    Copy          // set for a hit
+	err     error         // why a value cannot be used, or the store's error reply
+	elapsed time.Duration // time since the command was sent
 }
 
-// healthResult ends a health check.
+// healthResult is the result of a health check.
 type healthResult struct {
 	isHealthy bool
 	elapsed   time.Duration
 }
 
-// logRangeResult is the range of the invalidation log.
+// logRangeResult is the range of time that a store's invalidation log covers.
 type logRangeResult struct {
 	stored decide.LogRange
 	ok     bool
 }
 
-// logPageResult is a page of the members of the invalidation log.
+// logPageResult is one page of a store's invalidation log.
 type logPageResult struct {
 	entries   []decide.Invalidation
-	fromScore float64 // the first score asked for
-	lastScore float64 // the last one of the page
-	isLast    bool    // there are no more
+	fromScore float64 // score from which the page was requested
+	lastScore float64 // score of the last member in the page
+	isLast    bool    // no further pages follow
 	ok        bool
 }
 
-// logWrittenResult ends a write of the invalidation log.
+// logWrittenResult is the result of a write to the invalidation log.
 type logWrittenResult struct {
 	update decide.LogUpdate
 	ok     bool
@@ -66,7 +66,7 @@
 func (logPageResult) isResult()    {}
 func (logWrittenResult) isResult() {}
 
-// replyKinds gives the first word of a store's error its meaning.
+// replyKinds maps the first word of an error reply to its meaning.
 var replyKinds = map[string]decide.Reply{
 	"LOADING":     decide.ReplyLoading,
 	"OOM":         decide.ReplyOutOfMemory,
@@ -84,7 +84,7 @@
 	"CLUSTERDOWN": decide.ReplyMoved,
 }
 
-// classifyError says what an error reply means.
+// classifyError returns the meaning of an error reply, and its text as an error.
 func classifyError(text []byte) (decide.Reply, error) {
 	word, _, _ := bytes.Cut(text, []byte{' '})
 	kind, known := replyKinds[string(word)]
@@ -94,7 +94,8 @@
 	return kind, newStoreError(text)
 }
 
-// readReply reads the reply to a command. The result is nil where nobody waits for one; an error ends the connection.
+// readReply parses the reply to a command. The result is nil if there is nothing to report; an error ends the
+// connection.
 func readReply(sent *command, parts []resp.Reply, elapsed time.Duration) (result, error) {
 	first := &parts[0]
 	ok := first.Kind != resp.ErrorReply
@@ -167,7 +168,7 @@
 	return get, nil
 }
 
-// decodeFor reads a value that must be a copy of what the key names. The body is cloned out of the input buffer.
+// decodeFor decodes a value that must be the copy identified by the key. The body is cloned out of the input buffer.
 func decodeFor(key copyKey, value []byte) (Copy, error) {
 	decoded, err := Decode(value)
 	if err != nil {
@@ -180,7 +181,8 @@
 	return decoded, nil
 }
 
-// readAcknowledgement reads the reply to a set: SET with NX, which acquires a lease, answers null where there is one.
+// readAcknowledgement parses the reply to a set or to an attempt to acquire a lease. The latter is a SET with NX, whose
+// reply is null if another router holds the lease.
 func readAcknowledgement(sent *command, reply *resp.Reply, elapsed time.Duration) result {
 	acknowledged := commandResult{command: *sent, reply: decide.ReplyOK, elapsed: elapsed}
 	switch {
@@ -222,7 +224,7 @@
 	return page
 }
 
-// event is the result as the decisions take it.
+// event returns the result as an event for the policy.
 func (r *commandResult) event(endpoint routing.EndpointID) decide.Event {
 	event := decide.Event{
 		Operation: r.command.operation, Endpoint: endpoint, Reply: r.reply, Elapsed: r.elapsed,
--- a/internal/sharedstore/results.go
+++ b/internal/sharedstore/results.go
@@ -12,8 +12,8 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// handleResults takes what a connection to a store reports. A reader may be late: what it then says of the connection
-// itself or of the log no longer counts, as the end of the connection may have been handled.
+// handleResults handles the results of a connection to a store. A reader may deliver results after the end of its
+// connection was handled. Those about the connection itself or the invalidation log are then ignored.
 func (t *Transport) handleResults(client *storeClient, connection *connection, results []result) {
 	if len(results) == 0 {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// handleConnectionResult takes a result that counts for the connection it came on.
+// handleConnectionResult handles a result that matters only while its connection is open.
 func (t *Transport) handleConnectionResult(client *storeClient, result result) {
 	switch r := result.(type) {
 	case connectedResult:
@@ -60,7 +60,8 @@
 	client.syncLog()
 }
 
-// handleDisconnected takes the end of a connection, or of the attempt to connect. Only the first in a row is logged.
+// handleDisconnected handles the end of a connection or a failed attempt to connect. Only the first of consecutive
+// failures is logged.
 func (t *Transport) handleDisconnected(client *storeClient, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +83,7 @@
 	t.handle(&event)
 }
 
-// logProblem logs values that cannot be used and unknown errors, though not each: one line would drown the others.
+// logProblem logs unusable values and unknown errors, at most once per BackoffMax so that other log lines stay visible.
 func (t *Transport) logProblem(client *storeClient, r *commandResult) {
 	if r.reply != decide.ReplyCorrupt && r.reply != decide.ReplyUnknownError {
 		return
--- a/internal/sharedstore/storeclient.go
+++ b/internal/sharedstore/storeclient.go
@@ -15,25 +15,25 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// storeClient keeps one connection to a store: it dials its addresses in turn, and reads and writes.
+// storeClient keeps one connection to a store. It dials the store's addresses in turn, and reads and writes.
 type storeClient struct {
 	transport *Transport
 	id        routing.EndpointID
 	config    Store
 	keys      keys
-	wake      chan struct{}  // the writer has something to do
-	readers   sync.WaitGroup // that of a connection that has ended may still deliver
+	wake      chan struct{}  // wakes the writer when a command is queued
+	readers   sync.WaitGroup // the reader of an ended connection may still be delivering results
 
 	mu         sync.Mutex
-	connection *connection // nil while there is none
-	socket     net.Conn    // the same
-	addresses  []string
+	connection *connection // nil if there is no connection
+	socket     net.Conn    // nil if there is no connection
+	addresses  []string    // dialled in turn
 
 	// Guarded by the lock of the transport.
-	isSyncingLog   bool // the invalidation log is being read or written
-	isDisconnected bool // the connection ended, or the last attempt to connect failed
-	logEntries     []decide.Invalidation
-	lastProblemAt  time.Time // when its replies were last logged
+	isSyncingLog   bool                  // the invalidation log is being read or written
+	isDisconnected bool                  // the connection ended, or the last attempt to connect failed
+	logEntries     []decide.Invalidation // read from the pages of the log so far
+	lastProblemAt  time.Time             // when an error or unusable value was last logged
 }
 
 func newStoreClient(transport *Transport, id routing.EndpointID, config Store) *storeClient {
@@ -43,7 +43,7 @@
 	}
 }
 
-// send queues a command on the connection, and says whether there is one.
+// send queues a command on the connection, and reports whether there is a connection.
 func (s *storeClient) send(command command) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,8 +58,8 @@
 	return true
 }
 
-// setAddress is the address of the endpoint list. It counts where the operator named none; a new one ends the
-// connection.
+// setAddress sets the address from the endpoint list, unless the operator has configured addresses. A change of the
+// address ends the connection.
 func (s *storeClient) setAddress(address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// run keeps one connection up until the context ends. It returns when its readers have ended.
+// run keeps one connection open until the context is done. It returns once its readers have ended.
 func (s *storeClient) run(ctx context.Context) {
 	defer s.readers.Wait()
 	bounds := &s.transport.limits
@@ -113,7 +113,7 @@
 	return secure, nil
 }
 
-// isCurrent says whether a connection has not ended.
+// isCurrent reports whether a connection is the open one.
 func (s *storeClient) isCurrent(connection *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // connect dials an address and serves the connection until it ends. It does not wait for the reader, which may be
-// blocked in Deliver: the loss of the connection has to be reported all the same.
+// blocked in Deliver, so that the loss of the connection is reported without delay.
 func (s *storeClient) connect(ctx context.Context, address string) error {
 	socket, err := s.dial(ctx, address)
 	if err != nil {
@@ -149,8 +149,8 @@
 	return err
 }
 
-// write sends what is queued, until the connection or the context ends. It has the invalidation log synchronized at
-// random intervals, so that routers do not keep in step, and ends a connection that has fallen silent.
+// write sends queued commands until the connection ends or the context is done. It synchronizes the invalidation log at
+// random intervals, so that routers do not do so in step, and returns an error if the store has fallen silent.
 func (s *storeClient) write(ctx context.Context, socket net.Conn, current *connection, readError <-chan error) error {
 	bounds := &s.transport.limits
 	silenceCheck := time.NewTicker(bounds.PollTimeout / 8)
@@ -181,7 +181,7 @@
 	}
 }
 
-// writePending writes once, and says whether there was anything to write.
+// writePending makes one write, and reports whether there was anything to write.
 func (s *storeClient) writePending(socket net.Conn, current *connection) (bool, error) {
 	bounds := &s.transport.limits
 	now := time.Now()
@@ -203,7 +203,7 @@
 	return true, err
 }
 
-// read reads until the connection ends.
+// read reads and handles replies until the connection ends.
 func (s *storeClient) read(socket net.Conn, current *connection) error {
 	for {
 		s.mu.Lock()
--- a/internal/sharedstore/timer.go
+++ b/internal/sharedstore/timer.go
@@ -9,15 +9,15 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// timer is one that the decisions have set.
+// timer is a timer that the policy has set.
 type timer struct {
-	at        time.Duration
+	at        time.Duration // on the policy's clock, see Transport.now
 	operation decide.OperationID
 	endpoint  routing.EndpointID
 	id        uint64
 }
 
-// timerQueue is a heap of timers, the earliest first.
+// timerQueue is a heap of timers, with the earliest first.
 type timerQueue []timer
 
 func (q timerQueue) Len() int           { return len(q) }
@@ -40,11 +40,11 @@
 		at: t.now() + action.Delay, operation: action.Operation, endpoint: action.Endpoint, id: action.TimerID,
 	})
 	if t.timers[0].id == action.TimerID {
-		t.wakeRun() // it is the first to fire
+		t.wakeRun() // this timer is now the first to fire
 	}
 }
 
-// fireTimers handles the timers that are due, and sets the alarm for the next.
+// fireTimers reports the timers that are due to the policy, and sets the alarm for the next one.
 func (t *Transport) fireTimers(alarm *time.Timer) {
 	now := t.now()
 	for len(t.timers) > 0 && t.timers[0].at <= now {
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -1,10 +1,10 @@
-// Package sharedstore carries attempts to shared stores that speak RESP2 (Redis). Transport stands between the engine
-// and the transport of all other endpoints: an attempt at a store becomes gets, leases, fills and sets as the
-// decisions in policy/sharedstore want, and ends as an attempt at a cache does. Transport decides nothing and never
-// blocks the engine.
+// Package sharedstore sends attempts to shared stores that speak RESP2 (Redis). Transport sits between the engine and
+// the transport to all other endpoints. It turns an attempt at a store into the gets, leases, fills and sets that
+// policy/sharedstore decides on, and reports the result like that of an attempt at a cache. Transport makes no
+// decisions of its own and never blocks the engine.
 //
-// One connection to each store is kept by a storeClient; connection is the state machine behind it, without a socket.
-// Commands and replies are in command.go and reply.go, the stored form of values and keys in value.go and keys.go.
+// A storeClient keeps one connection to each store; connection is the state machine of that connection and uses no
+// socket. command.go builds commands, reply.go parses replies, and value.go and keys.go define the stored format.
 package sharedstore
 
 import (
@@ -22,18 +22,18 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// Store is what the operator says of one store.
+// Store is the operator's configuration of one store.
 type Store struct {
 	UID         string
-	Addresses   []string // none: the address of the endpoint list
-	Listed      bool     // the endpoint list names it; otherwise this router adds it
+	Addresses   []string // tried in turn; if empty, the address in the endpoint list is used
+	Listed      bool     // the endpoint list contains the store; otherwise this router adds it
 	Weight      float64
-	Prefix      string // of all keys
+	Prefix      string // prefix of all keys
 	Credentials Credentials
 	TLS         *tls.Config
 }
 
-// Credentials is what a new connection authenticates with; all of it may be empty.
+// Credentials holds the login and the database of a new connection. Each field may be empty.
 type Credentials struct {
 	User     string
 	Password string
@@ -48,39 +48,39 @@
 	Seed      uint64
 	Stores    []Store
 	StartedAt time.Time
-	// Deliver takes messages for the engine. It is called from goroutines of this transport and of the inner one, never
-	// from the engine's, and may block.
+	// Deliver passes a message to the engine. It may block; it is called on goroutines of this transport and of the
+	// inner one, but never on the engine's.
 	Deliver func(at time.Time, message engine.Message)
 	Log     *zap.Logger
 }
 
-// Transport is an engine.Transport that knows stores. Its lock is taken before those of its clients and of the inner
-// transport.
+// Transport is an engine.Transport that handles shared stores and passes all other endpoints on to an inner transport.
+// Its lock is acquired before those of its clients and of the inner transport.
 type Transport struct {
 	limits    limits.Limits
 	routing   routing.Settings
 	log       *zap.Logger
 	startedAt time.Time
-	inner     engine.Transport // of all other endpoints
+	inner     engine.Transport // to all other endpoints
 	deliver   func(at time.Time, message engine.Message)
-	wake      chan struct{}
+	wake      chan struct{} // wakes Run
 	clients   map[routing.EndpointID]*storeClient
 
 	mu            sync.Mutex
 	coordinator   *decide.Coordinator
-	members       map[routing.EndpointID]engine.Endpoint // the stores as last listed
+	members       map[routing.EndpointID]engine.Endpoint // the stores, as in the last endpoint list
 	kinds         map[routing.EndpointID]routing.KindID
-	origin        routing.EndpointID
+	origin        routing.EndpointID // the origin that was last listed as ready
 	lastOperation decide.OperationID
 	operations    map[decide.OperationID]*operation
-	byAttempt     map[*engine.Attempt]decide.OperationID // attempts at stores, and fills
+	byAttempt     map[*engine.Attempt]decide.OperationID // operations by their attempt at a store and by their fill
 	timers        timerQueue
-	unsent        []unsentCommand // Run reports them as failed
-	outbox        []engine.Event
+	unsent        []unsentCommand // to be reported as failed by Run
+	outbox        []engine.Event  // to be delivered to the engine
 	actions       []decide.Action // for reuse
 }
 
-// New returns a transport for the stores given. SetInner comes before anything else.
+// New returns a transport for the given stores. SetInner must be called before any other method.
 func New(options Options) *Transport {
 	t := &Transport{
 		limits:     options.Limits,
@@ -107,11 +107,11 @@
 	return t
 }
 
-// SetInner sets the transport of all other endpoints.
+// SetInner sets the transport to all other endpoints.
 func (t *Transport) SetInner(inner engine.Transport) { t.inner = inner }
 
-// Run keeps the connections, fires timers, reports commands that found no connection as failed, and delivers messages
-// until the context ends. It returns when its goroutines have ended.
+// Run keeps the connections to the stores, fires timers, reports unsent commands as failed and delivers messages until
+// the context is done. It returns once its goroutines have ended.
 func (t *Transport) Run(ctx context.Context) {
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -123,7 +123,7 @@
 	for {
 		t.mu.Lock()
 		t.fireTimers(alarm)
-		hasUnsent := t.failNextUnsent() // one at a time, so that the engine gets the lock in between
+		hasUnsent := t.failNextUnsent() // one at a time, so that the engine can acquire the lock in between
 		t.mu.Unlock()
 		t.flush()
 		if hasUnsent {
@@ -138,12 +138,12 @@
 	}
 }
 
-// Send takes an attempt: at a store, at a cache that is to be filled from one, or at any other endpoint.
+// Send starts an attempt at a store, at a cache that is to be filled from a store, or at any other endpoint.
 func (t *Transport) Send(attempt *engine.Attempt) {
 	client := t.clients[attempt.Endpoint]
 	isRelay := client == nil
 	if isRelay {
-		// No cache can fetch from a store: this router serves the store's copy instead.
+		// Caches cannot fetch from a store, so this router returns the store's copy itself.
 		client = t.clients[attempt.Source]
 	}
 	switch {
@@ -158,8 +158,8 @@
 	}
 }
 
-// Abort abandons an attempt. A request that may go to a store may be repeated: it does not matter whether it was
-// written.
+// Abort abandons an attempt and reports whether any of it may have been written. At a store the answer is always true:
+// only requests that may be repeated are sent there, so the difference does not matter.
 func (t *Transport) Abort(attempt *engine.Attempt) bool {
 	t.mu.Lock()
 	defer t.unlockAndWake()
@@ -172,7 +172,7 @@
 	return true
 }
 
-// CheckHealth asks an endpoint for its state.
+// CheckHealth starts a health check of an endpoint.
 func (t *Transport) CheckHealth(id routing.EndpointID) {
 	client := t.clients[id]
 	if client == nil {
@@ -186,7 +186,7 @@
 	}
 }
 
-// Post takes what the inner transport reports: the ends of fills are for this transport, all else is for the engine.
+// Post takes a message from the inner transport. The result of a fill is handled here; all else goes to the engine.
 func (t *Transport) Post(at time.Time, message engine.Message) {
 	if result, is := message.(engine.AttemptResult); is && t.finishFill(&result, at) {
 		return
@@ -201,25 +201,25 @@
 	t.coordinator.UpdateSettings(settings)
 }
 
-// Limits are the limits that the transport was created with.
+// Limits returns the limits that the transport was created with.
 func (t *Transport) Limits() limits.Limits { return t.limits }
 
-// Counts is what was decided so far.
+// Counts returns the counts of all decisions so far.
 func (t *Transport) Counts() decide.Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.coordinator.Counts
 }
 
-// now is the time by the clock of the decisions.
+// now returns the time since the router's start, which is the clock of the policy.
 func (t *Transport) now() time.Duration { return time.Since(t.startedAt) }
 
-// post puts a message into the outbox. It is delivered by flush on a goroutine that may block, or by Run.
+// post puts a message into the outbox, which flush delivers.
 func (t *Transport) post(message engine.Message) {
 	t.outbox = append(t.outbox, engine.Event{Time: time.Now(), Message: message})
 }
 
-// flush delivers the outbox. It may block, so it is never called by the engine's goroutine.
+// flush delivers the messages in the outbox. It may block, so it must not be called on the engine's goroutine.
 func (t *Transport) flush() {
 	t.mu.Lock()
 	outbox := t.outbox
@@ -230,7 +230,8 @@
 	}
 }
 
-// unlockAndWake unlocks on the engine's own goroutine, which must not wait for itself: Run delivers the outbox.
+// unlockAndWake releases the lock on the engine's goroutine. That goroutine must not deliver messages to itself, so Run
+// is woken to deliver the outbox.
 func (t *Transport) unlockAndWake() {
 	if len(t.outbox) > 0 {
 		t.wakeRun()
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -22,7 +22,8 @@
 	storeUID  = "s-redis"
 	parentUID = "s-parent"
 
-	// copyProvedAfter is how long after a router's start a copy must be generated to be proved without the store's log.
+	// copyProvedAfter is the time after a router's start from which generated copies are known to be newer than every
+	// purge, without the log of a store.
 	copyProvedAfter = 600 * time.Millisecond
 )
 
@@ -32,7 +33,7 @@
 	})
 }
 
-// fakeParent answers fills at once, or never where it is silent.
+// fakeParent answers fills at once, or not at all if it is silent.
 type fakeParent struct {
 	post     func(time.Time, engine.Message)
 	body     []byte
@@ -60,7 +61,7 @@
 	})
 }
 
-// fixture is a transport over a store; what reaches the engine comes on a channel.
+// fixture is a transport with one store and one parent. Results for the engine are sent to a channel.
 type fixture struct {
 	*Transport
 	redis   *redis.Store
@@ -68,7 +69,7 @@
 	results chan engine.AttemptResult
 }
 
-// newFixture connects to a fake store.
+// newFixture returns a running transport that is connected to a fake store.
 func newFixture(tb testing.TB, log *zap.Logger) *fixture {
 	tb.Helper()
 	store, err := redis.Start(redis.Config{InitialAge: time.Hour, User: "u", Password: "w"})
@@ -90,8 +91,8 @@
 	return f
 }
 
-// newUnconnectedFixture has a store that counts as connected while there is no connection, as when one has just ended.
-// It is not started.
+// newUnconnectedFixture returns a transport that is not running, with a store that counts as connected though it has no
+// connection, as right after the end of a connection.
 func newUnconnectedFixture(tb testing.TB) *fixture {
 	tb.Helper()
 	f := newFixtureOf(Store{UID: storeUID, Weight: 1, Prefix: "t:"}, zap.NewNop())
@@ -156,7 +157,7 @@
 	f.UpdateEndpoints(f.ObserveDiscovery(list).(engine.EndpointList))
 }
 
-// listParentDraining lists the parent as draining: what was requested before is no longer filled from it.
+// listParentDraining lists the parent as draining, so that earlier requests are no longer filled from it.
 func (f *fixture) listParentDraining() {
 	parent := routing.Endpoint{ID: engine.EndpointID(parentUID), State: routing.Draining, Kind: 1}
 	f.UpdateEndpoints(engine.EndpointList{Endpoints: []engine.Endpoint{{UID: parentUID, Endpoint: parent}}})
@@ -166,7 +167,7 @@
 	return f.requestFrom(object, engine.EndpointID(parentUID))
 }
 
-// requestFrom requests an object that may be filled from a source, 0: from none.
+// requestFrom requests an object that may be filled from a source; 0 stands for no source.
 func (f *fixture) requestFrom(object routing.ObjectID, source routing.EndpointID) *engine.Attempt {
 	now := time.Now()
 	attempt := &engine.Attempt{
@@ -191,7 +192,7 @@
 	}
 }
 
-// A miss is filled and stored, then it is a hit with the same bytes; after a purge it is filled anew.
+// A miss is filled and stored, the next request is a hit with the same body, and a purge leads to another fill.
 func TestFillHitAndPurge(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
 	time.Sleep(copyProvedAfter)
@@ -213,11 +214,11 @@
 	if result := f.result(t); result.Note != routing.NoteFilled {
 		t.Fatalf("%v after a purge", result.Note)
 	}
-	time.Sleep(30 * time.Millisecond) // it is stored again
+	time.Sleep(30 * time.Millisecond) // until the copy is stored again
 	f.waitUntilNothingLeft(t)
 }
 
-// A write never reaches a store, and costs no operation.
+// A write is rejected without an operation at the store.
 func TestWriteIsRefused(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
 	write := &engine.Attempt{Request: &engine.Request{Object: 7, Write: true}, Endpoint: engine.EndpointID(storeUID)}
@@ -231,7 +232,7 @@
 	}
 }
 
-// An attempt that is abandoned while the store is silent has no result, and leaves nothing.
+// An attempt that is abandoned while the store is silent gets no result, and its operation is removed.
 func TestAbortLeavesNothing(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
 	f.redis.SetFault(redis.Fault{Silent: true})
@@ -246,7 +247,7 @@
 	f.checkNothingLeft(t)
 }
 
-// checkNothingLeft looks at once.
+// checkNothingLeft checks that no attempt and no operation is left, without waiting.
 func (f *fixture) checkNothingLeft(tb testing.TB) {
 	tb.Helper()
 	if attempts, operations := f.countOpen(); attempts > 0 || operations > 0 {
@@ -254,7 +255,7 @@
 	}
 }
 
-// waitUntilNothingLeft waits for what may be on its way still, such as a set.
+// waitUntilNothingLeft waits up to a second for operations in progress, such as a set, and fails if any remain.
 func (f *fixture) waitUntilNothingLeft(tb testing.TB) {
 	tb.Helper()
 	for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -271,13 +272,15 @@
 	return len(f.byAttempt), len(f.operations)
 }
 
-// atOnce is sooner than the first get is late, which would begin a fill as well.
+// atOnce is the maximum time of a fill that starts without a timer. It is shorter than the time after which the first
+// get counts as late, which would also start a fill.
 const atOnce = 20 * time.Millisecond
 
-// atOnceTries is how many requests may take longer because the machine paused; with a timer in the way all of them do.
+// atOnceTries is the number of tries of which one must succeed. A pause of the machine delays some of them; a fill that
+// waits for a timer would fail all of them.
 const atOnceTries = 5
 
-// Where the store cannot be reached, the fill begins at once, whether the loss of the connection was noticed or not.
+// If the store cannot be reached, the fill starts at once, whether the loss of the connection was noticed or not.
 func TestUnreachableStoreIsBypassed(t *testing.T) {
 	t.Run("noticed", func(t *testing.T) {
 		checkFilledAtOnce(t, func() (elapsed time.Duration, timeouts uint64) {
@@ -308,7 +311,7 @@
 	})
 }
 
-// checkFilledAtOnce plays a request that is to be filled without waiting for any timer.
+// checkFilledAtOnce checks that a request is filled without waiting for a timer.
 func checkFilledAtOnce(t *testing.T, play func() (elapsed time.Duration, timeouts uint64)) {
 	t.Helper()
 	var elapsed time.Duration
--- a/internal/sharedstore/unsent_test.go
+++ b/internal/sharedstore/unsent_test.go
@@ -8,7 +8,7 @@
 	"fennelarch/policy/routing"
 )
 
-// A command that finds no connection is reported as failed by Run, and the request is filled.
+// A command that cannot be sent for want of a connection is reported as failed by Run, and the request is filled.
 func TestRequestWithoutConnectionIsFilled(t *testing.T) {
 	f := newUnconnectedFixture(t)
 	f.request(7)
@@ -25,7 +25,7 @@
 	}
 }
 
-// An attempt without a source sets no timer: only the report of the unsent command can end it.
+// An attempt without a source sets no timer, so only the failure of the unsent command can end it.
 func TestRequestWithoutConnectionAndSourceFails(t *testing.T) {
 	f := newUnconnectedFixture(t)
 	f.start(t)
@@ -36,8 +36,8 @@
 	f.checkNothingLeft(t)
 }
 
-// Each follower of an aborted leader gets a result, though each of them in turn asks the store and fails. Abort itself
-// lets one of them do so and leaves the others to Run: it is called by the engine.
+// Each follower of an aborted leader gets a result, even if each in turn becomes the leader, asks the store and fails.
+// Abort lets only the first of them ask and leaves the others to Run, because Abort runs on the engine's goroutine.
 func TestAbortOfLeaderWithoutConnection(t *testing.T) {
 	const followers = 50
 	f := newUnconnectedFixture(t)
@@ -49,7 +49,7 @@
 		f.request(7)
 	}
 	client.setConnection(nil, nil)
-	f.listParentDraining() // no follower can be filled: each fails in turn, and the next takes over
+	f.listParentDraining() // no follower can be filled, so each fails in turn and the next takes over
 	if !f.Abort(leader) {
 		t.Error("not aborted")
 	}
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -10,28 +10,28 @@
 	decide "fennelarch/policy/sharedstore"
 )
 
-// Copy is what a stored value holds.
+// Copy is the content of a stored value.
 type Copy struct {
 	Object      routing.ObjectID
 	Part        int
 	Group       routing.GroupID
 	GeneratedAt decide.Timestamp // when the origin generated it
-	ValidFrom   decide.Timestamp // no purge before this can have been missed on its way here
+	ValidFrom   decide.Timestamp // no purge issued before this can have been missed by the copy
 	ETag        string
 	Body        []byte
 }
 
-// The stored form, all numbers big-endian:
+// The layout of a stored value, with all numbers in big-endian order:
 //
 //	0   "FA"
-//	2   format
+//	2   format version
 //	3   length of the ETag
 //	4   object, 8 bytes
 //	12  part and group, 4 bytes each
 //	20  GeneratedAt, 8 bytes
 //	28  ValidFrom, 8 bytes
 //	36  ETag, body
-//	end xxhash of all before, 8 bytes
+//	end xxhash of all preceding bytes, 8 bytes
 const (
 	valueFormat       = 1
 	objectOffset      = 4
@@ -43,10 +43,10 @@
 	valueOverhead     = headerBytes + checksumBytes
 )
 
-// encodedBytes is the length of the stored form.
+// encodedBytes returns the length of the encoded copy.
 func (c *Copy) encodedBytes() int { return valueOverhead + len(c.ETag) + len(c.Body) }
 
-// Encode appends the stored form of a copy.
+// Encode appends the encoded copy to value.
 func (c *Copy) Encode(value []byte) []byte {
 	start := len(value)
 	value = append(value, 'F', 'A', valueFormat, byte(len(c.ETag)))
@@ -59,8 +59,8 @@
 	return binary.BigEndian.AppendUint64(value, xxhash.Sum64(value[start:]))
 }
 
-// Decode reads a stored value. The copy's body is part of the value, not cloned. The error is one of ErrForeignValue,
-// ErrUnknownFormat, ErrTruncatedValue and ErrChecksum.
+// Decode decodes a stored value. The body of the copy is a slice of the value. The error is ErrForeignValue,
+// ErrUnknownFormat, ErrTruncatedValue or ErrChecksum.
 func Decode(value []byte) (Copy, error) {
 	switch {
 	case len(value) < 3 || value[0] != 'F' || value[1] != 'A':
--- a/internal/sharedstore/value_test.go
+++ b/internal/sharedstore/value_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// A value tells what is wrong with it.
+// The error tells why a value cannot be used.
 func ExampleDecode() {
 	stored := testCopy()
 	valid := stored.Encode(nil)
@@ -59,7 +59,7 @@
 	}
 }
 
-// Values and the invalidation log are shared with other releases: their bytes do not change.
+// Values and the invalidation log are shared with routers of other releases, so their encoding must not change.
 func TestStoredFormIsStable(t *testing.T) {
 	stored := testCopy()
 	const value = "FA\x01\x03" + "\x00\x00\x00\x00\x00\x00\x00\x07" + "\x00\x00\x00\x02\x00\x00\x00\x03" +
