--- a/internal/resp/bench_test.go
+++ b/internal/resp/bench_test.go
@@ -25,12 +25,12 @@
 // BenchmarkReply decodes a store's reply of 20 KB in a ring.
 func BenchmarkReply(b *testing.B) {
 	text := redcon.AppendBulkString(nil, strings.Repeat("x", 20_000))
-	ring, replies := Ring{MaxBytes: 256 << 10}, ReplyDecoder{MaxStringBytes: 240_000, MaxLineBytes: 1 << 10, MaxParts: 8}
+	ring, decoder := Ring{MaxBytes: 256 << 10}, ReplyDecoder{MaxStringBytes: 240_000, MaxLineBytes: 1 << 10, MaxParts: 8}
 	b.ReportAllocs()
 	b.SetBytes(int64(len(text)))
 	for b.Loop() {
 		ring.Append(text)
-		if parts, err := replies.Next(&ring); len(parts) != 1 || err != nil {
+		if parts, err := decoder.Next(&ring); len(parts) != 1 || err != nil {
 			b.Fatal(parts, err)
 		}
 	}
--- a/internal/resp/decoder.go
+++ b/internal/resp/decoder.go
@@ -9,7 +9,7 @@
 
 // ErrFraming reports input that is malformed or exceeds a limit. Decoding cannot resume after it, because the start of
 // the next frame is unknown.
-var ErrFraming = errors.New("not an array of bulk strings within the bounds")
+var ErrFraming = errors.New("malformed RESP2 message or length beyond the limit")
 
 const (
 	lineEnd = "\r\n"
@@ -26,10 +26,10 @@
 	MaxStringBytes int // maximum length of a string
 	MaxFrameBytes  int // maximum length of a frame
 
-	position int      // offset of the next header, or of the end of the frame; 0: no frame begun
-	headers  int      // string headers still to be parsed
-	isTaken  bool     // Next has returned the frame and discards it when called again
-	args     [][]byte // returned by Next, for reuse
+	position         int      // offset of the next header, or of the end of the frame; 0: no frame begun
+	remainingHeaders int      // string headers still to be parsed
+	isReturned       bool     // Next has returned the frame and discards it when called again
+	args             [][]byte // returned by Next, for reuse
 }
 
 // Fresh returns a decoder with the same limits that has not parsed anything.
@@ -43,25 +43,25 @@
 // Next returns the strings of the next complete frame, or nil if more bytes are needed. The strings are valid until the
 // next call.
 func (d *Decoder) Next(r *Ring) ([][]byte, error) {
-	if d.isTaken {
+	if d.isReturned {
 		r.Discard(d.position)
-		d.position, d.isTaken = 0, false
+		d.position, d.isReturned = 0, false
 	}
-	for d.position == 0 || d.headers > 0 {
-		sign, most := BulkString, d.MaxStringBytes
+	for d.position == 0 || d.remainingHeaders > 0 {
+		kind, limit := BulkString, d.MaxStringBytes
 		if d.position == 0 {
-			sign, most = Array, d.MaxStrings
+			kind, limit = Array, d.MaxStrings
 		}
-		length, used, err := parseHeader(r, d.position, sign, most)
+		length, used, err := parseHeader(r, d.position, kind, limit)
 		if used == 0 || err != nil {
 			return nil, err
 		}
-		if sign == Array {
-			d.position, d.headers = used, length
+		if kind == Array {
+			d.position, d.remainingHeaders = used, length
 			continue
 		}
 		d.position += used + length + len(lineEnd)
-		d.headers--
+		d.remainingHeaders--
 		if d.position > d.MaxFrameBytes {
 			return nil, ErrFraming
 		}
@@ -69,11 +69,11 @@
 	if d.position > r.Len() {
 		return nil, nil
 	}
-	isWhole, args, _, _, err := redcon.ReadNextCommand(r.Peek(d.position), d.args[:0])
-	if err != nil || !isWhole || len(args) == 0 {
+	isComplete, args, _, _, err := redcon.ReadNextCommand(r.Peek(d.position), d.args[:0])
+	if err != nil || !isComplete || len(args) == 0 {
 		return nil, ErrFraming
 	}
-	d.args, d.isTaken = args, true
+	d.args, d.isReturned = args, true
 	return args, nil
 }
 
@@ -98,11 +98,11 @@
 
 // parseHeader parses the header line at a position: the expected kind and a length of at most the limit. It returns
 // that length and the number of bytes used by the line, or 0 bytes if the line is incomplete.
-func parseHeader(r *Ring, position int, sign Kind, most int) (length, used int, err error) {
+func parseHeader(r *Ring, position int, kind Kind, limit int) (length, used int, err error) {
 	if position >= r.Len() {
 		return 0, 0, nil
 	}
-	if Kind(r.At(position)) != sign {
+	if Kind(r.At(position)) != kind {
 		return 0, 0, ErrFraming
 	}
 	for offset := 1; ; offset++ {
@@ -111,7 +111,7 @@
 		}
 		switch c := r.At(position + offset); {
 		case c >= '0' && c <= '9' && offset < maxHeaderBytes-len(lineEnd):
-			if length = 10*length + int(c-'0'); length > most {
+			if length = 10*length + int(c-'0'); length > limit {
 				return 0, 0, ErrFraming
 			}
 		case c == '\r' && offset > 1:
--- a/internal/resp/decoder_test.go
+++ b/internal/resp/decoder_test.go
@@ -16,23 +16,23 @@
 const smallRing = 64
 
 // decode feeds a stream to a decoder in pieces that end at the cuts, and returns the frames as text.
-func decode(stream string, bound int, cuts ...int) (string, error) {
-	ring := Ring{MaxBytes: bound}
-	decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: bound}
+func decode(stream string, ringBytes int, cuts ...int) (string, error) {
+	ring := Ring{MaxBytes: ringBytes}
+	decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: ringBytes}
 	var frames []string
-	joined := func() string { return strings.Join(frames, " | ") }
+	joinedFrames := func() string { return strings.Join(frames, " | ") }
 	from := 0
 	for _, to := range append(cuts, len(stream)) {
 		for piece := []byte(stream[from:to]); len(piece) > 0; {
 			n := ring.Append(piece)
 			if n == 0 {
-				return joined(), fmt.Errorf("%d bytes found no room", len(piece))
+				return joinedFrames(), fmt.Errorf("no room for %d bytes", len(piece))
 			}
 			piece = piece[n:]
 			for {
 				args, err := decoder.Next(&ring)
 				if err != nil {
-					return joined(), err
+					return joinedFrames(), err
 				}
 				if args == nil {
 					break
@@ -42,7 +42,7 @@
 		}
 		from = to
 	}
-	return joined(), nil
+	return joinedFrames(), nil
 }
 
 // Frames are the same however the stream is split, and also where they wrap around in the ring.
@@ -50,14 +50,14 @@
 	stream := strings.Repeat(threeFrames, 3)
 	want, err := decode(stream, 1<<10)
 	if err != nil || strings.Count(want, "|") != 8 || !strings.Contains(want, `["DO" "9" ""]`) {
-		t.Fatalf("whole: %s, %v", want, err)
+		t.Fatalf("unsplit: %s, %v", want, err)
 	}
 	everyByte := make([]int, len(stream)-1)
 	for i := range everyByte {
 		everyByte[i] = i + 1
-		for _, bound := range []int{smallRing, 1 << 10} {
-			if got, err := decode(stream, bound, i+1); got != want || err != nil {
-				t.Errorf("cut at %d, ring of %d: %s, %v", i+1, bound, got, err)
+		for _, ringBytes := range []int{smallRing, 1 << 10} {
+			if got, err := decode(stream, ringBytes, i+1); got != want || err != nil {
+				t.Errorf("cut at %d, ring of %d: %s, %v", i+1, ringBytes, got, err)
 			}
 		}
 	}
@@ -69,20 +69,20 @@
 // A malformed frame, or one whose announced length exceeds a limit, gives an error and no frame.
 func TestMalformedFrames(t *testing.T) {
 	for name, stream := range map[string]string{
-		"no array":            "PING\r\n",
-		"empty array":         "*0\r\n",
-		"null array":          "*-1\r\n",
-		"too many strings":    "*5\r\n",
-		"null string":         "*1\r\n$-1\r\n",
-		"string too long":     "*1\r\n$41\r\n",
-		"string far too long": "*1\r\n$99999999999999\r\n",
-		"frame too long":      "*3\r\n$40\r\n" + strings.Repeat("x", 40) + "\r\n$30\r\n",
-		"no count":            "*\r\n",
-		"no CR":               "*1\n",
-		"no LF":               "*1\r\r",
-		"length is no number": "*1\r\n$1x\r\n",
-		"string without end":  "*1\r\n$1\r\nab\r\n",
-		"number for a string": "*1\r\n:1\r\n",
+		"not an array":           "PING\r\n",
+		"empty array":            "*0\r\n",
+		"null array":             "*-1\r\n",
+		"too many strings":       "*5\r\n",
+		"null string":            "*1\r\n$-1\r\n",
+		"string too long":        "*1\r\n$41\r\n",
+		"string far too long":    "*1\r\n$99999999999999\r\n",
+		"frame too long":         "*3\r\n$40\r\n" + strings.Repeat("x", 40) + "\r\n$30\r\n",
+		"no count":               "*\r\n",
+		"no CR":                  "*1\n",
+		"no LF":                  "*1\r\r",
+		"length is not a number": "*1\r\n$1x\r\n",
+		"string without end":     "*1\r\n$1\r\nab\r\n",
+		"number for a string":    "*1\r\n:1\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, err := decode(stream, smallRing); got != "" || !errors.Is(err, ErrFraming) {
@@ -104,7 +104,7 @@
 		ring.Append([]byte(stream))
 		decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: smallRing}
 		if got := fmt.Sprintf("%q", decoder.Partial(&ring)); got != want {
-			t.Errorf("%q: %s, not %s", stream, got, want)
+			t.Errorf("%q: got %s, want %s", stream, got, want)
 		}
 	}
 }
@@ -129,10 +129,10 @@
 	f.Add("*2\r\n$1\r\na\r\n$41\r\n", 9)
 	f.Add("*1\r\n$", 3)
 	f.Fuzz(func(t *testing.T, stream string, cut int) {
-		whole, err := decode(stream, smallRing)
+		unsplit, err := decode(stream, smallRing)
 		if cut = min(max(cut, 0), len(stream)); cut > 0 {
-			if split, other := decode(stream, smallRing, cut); split != whole || (err == nil) != (other == nil) {
-				t.Errorf("whole: %s, %v; cut at %d: %s, %v", whole, err, cut, split, other)
+			if split, splitErr := decode(stream, smallRing, cut); split != unsplit || (err == nil) != (splitErr == nil) {
+				t.Errorf("unsplit: %s, %v; cut at %d: %s, %v", unsplit, err, cut, split, splitErr)
 			}
 		}
 	})
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -38,7 +38,7 @@
 
 	position  int // offset of the next part to be parsed
 	remaining int // parts still to be parsed
-	taken     int // length of the reply that Next returned last, 0 if it has been discarded
+	returned  int // length of the reply that Next returned last, 0 if it has been discarded
 	parts     []part
 	replies   []Reply
 }
@@ -54,9 +54,9 @@
 // Next returns the parts of the next complete reply, an array before its elements, or nil if more bytes are needed. The
 // parts are valid until the next call.
 func (d *ReplyDecoder) Next(r *Ring) ([]Reply, error) {
-	if d.taken > 0 {
-		r.Discard(d.taken)
-		d.taken = 0
+	if d.returned > 0 {
+		r.Discard(d.returned)
+		d.returned = 0
 	}
 	if d.position == 0 {
 		d.remaining, d.parts = 1, d.parts[:0]
@@ -76,26 +76,26 @@
 			return nil, ErrFraming
 		}
 	}
-	whole := r.Peek(d.position)
+	encoded := r.Peek(d.position)
 	d.replies = d.replies[:0]
 	for i := range d.parts {
 		p := &d.parts[i]
 		d.replies = append(d.replies, Reply{
 			Kind:      p.kind,
 			IsNull:    p.isNull,
-			Text:      whole[p.from:p.to],
+			Text:      encoded[p.from:p.to],
 			Int:       p.number,
 			PartCount: int(p.number),
 		})
 	}
-	d.taken, d.position = d.position, 0
+	d.returned, d.position = d.position, 0
 	return d.replies, nil
 }
 
 // parsePart parses the part at the current position and returns it with its length, which is 0 if it is incomplete.
 func (d *ReplyDecoder) parsePart(r *Ring) (next part, used int, err error) {
-	lineLength, isWhole, err := d.findLine(r)
-	if !isWhole || err != nil {
+	lineLength, isComplete, err := d.findLine(r)
+	if !isComplete || err != nil {
 		return part{}, 0, err
 	}
 	next = part{
@@ -129,7 +129,7 @@
 }
 
 // findLine finds the end of the line at the current position. The length does not include CR and LF.
-func (d *ReplyDecoder) findLine(r *Ring) (length int, isWhole bool, err error) {
+func (d *ReplyDecoder) findLine(r *Ring) (length int, isComplete bool, err error) {
 	if d.position >= r.Len() {
 		return 0, false, nil
 	}
--- a/internal/resp/ring.go
+++ b/internal/resp/ring.go
@@ -23,12 +23,12 @@
 
 // grow makes room for n more bytes, or as many of them as MaxBytes allows.
 func (r *Ring) grow(n int) {
-	want := min(r.MaxBytes, r.size+n)
-	if want <= len(r.buffer) {
+	needed := min(r.MaxBytes, r.size+n)
+	if needed <= len(r.buffer) {
 		return
 	}
 	capacity := max(minBufferBytes, len(r.buffer))
-	for capacity < want {
+	for capacity < needed {
 		capacity *= 2
 	}
 	r.moveTo(make([]byte, min(capacity, r.MaxBytes)))
--- a/internal/resp/ring_test.go
+++ b/internal/resp/ring_test.go
@@ -13,7 +13,7 @@
 		data := bytes.Repeat([]byte{byte(i)}, i%7*100)
 		in = append(in, data[:ring.Append(data)]...)
 		if ring.Len() > ring.MaxBytes || len(ring.buffer) > ring.MaxBytes {
-			t.Fatalf("%d bytes in %d of %d", ring.Len(), len(ring.buffer), ring.MaxBytes)
+			t.Fatalf("%d bytes in a buffer of %d, limit %d", ring.Len(), len(ring.buffer), ring.MaxBytes)
 		}
 		n := min(len(ring.Head()), i%5*100)
 		out = append(out, ring.Head()[:n]...)
@@ -21,16 +21,16 @@
 	}
 	duplicate := ring.Copy()
 	if !bytes.Equal(duplicate.Peek(duplicate.Len()), ring.Peek(ring.Len())) {
-		t.Error("a copy holds other bytes")
+		t.Error("the copy holds different bytes")
 	}
 	out = append(out, ring.Peek(ring.Len())...)
 	if !bytes.Equal(in, out) {
-		t.Errorf("%d bytes went in, %d came out, or others", len(in), len(out))
+		t.Errorf("%d bytes were added and %d removed, or the contents differ", len(in), len(out))
 	}
 	if ring.Discard(ring.Len()); ring.Room() != ring.MaxBytes {
 		t.Errorf("an empty ring has room for %d of %d", ring.Room(), ring.MaxBytes)
 	}
 	if ring.Release(); ring.buffer != nil {
-		t.Error("an empty ring keeps its memory")
+		t.Error("Release keeps the memory of an empty ring")
 	}
 }
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -7,10 +7,10 @@
 )
 
 // AppendStrings appends an array of bulk strings to b.
-func AppendStrings(b []byte, words ...string) []byte {
-	b = redcon.AppendArray(b, len(words))
-	for _, word := range words {
-		b = redcon.AppendBulkString(b, word)
+func AppendStrings(b []byte, values ...string) []byte {
+	b = redcon.AppendArray(b, len(values))
+	for _, value := range values {
+		b = redcon.AppendBulkString(b, value)
 	}
 	return b
 }
--- a/internal/sharedstore/benchmark_test.go
+++ b/internal/sharedstore/benchmark_test.go
@@ -17,7 +17,7 @@
 // go-redis, a client library that could be used instead.
 func BenchmarkGetTransport(b *testing.B) {
 	f := newFixture(b, zap.NewNop())
-	time.Sleep(copyProvedAfter)
+	time.Sleep(copyProvenAfter)
 	f.request(7)
 	f.result(b)
 	time.Sleep(50 * time.Millisecond)
@@ -73,7 +73,7 @@
 	time.AfterFunc(20*time.Millisecond, cancel)
 	startedAt := time.Now()
 	err = client.Get(ctx, "k").Err()
-	t.Logf("the library returns %v after %v", err, time.Since(startedAt).Round(time.Millisecond))
+	t.Logf("go-redis returned %v after %v", err, time.Since(startedAt).Round(time.Millisecond))
 	f := newFixture(t, zap.NewNop())
 	f.redis.SetFault(redis.Fault{Silent: true})
 	startedAt = time.Now()
--- a/internal/sharedstore/command.go
+++ b/internal/sharedstore/command.go
@@ -4,15 +4,15 @@
 	"strconv"
 	"time"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // commandKind is the purpose of a command, and determines how its reply is parsed.
 type commandKind uint8
 
 const (
-	commandAuthenticate commandKind = iota // AUTH or SELECT; an error reply ends the connection
-	commandInfo                            // INFO; its reply completes the setup of the connection
+	commandSetup commandKind = iota // AUTH or SELECT; an error reply ends the connection
+	commandInfo                     // INFO; its reply completes the setup of the connection
 	commandGet
 	commandAcquireLease
 	commandSet
@@ -26,11 +26,11 @@
 // command is a command that is queued for a store or awaits its reply.
 type command struct {
 	kind      commandKind
-	operation decide.OperationID
+	operation policy.OperationID
 	key       copyKey
 	args      [][]byte // nil once they are in the output; the last one may be large
 	sentAt    time.Time
-	update    decide.LogUpdate // for commandWriteLog
+	update    policy.LogUpdate // for commandWriteLog
 	fromScore float64          // for commandReadLogPage
 }
 
@@ -46,32 +46,32 @@
 	return list
 }
 
-// greeting returns the commands that set up a new connection. They are sent before any other command.
-func greeting(login Credentials) []command {
+// setupCommands returns the commands that set up a new connection. They are sent before any other command.
+func setupCommands(credentials Credentials) []command {
 	var commands []command
 	switch {
-	case login.Password != "" && login.User != "":
-		commands = append(commands, command{kind: commandAuthenticate, args: args("AUTH", login.User, login.Password)})
-	case login.Password != "":
-		commands = append(commands, command{kind: commandAuthenticate, args: args("AUTH", login.Password)})
+	case credentials.Password != "" && credentials.User != "":
+		commands = append(commands, command{kind: commandSetup, args: args("AUTH", credentials.User, credentials.Password)})
+	case credentials.Password != "":
+		commands = append(commands, command{kind: commandSetup, args: args("AUTH", credentials.Password)})
 	}
-	if login.Database > 0 {
-		database := strconv.Itoa(login.Database)
-		commands = append(commands, command{kind: commandAuthenticate, args: args("SELECT", database)})
+	if credentials.Database > 0 {
+		database := strconv.Itoa(credentials.Database)
+		commands = append(commands, command{kind: commandSetup, args: args("SELECT", database)})
 	}
 	return append(commands, command{kind: commandInfo, args: args("INFO", "server")})
 }
 
-func getCommand(keys *keys, operation decide.OperationID, key copyKey) command {
+func getCommand(keys *keys, operation policy.OperationID, key copyKey) command {
 	return command{
 		kind: commandGet, operation: operation, key: key, args: [][]byte{[]byte("GET"), keys.value(key)},
 	}
 }
 
-func acquireLeaseCommand(keys *keys, operation decide.OperationID, key copyKey, ttl time.Duration) command {
+func acquireLeaseCommand(keys *keys, operation policy.OperationID, key copyKey, ttl time.Duration) command {
 	return command{
 		kind: commandAcquireLease, operation: operation, key: key,
-		args: [][]byte{[]byte("SET"), keys.lease(key), []byte("1"), []byte("NX"), []byte("PX"), milliseconds(ttl)},
+		args: [][]byte{[]byte("SET"), keys.lease(key), []byte("1"), []byte("NX"), []byte("PX"), ttlArg(ttl)},
 	}
 }
 
@@ -80,12 +80,12 @@
 }
 
 func setCommand(
-	keys *keys, operation decide.OperationID, key copyKey, ttl time.Duration, stored *Copy,
+	keys *keys, operation policy.OperationID, key copyKey, ttl time.Duration, stored *Copy,
 ) command {
 	value := stored.Encode(make([]byte, 0, stored.encodedBytes()))
 	return command{
 		kind: commandSet, operation: operation, key: key,
-		args: [][]byte{[]byte("PSETEX"), keys.value(key), milliseconds(ttl), value},
+		args: [][]byte{[]byte("PSETEX"), keys.value(key), ttlArg(ttl), value},
 	}
 }
 
@@ -113,9 +113,9 @@
 }
 
 // writeLogCommand writes an update of the log. With GT a score can only increase, so routers may write in any order.
-func writeLogCommand(keys *keys, update decide.LogUpdate) command {
+func writeLogCommand(keys *keys, update policy.LogUpdate) command {
 	list := [][]byte{[]byte("ZADD"), keys.invalidationLog(), []byte("GT")}
-	add := func(score decide.Timestamp, member []byte) {
+	add := func(score policy.Timestamp, member []byte) {
 		list = append(list, timestampArg(score), member)
 	}
 	for _, entry := range update.Invalidations {
@@ -134,7 +134,7 @@
 }
 
 // trimLogCommand removes the members of the log that are older than a timestamp.
-func trimLogCommand(keys *keys, before decide.Timestamp) command {
+func trimLogCommand(keys *keys, before policy.Timestamp) command {
 	exclusive := append([]byte{'('}, timestampArg(before)...)
 	return command{
 		kind: commandIgnoreReply,
@@ -142,11 +142,11 @@
 	}
 }
 
-func timestampArg(timestamp decide.Timestamp) []byte {
+func timestampArg(timestamp policy.Timestamp) []byte {
 	return strconv.AppendInt(nil, int64(timestamp), 10)
 }
 
-// milliseconds formats a time to live, which stores expect in milliseconds and reject if it is 0.
-func milliseconds(ttl time.Duration) []byte {
+// ttlArg formats a time to live, which stores expect in milliseconds and reject if it is 0.
+func ttlArg(ttl time.Duration) []byte {
 	return strconv.AppendInt(nil, max(1, ttl.Milliseconds()), 10)
 }
--- a/internal/sharedstore/connection.go
+++ b/internal/sharedstore/connection.go
@@ -6,14 +6,14 @@
 	"fennelarch/internal/limits"
 	"fennelarch/internal/resp"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // connectionState is the state of a connection.
 type connectionState uint8
 
 const (
-	connectionGreeting connectionState = iota // authenticating; other commands are held back
+	connectionInSetup connectionState = iota // authenticating; other commands are held back
 	connectionReady
 	connectionClosed
 	connectionStates
@@ -23,15 +23,15 @@
 type connectionSignal uint8
 
 const (
-	signalGreeted connectionSignal = iota
+	signalSetupDone connectionSignal = iota
 	signalClosed
 	connectionSignals
 )
 
 var connectionTransitions = [connectionStates][connectionSignals]connectionState{
-	connectionGreeting: {signalGreeted: connectionReady, signalClosed: connectionClosed},
-	connectionReady:    {signalGreeted: connectionReady, signalClosed: connectionClosed},
-	connectionClosed:   {signalGreeted: connectionClosed, signalClosed: connectionClosed},
+	connectionInSetup: {signalSetupDone: connectionReady, signalClosed: connectionClosed},
+	connectionReady:   {signalSetupDone: connectionReady, signalClosed: connectionClosed},
+	connectionClosed:  {signalSetupDone: connectionClosed, signalClosed: connectionClosed},
 }
 
 // connection is the state machine of one connection to a store. It authenticates, puts commands into the output,
@@ -57,12 +57,12 @@
 	maxShortReads = 200
 )
 
-func newConnection(bounds *limits.Limits, login Credentials, now time.Time) *connection {
+func newConnection(bounds *limits.Limits, credentials Credentials, now time.Time) *connection {
 	c := &connection{
 		replies: resp.ReplyDecoder{
 			MaxStringBytes: bounds.UpstreamReadBuffer, MaxLineBytes: bounds.FieldBytes, MaxParts: 2*logPageMembers + 8,
 		},
-		waiting:    greeting(login),
+		waiting:    setupCommands(credentials),
 		lastReadAt: now,
 	}
 	c.input.MaxBytes, c.output.MaxBytes = bounds.UpstreamReadBuffer, bounds.UpstreamWriteBuffer
@@ -138,16 +138,16 @@
 
 func (c *connection) handleReply(parts []resp.Reply, now time.Time) error {
 	if len(c.sent) == 0 {
-		return errReplyShape // no command awaits a reply
+		return errUnexpectedReply // no command awaits a reply
 	}
 	sent := c.sent[0]
 	c.sent = c.sent[1:]
-	result, err := readReply(&sent, parts, now.Sub(sent.sentAt))
+	result, err := parseReply(&sent, parts, now.Sub(sent.sentAt))
 	if err != nil {
 		return err
 	}
 	if sent.kind == commandInfo {
-		c.handleSignal(signalGreeted)
+		c.handleSignal(signalSetupDone)
 	}
 	if result != nil {
 		c.results = append(c.results, result)
@@ -164,7 +164,7 @@
 	for _, unanswered := range append(c.sent, c.waiting...) {
 		switch unanswered.kind {
 		case commandGet, commandAcquireLease, commandSet:
-			failed := commandResult{command: unanswered, reply: decide.ReplyDisconnected}
+			failed := commandResult{command: unanswered, reply: policy.ReplyDisconnected}
 			if !unanswered.sentAt.IsZero() {
 				failed.elapsed = now.Sub(unanswered.sentAt)
 			}
--- a/internal/sharedstore/connection_test.go
+++ b/internal/sharedstore/connection_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // A connection sets itself up before it sends other commands, matches replies to commands by their order, and reports
 // commands that got no reply.
 func Example_connection() {
 	bounds, at := testLimits(), time.Unix(0, 0)
-	login := Credentials{User: "u", Password: "w", Database: 3}
-	conn := newConnection(&bounds, login, at)
+	credentials := Credentials{User: "u", Password: "w", Database: 3}
+	conn := newConnection(&bounds, credentials, at)
 	conn.send(command{kind: commandGet, operation: 1, key: copyKey{object: 7}, args: args("GET", "k")})
 	write := func() {
 		fmt.Printf("%q\n", conn.pendingOutput(at))
@@ -39,7 +39,7 @@
 	write()
 	read("$34\r\nrun_id:abc\r\nuptime_in_seconds:90\r\n\r\n")
 	write()
-	for id := decide.OperationID(2); id < 8; id++ {
+	for id := policy.OperationID(2); id < 8; id++ {
 		conn.send(command{kind: commandAcquireLease, operation: id, args: args("SET")})
 	}
 	write()
@@ -68,8 +68,8 @@
 func TestCommandBytes(t *testing.T) {
 	names, key := &keys{"p:"}, copyKey{0xab, 2}
 	stored := Copy{Object: 0xab, Part: 2}
-	update := decide.LogUpdate{
-		Invalidations: []decide.Invalidation{{Object: 0xab, IssuedAt: 30}, {Group: 12, IssuedAt: 40}},
+	update := policy.LogUpdate{
+		Invalidations: []policy.Invalidation{{Object: 0xab, IssuedAt: 30}, {Group: 12, IssuedAt: 40}},
 		CompleteFrom:  20, CompleteTo: 50,
 	}
 	for _, test := range []struct {
--- a/internal/sharedstore/disconnect_test.go
+++ b/internal/sharedstore/disconnect_test.go
@@ -9,20 +9,20 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // The loss of a connection is noticed even while its reader is blocked because the engine takes no messages.
 func TestDisconnectIsNoticedWhileReaderIsBlocked(t *testing.T) {
-	hasEnded := make(chan struct{})
-	t.Cleanup(func() { close(hasEnded) })
+	done := make(chan struct{})
+	t.Cleanup(func() { close(done) })
 	f := newFixture(t, zap.NewNop())
 	f.silenceParent()
 	for range cap(f.results) {
 		f.results <- engine.AttemptResult{}
 	}
 	// Without this, the transport would wait for its reader forever.
-	t.Cleanup(func() { go f.discardResults(hasEnded) })
+	t.Cleanup(func() { go f.discardResults(done) })
 	// A miss without a source: the reader delivers the result.
 	f.requestFrom(7, 0)
 	f.waitUntilNothingLeft(t)
@@ -30,7 +30,7 @@
 	startedAt := time.Now()
 	for object := routing.ObjectID(8); !f.isDisconnected(); object++ {
 		if time.Since(startedAt) > 2*time.Second {
-			t.Fatal("not noticed in 2 s")
+			t.Fatal("the loss of the connection was not noticed within 2 s")
 		}
 		f.request(object) // the loss of the connection shows when a command is written
 		time.Sleep(5 * time.Millisecond)
@@ -53,13 +53,13 @@
 
 	f.handleResults(client, ended, []result{
 		connectedResult{runID: 2, uptime: time.Hour},
-		commandResult{command: getCommand(&client.keys, f.lastOperation, copyKey{object: 7}), reply: decide.ReplyMiss},
+		commandResult{command: getCommand(&client.keys, f.lastOperation, copyKey{object: 7}), reply: policy.ReplyMiss},
 	})
 	if !f.isDisconnected() {
-		t.Error("an ended connection has marked the store connected")
+		t.Error("a result of an ended connection marked the store as connected")
 	}
 	if result := f.result(t); result.Outcome != routing.CacheMiss {
-		t.Errorf("the late reply to a get ends it as %v", result.Outcome)
+		t.Errorf("the late reply to a get ends the attempt with outcome %v", result.Outcome)
 	}
 	f.request(8)
 	f.result(t)
@@ -68,11 +68,11 @@
 	}
 }
 
-func (f *fixture) discardResults(hasEnded <-chan struct{}) {
+func (f *fixture) discardResults(done <-chan struct{}) {
 	for {
 		select {
 		case <-f.results:
-		case <-hasEnded:
+		case <-done:
 			return
 		}
 	}
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -7,7 +7,7 @@
 	"fennelarch/internal/engine"
 	"fennelarch/policy/routing"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // ObserveDiscovery takes every message of the discovery service before the engine does, and returns the message for the
@@ -28,10 +28,10 @@
 }
 
 func (t *Transport) recordPurge(purge *engine.Purge) {
-	isNews := t.coordinator.RecordInvalidation(t.now(), decide.Invalidation{
-		Object: purge.Object, Group: purge.Group, IssuedAt: decide.Timestamp(purge.Issued.UnixMilli()),
+	isNew := t.coordinator.RecordInvalidation(t.now(), policy.Invalidation{
+		Object: purge.Object, Group: purge.Group, IssuedAt: policy.Timestamp(purge.Issued.UnixMilli()),
 	})
-	if !isNews {
+	if !isNew {
 		return
 	}
 	for _, client := range t.clients {
@@ -43,15 +43,15 @@
 	endpoints = slices.Clone(endpoints)
 	for _, client := range t.clients {
 		if !client.config.Listed {
-			endpoints = append(endpoints, t.member(client))
+			endpoints = append(endpoints, t.storeEndpoint(client))
 		}
 	}
 	return endpoints
 }
 
-// member returns the endpoint of a store that this router adds to the endpoint list.
-func (t *Transport) member(client *storeClient) engine.Endpoint {
-	if endpoint, known := t.members[client.id]; known {
+// storeEndpoint returns the endpoint of a store that this router adds to the endpoint list.
+func (t *Transport) storeEndpoint(client *storeClient) engine.Endpoint {
+	if endpoint, known := t.listedStores[client.id]; known {
 		return endpoint
 	}
 	endpoint := engine.Endpoint{UID: client.config.UID, Endpoint: routing.Endpoint{
@@ -77,10 +77,10 @@
 		}
 	}
 	if list.Complete {
-		for id := range t.kinds {
+		for id := range t.endpointKinds {
 			if !isListed[id] {
-				delete(t.kinds, id)
-				t.handle(&decide.Event{Kind: decide.EventEndpointState, Endpoint: id, State: routing.Gone})
+				delete(t.endpointKinds, id)
+				t.handle(&policy.Event{Kind: policy.EventEndpointState, Endpoint: id, State: routing.Gone})
 			}
 		}
 	}
@@ -90,18 +90,18 @@
 
 // updateEndpoint applies an entry of the endpoint list, and reports whether the endpoint is a store.
 func (t *Transport) updateEndpoint(endpoint *engine.Endpoint) bool {
-	t.kinds[endpoint.ID] = endpoint.Kind
+	t.endpointKinds[endpoint.ID] = endpoint.Kind
 	if endpoint.Kind == t.routing.OriginKind && endpoint.State == routing.Ready {
 		t.origin = endpoint.ID
 	}
-	t.handle(&decide.Event{Kind: decide.EventEndpointState, Endpoint: endpoint.ID, State: endpoint.State})
+	t.handle(&policy.Event{Kind: policy.EventEndpointState, Endpoint: endpoint.ID, State: endpoint.State})
 	if client := t.clients[endpoint.ID]; client != nil {
-		t.members[endpoint.ID] = *endpoint
+		t.listedStores[endpoint.ID] = *endpoint
 		client.setAddress(endpoint.Address)
 		return true
 	}
 	if endpoint.State == routing.Gone {
-		delete(t.kinds, endpoint.ID)
+		delete(t.endpointKinds, endpoint.ID)
 	}
 	return false
 }
@@ -110,7 +110,7 @@
 func (t *Transport) DiscoveryCurrent(asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.coordinator.DiscoveryCurrent(decide.Timestamp(asOf.UnixMilli()))
+	t.coordinator.DiscoveryCurrent(policy.Timestamp(asOf.UnixMilli()))
 }
 
 // DiscoveryGap records that purges may have been lost for good.
--- a/internal/sharedstore/discovery_test.go
+++ b/internal/sharedstore/discovery_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // The completeness that discovery reports determines the range that is written to the log of a store.
@@ -35,10 +35,10 @@
 }
 
 // planLogUpdate returns the update for a store without a log.
-func (f *fixture) planLogUpdate() decide.LogUpdate {
+func (f *fixture) planLogUpdate() policy.LogUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.coordinator.PlanLogUpdate(f.now(), engine.EndpointID(storeUID), decide.LogRange{})
+	return f.coordinator.PlanLogUpdate(f.now(), engine.EndpointID(storeUID), policy.LogRange{})
 }
 
 // A store that loses its data without a restart goes through slow start again, which is logged.
@@ -48,7 +48,7 @@
 	until := time.Now().Add(5 * time.Second)
 	for lines.FilterMessageSnippet("store warming up").Len() == 0 {
 		if time.Now().After(until) {
-			t.Fatal("the loss is not reported within 5 s")
+			t.Fatal("the loss of data is not logged within 5 s")
 		}
 		for range 10 { // the log is written, and read again after the loss
 			f.DiscoveryCurrent(time.Now())
--- a/internal/sharedstore/keys.go
+++ b/internal/sharedstore/keys.go
@@ -5,7 +5,7 @@
 
 	"fennelarch/policy/routing"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // copyKey identifies a copy by its object and part.
@@ -39,7 +39,7 @@
 )
 
 // appendMember appends the log member for a purge.
-func appendMember(name []byte, entry decide.Invalidation) []byte {
+func appendMember(name []byte, entry policy.Invalidation) []byte {
 	if entry.Object != 0 {
 		return strconv.AppendUint(append(name, memberObjectPrefix, ':'), uint64(entry.Object), 16)
 	}
@@ -47,12 +47,12 @@
 }
 
 // parseMember parses a log member and its score. The result is not ok if the member is not a purge.
-func parseMember(name, score []byte) (entry decide.Invalidation, ok bool) {
+func parseMember(name, score []byte) (entry policy.Invalidation, ok bool) {
 	issuedAt, err := strconv.ParseFloat(string(score), 64)
 	if err != nil || len(name) < 3 || name[1] != ':' {
 		return entry, false
 	}
-	entry.IssuedAt = decide.Timestamp(issuedAt)
+	entry.IssuedAt = policy.Timestamp(issuedAt)
 	switch id := string(name[2:]); name[0] {
 	case memberObjectPrefix:
 		object, err := strconv.ParseUint(id, 16, 64)
@@ -67,7 +67,7 @@
 }
 
 // parseTimestamp parses a score; a missing score is 0.
-func parseTimestamp(score []byte) decide.Timestamp {
+func parseTimestamp(score []byte) policy.Timestamp {
 	milliseconds, _ := strconv.ParseFloat(string(score), 64)
-	return decide.Timestamp(milliseconds)
+	return policy.Timestamp(milliseconds)
 }
--- a/internal/sharedstore/logsync.go
+++ b/internal/sharedstore/logsync.go
@@ -3,7 +3,7 @@
 // This file reads and writes the invalidation log of a store as policy/sharedstore plans. At most one such read or
 // write is in flight on a connection. All functions must be called with the transport's lock held.
 
-import decide "fennelarch/policy/sharedstore"
+import policy "fennelarch/policy/sharedstore"
 
 // syncLog starts to read the range of the log, unless the log is already being read or written.
 func (s *storeClient) syncLog() {
@@ -20,13 +20,13 @@
 	t := s.transport
 	update := t.coordinator.PlanLogUpdate(t.now(), s.id, r.stored)
 	if update.IsDataLost {
-		t.handle(&decide.Event{Kind: decide.EventDataLost, Endpoint: s.id})
+		t.handle(&policy.Event{Kind: policy.EventDataLost, Endpoint: s.id})
 	}
 	s.updateLog(update)
 }
 
 // updateLog carries out the update that the policy has planned from the range that was read.
-func (s *storeClient) updateLog(update decide.LogUpdate) {
+func (s *storeClient) updateLog(update policy.LogUpdate) {
 	switch {
 	case update.NeedsAll:
 		s.logEntries = nil
--- a/internal/sharedstore/logsync_test.go
+++ b/internal/sharedstore/logsync_test.go
@@ -8,18 +8,18 @@
 	"fennelarch/internal/engine"
 	"fennelarch/internal/resp"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 func TestParseMember(t *testing.T) {
 	for _, test := range []struct {
 		member, score string
-		want          decide.Invalidation
+		want          policy.Invalidation
 		wantOK        bool
 	}{
-		{"o:ab", "30", decide.Invalidation{Object: 0xab, IssuedAt: 30}, true},
-		{"g:12", "1.7e+12", decide.Invalidation{Group: 12, IssuedAt: 1_700_000_000_000}, true},
-		{"g:0", "30", decide.Invalidation{IssuedAt: 30}, true},
+		{"o:ab", "30", policy.Invalidation{Object: 0xab, IssuedAt: 30}, true},
+		{"g:12", "1.7e+12", policy.Invalidation{Group: 12, IssuedAt: 1_700_000_000_000}, true},
+		{"g:0", "30", policy.Invalidation{IssuedAt: 30}, true},
 		{member: "o:0", score: "30"},
 		{member: "o:xyz", score: "30"},
 		{member: "g:4294967296", score: "30"},
@@ -39,8 +39,8 @@
 }
 
 func TestReadLogPage(t *testing.T) {
-	page := readPage(logPageReply("g:12", "17", "floor", "18", "o:ab", "30"))
-	want := []decide.Invalidation{{Group: 12, IssuedAt: 17}, {Object: 0xab, IssuedAt: 30}}
+	page := parsePage(logPageReply("g:12", "17", "floor", "18", "o:ab", "30"))
+	want := []policy.Invalidation{{Group: 12, IssuedAt: 17}, {Object: 0xab, IssuedAt: 30}}
 	if !page.ok || !page.isLast || page.fromScore != 5 || page.lastScore != 30 || !slices.Equal(page.entries, want) {
 		t.Errorf("a last page: %+v", page)
 	}
@@ -48,22 +48,22 @@
 	for range logPageMembers {
 		full = append(full, "g:12", "17")
 	}
-	if page := readPage(logPageReply(full...)); !page.ok || page.isLast || len(page.entries) != logPageMembers {
+	if page := parsePage(logPageReply(full...)); !page.ok || page.isLast || len(page.entries) != logPageMembers {
 		t.Errorf("a full page: ok %v, last %v, %d entries", page.ok, page.isLast, len(page.entries))
 	}
-	if page := readPage(logPageReply()); !page.ok || !page.isLast || page.lastScore != 5 {
+	if page := parsePage(logPageReply()); !page.ok || !page.isLast || page.lastScore != 5 {
 		t.Errorf("an empty page: %+v", page)
 	}
-	if page := readPage(logPageReply("g:12")); page.ok {
+	if page := parsePage(logPageReply("g:12")); page.ok {
 		t.Error("a member without a score is taken")
 	}
-	if page := readPage([]resp.Reply{{Kind: resp.ErrorReply}}); page.ok {
+	if page := parsePage([]resp.Reply{{Kind: resp.ErrorReply}}); page.ok {
 		t.Error("an error is taken for a page")
 	}
 }
 
-// readPage parses the reply to a request for the page that starts at score 5.
-func readPage(parts []resp.Reply) logPageResult { return readLogPage(parts, 5).(logPageResult) }
+// parsePage parses the reply to a request for the page that starts at score 5.
+func parsePage(parts []resp.Reply) logPageResult { return parseLogPage(parts, 5).(logPageResult) }
 
 // logPageReply returns a reply that lists members and their scores.
 func logPageReply(fields ...string) []resp.Reply {
@@ -96,16 +96,16 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newUnconnectedFixture(t)
-			entry := decide.Invalidation{Object: 0xab, IssuedAt: decide.Timestamp(f.startedAt.UnixMilli())}
-			test.pages[0].entries = []decide.Invalidation{entry}
+			entry := policy.Invalidation{Object: 0xab, IssuedAt: policy.Timestamp(f.startedAt.UnixMilli())}
+			test.pages[0].entries = []policy.Invalidation{entry}
 			if scores := f.readLog(test.pages); !slices.Equal(scores, test.wantScores) {
 				t.Errorf("pages were asked for from %v, want %v", scores, test.wantScores)
 			}
 			if f.clients[engine.EndpointID(storeUID)].isSyncingLog {
 				t.Error("the log is still being read")
 			}
-			isNews := f.coordinator.RecordInvalidation(f.now(), entry)
-			if isMerged := !isNews; isMerged != test.wantMerged {
+			isNew := f.coordinator.RecordInvalidation(f.now(), entry)
+			if isMerged := !isNew; isMerged != test.wantMerged {
 				t.Errorf("merged %v, want %v", isMerged, test.wantMerged)
 			}
 		})
@@ -119,8 +119,8 @@
 	client := f.clients[engine.EndpointID(storeUID)]
 	current := newConnection(&bounds, Credentials{}, time.Now())
 	client.setConnection(current, nil)
-	startedAt := decide.Timestamp(f.startedAt.UnixMilli())
-	stored := decide.LogRange{CompleteFrom: startedAt - 10_000, CompleteTo: startedAt + 600}
+	startedAt := policy.Timestamp(f.startedAt.UnixMilli())
+	stored := policy.LogRange{CompleteFrom: startedAt - 10_000, CompleteTo: startedAt + 600}
 	f.handleResults(client, current, []result{logRangeResult{stored: stored, ok: true}})
 	for _, page := range pages {
 		f.handleResults(client, current, []result{page})
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // operation is one attempt at a store. The policy knows it by its OperationID.
@@ -43,8 +43,8 @@
 	t.operations[t.lastOperation] = op
 	t.byAttempt[attempt] = t.lastOperation
 	class := &t.routing.Classes[request.Class]
-	event := decide.Event{
-		Kind:           decide.EventRequest,
+	event := policy.Event{
+		Kind:           policy.EventRequest,
 		Operation:      t.lastOperation,
 		Endpoint:       op.client.id,
 		Source:         op.source,
@@ -65,8 +65,8 @@
 	t.handle(&event)
 }
 
-// refuseWrite rejects a write, since writes are never sent to a store.
-func (t *Transport) refuseWrite(attempt *engine.Attempt) {
+// rejectWrite rejects a write, since writes are never sent to a store.
+func (t *Transport) rejectWrite(attempt *engine.Attempt) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
 	t.post(engine.AttemptResult{Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity})
@@ -74,16 +74,16 @@
 
 // untilObjective returns the time left until a request's latency objective, which grows with the size of the object.
 func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
-	sending := time.Duration(0)
+	transferTime := time.Duration(0)
 	if t.routing.FlowKBPerSecond > 0 {
 		seconds := request.SizeKB / t.routing.FlowKBPerSecond * class.ObjectiveStretch
-		sending = time.Duration(seconds * float64(time.Second))
+		transferTime = time.Duration(seconds * float64(time.Second))
 	}
-	return min(class.LatencyObjective+sending, request.Timeout) - time.Since(request.ReceivedAt)
+	return min(class.LatencyObjective+transferTime, request.Timeout) - time.Since(request.ReceivedAt)
 }
 
 // handle passes an event to the policy and carries out the resulting actions.
-func (t *Transport) handle(event *decide.Event) {
+func (t *Transport) handle(event *policy.Event) {
 	t.actions = t.coordinator.Handle(t.now(), event, t.actions[:0])
 	for i := range t.actions {
 		t.perform(&t.actions[i])
@@ -97,7 +97,7 @@
 	}
 	next := t.unsent[0]
 	t.unsent = t.unsent[1:]
-	result := commandResult{command: next.command, reply: decide.ReplyDisconnected}
+	result := commandResult{command: next.command, reply: policy.ReplyDisconnected}
 	event := result.event(next.client.id)
 	t.handle(&event)
 	if len(t.unsent) == 0 {
@@ -107,13 +107,13 @@
 }
 
 // perform carries out an action.
-func (t *Transport) perform(action *decide.Action) {
+func (t *Transport) perform(action *policy.Action) {
 	switch action.Kind {
-	case decide.ActionSetTimer:
+	case policy.ActionSetTimer:
 		t.setTimer(action)
-	case decide.ActionAnnounceStart:
+	case policy.ActionAnnounceStart:
 		t.announceStart(action)
-	case decide.ActionLog:
+	case policy.ActionLog:
 		t.log.Info(action.Message, zap.String("uid", t.clients[action.Endpoint].config.UID))
 	default:
 		if op := t.operations[action.Operation]; op != nil {
@@ -123,25 +123,25 @@
 }
 
 // performFor carries out an action of an operation.
-func (t *Transport) performFor(op *operation, action *decide.Action) {
+func (t *Transport) performFor(op *operation, action *policy.Action) {
 	keys := &op.client.keys
 	switch action.Kind {
-	case decide.ActionGet:
+	case policy.ActionGet:
 		t.send(op, getCommand(keys, action.Operation, op.key()))
-	case decide.ActionAcquireLease:
+	case policy.ActionAcquireLease:
 		t.send(op, acquireLeaseCommand(keys, action.Operation, op.key(), action.TTL))
-	case decide.ActionReleaseLease:
+	case policy.ActionReleaseLease:
 		op.client.send(releaseLeaseCommand(keys, op.key()))
-	case decide.ActionSet:
+	case policy.ActionSet:
 		op.copy.ValidFrom = action.ValidFrom
 		t.send(op, setCommand(keys, action.Operation, op.key(), action.TTL, &op.copy))
-	case decide.ActionStartFill:
+	case policy.ActionStartFill:
 		t.startFill(op, action)
-	case decide.ActionAbortFill:
+	case policy.ActionAbortFill:
 		t.abortFill(op)
-	case decide.ActionComplete:
+	case policy.ActionComplete:
 		t.complete(op, action)
-	case decide.ActionForget:
+	case policy.ActionForget:
 		delete(t.operations, action.Operation)
 		delete(t.byAttempt, op.attempt)
 	default:
@@ -159,19 +159,19 @@
 }
 
 // announceStart tells the engine that a store has just started, so that routing applies slow start to it as to a cache.
-func (t *Transport) announceStart(action *decide.Action) {
-	endpoint, known := t.members[action.Endpoint]
+func (t *Transport) announceStart(action *policy.Action) {
+	endpoint, known := t.listedStores[action.Endpoint]
 	if !known || endpoint.State != routing.Ready {
 		return
 	}
 	endpoint.BootTime = time.Now().Add(-action.Uptime)
-	t.members[action.Endpoint] = endpoint
+	t.listedStores[action.Endpoint] = endpoint
 	t.post(engine.EndpointList{Endpoints: []engine.Endpoint{endpoint}})
 }
 
 // startFill requests the copy from the operation's source. A parent fetches from the origin what it has not cached,
 // unless the attempt asks for cached copies only; any other cache returns only what it has cached.
-func (t *Transport) startFill(op *operation, action *decide.Action) {
+func (t *Transport) startFill(op *operation, action *policy.Action) {
 	request := *op.attempt.Request
 	request.HeldETag = "" // the store needs the body even if the client has it
 	const notForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
@@ -184,7 +184,7 @@
 		MaxAge:      action.MaxAge,
 		FillOptions: op.attempt.FillOptions &^ notForSource,
 	}
-	if t.kinds[op.source] == t.routing.ParentKind && op.attempt.FillOptions&routing.OnlyIfCached == 0 {
+	if t.endpointKinds[op.source] == t.routing.ParentKind && op.attempt.FillOptions&routing.OnlyIfCached == 0 {
 		fill.Source = t.origin
 	}
 	op.fill, op.fillStartedAt = fill, time.Now()
@@ -216,8 +216,8 @@
 		return true // the fill was abandoned
 	}
 	op.fill = nil
-	event := decide.Event{
-		Kind: decide.EventFillDone, Operation: id, Outcome: result.Outcome, Note: result.Note,
+	event := policy.Event{
+		Kind: policy.EventFillDone, Operation: id, Outcome: result.Outcome, Note: result.Note,
 		FirstByteWait: result.FirstByteWait, Elapsed: at.Sub(op.fillStartedAt), BodyBytes: len(result.Body),
 	}
 	if result.Outcome == routing.Succeeded {
@@ -227,7 +227,7 @@
 			Object: request.Object, Part: request.Part, Group: request.Group, ETag: result.ETag, Body: result.Body,
 		}
 		if !result.GeneratedAt.IsZero() {
-			event.GeneratedAt = decide.Timestamp(result.GeneratedAt.UnixMilli())
+			event.GeneratedAt = policy.Timestamp(result.GeneratedAt.UnixMilli())
 			op.copy.GeneratedAt = event.GeneratedAt
 		}
 	}
@@ -236,7 +236,7 @@
 }
 
 // complete reports the result of the attempt to the engine.
-func (t *Transport) complete(op *operation, action *decide.Action) {
+func (t *Transport) complete(op *operation, action *policy.Action) {
 	op.isComplete = true
 	delete(t.byAttempt, op.attempt)
 	result := engine.AttemptResult{
--- a/internal/sharedstore/reply.go
+++ b/internal/sharedstore/reply.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // result is what a connection reports to the transport: one of the types below.
@@ -26,7 +26,7 @@
 // commandResult is the result of a get, a set or an attempt to acquire a lease.
 type commandResult struct {
 	command command
-	reply   decide.Reply
+	reply   policy.Reply
 	copy    Copy          // set for a hit
 	err     error         // why a value cannot be used, or the store's error reply
 	elapsed time.Duration // time since the command was sent
@@ -40,13 +40,13 @@
 
 // logRangeResult is the range of time that a store's invalidation log covers.
 type logRangeResult struct {
-	stored decide.LogRange
+	stored policy.LogRange
 	ok     bool
 }
 
 // logPageResult is one page of a store's invalidation log.
 type logPageResult struct {
-	entries   []decide.Invalidation
+	entries   []policy.Invalidation
 	fromScore float64 // score from which the page was requested
 	lastScore float64 // score of the last member in the page
 	isLast    bool    // no further pages follow
@@ -55,7 +55,7 @@
 
 // logWrittenResult is the result of a write to the invalidation log.
 type logWrittenResult struct {
-	update decide.LogUpdate
+	update policy.LogUpdate
 	ok     bool
 }
 
@@ -67,53 +67,53 @@
 func (logWrittenResult) isResult() {}
 
 // replyKinds maps the first word of an error reply to its meaning.
-var replyKinds = map[string]decide.Reply{
-	"LOADING":     decide.ReplyLoading,
-	"OOM":         decide.ReplyOutOfMemory,
-	"READONLY":    decide.ReplyReadOnly,
-	"MISCONF":     decide.ReplyReadOnly,
-	"NOREPLICAS":  decide.ReplyReadOnly,
-	"NOAUTH":      decide.ReplyDenied,
-	"WRONGPASS":   decide.ReplyDenied,
-	"NOPERM":      decide.ReplyDenied,
-	"BUSY":        decide.ReplyBusy,
-	"MASTERDOWN":  decide.ReplyBusy,
-	"TRYAGAIN":    decide.ReplyBusy,
-	"MOVED":       decide.ReplyMoved,
-	"ASK":         decide.ReplyMoved,
-	"CLUSTERDOWN": decide.ReplyMoved,
+var replyKinds = map[string]policy.Reply{
+	"LOADING":     policy.ReplyLoading,
+	"OOM":         policy.ReplyOutOfMemory,
+	"READONLY":    policy.ReplyReadOnly,
+	"MISCONF":     policy.ReplyReadOnly,
+	"NOREPLICAS":  policy.ReplyReadOnly,
+	"NOAUTH":      policy.ReplyDenied,
+	"WRONGPASS":   policy.ReplyDenied,
+	"NOPERM":      policy.ReplyDenied,
+	"BUSY":        policy.ReplyBusy,
+	"MASTERDOWN":  policy.ReplyBusy,
+	"TRYAGAIN":    policy.ReplyBusy,
+	"MOVED":       policy.ReplyMoved,
+	"ASK":         policy.ReplyMoved,
+	"CLUSTERDOWN": policy.ReplyMoved,
 }
 
 // classifyError returns the meaning of an error reply, and its text as an error.
-func classifyError(text []byte) (decide.Reply, error) {
+func classifyError(text []byte) (policy.Reply, error) {
 	word, _, _ := bytes.Cut(text, []byte{' '})
 	kind, known := replyKinds[string(word)]
 	if !known {
-		kind = decide.ReplyUnknownError
+		kind = policy.ReplyUnknownError
 	}
 	return kind, newStoreError(text)
 }
 
-// readReply parses the reply to a command. The result is nil if there is nothing to report; an error ends the
+// parseReply parses the reply to a command. The result is nil if there is nothing to report; an error ends the
 // connection.
-func readReply(sent *command, parts []resp.Reply, elapsed time.Duration) (result, error) {
+func parseReply(sent *command, parts []resp.Reply, elapsed time.Duration) (result, error) {
 	first := &parts[0]
 	ok := first.Kind != resp.ErrorReply
 	switch sent.kind {
-	case commandAuthenticate:
-		return nil, greetingError(first)
+	case commandSetup:
+		return nil, setupError(first)
 	case commandInfo:
-		return readInfo(first)
+		return parseInfo(first)
 	case commandGet:
-		return readGet(sent, first, elapsed)
+		return parseGet(sent, first, elapsed)
 	case commandAcquireLease, commandSet:
-		return readAcknowledgement(sent, first, elapsed), nil
+		return parseAcknowledgement(sent, first, elapsed), nil
 	case commandPing:
 		return healthResult{isHealthy: ok, elapsed: elapsed}, nil
 	case commandReadLogRange:
-		return readLogRange(parts), nil
+		return parseLogRange(parts), nil
 	case commandReadLogPage:
-		return readLogPage(parts, sent.fromScore), nil
+		return parseLogPage(parts, sent.fromScore), nil
 	case commandWriteLog:
 		return logWrittenResult{update: sent.update, ok: ok}, nil
 	case commandIgnoreReply:
@@ -121,19 +121,19 @@
 	return nil, nil
 }
 
-func greetingError(reply *resp.Reply) error {
+func setupError(reply *resp.Reply) error {
 	if reply.Kind != resp.ErrorReply {
 		return nil
 	}
-	return fmt.Errorf("greeting: %w", newStoreError(reply.Text))
+	return fmt.Errorf("connection setup: %w", newStoreError(reply.Text))
 }
 
-func readInfo(reply *resp.Reply) (result, error) {
-	if err := greetingError(reply); err != nil {
+func parseInfo(reply *resp.Reply) (result, error) {
+	if err := setupError(reply); err != nil {
 		return nil, err
 	}
 	if reply.Kind != resp.BulkString {
-		return nil, errReplyShape
+		return nil, errUnexpectedReply
 	}
 	var connected connectedResult
 	for line := range bytes.Lines(reply.Text) {
@@ -149,20 +149,20 @@
 	return connected, nil
 }
 
-func readGet(sent *command, reply *resp.Reply, elapsed time.Duration) (result, error) {
+func parseGet(sent *command, reply *resp.Reply, elapsed time.Duration) (result, error) {
 	get := commandResult{command: *sent, elapsed: elapsed}
 	switch {
 	case reply.Kind == resp.ErrorReply:
 		get.reply, get.err = classifyError(reply.Text)
 	case reply.Kind != resp.BulkString:
-		return nil, errReplyShape
+		return nil, errUnexpectedReply
 	case reply.IsNull:
-		get.reply = decide.ReplyMiss
+		get.reply = policy.ReplyMiss
 	default:
 		get.copy, get.err = decodeFor(sent.key, reply.Text)
-		get.reply = decide.ReplyHit
+		get.reply = policy.ReplyHit
 		if get.err != nil {
-			get.reply = decide.ReplyCorrupt
+			get.reply = policy.ReplyCorrupt
 		}
 	}
 	return get, nil
@@ -181,31 +181,31 @@
 	return decoded, nil
 }
 
-// readAcknowledgement parses the reply to a set or to an attempt to acquire a lease. The latter is a SET with NX, whose
+// parseAcknowledgement parses the reply to a set or to an attempt to acquire a lease. The latter is a SET with NX; its
 // reply is null if another router holds the lease.
-func readAcknowledgement(sent *command, reply *resp.Reply, elapsed time.Duration) result {
-	acknowledged := commandResult{command: *sent, reply: decide.ReplyOK, elapsed: elapsed}
+func parseAcknowledgement(sent *command, reply *resp.Reply, elapsed time.Duration) result {
+	acknowledged := commandResult{command: *sent, reply: policy.ReplyOK, elapsed: elapsed}
 	switch {
 	case reply.Kind == resp.ErrorReply:
 		acknowledged.reply, acknowledged.err = classifyError(reply.Text)
 	case reply.IsNull:
-		acknowledged.reply = decide.ReplyLeaseHeld
+		acknowledged.reply = policy.ReplyLeaseHeld
 	}
 	return acknowledged
 }
 
-func readLogRange(parts []resp.Reply) result {
+func parseLogRange(parts []resp.Reply) result {
 	if parts[0].Kind != resp.Array || len(parts) != 3 {
 		return logRangeResult{}
 	}
-	stored := decide.LogRange{
+	stored := policy.LogRange{
 		CompleteTo:   parseTimestamp(parts[1].Text),
 		CompleteFrom: parseTimestamp(parts[2].Text),
 	}
 	return logRangeResult{stored: stored, ok: true}
 }
 
-func readLogPage(parts []resp.Reply, fromScore float64) result {
+func parseLogPage(parts []resp.Reply, fromScore float64) result {
 	page := logPageResult{fromScore: fromScore, lastScore: fromScore}
 	if parts[0].Kind != resp.Array || len(parts)%2 == 0 {
 		return page
@@ -225,17 +225,17 @@
 }
 
 // event returns the result as an event for the policy.
-func (r *commandResult) event(endpoint routing.EndpointID) decide.Event {
-	event := decide.Event{
+func (r *commandResult) event(endpoint routing.EndpointID) policy.Event {
+	event := policy.Event{
 		Operation: r.command.operation, Endpoint: endpoint, Reply: r.reply, Elapsed: r.elapsed,
 	}
 	switch r.command.kind {
 	case commandAcquireLease:
-		event.Kind = decide.EventLeaseDone
+		event.Kind = policy.EventLeaseDone
 	case commandSet:
-		event.Kind = decide.EventSetDone
+		event.Kind = policy.EventSetDone
 	default:
-		event.Kind = decide.EventGetDone
+		event.Kind = policy.EventGetDone
 	}
 	return event
 }
--- a/internal/sharedstore/results.go
+++ b/internal/sharedstore/results.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // handleResults handles the results of a connection to a store. A reader may deliver results after the end of its
@@ -54,8 +54,8 @@
 	client.isSyncingLog, client.isDisconnected = false, false
 	t.log.Info("store connected",
 		zap.String("uid", client.config.UID), zap.Duration("uptime", connected.uptime))
-	t.handle(&decide.Event{
-		Kind: decide.EventConnected, Endpoint: client.id, RunID: connected.runID, Uptime: connected.uptime,
+	t.handle(&policy.Event{
+		Kind: policy.EventConnected, Endpoint: client.id, RunID: connected.runID, Uptime: connected.uptime,
 	})
 	client.syncLog()
 }
@@ -69,13 +69,13 @@
 		t.log.Warn("store not connected", zap.String("uid", client.config.UID), zap.Error(err))
 	}
 	client.isDisconnected = true
-	t.handle(&decide.Event{Kind: decide.EventDisconnected, Endpoint: client.id})
+	t.handle(&policy.Event{Kind: policy.EventDisconnected, Endpoint: client.id})
 }
 
 func (t *Transport) handleCommandResult(client *storeClient, r *commandResult) {
 	t.logProblem(client, r)
 	event := r.event(client.id)
-	isHit := r.reply == decide.ReplyHit && r.command.kind == commandGet
+	isHit := r.reply == policy.ReplyHit && r.command.kind == commandGet
 	if op := t.operations[event.Operation]; op != nil && !op.isComplete && isHit {
 		event.GeneratedAt, event.ValidFrom = r.copy.GeneratedAt, r.copy.ValidFrom
 		op.copy, op.generatedAt = r.copy, time.UnixMilli(int64(r.copy.GeneratedAt))
@@ -85,15 +85,15 @@
 
 // logProblem logs unusable values and unknown errors, at most once per BackoffMax so that other log lines stay visible.
 func (t *Transport) logProblem(client *storeClient, r *commandResult) {
-	if r.reply != decide.ReplyCorrupt && r.reply != decide.ReplyUnknownError {
+	if r.reply != policy.ReplyCorrupt && r.reply != policy.ReplyUnknownError {
 		return
 	}
-	if time.Since(client.lastProblemAt) < t.limits.BackoffMax {
+	if time.Since(client.lastProblemLoggedAt) < t.limits.BackoffMax {
 		return
 	}
-	client.lastProblemAt = time.Now()
+	client.lastProblemLoggedAt = time.Now()
 	uid := zap.String("uid", client.config.UID)
-	if r.reply == decide.ReplyUnknownError {
+	if r.reply == policy.ReplyUnknownError {
 		t.log.Warn("store refuses", uid, zap.Error(r.err))
 		return
 	}
--- a/internal/sharedstore/storeclient.go
+++ b/internal/sharedstore/storeclient.go
@@ -12,7 +12,7 @@
 	"fennelarch/internal/system"
 	"fennelarch/policy/routing"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // storeClient keeps one connection to a store. It dials the store's addresses in turn, and reads and writes.
@@ -30,10 +30,10 @@
 	addresses  []string    // dialled in turn
 
 	// Guarded by the lock of the transport.
-	isSyncingLog   bool                  // the invalidation log is being read or written
-	isDisconnected bool                  // the connection ended, or the last attempt to connect failed
-	logEntries     []decide.Invalidation // read from the pages of the log so far
-	lastProblemAt  time.Time             // when an error or unusable value was last logged
+	isSyncingLog        bool                  // the invalidation log is being read or written
+	isDisconnected      bool                  // the connection ended, or the last attempt to connect failed
+	logEntries          []policy.Invalidation // read from the pages of the log so far
+	lastProblemLoggedAt time.Time             // when an error or unusable value was last logged
 }
 
 func newStoreClient(transport *Transport, id routing.EndpointID, config Store) *storeClient {
@@ -155,7 +155,7 @@
 	bounds := &s.transport.limits
 	silenceCheck := time.NewTicker(bounds.PollTimeout / 8)
 	defer silenceCheck.Stop()
-	logSync := time.NewTimer(rand.N(decide.LogSyncInterval))
+	logSync := time.NewTimer(rand.N(policy.LogSyncInterval))
 	defer logSync.Stop()
 	for {
 		wrote, err := s.writePending(socket, current)
@@ -169,7 +169,7 @@
 		case <-s.wake:
 		case <-silenceCheck.C:
 		case <-logSync.C:
-			logSync.Reset(decide.LogSyncInterval*3/4 + rand.N(decide.LogSyncInterval/2))
+			logSync.Reset(policy.LogSyncInterval*3/4 + rand.N(policy.LogSyncInterval/2))
 			s.transport.mu.Lock()
 			s.syncLog()
 			s.transport.mu.Unlock()
--- a/internal/sharedstore/timer.go
+++ b/internal/sharedstore/timer.go
@@ -6,13 +6,13 @@
 
 	"fennelarch/policy/routing"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // timer is a timer that the policy has set.
 type timer struct {
 	at        time.Duration // on the policy's clock, see Transport.now
-	operation decide.OperationID
+	operation policy.OperationID
 	endpoint  routing.EndpointID
 	id        uint64
 }
@@ -35,7 +35,7 @@
 	return popped
 }
 
-func (t *Transport) setTimer(action *decide.Action) {
+func (t *Transport) setTimer(action *policy.Action) {
 	heap.Push(&t.timers, timer{
 		at: t.now() + action.Delay, operation: action.Operation, endpoint: action.Endpoint, id: action.TimerID,
 	})
@@ -49,8 +49,8 @@
 	now := t.now()
 	for len(t.timers) > 0 && t.timers[0].at <= now {
 		due := heap.Pop(&t.timers).(timer)
-		t.handle(&decide.Event{
-			Kind: decide.EventTimer, Operation: due.operation, Endpoint: due.endpoint, TimerID: due.id,
+		t.handle(&policy.Event{
+			Kind: policy.EventTimer, Operation: due.operation, Endpoint: due.endpoint, TimerID: due.id,
 		})
 	}
 	if len(t.timers) > 0 {
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -19,7 +19,7 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // Store is the operator's configuration of one store.
@@ -44,7 +44,7 @@
 type Options struct {
 	Limits    limits.Limits
 	Routing   routing.Settings
-	Decisions decide.Settings // Epoch is set from StartedAt
+	Decisions policy.Settings // Epoch is set from StartedAt
 	Seed      uint64
 	Stores    []Store
 	StartedAt time.Time
@@ -67,33 +67,33 @@
 	clients   map[routing.EndpointID]*storeClient
 
 	mu            sync.Mutex
-	coordinator   *decide.Coordinator
-	members       map[routing.EndpointID]engine.Endpoint // the stores, as in the last endpoint list
-	kinds         map[routing.EndpointID]routing.KindID
-	origin        routing.EndpointID // the origin that was last listed as ready
-	lastOperation decide.OperationID
-	operations    map[decide.OperationID]*operation
-	byAttempt     map[*engine.Attempt]decide.OperationID // operations by their attempt at a store and by their fill
+	coordinator   *policy.Coordinator
+	listedStores  map[routing.EndpointID]engine.Endpoint // the stores, as in the last endpoint list
+	endpointKinds map[routing.EndpointID]routing.KindID  // of all endpoints that are listed
+	origin        routing.EndpointID                     // the origin that was last listed as ready
+	lastOperation policy.OperationID
+	operations    map[policy.OperationID]*operation
+	byAttempt     map[*engine.Attempt]policy.OperationID // operations by their attempt at a store and by their fill
 	timers        timerQueue
 	unsent        []unsentCommand // to be reported as failed by Run
 	outbox        []engine.Event  // to be delivered to the engine
-	actions       []decide.Action // for reuse
+	actions       []policy.Action // for reuse
 }
 
 // New returns a transport for the given stores. SetInner must be called before any other method.
 func New(options Options) *Transport {
 	t := &Transport{
-		limits:     options.Limits,
-		routing:    options.Routing,
-		log:        options.Log,
-		startedAt:  options.StartedAt,
-		deliver:    options.Deliver,
-		wake:       make(chan struct{}, 1),
-		clients:    map[routing.EndpointID]*storeClient{},
-		members:    map[routing.EndpointID]engine.Endpoint{},
-		kinds:      map[routing.EndpointID]routing.KindID{},
-		operations: map[decide.OperationID]*operation{},
-		byAttempt:  map[*engine.Attempt]decide.OperationID{},
+		limits:        options.Limits,
+		routing:       options.Routing,
+		log:           options.Log,
+		startedAt:     options.StartedAt,
+		deliver:       options.Deliver,
+		wake:          make(chan struct{}, 1),
+		clients:       map[routing.EndpointID]*storeClient{},
+		listedStores:  map[routing.EndpointID]engine.Endpoint{},
+		endpointKinds: map[routing.EndpointID]routing.KindID{},
+		operations:    map[policy.OperationID]*operation{},
+		byAttempt:     map[*engine.Attempt]policy.OperationID{},
 	}
 	var ids []routing.EndpointID
 	for _, store := range options.Stores {
@@ -101,9 +101,9 @@
 		ids = append(ids, id)
 		t.clients[id] = newStoreClient(t, id, store)
 	}
-	decisions := options.Decisions
-	decisions.Epoch = decide.Timestamp(options.StartedAt.UnixMilli())
-	t.coordinator = decide.New(decisions, options.Seed, ids...)
+	settings := options.Decisions
+	settings.Epoch = policy.Timestamp(options.StartedAt.UnixMilli())
+	t.coordinator = policy.New(settings, options.Seed, ids...)
 	return t
 }
 
@@ -150,7 +150,7 @@
 	case client == nil:
 		t.inner.Send(attempt)
 	case attempt.Request.Write:
-		t.refuseWrite(attempt)
+		t.rejectWrite(attempt)
 	case isRelay:
 		t.startOperation(&operation{attempt: attempt, client: client, isRelay: true})
 	default:
@@ -168,7 +168,7 @@
 		return t.inner.Abort(attempt)
 	}
 	t.operations[id].isComplete = true
-	t.handle(&decide.Event{Kind: decide.EventCancel, Operation: id})
+	t.handle(&policy.Event{Kind: policy.EventCancel, Operation: id})
 	return true
 }
 
@@ -188,14 +188,14 @@
 
 // Post takes a message from the inner transport. The result of a fill is handled here; all else goes to the engine.
 func (t *Transport) Post(at time.Time, message engine.Message) {
-	if result, is := message.(engine.AttemptResult); is && t.finishFill(&result, at) {
+	if result, ok := message.(engine.AttemptResult); ok && t.finishFill(&result, at) {
 		return
 	}
 	t.deliver(at, message)
 }
 
 // UpdateSettings applies settings that changed while the router runs.
-func (t *Transport) UpdateSettings(settings decide.Settings) {
+func (t *Transport) UpdateSettings(settings policy.Settings) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.coordinator.UpdateSettings(settings)
@@ -205,7 +205,7 @@
 func (t *Transport) Limits() limits.Limits { return t.limits }
 
 // Counts returns the counts of all decisions so far.
-func (t *Transport) Counts() decide.Counts {
+func (t *Transport) Counts() policy.Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.coordinator.Counts
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -15,16 +15,16 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 const (
 	storeUID  = "s-redis"
 	parentUID = "s-parent"
 
-	// copyProvedAfter is the time after a router's start from which generated copies are known to be newer than every
+	// copyProvenAfter is the time after a router's start from which generated copies are known to be newer than every
 	// purge, without the log of a store.
-	copyProvedAfter = 600 * time.Millisecond
+	copyProvenAfter = 600 * time.Millisecond
 )
 
 func testLimits() limits.Limits {
@@ -77,7 +77,7 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(store.Close)
-	f := newFixtureOf(Store{
+	f := newFixtureWithStore(Store{
 		UID: storeUID, Addresses: []string{store.Address()}, Weight: 1, Prefix: "t:",
 		Credentials: Credentials{User: "u", Password: "w", Database: 1},
 	}, log)
@@ -95,17 +95,17 @@
 // connection, as right after the end of a connection.
 func newUnconnectedFixture(tb testing.TB) *fixture {
 	tb.Helper()
-	f := newFixtureOf(Store{UID: storeUID, Weight: 1, Prefix: "t:"}, zap.NewNop())
+	f := newFixtureWithStore(Store{UID: storeUID, Weight: 1, Prefix: "t:"}, zap.NewNop())
 	f.listParent()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.handle(&decide.Event{
-		Kind: decide.EventConnected, Endpoint: engine.EndpointID(storeUID), RunID: 1, Uptime: time.Hour,
+	f.handle(&policy.Event{
+		Kind: policy.EventConnected, Endpoint: engine.EndpointID(storeUID), RunID: 1, Uptime: time.Hour,
 	})
 	return f
 }
 
-func newFixtureOf(store Store, log *zap.Logger) *fixture {
+func newFixtureWithStore(store Store, log *zap.Logger) *fixture {
 	f := &fixture{results: make(chan engine.AttemptResult, 64)}
 	f.Transport = New(Options{
 		Limits: testLimits(),
@@ -113,12 +113,12 @@
 			ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000,
 			Classes: []routing.Class{{LatencyObjective: time.Second}},
 		},
-		Decisions: decide.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
+		Decisions: policy.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
 		Seed:      1,
 		Stores:    []Store{store},
 		StartedAt: time.Now().Add(-time.Second),
 		Deliver: func(_ time.Time, message engine.Message) {
-			if result, is := message.(engine.AttemptResult); is {
+			if result, ok := message.(engine.AttemptResult); ok {
 				f.results <- result
 			}
 		},
@@ -143,7 +143,7 @@
 		select {
 		case <-ended:
 		case <-time.After(5 * time.Second):
-			tb.Error("the transport does not end with its context")
+			tb.Error("Run did not return after its context ended")
 		}
 	})
 }
@@ -187,7 +187,7 @@
 	case result := <-f.results:
 		return result
 	case <-time.After(5 * time.Second):
-		tb.Fatal("no result")
+		tb.Fatal("no result within 5 s")
 		return engine.AttemptResult{}
 	}
 }
@@ -195,24 +195,24 @@
 // A miss is filled and stored, the next request is a hit with the same body, and a purge leads to another fill.
 func TestFillHitAndPurge(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
-	time.Sleep(copyProvedAfter)
+	time.Sleep(copyProvenAfter)
 	f.request(7)
 	result := f.result(t)
 	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled ||
 		!bytes.Equal(result.Body, f.parent.body) {
-		t.Fatalf("%v %v, %d bytes", result.Outcome, result.Note, len(result.Body))
+		t.Fatalf("outcome %v, note %v, %d bytes", result.Outcome, result.Note, len(result.Body))
 	}
 	time.Sleep(30 * time.Millisecond)
 	f.request(7)
 	result = f.result(t)
 	if result.Note != routing.NoteHit || !bytes.Equal(result.Body, f.parent.body) || result.ETag != "5" {
-		t.Fatalf("%v, %d bytes", result.Note, len(result.Body))
+		t.Fatalf("note %v, %d bytes", result.Note, len(result.Body))
 	}
 	f.ObserveDiscovery(engine.Purge{Object: 7, Issued: time.Now()})
 	time.Sleep(5 * time.Millisecond)
 	f.request(7)
 	if result := f.result(t); result.Note != routing.NoteFilled {
-		t.Fatalf("%v after a purge", result.Note)
+		t.Fatalf("note %v after a purge", result.Note)
 	}
 	time.Sleep(30 * time.Millisecond) // until the copy is stored again
 	f.waitUntilNothingLeft(t)
@@ -225,10 +225,10 @@
 	f.Send(write)
 	result := f.result(t)
 	if result.Outcome != routing.CacheMiss || result.Note != routing.NoteNoFillCapacity || result.Attempt != write {
-		t.Errorf("%v %v", result.Outcome, result.Note)
+		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
 	}
 	if f.lastOperation != 0 {
-		t.Errorf("%d operations were started", f.lastOperation)
+		t.Errorf("a write started %d operations", f.lastOperation)
 	}
 }
 
@@ -237,11 +237,11 @@
 	f := newFixture(t, zap.NewNop())
 	f.redis.SetFault(redis.Fault{Silent: true})
 	if attempt := f.request(8); !f.Abort(attempt) {
-		t.Error("not abandoned")
+		t.Error("Abort returned false")
 	}
 	select {
 	case result := <-f.results:
-		t.Errorf("a result after all: %v", result.Outcome)
+		t.Errorf("an abandoned attempt has a result with outcome %v", result.Outcome)
 	case <-time.After(50 * time.Millisecond):
 	}
 	f.checkNothingLeft(t)
@@ -272,13 +272,13 @@
 	return len(f.byAttempt), len(f.operations)
 }
 
-// atOnce is the maximum time of a fill that starts without a timer. It is shorter than the time after which the first
-// get counts as late, which would also start a fill.
-const atOnce = 20 * time.Millisecond
+// maxImmediateFill is the maximum time of a fill that starts without a timer. It is shorter than the time after which
+// the first get counts as late, which would also start a fill.
+const maxImmediateFill = 20 * time.Millisecond
 
-// atOnceTries is the number of tries of which one must succeed. A pause of the machine delays some of them; a fill that
-// waits for a timer would fail all of them.
-const atOnceTries = 5
+// immediateFillTries is the number of tries of which one must succeed. A pause of the machine delays some of them; a
+// fill that waits for a timer would fail all of them.
+const immediateFillTries = 5
 
 // If the store cannot be reached, the fill starts at once, whether the loss of the connection was noticed or not.
 func TestUnreachableStoreIsBypassed(t *testing.T) {
@@ -292,7 +292,7 @@
 			elapsed = f.fillTime(t)
 			counts := f.Counts()
 			if counts.Bypassed != 1 || counts.Gets != 0 {
-				t.Errorf("%d requests bypassed the store after %d gets", counts.Bypassed, counts.Gets)
+				t.Errorf("%d requests bypassed the store after %d gets, want 1 and 0", counts.Bypassed, counts.Gets)
 			}
 			return elapsed, counts.Timeouts
 		})
@@ -304,7 +304,7 @@
 			elapsed = f.fillTime(t)
 			counts := f.Counts()
 			if counts.Bypassed != 0 || counts.Gets != 1 {
-				t.Errorf("%d requests bypassed the store, %d gets", counts.Bypassed, counts.Gets)
+				t.Errorf("%d requests bypassed the store after %d gets, want 0 and 1", counts.Bypassed, counts.Gets)
 			}
 			return elapsed, counts.Timeouts
 		})
@@ -312,12 +312,12 @@
 }
 
 // checkFilledAtOnce checks that a request is filled without waiting for a timer.
-func checkFilledAtOnce(t *testing.T, play func() (elapsed time.Duration, timeouts uint64)) {
+func checkFilledAtOnce(t *testing.T, measure func() (elapsed time.Duration, timeouts uint64)) {
 	t.Helper()
 	var elapsed time.Duration
 	var timeouts uint64
-	for range atOnceTries {
-		if elapsed, timeouts = play(); elapsed <= atOnce && timeouts == 0 {
+	for range immediateFillTries {
+		if elapsed, timeouts = measure(); elapsed <= maxImmediateFill && timeouts == 0 {
 			return
 		}
 	}
@@ -332,7 +332,7 @@
 	result := f.result(tb)
 	elapsed := time.Since(startedAt)
 	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
-		tb.Errorf("%v %v", result.Outcome, result.Note)
+		tb.Errorf("outcome %v, note %v", result.Outcome, result.Note)
 	}
 	return elapsed
 }
@@ -347,7 +347,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if !f.Abort(attempt) {
-		t.Error("not aborted")
+		t.Error("Abort returned false")
 	}
 	f.checkNothingLeft(t)
 	f.mu.Lock()
--- a/internal/sharedstore/unsent_test.go
+++ b/internal/sharedstore/unsent_test.go
@@ -17,7 +17,7 @@
 	}
 	f.start(t)
 	if result := f.result(t); result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
-		t.Errorf("%v %v", result.Outcome, result.Note)
+		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
 	}
 	f.waitUntilNothingLeft(t)
 	if sets, unsent := f.Counts().Sets, f.unsentCommands(); sets != 1 || unsent != 0 {
@@ -31,7 +31,7 @@
 	f.start(t)
 	f.requestFrom(7, 0)
 	if result := f.result(t); result.Outcome != routing.CacheMiss || result.Note != routing.NoteSourceMiss {
-		t.Errorf("%v %v", result.Outcome, result.Note)
+		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
 	}
 	f.checkNothingLeft(t)
 }
@@ -51,7 +51,7 @@
 	client.setConnection(nil, nil)
 	f.listParentDraining() // no follower can be filled, so each fails in turn and the next takes over
 	if !f.Abort(leader) {
-		t.Error("not aborted")
+		t.Error("Abort returned false")
 	}
 	if unsent, results := f.unsentCommands(), f.outboxLength(); unsent != 1 || results != 0 {
 		t.Errorf("%d unsent commands and %d results after Abort, want 1 and 0", unsent, results)
@@ -59,7 +59,7 @@
 	f.start(t)
 	for range followers {
 		if result := f.result(t); result.Outcome != routing.Overloaded || result.Attempt == leader {
-			t.Errorf("%v", result.Outcome)
+			t.Errorf("outcome %v", result.Outcome)
 		}
 	}
 	f.checkNothingLeft(t)
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -7,7 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 // Copy is the content of a stored value.
@@ -15,8 +15,8 @@
 	Object      routing.ObjectID
 	Part        int
 	Group       routing.GroupID
-	GeneratedAt decide.Timestamp // when the origin generated it
-	ValidFrom   decide.Timestamp // no purge issued before this can have been missed by the copy
+	GeneratedAt policy.Timestamp // when the origin generated it
+	ValidFrom   policy.Timestamp // no purge issued before this can have been missed by the copy
 	ETag        string
 	Body        []byte
 }
@@ -80,8 +80,8 @@
 		Object:      routing.ObjectID(binary.BigEndian.Uint64(value[objectOffset:])),
 		Part:        int(partGroup >> 32),
 		Group:       routing.GroupID(partGroup),
-		GeneratedAt: decide.Timestamp(binary.BigEndian.Uint64(value[generatedAtOffset:])),
-		ValidFrom:   decide.Timestamp(binary.BigEndian.Uint64(value[validFromOffset:])),
+		GeneratedAt: policy.Timestamp(binary.BigEndian.Uint64(value[generatedAtOffset:])),
+		ValidFrom:   policy.Timestamp(binary.BigEndian.Uint64(value[validFromOffset:])),
 		ETag:        string(value[headerBytes:bodyOffset]),
 		Body:        value[bodyOffset:end],
 	}, nil
--- a/internal/sharedstore/value_test.go
+++ b/internal/sharedstore/value_test.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"testing"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 func testCopy() Copy {
@@ -38,12 +38,12 @@
 	// 7 2 3 1700000000000 1700000000500 tag bytes <nil>
 	// not a value of this router
 	// not a value of this router
-	// a value of a newer format
-	// a truncated value
-	// a truncated value
+	// value has a newer format
+	// value is truncated
+	// value is truncated
 	// checksum mismatch
 	// checksum mismatch
-	// a truncated value
+	// value is truncated
 }
 
 func TestDecodeForRejectsOtherKeys(t *testing.T) {
@@ -54,7 +54,7 @@
 	}
 	for _, key := range []copyKey{{object: 8, part: 2}, {object: 7, part: 1}} {
 		if _, err := decodeFor(key, value); !errors.Is(err, ErrWrongKey) {
-			t.Errorf("%v: %v", key, err)
+			t.Errorf("key %v: error %v", key, err)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	const value = "FA\x01\x03" + "\x00\x00\x00\x00\x00\x00\x00\x07" + "\x00\x00\x00\x02\x00\x00\x00\x03" +
 		"\x00\x00\x01\x8b\xcf\xe5\x68\x00" + "\x00\x00\x01\x8b\xcf\xe5\x69\xf4" + "tag" + "bytes"
 	if got := stored.Encode(nil); string(got[:len(got)-checksumBytes]) != value {
-		t.Errorf("value %q", got)
+		t.Errorf("encoded value %q", got)
 	}
 	names := keys{"p:"}
 	for _, test := range []struct {
@@ -75,8 +75,8 @@
 		{names.value(copyKey{0xab, 2}), "p:v:ab:2"},
 		{names.lease(copyKey{0xab, 2}), "p:l:ab:2"},
 		{names.invalidationLog(), "p:purges"},
-		{appendMember(nil, decide.Invalidation{Object: 0xab}), "o:ab"},
-		{appendMember(nil, decide.Invalidation{Group: 12}), "g:12"},
+		{appendMember(nil, policy.Invalidation{Object: 0xab}), "o:ab"},
+		{appendMember(nil, policy.Invalidation{Group: 12}), "g:12"},
 	} {
 		if string(test.got) != test.want {
 			t.Errorf("%q, want %q", test.got, test.want)
@@ -89,7 +89,7 @@
 	f.Add(seed.Encode(nil))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		if decoded, err := Decode(value); err == nil && !bytes.Equal(decoded.Encode(nil), value) {
-			t.Errorf("%x is read as another value", value)
+			t.Errorf("%x is decoded, but encoded differently", value)
 		}
 	})
 }
