--- a/internal/resp/decoder.go
+++ b/internal/resp/decoder.go
@@ -18,9 +18,8 @@
 	maxHeaderBytes = 13
 )
 
-// Decoder finds complete frames, which are arrays of bulk strings, in a ring. It checks a length as soon as its header
-// is complete, before the bytes arrive, and parses each header once, however the input is split. It does not interpret
-// the strings.
+// Decoder finds complete frames, which are arrays of bulk strings, in a ring. It checks a length when it is announced,
+// before the bytes arrive, and parses each header once, however the input is split. It does not interpret the strings.
 type Decoder struct {
 	MaxStrings     int // maximum number of strings in a frame
 	MaxStringBytes int // maximum length of a string
@@ -97,7 +96,7 @@
 }
 
 // parseHeader parses the header line at a position: the expected kind and a length of at most the limit. It returns
-// that length and the number of bytes used by the line, or 0 bytes if the line is incomplete.
+// that length and the length of the line, which is 0 if the line is incomplete.
 func parseHeader(r *Ring, position int, kind Kind, limit int) (length, used int, err error) {
 	if position >= r.Len() {
 		return 0, 0, nil
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -23,14 +23,14 @@
 // Reply is a reply, or one element of an array. Text is valid until the next call of ReplyDecoder.Next.
 type Reply struct {
 	Kind      Kind
-	IsNull    bool // whether a bulk string or an array is null
+	IsNull    bool // a null bulk string or a null array
 	Text      []byte
 	Int       int64 // value of an integer, or the announced length
 	PartCount int   // number of elements of an array; they follow the array
 }
 
-// ReplyDecoder finds complete RESP2 replies in a ring. It checks a length as soon as its header is complete, before the
-// bytes arrive. Its limits must be set before use.
+// ReplyDecoder finds complete RESP2 replies in a ring. It checks a length when it is announced, before the bytes
+// arrive. Its limits must be set before use.
 type ReplyDecoder struct {
 	MaxStringBytes int // maximum length of a bulk string
 	MaxLineBytes   int // maximum length of a line, without CR and LF
@@ -150,8 +150,8 @@
 	return length, true, nil
 }
 
-// parseBulk finds the content of a bulk string, which follows its header line of used bytes. It returns the part and
-// the length of both together.
+// parseBulk finds the content of a bulk string after its header line, whose length is used. It returns the part and the
+// length of header line and content together.
 func (d *ReplyDecoder) parseBulk(r *Ring, next part, used int) (part, int, error) {
 	if next.number > int64(d.MaxStringBytes) {
 		return part{}, 0, ErrFraming
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -72,7 +72,7 @@
 	w.TakenBytes += int64(n)
 }
 
-// Empty reports whether all frames that were started have been removed.
+// Empty reports whether Advance has removed all frames that were started.
 func (w *Writer) Empty() bool {
 	return w.TakenBytes == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
 }
--- a/internal/sharedstore/connection.go
+++ b/internal/sharedstore/connection.go
@@ -34,8 +34,8 @@
 	connectionClosed:  {signalSetupDone: connectionClosed, signalClosed: connectionClosed},
 }
 
-// connection is the state machine of one connection to a store. It authenticates, puts commands into the output,
-// matches replies to commands by their order, and collects results. It is given bytes and times and uses no socket.
+// connection is the state machine of one connection to a store. It sets the connection up, puts commands into the
+// output, matches replies to commands by their order, and collects results. It uses no socket and no clock.
 type connection struct {
 	state   connectionState
 	input   resp.Ring
@@ -50,7 +50,7 @@
 }
 
 const (
-	// shortReadBytes is the maximum size of a read that does not belong to a large value.
+	// shortReadBytes is the maximum size of a short read, which is one that holds no large value.
 	shortReadBytes = 4 << 10
 	// maxShortReads is the number of consecutive short reads after which the next one frees the input buffer. Under a
 	// mixed load, fewer short reads come between two large values.
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -51,7 +51,7 @@
 
 // storeEndpoint returns the endpoint of a store that this router adds to the endpoint list.
 func (t *Transport) storeEndpoint(client *storeClient) engine.Endpoint {
-	if endpoint, known := t.listedStores[client.id]; known {
+	if endpoint, known := t.storeEndpoints[client.id]; known {
 		return endpoint
 	}
 	endpoint := engine.Endpoint{UID: client.config.UID, Endpoint: routing.Endpoint{
@@ -96,7 +96,7 @@
 	}
 	t.handle(&policy.Event{Kind: policy.EventEndpointState, Endpoint: endpoint.ID, State: endpoint.State})
 	if client := t.clients[endpoint.ID]; client != nil {
-		t.listedStores[endpoint.ID] = *endpoint
+		t.storeEndpoints[endpoint.ID] = *endpoint
 		client.setAddress(endpoint.Address)
 		return true
 	}
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -34,7 +34,7 @@
 	client  *storeClient
 }
 
-// startOperation numbers an operation and passes its request to the policy.
+// startOperation assigns an OperationID to an operation and passes its request to the policy.
 func (t *Transport) startOperation(op *operation) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
@@ -117,13 +117,13 @@
 		t.log.Info(action.Message, zap.String("uid", t.clients[action.Endpoint].config.UID))
 	default:
 		if op := t.operations[action.Operation]; op != nil {
-			t.performFor(op, action)
+			t.performForOperation(op, action)
 		}
 	}
 }
 
-// performFor carries out an action of an operation.
-func (t *Transport) performFor(op *operation, action *policy.Action) {
+// performForOperation carries out an action of an operation.
+func (t *Transport) performForOperation(op *operation, action *policy.Action) {
 	keys := &op.client.keys
 	switch action.Kind {
 	case policy.ActionGet:
@@ -160,12 +160,12 @@
 
 // announceStart tells the engine that a store has just started, so that routing applies slow start to it as to a cache.
 func (t *Transport) announceStart(action *policy.Action) {
-	endpoint, known := t.listedStores[action.Endpoint]
+	endpoint, known := t.storeEndpoints[action.Endpoint]
 	if !known || endpoint.State != routing.Ready {
 		return
 	}
 	endpoint.BootTime = time.Now().Add(-action.Uptime)
-	t.listedStores[action.Endpoint] = endpoint
+	t.storeEndpoints[action.Endpoint] = endpoint
 	t.post(engine.EndpointList{Endpoints: []engine.Endpoint{endpoint}})
 }
 
@@ -174,7 +174,7 @@
 func (t *Transport) startFill(op *operation, action *policy.Action) {
 	request := *op.attempt.Request
 	request.HeldETag = "" // the store needs the body even if the client has it
-	const notForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
+	const optionsNotForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
 	fill := &engine.Attempt{
 		Request:     &request,
 		Number:      op.attempt.Number,
@@ -182,7 +182,7 @@
 		Deadline:    op.attempt.Deadline,
 		NotAfter:    op.attempt.NotAfter,
 		MaxAge:      action.MaxAge,
-		FillOptions: op.attempt.FillOptions &^ notForSource,
+		FillOptions: op.attempt.FillOptions &^ optionsNotForSource,
 	}
 	if t.endpointKinds[op.source] == t.routing.ParentKind && op.attempt.FillOptions&routing.OnlyIfCached == 0 {
 		fill.Source = t.origin
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -66,34 +66,34 @@
 	wake      chan struct{} // wakes Run
 	clients   map[routing.EndpointID]*storeClient
 
-	mu            sync.Mutex
-	coordinator   *policy.Coordinator
-	listedStores  map[routing.EndpointID]engine.Endpoint // the stores, as in the last endpoint list
-	endpointKinds map[routing.EndpointID]routing.KindID  // of all endpoints that are listed
-	origin        routing.EndpointID                     // the origin that was last listed as ready
-	lastOperation policy.OperationID
-	operations    map[policy.OperationID]*operation
-	byAttempt     map[*engine.Attempt]policy.OperationID // operations by their attempt at a store and by their fill
-	timers        timerQueue
-	unsent        []unsentCommand // to be reported as failed by Run
-	outbox        []engine.Event  // to be delivered to the engine
-	actions       []policy.Action // for reuse
+	mu             sync.Mutex
+	coordinator    *policy.Coordinator
+	storeEndpoints map[routing.EndpointID]engine.Endpoint // the stores, as in the last endpoint list
+	endpointKinds  map[routing.EndpointID]routing.KindID  // of all endpoints that are listed
+	origin         routing.EndpointID                     // the origin that was last listed as ready
+	lastOperation  policy.OperationID
+	operations     map[policy.OperationID]*operation
+	byAttempt      map[*engine.Attempt]policy.OperationID // operations by their attempt at a store and by their fill
+	timers         timerQueue
+	unsent         []unsentCommand // to be reported as failed by Run
+	outbox         []engine.Event  // to be delivered to the engine
+	actions        []policy.Action // for reuse
 }
 
 // New returns a transport for the given stores. SetInner must be called before any other method.
 func New(options Options) *Transport {
 	t := &Transport{
-		limits:        options.Limits,
-		routing:       options.Routing,
-		log:           options.Log,
-		startedAt:     options.StartedAt,
-		deliver:       options.Deliver,
-		wake:          make(chan struct{}, 1),
-		clients:       map[routing.EndpointID]*storeClient{},
-		listedStores:  map[routing.EndpointID]engine.Endpoint{},
-		endpointKinds: map[routing.EndpointID]routing.KindID{},
-		operations:    map[policy.OperationID]*operation{},
-		byAttempt:     map[*engine.Attempt]policy.OperationID{},
+		limits:         options.Limits,
+		routing:        options.Routing,
+		log:            options.Log,
+		startedAt:      options.StartedAt,
+		deliver:        options.Deliver,
+		wake:           make(chan struct{}, 1),
+		clients:        map[routing.EndpointID]*storeClient{},
+		storeEndpoints: map[routing.EndpointID]engine.Endpoint{},
+		endpointKinds:  map[routing.EndpointID]routing.KindID{},
+		operations:     map[policy.OperationID]*operation{},
+		byAttempt:      map[*engine.Attempt]policy.OperationID{},
 	}
 	var ids []routing.EndpointID
 	for _, store := range options.Stores {
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -84,6 +84,7 @@
 	f.redis = store
 	f.start(tb)
 	f.listParent()
+	// The three commands that set up the connection are AUTH, SELECT and INFO.
 	for until := time.Now().Add(5 * time.Second); store.Counts().Commands < 3 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
