--- a/internal/sharedstore/benchmark_test.go
+++ b/internal/sharedstore/benchmark_test.go
@@ -13,10 +13,11 @@
 	"go.uber.org/zap"
 )
 
-// What a get of 20 KB costs through the transport, and through the client library that was weighed against it.
+// BenchmarkGetTransport measures a get of 20 KB through the transport. BenchmarkGetLibrary measures the same get with
+// go-redis, a client library that could be used instead.
 func BenchmarkGetTransport(b *testing.B) {
 	f := newFixture(b, zap.NewNop())
-	time.Sleep(copyProvedAfter)
+	time.Sleep(copyProvenAfter)
 	f.request(7)
 	f.result(b)
 	time.Sleep(50 * time.Millisecond)
@@ -55,8 +56,7 @@
 	}
 }
 
-// A get that is abandoned: the library holds the caller's connection until its time is up, the transport goes on at
-// once.
+// Abandoning a get returns at once in the transport. In go-redis the get holds its connection until the read timeout.
 func TestAbortedGetReturnsAtOnce(t *testing.T) {
 	store, err := redis.Start(redis.Config{InitialAge: time.Hour})
 	if err != nil {
@@ -73,7 +73,7 @@
 	time.AfterFunc(20*time.Millisecond, cancel)
 	startedAt := time.Now()
 	err = client.Get(ctx, "k").Err()
-	t.Logf("the library returns %v after %v", err, time.Since(startedAt).Round(time.Millisecond))
+	t.Logf("go-redis returned %v after %v", err, time.Since(startedAt).Round(time.Millisecond))
 	f := newFixture(t, zap.NewNop())
 	f.redis.SetFault(redis.Fault{Silent: true})
 	startedAt = time.Now()
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -8,33 +8,33 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
-// operation is one attempt at a store, as the decisions number it.
+// operation is one attempt at a store. The policy knows it by its OperationID.
 type operation struct {
 	attempt       *engine.Attempt
 	client        *storeClient
-	source        routing.EndpointID // fills come from here, 0: none
-	isRelay       bool               // another cache was to be filled from the store
+	source        routing.EndpointID // endpoint that fills come from, 0: none
+	isRelay       bool               // the attempt is at a cache that was to be filled from the store
 	isComplete    bool
-	fill          *engine.Attempt // in flight, or nil
+	fill          *engine.Attempt // the fill in flight, or nil
 	fillStartedAt time.Time
 	copy          Copy
-	generatedAt   time.Time // of the copy, as exact as the source gave it
+	generatedAt   time.Time // when the copy was generated, as precisely as its source reported
 }
 
 func (op *operation) key() copyKey {
 	return copyKey{op.attempt.Request.Object, op.attempt.Request.Part}
 }
 
-// unsentCommand is a command that found no connection.
+// unsentCommand is a command that could not be sent because there was no connection.
 type unsentCommand struct {
 	command command
 	client  *storeClient
 }
 
-// startOperation begins an operation.
+// startOperation assigns an OperationID to an operation and passes its request to the policy.
 func (t *Transport) startOperation(op *operation) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
@@ -43,8 +43,8 @@
 	t.operations[t.lastOperation] = op
 	t.byAttempt[attempt] = t.lastOperation
 	class := &t.routing.Classes[request.Class]
-	event := decide.Event{
-		Kind:           decide.EventRequest,
+	event := policy.Event{
+		Kind:           policy.EventRequest,
 		Operation:      t.lastOperation,
 		Endpoint:       op.client.id,
 		Source:         op.source,
@@ -65,39 +65,39 @@
 	t.handle(&event)
 }
 
-// refuseWrite answers a write: none reaches a store.
-func (t *Transport) refuseWrite(attempt *engine.Attempt) {
+// rejectWrite rejects a write, since writes are never sent to a store.
+func (t *Transport) rejectWrite(attempt *engine.Attempt) {
 	t.mu.Lock()
 	defer t.unlockAndWake()
 	t.post(engine.AttemptResult{Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity})
 }
 
-// untilObjective is the time left until a request's latency objective, which grows with its size.
+// untilObjective returns the time left until a request's latency objective, which grows with the size of the object.
 func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
-	sending := time.Duration(0)
+	transferTime := time.Duration(0)
 	if t.routing.FlowKBPerSecond > 0 {
 		seconds := request.SizeKB / t.routing.FlowKBPerSecond * class.ObjectiveStretch
-		sending = time.Duration(seconds * float64(time.Second))
+		transferTime = time.Duration(seconds * float64(time.Second))
 	}
-	return min(class.LatencyObjective+sending, request.Timeout) - time.Since(request.ReceivedAt)
+	return min(class.LatencyObjective+transferTime, request.Timeout) - time.Since(request.ReceivedAt)
 }
 
-// handle passes an event to the decisions and carries their actions out.
-func (t *Transport) handle(event *decide.Event) {
+// handle passes an event to the policy and carries out the resulting actions.
+func (t *Transport) handle(event *policy.Event) {
 	t.actions = t.coordinator.Handle(t.now(), event, t.actions[:0])
 	for i := range t.actions {
 		t.perform(&t.actions[i])
 	}
 }
 
-// failNextUnsent reports the next command that found no connection as failed. It says whether there are more.
+// failNextUnsent reports the next unsent command as failed, and returns whether there are more.
 func (t *Transport) failNextUnsent() (hasMore bool) {
 	if len(t.unsent) == 0 {
 		return false
 	}
 	next := t.unsent[0]
 	t.unsent = t.unsent[1:]
-	result := commandResult{command: next.command, reply: decide.ReplyDisconnected}
+	result := commandResult{command: next.command, reply: policy.ReplyDisconnected}
 	event := result.event(next.client.id)
 	t.handle(&event)
 	if len(t.unsent) == 0 {
@@ -106,50 +106,50 @@
 	return t.unsent != nil
 }
 
-// perform carries an action out.
-func (t *Transport) perform(action *decide.Action) {
+// perform carries out an action.
+func (t *Transport) perform(action *policy.Action) {
 	switch action.Kind {
-	case decide.ActionSetTimer:
+	case policy.ActionSetTimer:
 		t.setTimer(action)
-	case decide.ActionAnnounceStart:
+	case policy.ActionAnnounceStart:
 		t.announceStart(action)
-	case decide.ActionLog:
+	case policy.ActionLog:
 		t.log.Info(action.Message, zap.String("uid", t.clients[action.Endpoint].config.UID))
 	default:
 		if op := t.operations[action.Operation]; op != nil {
-			t.performFor(op, action)
+			t.performForOperation(op, action)
 		}
 	}
 }
 
-// performFor carries an action of an operation out.
-func (t *Transport) performFor(op *operation, action *decide.Action) {
+// performForOperation carries out an action of an operation.
+func (t *Transport) performForOperation(op *operation, action *policy.Action) {
 	keys := &op.client.keys
 	switch action.Kind {
-	case decide.ActionGet:
+	case policy.ActionGet:
 		t.send(op, getCommand(keys, action.Operation, op.key()))
-	case decide.ActionAcquireLease:
+	case policy.ActionAcquireLease:
 		t.send(op, acquireLeaseCommand(keys, action.Operation, op.key(), action.TTL))
-	case decide.ActionReleaseLease:
+	case policy.ActionReleaseLease:
 		op.client.send(releaseLeaseCommand(keys, op.key()))
-	case decide.ActionSet:
+	case policy.ActionSet:
 		op.copy.ValidFrom = action.ValidFrom
 		t.send(op, setCommand(keys, action.Operation, op.key(), action.TTL, &op.copy))
-	case decide.ActionStartFill:
+	case policy.ActionStartFill:
 		t.startFill(op, action)
-	case decide.ActionAbortFill:
+	case policy.ActionAbortFill:
 		t.abortFill(op)
-	case decide.ActionComplete:
+	case policy.ActionComplete:
 		t.complete(op, action)
-	case decide.ActionForget:
+	case policy.ActionForget:
 		delete(t.operations, action.Operation)
 		delete(t.byAttempt, op.attempt)
 	default:
 	}
 }
 
-// send sends a command of an operation. One that finds no connection is reported as failed by Run, as the caller may be
-// the engine, and each failure may make the next of many requests send a command.
+// send sends a command of an operation. If there is no connection, the command is left to Run, which reports its
+// failure: the caller may be the engine, and each failure may cause the next of many requests to send a command.
 func (t *Transport) send(op *operation, command command) {
 	if op.client.send(command) {
 		return
@@ -158,23 +158,23 @@
 	t.wakeRun()
 }
 
-// announceStart tells the engine that a store has just started, so that routing limits it as it does a cache.
-func (t *Transport) announceStart(action *decide.Action) {
-	endpoint, known := t.members[action.Endpoint]
+// announceStart tells the engine that a store has just started, so that routing applies slow start to it as to a cache.
+func (t *Transport) announceStart(action *policy.Action) {
+	endpoint, known := t.storeEndpoints[action.Endpoint]
 	if !known || endpoint.State != routing.Ready {
 		return
 	}
 	endpoint.BootTime = time.Now().Add(-action.Uptime)
-	t.members[action.Endpoint] = endpoint
+	t.storeEndpoints[action.Endpoint] = endpoint
 	t.post(engine.EndpointList{Endpoints: []engine.Endpoint{endpoint}})
 }
 
-// startFill asks the source in the store's stead: a parent fetches from the origin what it has not cached, unless it
-// is to serve only what it has; any other cache serves what it has.
-func (t *Transport) startFill(op *operation, action *decide.Action) {
+// startFill requests the copy from the operation's source. A parent fetches from the origin what it has not cached,
+// unless the attempt asks for cached copies only; any other cache returns only what it has cached.
+func (t *Transport) startFill(op *operation, action *policy.Action) {
 	request := *op.attempt.Request
-	request.HeldETag = "" // the store needs the bytes
-	const notForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
+	request.HeldETag = "" // the store needs the body even if the client has it
+	const optionsNotForSource = routing.StaleWhileRevalidate | routing.StoreLocally | routing.OnlyIfCached
 	fill := &engine.Attempt{
 		Request:     &request,
 		Number:      op.attempt.Number,
@@ -182,9 +182,9 @@
 		Deadline:    op.attempt.Deadline,
 		NotAfter:    op.attempt.NotAfter,
 		MaxAge:      action.MaxAge,
-		FillOptions: op.attempt.FillOptions &^ notForSource,
+		FillOptions: op.attempt.FillOptions &^ optionsNotForSource,
 	}
-	if t.kinds[op.source] == t.routing.ParentKind && op.attempt.FillOptions&routing.OnlyIfCached == 0 {
+	if t.endpointKinds[op.source] == t.routing.ParentKind && op.attempt.FillOptions&routing.OnlyIfCached == 0 {
 		fill.Source = t.origin
 	}
 	op.fill, op.fillStartedAt = fill, time.Now()
@@ -201,7 +201,7 @@
 	op.fill = nil
 }
 
-// finishFill takes the end of an attempt at the inner transport, and says whether it was a fill.
+// finishFill handles the result of an attempt on the inner transport, and reports whether the attempt was a fill.
 func (t *Transport) finishFill(result *engine.AttemptResult, at time.Time) bool {
 	defer t.flush()
 	t.mu.Lock()
@@ -213,11 +213,11 @@
 	delete(t.byAttempt, result.Attempt)
 	op := t.operations[id]
 	if op.fill != result.Attempt {
-		return true // abandoned
+		return true // the fill was abandoned
 	}
 	op.fill = nil
-	event := decide.Event{
-		Kind: decide.EventFillDone, Operation: id, Outcome: result.Outcome, Note: result.Note,
+	event := policy.Event{
+		Kind: policy.EventFillDone, Operation: id, Outcome: result.Outcome, Note: result.Note,
 		FirstByteWait: result.FirstByteWait, Elapsed: at.Sub(op.fillStartedAt), BodyBytes: len(result.Body),
 	}
 	if result.Outcome == routing.Succeeded {
@@ -227,7 +227,7 @@
 			Object: request.Object, Part: request.Part, Group: request.Group, ETag: result.ETag, Body: result.Body,
 		}
 		if !result.GeneratedAt.IsZero() {
-			event.GeneratedAt = decide.Timestamp(result.GeneratedAt.UnixMilli())
+			event.GeneratedAt = policy.Timestamp(result.GeneratedAt.UnixMilli())
 			op.copy.GeneratedAt = event.GeneratedAt
 		}
 	}
@@ -235,8 +235,8 @@
 	return true
 }
 
-// complete tells the engine how the attempt ended.
-func (t *Transport) complete(op *operation, action *decide.Action) {
+// complete reports the result of the attempt to the engine.
+func (t *Transport) complete(op *operation, action *policy.Action) {
 	op.isComplete = true
 	delete(t.byAttempt, op.attempt)
 	result := engine.AttemptResult{
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -15,15 +15,16 @@
 
 	"go.uber.org/zap"
 
-	decide "fennelarch/policy/sharedstore"
+	policy "fennelarch/policy/sharedstore"
 )
 
 const (
 	storeUID  = "s-redis"
 	parentUID = "s-parent"
 
-	// copyProvedAfter is how long after a router's start a copy must be generated to be proved without the store's log.
-	copyProvedAfter = 600 * time.Millisecond
+	// copyProvenAfter is the time after a router's start from which generated copies are known to be newer than every
+	// purge, without the log of a store.
+	copyProvenAfter = 600 * time.Millisecond
 )
 
 func testLimits() limits.Limits {
@@ -32,7 +33,7 @@
 	})
 }
 
-// fakeParent answers fills at once, or never where it is silent.
+// fakeParent answers fills at once, or not at all if it is silent.
 type fakeParent struct {
 	post     func(time.Time, engine.Message)
 	body     []byte
@@ -60,7 +61,7 @@
 	})
 }
 
-// fixture is a transport over a store; what reaches the engine comes on a channel.
+// fixture is a transport with one store and one parent. Results for the engine are sent to a channel.
 type fixture struct {
 	*Transport
 	redis   *redis.Store
@@ -68,7 +69,7 @@
 	results chan engine.AttemptResult
 }
 
-// newFixture connects to a fake store.
+// newFixture returns a running transport that is connected to a fake store.
 func newFixture(tb testing.TB, log *zap.Logger) *fixture {
 	tb.Helper()
 	store, err := redis.Start(redis.Config{InitialAge: time.Hour, User: "u", Password: "w"})
@@ -76,13 +77,14 @@
 		tb.Fatal(err)
 	}
 	tb.Cleanup(store.Close)
-	f := newFixtureOf(Store{
+	f := newFixtureWithStore(Store{
 		UID: storeUID, Addresses: []string{store.Address()}, Weight: 1, Prefix: "t:",
 		Credentials: Credentials{User: "u", Password: "w", Database: 1},
 	}, log)
 	f.redis = store
 	f.start(tb)
 	f.listParent()
+	// The three commands that set up the connection are AUTH, SELECT and INFO.
 	for until := time.Now().Add(5 * time.Second); store.Counts().Commands < 3 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
@@ -90,21 +92,21 @@
 	return f
 }
 
-// newUnconnectedFixture has a store that counts as connected while there is no connection, as when one has just ended.
-// It is not started.
+// newUnconnectedFixture returns a transport that is not running, with a store that counts as connected though it has no
+// connection, as right after the end of a connection.
 func newUnconnectedFixture(tb testing.TB) *fixture {
 	tb.Helper()
-	f := newFixtureOf(Store{UID: storeUID, Weight: 1, Prefix: "t:"}, zap.NewNop())
+	f := newFixtureWithStore(Store{UID: storeUID, Weight: 1, Prefix: "t:"}, zap.NewNop())
 	f.listParent()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.handle(&decide.Event{
-		Kind: decide.EventConnected, Endpoint: engine.EndpointID(storeUID), RunID: 1, Uptime: time.Hour,
+	f.handle(&policy.Event{
+		Kind: policy.EventConnected, Endpoint: engine.EndpointID(storeUID), RunID: 1, Uptime: time.Hour,
 	})
 	return f
 }
 
-func newFixtureOf(store Store, log *zap.Logger) *fixture {
+func newFixtureWithStore(store Store, log *zap.Logger) *fixture {
 	f := &fixture{results: make(chan engine.AttemptResult, 64)}
 	f.Transport = New(Options{
 		Limits: testLimits(),
@@ -112,12 +114,12 @@
 			ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000,
 			Classes: []routing.Class{{LatencyObjective: time.Second}},
 		},
-		Decisions: decide.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
+		Decisions: policy.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
 		Seed:      1,
 		Stores:    []Store{store},
 		StartedAt: time.Now().Add(-time.Second),
 		Deliver: func(_ time.Time, message engine.Message) {
-			if result, is := message.(engine.AttemptResult); is {
+			if result, ok := message.(engine.AttemptResult); ok {
 				f.results <- result
 			}
 		},
@@ -142,7 +144,7 @@
 		select {
 		case <-ended:
 		case <-time.After(5 * time.Second):
-			tb.Error("the transport does not end with its context")
+			tb.Error("Run did not return after its context ended")
 		}
 	})
 }
@@ -156,7 +158,7 @@
 	f.UpdateEndpoints(f.ObserveDiscovery(list).(engine.EndpointList))
 }
 
-// listParentDraining lists the parent as draining: what was requested before is no longer filled from it.
+// listParentDraining lists the parent as draining, so that earlier requests are no longer filled from it.
 func (f *fixture) listParentDraining() {
 	parent := routing.Endpoint{ID: engine.EndpointID(parentUID), State: routing.Draining, Kind: 1}
 	f.UpdateEndpoints(engine.EndpointList{Endpoints: []engine.Endpoint{{UID: parentUID, Endpoint: parent}}})
@@ -166,7 +168,7 @@
 	return f.requestFrom(object, engine.EndpointID(parentUID))
 }
 
-// requestFrom requests an object that may be filled from a source, 0: from none.
+// requestFrom requests an object that may be filled from a source; 0 stands for no source.
 func (f *fixture) requestFrom(object routing.ObjectID, source routing.EndpointID) *engine.Attempt {
 	now := time.Now()
 	attempt := &engine.Attempt{
@@ -186,67 +188,67 @@
 	case result := <-f.results:
 		return result
 	case <-time.After(5 * time.Second):
-		tb.Fatal("no result")
+		tb.Fatal("no result within 5 s")
 		return engine.AttemptResult{}
 	}
 }
 
-// A miss is filled and stored, then it is a hit with the same bytes; after a purge it is filled anew.
+// A miss is filled and stored, the next request is a hit with the same body, and a purge leads to another fill.
 func TestFillHitAndPurge(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
-	time.Sleep(copyProvedAfter)
+	time.Sleep(copyProvenAfter)
 	f.request(7)
 	result := f.result(t)
 	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled ||
 		!bytes.Equal(result.Body, f.parent.body) {
-		t.Fatalf("%v %v, %d bytes", result.Outcome, result.Note, len(result.Body))
+		t.Fatalf("outcome %v, note %v, %d bytes", result.Outcome, result.Note, len(result.Body))
 	}
 	time.Sleep(30 * time.Millisecond)
 	f.request(7)
 	result = f.result(t)
 	if result.Note != routing.NoteHit || !bytes.Equal(result.Body, f.parent.body) || result.ETag != "5" {
-		t.Fatalf("%v, %d bytes", result.Note, len(result.Body))
+		t.Fatalf("note %v, %d bytes", result.Note, len(result.Body))
 	}
 	f.ObserveDiscovery(engine.Purge{Object: 7, Issued: time.Now()})
 	time.Sleep(5 * time.Millisecond)
 	f.request(7)
 	if result := f.result(t); result.Note != routing.NoteFilled {
-		t.Fatalf("%v after a purge", result.Note)
+		t.Fatalf("note %v after a purge", result.Note)
 	}
-	time.Sleep(30 * time.Millisecond) // it is stored again
+	time.Sleep(30 * time.Millisecond) // until the copy is stored again
 	f.waitUntilNothingLeft(t)
 }
 
-// A write never reaches a store, and costs no operation.
+// A write is rejected without an operation at the store.
 func TestWriteIsRefused(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
 	write := &engine.Attempt{Request: &engine.Request{Object: 7, Write: true}, Endpoint: engine.EndpointID(storeUID)}
 	f.Send(write)
 	result := f.result(t)
 	if result.Outcome != routing.CacheMiss || result.Note != routing.NoteNoFillCapacity || result.Attempt != write {
-		t.Errorf("%v %v", result.Outcome, result.Note)
+		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
 	}
 	if f.lastOperation != 0 {
-		t.Errorf("%d operations were started", f.lastOperation)
+		t.Errorf("a write started %d operations", f.lastOperation)
 	}
 }
 
-// An attempt that is abandoned while the store is silent has no result, and leaves nothing.
+// An attempt that is abandoned while the store is silent gets no result, and its operation is removed.
 func TestAbortLeavesNothing(t *testing.T) {
 	f := newFixture(t, zap.NewNop())
 	f.redis.SetFault(redis.Fault{Silent: true})
 	if attempt := f.request(8); !f.Abort(attempt) {
-		t.Error("not abandoned")
+		t.Error("Abort returned false")
 	}
 	select {
 	case result := <-f.results:
-		t.Errorf("a result after all: %v", result.Outcome)
+		t.Errorf("an abandoned attempt has a result with outcome %v", result.Outcome)
 	case <-time.After(50 * time.Millisecond):
 	}
 	f.checkNothingLeft(t)
 }
 
-// checkNothingLeft looks at once.
+// checkNothingLeft checks that no attempt and no operation is left, without waiting.
 func (f *fixture) checkNothingLeft(tb testing.TB) {
 	tb.Helper()
 	if attempts, operations := f.countOpen(); attempts > 0 || operations > 0 {
@@ -254,7 +256,7 @@
 	}
 }
 
-// waitUntilNothingLeft waits for what may be on its way still, such as a set.
+// waitUntilNothingLeft waits up to a second for operations in progress, such as a set, and fails if any remain.
 func (f *fixture) waitUntilNothingLeft(tb testing.TB) {
 	tb.Helper()
 	for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
@@ -271,13 +273,15 @@
 	return len(f.byAttempt), len(f.operations)
 }
 
-// atOnce is sooner than the first get is late, which would begin a fill as well.
-const atOnce = 20 * time.Millisecond
+// maxImmediateFill is the maximum time of a fill that starts without a timer. It is shorter than the time after which
+// the first get counts as late, which would also start a fill.
+const maxImmediateFill = 20 * time.Millisecond
 
-// atOnceTries is how many requests may take longer because the machine paused; with a timer in the way all of them do.
-const atOnceTries = 5
+// immediateFillTries is the number of tries of which one must succeed. A pause of the machine delays some of them; a
+// fill that waits for a timer would fail all of them.
+const immediateFillTries = 5
 
-// Where the store cannot be reached, the fill begins at once, whether the loss of the connection was noticed or not.
+// If the store cannot be reached, the fill starts at once, whether the loss of the connection was noticed or not.
 func TestUnreachableStoreIsBypassed(t *testing.T) {
 	t.Run("noticed", func(t *testing.T) {
 		checkFilledAtOnce(t, func() (elapsed time.Duration, timeouts uint64) {
@@ -289,7 +293,7 @@
 			elapsed = f.fillTime(t)
 			counts := f.Counts()
 			if counts.Bypassed != 1 || counts.Gets != 0 {
-				t.Errorf("%d requests bypassed the store after %d gets", counts.Bypassed, counts.Gets)
+				t.Errorf("%d requests bypassed the store after %d gets, want 1 and 0", counts.Bypassed, counts.Gets)
 			}
 			return elapsed, counts.Timeouts
 		})
@@ -301,20 +305,20 @@
 			elapsed = f.fillTime(t)
 			counts := f.Counts()
 			if counts.Bypassed != 0 || counts.Gets != 1 {
-				t.Errorf("%d requests bypassed the store, %d gets", counts.Bypassed, counts.Gets)
+				t.Errorf("%d requests bypassed the store after %d gets, want 0 and 1", counts.Bypassed, counts.Gets)
 			}
 			return elapsed, counts.Timeouts
 		})
 	})
 }
 
-// checkFilledAtOnce plays a request that is to be filled without waiting for any timer.
-func checkFilledAtOnce(t *testing.T, play func() (elapsed time.Duration, timeouts uint64)) {
+// checkFilledAtOnce checks that a request is filled without waiting for a timer.
+func checkFilledAtOnce(t *testing.T, measure func() (elapsed time.Duration, timeouts uint64)) {
 	t.Helper()
 	var elapsed time.Duration
 	var timeouts uint64
-	for range atOnceTries {
-		if elapsed, timeouts = play(); elapsed <= atOnce && timeouts == 0 {
+	for range immediateFillTries {
+		if elapsed, timeouts = measure(); elapsed <= maxImmediateFill && timeouts == 0 {
 			return
 		}
 	}
@@ -329,7 +333,7 @@
 	result := f.result(tb)
 	elapsed := time.Since(startedAt)
 	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
-		tb.Errorf("%v %v", result.Outcome, result.Note)
+		tb.Errorf("outcome %v, note %v", result.Outcome, result.Note)
 	}
 	return elapsed
 }
@@ -344,7 +348,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if !f.Abort(attempt) {
-		t.Error("not aborted")
+		t.Error("Abort returned false")
 	}
 	f.checkNothingLeft(t)
 	f.mu.Lock()
