--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -12,10 +12,10 @@
 	"go.uber.org/zap"
 )
 
-// This file carries out what the admission policy decides. It decides nothing itself.
+// This file carries out the decisions of the admission policy and makes none itself.
 
-// handleAdmissionEvent hands the admission policy an event and carries out its actions on connections; the one on the
-// connection in question is returned.
+// handleAdmissionEvent passes an event to the admission policy and carries out the resulting actions. It returns the
+// decision about the event's own connection or request, or the pause of the accept loop, if there is one.
 func (s *Server) handleAdmissionEvent(event admission.Event) (decision admission.Action, isDecided bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,14 +27,14 @@
 		switch action.Kind {
 		case admission.CloseIdle:
 			s.evict(action.Conn)
-		case admission.ModeChanged:
+		case admission.LogModeChange:
 			s.log.Info("admission mode changed", zap.Stringer("from", action.From), zap.Stringer("to", action.To))
 		case admission.Pause:
 			if c := s.connections[action.Conn]; c != nil {
-				c.pauseFor.Store(int64(action.Wait))
+				c.requestedPause.Store(int64(action.Wait))
 				continue
 			}
-			decision, isDecided = action, true // of the accept loop
+			decision, isDecided = action, true // a pause of the accept loop
 		default:
 			if action.Conn == event.Conn {
 				decision, isDecided = action, true
@@ -44,8 +44,8 @@
 	return decision, isDecided
 }
 
-// evict has an idle connection closed for the sake of others. The server is locked, and a connection's lock comes
-// before the server's, so that the reader is woken by a goroutine of its own.
+// evict closes an idle connection to make room for others. A separate goroutine wakes the reader, because the server is
+// locked here and a connection must be locked before the server.
 func (s *Server) evict(id admission.ConnID) {
 	c := s.connections[id]
 	if c == nil {
@@ -60,19 +60,19 @@
 	})
 }
 
-// admit asks the admission policy about a connection that the system has accepted. It returns nil if the connection
-// is rejected.
-func (l *listener) admit(raw net.Conn, cameAt time.Time) *connection {
+// admit asks the admission policy about a connection that the kernel has accepted. It returns nil if the connection is
+// refused.
+func (l *listener) admit(raw net.Conn, arrivedAt time.Time) *connection {
 	server := l.server
 	address, err := netip.ParseAddrPort(raw.RemoteAddr().String())
 	if err != nil {
 		_ = raw.Close()
 		return nil
 	}
-	c := newConnection(server, raw, cameAt)
+	c := newConnection(server, raw, arrivedAt)
 	server.register(c)
 	decision, _ := server.handleAdmissionEvent(admission.Event{
-		Kind: admission.EventArrive, Conn: c.id, Peer: admission.Address(address.Addr().As16()), TLS: server.tlsKeys != nil,
+		Kind: admission.EventArrival, Conn: c.id, Peer: admission.Address(address.Addr().As16()), TLS: server.tlsKeys != nil,
 	})
 	if decision.Kind == admission.Accept {
 		server.monitor.Record(flightrecorder.Entry{Event: flightrecorder.ConnectionAccepted, ID: uint64(c.id)})
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// register numbers a connection, so that the admission policy can be asked about it.
+// register assigns an ID to a connection and adds it to the server's connections.
 func (s *Server) register(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +101,8 @@
 	delete(s.connections, c.id)
 }
 
-// refuse closes a connection that is not admitted, after a response if it is to have one. The response takes its time
-// as long as there are descriptors and few such connections.
+// refuse closes a connection that is not admitted, after a rejection message if the decision is Reject. If descriptors
+// are available and few connections are being rejected, a goroutine waits for the client's requests to reject them.
 func (l *listener) refuse(raw net.Conn, decision admission.Action) {
 	server := l.server
 	if decision.Kind != admission.Reject {
@@ -119,12 +119,12 @@
 		}
 		server.rejectingCount.Add(-1)
 	}
-	server.rejectAtOnce(raw, decision.Wait)
+	server.rejectWithoutWaiting(raw, decision.Wait)
 	_ = raw.Close()
 }
 
-// admitRequest asks the admission policy about a request of the connection, or tells it of one. The connection is
-// locked.
+// admitRequest passes an event of the session to the admission policy. For EventRequest, it returns whether the request
+// is admitted. The connection must be locked.
 func (c *connection) admitRequest(event admission.Event) (retryAfter time.Duration, admitted bool) {
 	event.Conn = c.id
 	if event.Kind == admission.EventRequest {
@@ -135,7 +135,7 @@
 	}
 	decision, isDecided := c.server.handleAdmissionEvent(event)
 	admitted = isDecided && decision.Kind == admission.Accept
-	if admitted && !c.isReportedBusy { // the policy takes it for busy from here on: closing it would lose the request
+	if admitted && !c.isReportedBusy { // on admission, the policy marks the connection busy to protect it from eviction
 		c.isReportedBusy = true
 		c.server.busyCount.Add(1)
 	}
--- a/internal/frontend/arrivals.go
+++ b/internal/frontend/arrivals.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// maxArrivals bounds how many arrivals are kept apart; the last ones of more count as one, by the earliest time.
+// maxArrivals bounds the number of arrivals kept. Further bytes are added to the last arrival, under its earlier time.
 const maxArrivals = 64
 
-// arrivals keeps account of when the bytes in a connection's input ring came: a request's time counts from its last
-// byte, however long it has waited in the ring.
+// arrivals records when the bytes in a connection's input ring arrived. A request's time is measured from the arrival
+// of its last byte, however long the request has waited in the ring.
 type arrivals struct {
-	list       []arrival // the oldest bytes first
-	totalBytes int64     // that came so far
+	list       []arrival // oldest first
+	totalBytes int64     // bytes that have arrived so far
 }
 
-// arrival is some bytes that came together.
+// arrival is a group of bytes that arrived at the same time.
 type arrival struct {
-	endBytes int64 // how many bytes had come with the last of them
+	endBytes int64 // bytes that had arrived up to the end of the group
 	at       time.Time
 }
 
-// add notes bytes that came at some moment.
+// add records bytes that arrived at the given time.
 func (a *arrivals) add(bytes int, at time.Time) {
 	a.totalBytes += int64(bytes)
 	last := len(a.list) - 1
@@ -29,9 +29,9 @@
 	a.list = append(a.list, arrival{a.totalBytes, at})
 }
 
-// timeOf returns when the byte came that has that many bytes behind it.
-func (a *arrivals) timeOf(bytesBehind int) time.Time {
-	end := a.totalBytes - int64(bytesBehind)
+// arrivalTime returns when the byte arrived that is followed by the given number of bytes.
+func (a *arrivals) arrivalTime(bytesAfter int) time.Time {
+	end := a.totalBytes - int64(bytesAfter)
 	for i := range a.list {
 		if a.list[i].endBytes >= end {
 			return a.list[i].at
@@ -40,13 +40,13 @@
 	return time.Time{}
 }
 
-// takeTimeOf returns the same, and forgets what came before.
-func (a *arrivals) takeTimeOf(bytesBehind int) time.Time {
-	end := a.totalBytes - int64(bytesBehind)
+// takeArrivalTime returns the same as arrivalTime, and discards the records of older bytes.
+func (a *arrivals) takeArrivalTime(bytesAfter int) time.Time {
+	end := a.totalBytes - int64(bytesAfter)
 	older := 0
 	for older < len(a.list) && a.list[older].endBytes < end {
 		older++
 	}
 	a.list = append(a.list[:0], a.list[older:]...)
-	return a.timeOf(bytesBehind)
+	return a.arrivalTime(bytesAfter)
 }
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -15,33 +15,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// connection is one client connection. Over TLS, its bytes are those inside.
+// connection is a client connection. With TLS, it reads and writes the plaintext.
 type connection struct {
 	net.Conn
-	raw    net.Conn // what it runs over
+	raw    net.Conn // the connection below TLS; the same as Conn without TLS
 	server *Server
 	id     admission.ConnID
 
-	pauseFor   atomic.Int64 // how long nothing is to be parsed, counted from the reader's next step
-	isEvicted  atomic.Bool  // it is to be closed for the sake of others
-	isUnclosed atomic.Bool  // it is counted among those that are not closed yet
+	requestedPause atomic.Int64 // nanoseconds for which nothing is parsed, from the next step of the reader
+	isEvicted      atomic.Bool  // to be closed to make room for others
+	isUnclosed     atomic.Bool  // counted in Server.unclosedCount
 
-	mu              sync.Mutex // comes before the server's
-	changed         *sync.Cond // of the session
-	session         *session
-	isReportedBusy  bool // to the admission policy
-	isBackpressured bool // the reader waits until the client has read
-	pausedUntil     time.Time
-	heldScannedAt   time.Time
+	mu                 sync.Mutex // locked before Server.mu if both are needed
+	sessionChanged     *sync.Cond // signals a change of the session
+	session            *session
+	isReportedBusy     bool // the admission policy counts the connection as busy
+	isBackpressured    bool // the reader waits until the client has read its responses
+	pausedUntil        time.Time
+	heldInputScannedAt time.Time // last scan of held input
 
-	emptyAt time.Time // when the system last held nothing of it that was not read; the reader's own
+	receiveBufferEmptyAt time.Time // when the kernel's receive buffer was last empty; used by the reader alone
 }
 
 var _ engine.Client = (*connection)(nil)
 
-func newConnection(s *Server, raw net.Conn, cameAt time.Time) *connection {
-	c := &connection{Conn: raw, raw: raw, server: s, emptyAt: cameAt}
-	c.changed = sync.NewCond(&c.mu)
+func newConnection(s *Server, raw net.Conn, arrivedAt time.Time) *connection {
+	c := &connection{Conn: raw, raw: raw, server: s, receiveBufferEmptyAt: arrivedAt}
+	c.sessionChanged = sync.NewCond(&c.mu)
 	c.session = newSession(&s.shared, c, c.admitRequest, time.Now())
 	if s.tlsKeys != nil {
 		c.Conn = s.tlsKeys.serverConn(raw)
@@ -50,9 +50,9 @@
 	return c
 }
 
-// unlockChanged unlocks the session after a change of it: the admission policy is notified whether the connection is
-// busy, the writer looks again, and so does a reader that was held back or is to close an idle connection.
-func (c *connection) unlockChanged() {
+// unlockAndNotify unlocks the connection after a change of its session. It reports a change between busy and idle to
+// the admission policy, wakes the writer, and wakes a reader that is held or has to close an idle connection.
+func (c *connection) unlockAndNotify() {
 	if isBusy := !c.session.isIdle(); isBusy != c.isReportedBusy {
 		c.reportBusy(isBusy)
 	}
@@ -60,11 +60,11 @@
 		c.isBackpressured = false
 		c.wakeReader()
 	}
-	c.changed.Broadcast()
+	c.sessionChanged.Broadcast()
 	c.mu.Unlock()
 }
 
-// reportBusy tells the admission policy that the connection has become busy or idle.
+// reportBusy reports to the admission policy that the connection has become busy or idle.
 func (c *connection) reportBusy(isBusy bool) {
 	c.isReportedBusy = isBusy
 	if isBusy {
@@ -79,35 +79,35 @@
 	}
 }
 
-// wakeReader has the reader return from its read. The connection must be locked, as it is by the reader when it sets
-// its own deadline.
+// wakeReader interrupts the reader's current read. The connection must be locked, because the reader sets its own read
+// deadline under the same lock.
 func (c *connection) wakeReader() { _ = c.SetReadDeadline(time.Unix(1, 0)) }
 
-// isClosing says whether the connection is to be closed as soon as nothing is owed on it.
+// isClosing reports whether the connection is to be closed once all its responses are written.
 func (c *connection) isClosing() bool { return c.isEvicted.Load() || c.server.isDraining.Load() }
 
-// Respond takes the final response of a request.
+// Respond passes the final response to a request on to the client.
 func (c *connection) Respond(tag engine.Tag, response engine.Response) {
 	c.mu.Lock()
 	c.session.respond(tag, response)
-	c.unlockChanged()
+	c.unlockAndNotify()
 }
 
-// Read is called by redcon's goroutine of the connection. It does all the reading and returns when the connection is
-// over, so that redcon closes it.
+// Read is called by redcon's goroutine for the connection. It does all reading and returns io.EOF when the connection
+// has ended, so that redcon closes it.
 func (c *connection) Read([]byte) (int, error) {
-	reason, isOver := invariant.CloseHandshake, !c.handshake()
-	if !isOver {
+	reason, hasEnded := invariant.CloseHandshake, !c.handshake()
+	if !hasEnded {
 		c.server.goroutines.Go(c.writeLoop)
 	}
-	for !isOver {
-		reason, isOver = c.readStep()
+	for !hasEnded {
+		reason, hasEnded = c.readStep()
 	}
 	c.mu.Lock()
 	c.server.monitor.RecordClientClose(uint64(c.id), reason, len(c.session.inFlight))
 	c.session.close()
 	messages := c.session.takeMessages()
-	c.unlockChanged()
+	c.unlockAndNotify()
 	c.forward(time.Now(), messages)
 	if !isEndedByClient(reason) {
 		c.linger()
@@ -116,7 +116,7 @@
 	return 0, io.EOF
 }
 
-// Close closes the connection for good. Closing it again does no harm.
+// Close closes the connection. It may be called more than once.
 func (c *connection) Close() error {
 	if c.isUnclosed.Swap(false) {
 		c.server.unclosedCount.Add(-1)
@@ -124,8 +124,8 @@
 	return c.Conn.Close()
 }
 
-// isEndedByClient says whether the client, or the network, has ended a connection, so that no response can arrive any
-// more.
+// isEndedByClient reports whether the client or the network ended the connection, so that no response can reach the
+// client.
 func isEndedByClient(reason invariant.CloseReason) bool {
 	switch reason {
 	case invariant.CloseClientLeft, invariant.CloseReadFailed, invariant.CloseWriteFailed, invariant.CloseHandshake:
@@ -135,11 +135,11 @@
 	}
 }
 
-// linger ends the connection so that what was written arrives: closing over unread bytes would reset it, and discard
-// what the system has not sent yet. What comes now crosses the close: it is read, and passed over.
+// linger closes the write side and discards input for a while, so that the output arrives. Closing a connection with
+// unread input would reset it and discard output that the kernel has not sent yet.
 func (c *connection) linger() {
 	server := c.server
-	if c.isEvicted.Load() { // another has its place already, and may need its descriptor
+	if c.isEvicted.Load() { // another connection has taken the slot and may need the descriptor
 		defer server.lingeringCount.Add(-1)
 		isOverLimit := server.lingeringCount.Add(1) > int64(server.shared.limits.RejectedConnections)
 		if isOverLimit && !server.isDraining.Load() {
@@ -147,20 +147,20 @@
 		}
 	}
 	if c.Conn != c.raw {
-		if half, canCloseWrite := c.Conn.(interface{ CloseWrite() error }); canCloseWrite { // TLS has an end of its own
-			_ = half.CloseWrite()
+		if halfCloser, canCloseWrite := c.Conn.(interface{ CloseWrite() error }); canCloseWrite {
+			_ = halfCloser.CloseWrite() // sends TLS's close_notify alert
 		}
 	}
 	closeWriteAndDiscard(c.raw, &server.shared.limits)
 }
 
-// hasPeerClosed says whether the other side has closed, though there are bytes of it to be read before its end.
+// hasPeerClosed reports whether the client has closed its side, even if there is still unread input.
 func hasPeerClosed(raw net.Conn) bool {
-	withDescriptor, canControl := raw.(syscall.Conn)
-	if !canControl {
+	syscallConn, hasSyscallConn := raw.(syscall.Conn)
+	if !hasSyscallConn {
 		return false
 	}
-	descriptor, err := withDescriptor.SyscallConn()
+	descriptor, err := syscallConn.SyscallConn()
 	if err != nil {
 		return true
 	}
@@ -171,8 +171,8 @@
 	return err != nil || ready > 0
 }
 
-// forward posts what the client wants to the engine. A request that the engine has no room for is rejected at once:
-// the connection must go on being read.
+// forward posts messages to the engine. A request for which the engine has no room is rejected at once, because the
+// reader must not block.
 func (c *connection) forward(at time.Time, messages []engine.Message) {
 	for _, message := range messages {
 		taken := c.server.post(at, message)
@@ -182,11 +182,11 @@
 	}
 }
 
-// awaitIdle waits until all that is in flight has its response, and all responses are written.
+// awaitIdle waits until no request is in flight and all responses are written.
 func (c *connection) awaitIdle() {
 	c.mu.Lock()
 	for !c.session.isIdle() {
-		c.changed.Wait()
+		c.sessionChanged.Wait()
 	}
 	c.mu.Unlock()
 }
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -1,6 +1,6 @@
 package frontend
 
-// What ends on a client connection, and what comes or is owed at the same moment.
+// Tests of how client connections end while input arrives or responses are pending.
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"fennelarch/internal/limits"
 )
 
-// A client sends what is no frame behind a request, and goes on sending. What was in flight has its response, which
-// arrives: the close does not reset the connection over what was not read.
+// A client sends malformed input after a request and goes on sending. The response to the request in flight still
+// arrives, because the connection is not reset over unread input.
 func TestMalformedInputKeepsResponses(t *testing.T) {
 	server := newTestServer(t, nil)
 	for range 20 {
@@ -31,26 +31,26 @@
 	}
 }
 
-// A request comes at the moment in which its connection is closed for having been idle: it is not taken any more, and
-// what was responded before arrives.
+// A request arrives just as its connection is closed for being idle. The request is not taken, and earlier responses
+// arrive.
 func TestRequestCrossesIdleClose(t *testing.T) {
 	server := newTestServer(t, func(l *limits.Limits) { l.ClientIdleTimeout = 30 * time.Millisecond })
 	for range 10 {
 		conn := server.dial()
 		server.write(conn, frame("PING", "1"))
-		if text := server.readToEnd(conn); text != pong("1") { // the router has shut its side
+		if text := server.readToEnd(conn); text != pong("1") { // the router has closed its write side
 			t.Fatalf("%q", text)
 		}
 		server.write(conn, requestFrame(2))
 		await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
 		if len(server.requests) > 0 {
-			t.Fatal("a request that was read after the end was taken")
+			t.Fatal("a request was taken after the connection was closed")
 		}
 	}
 }
 
-// When the server drains, an idle connection is closed at once and loses nothing, a request in flight has its
-// response first, and one that comes then is rejected, also where half of it had come, or its connection only just.
+// When the server drains, an idle connection is closed at once without losing data, and a request in flight still gets
+// its response. Later requests are rejected, including one that was half received and one on a new connection.
 func TestDrain(t *testing.T) {
 	server := newTestServer(t, nil)
 	idle, busy, half := server.dial(), server.dial(), server.dial()
@@ -62,17 +62,17 @@
 	server.write(half, requestFrame(2)[:halfBytes])
 	server.write(busy, requestFrame(3))
 	request := receive(t, server.requests)
-	await(t, "half a request has come", func() bool {
+	await(t, "half a request is received", func() bool {
 		return server.anyConnection(func(c *connection) bool { return c.session.input.Len() == halfBytes })
 	})
 	server.Drain()
 	server.Drain()
-	begun := time.Now()
+	start := time.Now()
 	if text := server.readToEnd(idle); text != "" {
 		t.Errorf("%q", text)
 	}
-	if elapsed := time.Since(begun); elapsed > server.shared.limits.ClientIdleTimeout/2 {
-		t.Errorf("the idle connection is closed after %v", elapsed)
+	if elapsed := time.Since(start); elapsed > server.shared.limits.ClientIdleTimeout/2 {
+		t.Errorf("the idle connection was closed only after %v", elapsed)
 	}
 	server.write(idle, requestFrame(9)) // crosses the close
 	server.write(busy, requestFrame(4))
@@ -92,30 +92,30 @@
 	for _, conn := range []net.Conn{idle, busy, half, late} {
 		_ = conn.Close()
 	}
-	await(t, "nobody is left", func() bool { return server.UnclosedCount() == 0 })
+	await(t, "all connections are closed", func() bool { return server.UnclosedCount() == 0 })
 	if len(server.requests) > 0 {
-		t.Error("a request was taken after the order to drain")
+		t.Error("a request was taken after Drain")
 	}
 }
 
-// An idle connection that is closed for another is closed at once, and loses nothing.
+// An idle connection that is evicted is closed at once without losing data.
 func TestEvictedConnectionIsClosedAtOnce(t *testing.T) {
 	server := newTestServer(t, func(l *limits.Limits) { l.ClientConnections = 1 })
 	evicted := server.dial()
 	server.write(evicted, frame("PING", "1"))
 	server.readExactly(evicted, pong("1"))
-	begun := time.Now()
+	start := time.Now()
 	server.write(server.dial(), frame("PING", "2"))
 	if text := server.readToEnd(evicted); text != "" {
 		t.Errorf("%q", text)
 	}
-	if elapsed := time.Since(begun); elapsed > server.shared.limits.ClientIdleTimeout/2 {
-		t.Errorf("closed after %v", elapsed)
+	if elapsed := time.Since(start); elapsed > server.shared.limits.ClientIdleTimeout/2 {
+		t.Errorf("the evicted connection was closed only after %v", elapsed)
 	}
 }
 
-// A response and its client's leaving, in each order, leave nothing behind; nor do a request cancelled twice, or a
-// response after either.
+// Whether a client leaves before or after its response, nothing of the connection remains. The same holds if the client
+// cancels a request twice and the response follows.
 func TestClientLeavesInEachOrder(t *testing.T) {
 	for name, leave := range map[string]func(server *testServer, conn *net.TCPConn, respond func()){
 		"response, close": func(_ *testServer, conn *net.TCPConn, respond func()) {
@@ -147,21 +147,21 @@
 			request := receive(t, server.requests)
 			leave(server, conn, func() { respond(request, []byte("bytes")) })
 			_ = conn.Close()
-			await(t, "the end of it", func() bool { return server.UnclosedCount() == 0 })
+			await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
 			if len(server.cancelled) > 1 {
-				t.Errorf("cancelled %d times", len(server.cancelled))
+				t.Errorf("the request was cancelled %d more times", len(server.cancelled))
 			}
 		})
 	}
 }
 
-// reset closes a connection so that what was not sent is discarded.
+// reset closes a connection with a TCP reset, which discards unsent data.
 func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// A reset is no end that readToEnd could take for a complete response.
+// A reset returns an error, so that readToEnd does not take it for the end of a complete response.
 func TestReadToEndTellsResets(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -172,17 +172,17 @@
 		conn, err := l.Accept()
 		if err == nil {
 			_, _ = conn.Read(make([]byte, 1))
-			_ = conn.Close() // over unread bytes
+			_ = conn.Close() // with unread input, which causes a reset
 		}
 	}()
 	conn := dial(t, l.Addr())
 	write(t, conn, "ab")
 	if _, err := io.ReadAll(conn); err == nil || errors.Is(err, io.EOF) {
-		t.Error("a reset looks like an end")
+		t.Error("a reset was read as the end of the stream")
 	}
 }
 
-// Closing a connection or a session twice does no harm.
+// A connection and a session may be closed twice.
 func TestCloseTwice(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
@@ -194,7 +194,7 @@
 		conn.session.close()
 		_ = conn.Close()
 		if count := server.UnclosedCount(); count != 0 || conn.session.state != stateClosed {
-			t.Errorf("%d connections are unclosed, the state is %v", count, conn.session.state)
+			t.Errorf("%d connections are not closed, and the state is %v", count, conn.session.state)
 		}
 	}
 }
--- a/internal/frontend/deadlines.go
+++ b/internal/frontend/deadlines.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// readDeadline is when the connection has been idle for too long, or what comes first, or has begun to come, should
-// be complete.
+// readDeadline returns the time by which the first message or a message that has begun must be complete, or else the
+// time at which the connection has been idle for too long.
 func (s *session) readDeadline(now time.Time) time.Time {
 	if s.state == stateAwaitingMessage || s.input.Len() > 0 {
-		return s.messageBegan.Add(s.shared.limits.MessageTimeout)
+		return s.messageStartedAt.Add(s.shared.limits.MessageTimeout)
 	}
 	return now.Add(s.shared.limits.ClientIdleTimeout)
 }
 
-// handleReadTimeout gives memory back while nothing is to be done, and says whether the connection may be closed: so
-// it may where a message that should be complete by now is not. All that is in flight fails then.
+// handleReadTimeout releases unused memory and reports whether the connection may be closed: it is idle, or a message
+// is still incomplete. In the latter case, all requests in flight fail.
 func (s *session) handleReadTimeout() (mayClose bool) {
 	s.input.Release()
 	s.output.Release()
@@ -23,8 +23,8 @@
 	return s.input.Len() > 0 || s.isIdle()
 }
 
-// rejectIncomplete rejects a request of which only a part has come, if that part has its tag: its last bytes may be
-// on their way, and nobody would respond to them any more.
+// rejectIncomplete rejects a request of which only a part has arrived, if that part contains its tag. The rest may be
+// on its way, and would get no response once the connection is closed.
 func (s *session) rejectIncomplete() {
 	args := s.decoder.Partial(&s.input)
 	if len(args) < 2 || string(args[0]) != verbRequest || len(args[1]) > s.shared.limits.FieldBytes {
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -19,13 +19,13 @@
 	"go.uber.org/zap"
 )
 
-// testTimeout bounds every wait of a test.
+// testTimeout limits every wait in a test.
 const testTimeout = 10 * time.Second
 
-// responseTimeout bounds the wait for a single response that comes at once.
+// responseTimeout limits the wait for a single response that is expected at once.
 const responseTimeout = 5 * time.Second
 
-// testServer is a server whose requests and cancels come by channels. Its clients are sockets driven by hand.
+// testServer is a server that passes requests and cancels to channels. The tests act as its clients.
 type testServer struct {
 	*Server
 	t         *testing.T
@@ -41,11 +41,11 @@
 	})
 }
 
-// newTestServer starts a server. At the end of the test, nothing of any connection may be left.
+// newTestServer starts a server. At the end of the test, it checks that nothing of any connection remains.
 func newTestServer(t *testing.T, change func(*limits.Limits)) *testServer {
 	t.Helper()
 	bounds := testLimits(192)
-	bounds.WriteStallTimeout = time.Hour // a client that reads nothing is not what ends it here
+	bounds.WriteStallTimeout = time.Hour // no connection is closed because its client does not read
 	if change != nil {
 		change(&bounds)
 	}
@@ -61,7 +61,7 @@
 	return server
 }
 
-// take is where the server posts to.
+// take is the server's PostFunc.
 func (s *testServer) take(_ time.Time, message engine.Message) (taken bool) {
 	switch message := message.(type) {
 	case *engine.Request:
@@ -72,7 +72,7 @@
 	return true
 }
 
-// serveOnLoopback serves until it is stopped, or the end of the test.
+// serveOnLoopback serves until stop is called or the test ends.
 func serveOnLoopback(t *testing.T, server *Server) (address net.Addr, stop func()) {
 	t.Helper()
 	loopback, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,7 +95,7 @@
 func (s *testServer) checkNothingIsLeft() {
 	s.t.Helper()
 	s.stop()
-	await(s.t, "every connection is closed, and nothing of it is left", func() bool {
+	await(s.t, "every connection is closed and nothing of it remains", func() bool {
 		s.shared.mu.Lock()
 		defer s.shared.mu.Unlock()
 		return s.UnclosedCount() == 0 && s.ConnectionCount() == 0 && s.busyCount.Load() == 0 &&
@@ -108,22 +108,22 @@
 }
 
 // await waits until a condition holds.
-func await(t *testing.T, what string, condition func() bool) {
+func await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
 
-// receive takes the next value of a channel.
+// receive returns the next value from a channel.
 func receive[T any](t *testing.T, values chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-values:
 	case <-time.After(testTimeout):
-		t.Fatal("in vain")
+		t.Fatal("timed out waiting for a value")
 	}
 	return value
 }
@@ -156,7 +156,7 @@
 	write(s.t, conn, text)
 }
 
-// readToEnd reads to the end of a connection, which must be one that loses nothing.
+// readToEnd reads until the connection ends. The test fails if the connection is reset.
 func (s *testServer) readToEnd(conn net.Conn) string {
 	s.t.Helper()
 	text, err := io.ReadAll(conn)
@@ -166,16 +166,16 @@
 	return string(text)
 }
 
-// readExactly reads the one response that is to come next.
+// readExactly reads the next response, which must be the given one.
 func (s *testServer) readExactly(conn net.Conn, want string) {
 	s.t.Helper()
 	text := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, text); err != nil || string(text) != want {
-		s.t.Fatalf("%q, %v, in place of %q", text, err, want)
+		s.t.Fatalf("got %q, %v, want %q", text, err, want)
 	}
 }
 
-// readUntil reads a client's responses up to the one under a tag.
+// readUntil reads responses up to the one with the given tag.
 func readUntil(t *testing.T, conn net.Conn, tag string) {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
@@ -190,8 +190,8 @@
 	}
 }
 
-// anyConnection says whether a condition holds for one of the server's connections. Each is locked in its turn, and
-// the server is not meanwhile: a connection's lock comes before the server's.
+// anyConnection reports whether a condition holds for one of the server's connections. It locks the connections one by
+// one, without the server's lock, because a connection must be locked before the server.
 func (s *testServer) anyConnection(condition func(c *connection) bool) bool {
 	s.mu.Lock()
 	connections := slices.Collect(maps.Values(s.connections))
@@ -207,20 +207,20 @@
 	return false
 }
 
-// respond answers a request with a body.
+// respond sends a successful response with a body.
 func respond(request *engine.Request, body []byte) {
 	request.Client.Respond(request.Tag, engine.Response{Status: engine.StatusOK, Body: body})
 }
 
-// requestFrame is a request with an id of its own.
+// requestFrame returns a request with an ID derived from its tag.
 func requestFrame(tag int) string {
 	return frame("DO", fmt.Sprint(tag), "clip", fmt.Sprintf("req=%016x,timeout=1500,subject=7f3a9c21e0b4d655", tag))
 }
 
 func pong(tag string) string { return frame(tag, "UP", "", "") }
 
-// dialWithHeldInput returns a connection whose input is held, as its client reads none of its responses; the request
-// with the tag is in flight on it.
+// dialWithHeldInput returns a connection whose input is held because its client reads no responses. The request with
+// the given tag is in flight on the connection.
 func (s *testServer) dialWithHeldInput(tag int) *net.TCPConn {
 	s.t.Helper()
 	conn := s.dial()
@@ -229,7 +229,7 @@
 	return conn
 }
 
-// holdInput sends requests, and never reads, until the input of a connection is held.
+// holdInput sends requests without reading their responses until the input of the connection is held.
 func (s *testServer) holdInput(conn *net.TCPConn, tag int) {
 	s.t.Helper()
 	large := bytes.Repeat([]byte("x"), 240_000)
--- a/internal/frontend/heldinput.go
+++ b/internal/frontend/heldinput.go
@@ -8,11 +8,11 @@
 	"fennelarch/internal/invariant"
 )
 
-// Input is held while the admission policy pauses a connection, or while its client does not read. It stays in the
-// input ring and is looked through, so that a cancel is heard and a deadline is kept all the same.
+// Input is held while the admission policy pauses a connection or while the client does not read its responses. Held
+// input stays unparsed in the input ring, but is scanned for cancels and deadlines.
 
-// scanHeldInput gives up what the client cancels in messages that were not parsed yet. It returns the first of the
-// deadlines of the requests among them, or the zero time if there is none.
+// scanHeldInput abandons the requests in flight that are cancelled in the held input. It returns the earliest deadline
+// of the requests in the held input, or the zero time if there are none.
 func (s *session) scanHeldInput() (firstDeadline time.Time) {
 	input, decoder := s.input.Copy(), s.decoder.Fresh()
 	for {
@@ -31,7 +31,7 @@
 			if request == nil {
 				continue
 			}
-			deadline := s.arrivals.timeOf(input.Len() - decoder.FrameBytes()).Add(request.Timeout)
+			deadline := s.arrivals.arrivalTime(input.Len() - decoder.FrameBytes()).Add(request.Timeout)
 			if firstDeadline.IsZero() || deadline.Before(firstDeadline) {
 				firstDeadline = deadline
 			}
@@ -39,7 +39,7 @@
 	}
 }
 
-// cancelInFlight gives up the request with a tag, if there is one.
+// cancelInFlight abandons the request in flight with the given tag, if there is one.
 func (s *session) cancelInFlight(tagText []byte) {
 	tag, isTag := parseTag(tagText)
 	if _, isInFlight := s.inFlight[tag]; isTag && isInFlight {
@@ -47,13 +47,13 @@
 	}
 }
 
-// isStale says whether a request came so long ago that its client may have cancelled it since, in what has not been
-// read yet.
+// isStale reports whether a request arrived so long ago that the client may have cancelled it in input that has not
+// been read yet.
 func (s *session) isStale(request *engine.Request, now time.Time) bool {
 	return now.Sub(request.ReceivedAt) > s.shared.limits.StaleReadAge
 }
 
-// hasStaleRequest says whether a stale request is about to be handed on.
+// hasStaleRequest reports whether the messages for the engine contain a stale request.
 func (s *session) hasStaleRequest(now time.Time) bool {
 	return slices.ContainsFunc(s.messages, func(message engine.Message) bool {
 		request, isRequest := message.(*engine.Request)
@@ -61,7 +61,8 @@
 	})
 }
 
-// rejectStale rejects the stale requests: nothing of them has been sent, so that they may be retried.
+// rejectStale rejects the stale requests among the messages for the engine. The engine has not seen them, so that they
+// are safe to retry.
 func (s *session) rejectStale(now time.Time) {
 	for _, message := range slices.Clone(s.messages) {
 		request, isRequest := message.(*engine.Request)
--- a/internal/frontend/heldinput_test.go
+++ b/internal/frontend/heldinput_test.go
@@ -10,8 +10,8 @@
 	"fennelarch/internal/engine"
 )
 
-// The input of a client that does not read is held; that it leaves, or cancels something, is noticed all the same,
-// and nothing that it sent before is taken after that.
+// While the input of a client that does not read is held, its leaving and its cancels are still noticed, and requests
+// that it sent before it left are not taken.
 func TestHeldClientLeaves(t *testing.T) {
 	for name, leave := range map[string]func(conn *net.TCPConn){
 		"cancels": func(conn *net.TCPConn) { _, _ = io.WriteString(conn, frame("UNDO", "99")) },
@@ -31,20 +31,20 @@
 			leave(conn)
 			left := time.Now()
 			receive(t, server.cancelled)
-			if elapsed := time.Since(left); elapsed > 2*time.Second { // some hundredths where nothing else runs
-				t.Errorf("noticed after %v", elapsed)
+			if elapsed := time.Since(left); elapsed > 2*time.Second { // a few hundredths of a second on an idle machine
+				t.Errorf("the cancel or the leaving was noticed only after %v", elapsed)
 			}
 			_ = conn.Close()
-			await(t, "the end of it", func() bool { return server.UnclosedCount() == 0 })
+			await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
 			if len(server.requests) > 0 {
-				t.Error("a request was taken of a client that had gone")
+				t.Error("a request was taken from a client that had left")
 			}
 		})
 	}
 }
 
-// A request and its cancel both wait while the input is held. Once the client reads again, neither is handed on: an
-// attempt for the request would begin long after the cancel.
+// A request and its cancel both wait while the input is held. Once the client reads again, the request is not
+// forwarded, as its first attempt would begin long after the cancel.
 func TestCancelledWhileHeld(t *testing.T) {
 	for name, send := range map[string]func(server *testServer, conn *net.TCPConn){
 		"in one write": func(server *testServer, conn *net.TCPConn) {
@@ -55,7 +55,7 @@
 			time.Sleep(60 * time.Millisecond)
 			server.write(conn, frame("UNDO", "200"))
 		},
-		"behind more than the responses that may wait": func(server *testServer, conn *net.TCPConn) {
+		"behind more pings than responses may wait": func(server *testServer, conn *net.TCPConn) {
 			server.write(conn, requestFrame(200))
 			for range 200 {
 				server.write(conn, frame("PING", "7"))
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newTestServer(t, nil)
-			conn := server.dial() // with a buffer of the usual size: one that was small once is slow to drain
+			conn := server.dial() // keeps the default receive buffer, as a reduced one is slow to drain
 			server.holdInput(conn, 99)
 			send(server, conn)
 			time.Sleep(150 * time.Millisecond)
@@ -73,28 +73,28 @@
 			readUntil(t, conn, "9999")
 			if len(server.requests) > 0 {
 				request := receive(t, server.requests)
-				t.Errorf("request %d is handed on, which was cancelled 0.15 s before", request.Tag)
+				t.Errorf("request %d was forwarded 0.15 s after it was cancelled", request.Tag)
 			}
 			_ = conn.Close()
 		})
 	}
 }
 
-// A request and its cancel that are parsed at once come to nothing; the next request is none the worse for it.
+// A request that is parsed together with its cancel is not forwarded, while the next request is.
 func TestCancelledInOneParse(t *testing.T) {
 	s := newTestSession()
 	mustReceive(t, s, do(70, "")+frame("UNDO", "70")+do(71, ""))
 	messages := s.takeMessages()
 	if len(messages) != 1 {
-		t.Fatalf("%d messages, not one", len(messages))
+		t.Fatalf("got %d messages, want 1", len(messages))
 	}
 	if request, isRequest := messages[0].(*engine.Request); !isRequest || request.Tag != 71 || len(s.inFlight) != 1 {
-		t.Errorf("%+v is handed on, %d requests are in flight", messages[0], len(s.inFlight))
+		t.Errorf("%+v was forwarded, and %d requests are in flight", messages[0], len(s.inFlight))
 	}
 }
 
-// A connection is paused, as the admission policy has it where requests are rejected in a row. A request with little
-// time left that comes meanwhile has its final response before that is up.
+// A connection is paused, as the admission policy does after consecutive rejections. A request with a short timeout
+// that arrives during the pause is parsed before its deadline.
 func TestPauseEndsBeforeDeadline(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	server := newTestServer(t, nil)
@@ -102,25 +102,25 @@
 	server.write(conn, frame("PING", "1"))
 	server.readExactly(conn, pong("1"))
 	server.anyConnection(func(c *connection) bool {
-		c.pauseFor.Store(int64(2 * time.Second))
+		c.requestedPause.Store(int64(2 * time.Second))
 		return false
 	})
 	server.write(conn, frame("PING", "2")) // the pause begins
 	time.Sleep(50 * time.Millisecond)
-	begun := time.Now()
+	start := time.Now()
 	server.write(conn, frame("DO", "3", "clip", "req=00000000000000a7,timeout=300,subject=7f3a9c21e0b4d655"))
 	select {
 	case request := <-server.requests:
-		if elapsed := time.Since(begun); elapsed > timeout {
-			t.Errorf("it is taken after %v", elapsed)
+		if elapsed := time.Since(start); elapsed > timeout {
+			t.Errorf("the request was taken after %v", elapsed)
 		}
 		remaining := time.Until(request.ReceivedAt.Add(request.Timeout))
-		if remaining > timeout-time.Since(begun)+20*time.Millisecond {
-			t.Errorf("it has %v left after %v", remaining, time.Since(begun))
+		if remaining > timeout-time.Since(start)+20*time.Millisecond {
+			t.Errorf("the request has %v left after %v", remaining, time.Since(start))
 		}
 		request.Client.Respond(request.Tag, engine.Response{Status: engine.StatusRejected})
 	case <-time.After(time.Second):
-		t.Error("its time is up, and it has not been taken")
+		t.Error("the request was not taken before its deadline")
 	}
 	_ = conn.Close()
 }
--- a/internal/frontend/inflight.go
+++ b/internal/frontend/inflight.go
@@ -11,19 +11,19 @@
 	"fennelarch/policy/routing"
 )
 
-// requestOutcome is how a request ended, as reported to the admission policy.
+// requestOutcome is the way in which a request ended, for the report to the admission policy.
 type requestOutcome uint8
 
 const (
 	outcomeFailed    requestOutcome = iota
-	outcomeAbandoned                // its client took it back or left
+	outcomeAbandoned                // cancelled, or its connection ended or failed
 	outcomeServed
 	outcomeRejected
 )
 
-// handleRequest opens a request, if it is admitted and can be used. The admission policy is asked before the request
-// is read: one that is not admitted must cost next to nothing.
-func (s *session) handleRequest(tag engine.Tag, args [][]byte, cameAt time.Time) {
+// handleRequest opens a request if it is admitted and valid. The admission policy is asked before the request is
+// parsed, because a rejected request must cost next to nothing.
+func (s *session) handleRequest(tag engine.Tag, args [][]byte, arrivedAt time.Time) {
 	if retryAfter, admitted := s.admit(admission.Event{Kind: admission.EventRequest}); !admitted {
 		s.respondRejected(string(args[1]), retryAfter)
 		return
@@ -35,17 +35,17 @@
 		return
 	}
 	request.ID = routing.RequestID(s.shared.lastRequestID.Add(1))
-	request.Client, request.Tag, request.ReceivedAt = s.client, tag, cameAt
+	request.Client, request.Tag, request.ReceivedAt = s.client, tag, arrivedAt
 	request.Invariants = s.shared.monitor.NewRequest(
-		uint64(request.ClientRequestID), cameAt.Add(request.Timeout), s.shared.classSettings[request.Class].repeat)
+		uint64(request.ClientRequestID), arrivedAt.Add(request.Timeout), s.shared.classSettings[request.Class].repeatPolicy)
 	s.inFlight[tag] = request
 	s.messages = append(s.messages, request)
 }
 
-// sortedTags are the tags of all requests in flight.
+// sortedTags returns the tags of all requests in flight in ascending order.
 func (s *session) sortedTags() []engine.Tag { return slices.Sorted(maps.Keys(s.inFlight)) }
 
-// cancel gives a request up; a response of which nothing is in the stream yet is taken back.
+// cancel abandons a request in flight, or removes its response if none of it is in the output ring yet.
 func (s *session) cancel(tag engine.Tag) {
 	if _, isInFlight := s.inFlight[tag]; isInFlight {
 		s.abandon(tag, invariant.EndCancelled)
@@ -54,8 +54,8 @@
 	s.removePending(formatTag(tag))
 }
 
-// abandon gives a request in flight up: no response of the engine is waited for. One that was not handed on yet never
-// is.
+// abandon ends a request in flight without waiting for the engine's response. If the engine already has the request, it
+// is told to give up; otherwise it never gets the request.
 func (s *session) abandon(tag engine.Tag, reason invariant.EndReason) {
 	request := s.inFlight[tag]
 	request.Invariants.End(reason, time.Now())
@@ -65,7 +65,7 @@
 	s.finish(tag, outcomeAbandoned)
 }
 
-// removeMessage takes a request out of what the engine is to be sent, and says whether it was there.
+// removeMessage removes a request from the messages for the engine and reports whether it was among them.
 func (s *session) removeMessage(request *engine.Request) bool {
 	index := slices.IndexFunc(s.messages, func(m engine.Message) bool { return m == engine.Message(request) })
 	if index < 0 {
@@ -75,8 +75,7 @@
 	return true
 }
 
-// failInFlight fails all that is in flight: the client has sent what can't be read, so that it could not tell what a
-// response is for.
+// failInFlight fails all requests in flight, because the client's input can no longer be parsed.
 func (s *session) failInFlight() {
 	for _, tag := range s.sortedTags() {
 		s.abandon(tag, invariant.EndFailed)
@@ -84,7 +83,7 @@
 	}
 }
 
-// finish takes a request out of those in flight and tells the admission policy how it ended.
+// finish removes a request from those in flight and reports its end to the admission policy.
 func (s *session) finish(tag engine.Tag, outcome requestOutcome) {
 	request := s.inFlight[tag]
 	objective := s.shared.classSettings[request.Class].objectiveFor(request.SizeKB)
--- a/internal/frontend/inflight_test.go
+++ b/internal/frontend/inflight_test.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/engine"
 )
 
-// The id of a request in flight stands for its object on all connections, and for no other until the request is over.
+// While a request is in flight, its ID stands for its object on all connections and cannot be used for another object.
 func TestRequestIDStandsForOneObject(t *testing.T) {
 	first := newTestSession()
 	second := anotherSession(first)
@@ -17,19 +17,19 @@
 	for _, respond := range []func(){func() {}, func() { first.respond(1, engine.Response{}) }} {
 		respond()
 		if len(second.writtenResponses()) > 0 {
-			t.Fatal("a response to nobody")
+			t.Fatal("a response on the wrong connection")
 		}
 		if got, _ := second.feed(otherObject, 1<<16); got != "1 FAILED  " {
-			t.Errorf("another object under an id in use: %s", got)
+			t.Errorf("request for another object with an ID in use: %s", got)
 		}
 	}
 	if got, _ := second.feed(do(2, ""), 1<<16); !strings.HasPrefix(got, "request 2") {
-		t.Errorf("the same object under an id in use: %s", got)
+		t.Errorf("request for the same object with an ID in use: %s", got)
 	}
 	_, _ = first.feed(frame("UNDO", "2"), 1<<16)
 	second.close()
 	if len(first.shared.inFlight) > 0 {
-		t.Errorf("%d ids are kept", len(first.shared.inFlight))
+		t.Errorf("%d IDs are still in use at the end", len(first.shared.inFlight))
 	}
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// A cancel and the response may cross: nothing is written for a request that was given up, and never two responses.
+// A cancel and the response may cross. No response is written to a cancelled request, and never two to any request.
 func TestCancelAndResponseCross(t *testing.T) {
 	client := newTestSession()
 	if got, err := client.feed(do(1, "")+do(2, ""), 1<<16); err != nil || strings.Count(got, "request") != 2 {
@@ -59,12 +59,12 @@
 	client.respond(2, engine.Response{Body: []byte("in time")})
 	got, err = client.feed(frame("UNDO", "2"), 1<<16)
 	if backlog := client.shared.backlogBytes.Load(); got != "" || err != nil || !client.isIdle() || backlog != 0 {
-		t.Errorf("%q, %v, %d bytes held", got, err, backlog)
+		t.Errorf("%q, %v, %d bytes of responses held", got, err, backlog)
 	}
 }
 
-// A client that reads nothing holds a ring, the responses to its open requests and no more: its input waits, and past
-// the memory for all responses requests fail.
+// A client that does not read holds at most an output ring and the responses to its open requests: its input is held,
+// and once the memory for all responses is used up, requests fail.
 func TestSlowReaderIsBounded(t *testing.T) {
 	client := newTestSession()
 	for tag := range 32 {
@@ -88,13 +88,13 @@
 		t.Errorf("%d OK, %d FAILED", served, failed)
 	}
 	if backlog := client.shared.backlogBytes.Load(); backlog != 0 {
-		t.Errorf("%d bytes held at the end", backlog)
+		t.Errorf("%d bytes of responses held at the end", backlog)
 	}
 }
 
-// A client that reads nothing has most of the memory for responses; one that reads has its responses all the same.
+// A client that does not read uses most of the memory for responses, but another client still gets its responses.
 func TestSlowReaderLeavesRoomForOthers(t *testing.T) {
-	lastStatus := func(s *session, tag int) string {
+	respondWithLargeBody := func(s *session, tag int) string {
 		s.respond(engine.Tag(tag), engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
 		return s.pendingResponses[len(s.pendingResponses)-1].status
 	}
@@ -102,16 +102,16 @@
 	for status := statusOK; status == statusOK; {
 		tag++
 		mustReceive(t, slow, do(tag, ""))
-		status = lastStatus(slow, tag)
+		status = respondWithLargeBody(slow, tag)
 	}
 	if tag < 8 {
-		t.Errorf("a client that reads nothing yet has %d responses", tag-1)
+		t.Errorf("a client that does not read was granted only %d responses", tag-1)
 	}
 	reading := anotherSession(slow)
 	reading.input.Release()
 	mustReceive(t, reading,
 		frame("DO", "1", "clip", "req=00000000000000aa,timeout=1500,subject=7f3a9c21e0b4d655"))
-	if status := lastStatus(reading, 1); status != statusOK || len(reading.pendingResponses) != 1 {
-		t.Errorf("a client that reads has %s", status)
+	if status := respondWithLargeBody(reading, 1); status != statusOK || len(reading.pendingResponses) != 1 {
+		t.Errorf("another client got status %s", status)
 	}
 }
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -10,17 +10,17 @@
 	"fennelarch/policy/admission"
 )
 
-// listener hands redcon the connections that are admitted. Its fields are used by the accepting goroutine alone.
+// listener passes admitted connections to redcon. Only the accepting goroutine uses its fields.
 type listener struct {
 	net.Listener
 	server *Server
 	spare  *spareDescriptor
 
-	shortageSince time.Time // since when there has been no descriptor for the connections that wait to be accepted
+	shortageSince time.Time // start of the current descriptor shortage; zero if there is none
 }
 
-// spareDescriptor is a descriptor held back, so that one more connection can be accepted and rejected where there is
-// none.
+// spareDescriptor is a reserved file descriptor. Its release allows connections to be accepted and rejected when no
+// other descriptor is left.
 type spareDescriptor struct{ file *os.File }
 
 func newSpareDescriptor() *spareDescriptor {
@@ -44,16 +44,16 @@
 
 func (s *spareDescriptor) isHeld() bool { return s.file != nil }
 
-// Accept returns the next connection that is admitted; those that are not are rejected on the way. It waits for
-// nothing but the network, and for the pause that the admission policy asks for where descriptors run out.
+// Accept returns the next admitted connection and rejects the others. It blocks only on the network and, when
+// descriptors run out, for the pause that the admission policy asks for.
 func (l *listener) Accept() (net.Conn, error) {
-	recheck := l.server.shared.limits.RecheckInterval
+	recheckInterval := l.server.shared.limits.RecheckInterval
 	for {
-		begun := time.Now()
+		start := time.Now()
 		raw, err := l.Listener.Accept()
 		now := time.Now()
-		if now.Sub(begun) > recheck {
-			l.shortageSince = time.Time{} // nobody waited when the call began
+		if now.Sub(start) > recheckInterval {
+			l.shortageSince = time.Time{} // the call blocked, so no connection was waiting to be accepted
 		}
 		switch {
 		case err != nil && system.Exhausted(err):
@@ -63,29 +63,30 @@
 			continue
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
-		case err != nil: // one that was gone before it was accepted
-			time.Sleep(recheck)
+		case err != nil: // the client left before its connection was accepted
+			time.Sleep(recheckInterval)
 			continue
 		}
-		if c := l.admitNext(raw, now); c != nil {
+		if c := l.handleAccepted(raw, now); c != nil {
 			return c, nil
 		}
 	}
 }
 
-// admitNext takes a connection that was accepted while there were descriptors. It returns nil if it is not admitted.
-func (l *listener) admitNext(raw net.Conn, now time.Time) *connection {
+// handleAccepted admits a connection that was accepted while descriptors were available. It returns nil if the
+// connection is refused.
+func (l *listener) handleAccepted(raw net.Conn, now time.Time) *connection {
 	l.spare.hold()
 	l.server.handleAdmissionEvent(admission.Event{Kind: admission.EventDescriptorAvailable})
-	c := l.admit(raw, l.cameAt(now))
+	c := l.admit(raw, l.earliestArrival(now))
 	if l.spare.isHeld() {
-		l.shortageSince = time.Time{} // what waited for descriptors is accepted one by one; the next has hardly waited longer
+		l.shortageSince = time.Time{} // connections that wait are accepted one by one; the next has hardly waited longer
 	}
 	return c
 }
 
-// handleExhausted waits where no descriptor was left, as that may be for a moment: who waits to be accepted loses
-// nothing. Where it lasts, connections are rejected.
+// handleExhausted is called when there was no descriptor for a connection. At first it only waits, because a brief
+// shortage costs the waiting clients nothing. If the shortage lasts, it rejects connections.
 func (l *listener) handleExhausted(now time.Time) *connection {
 	bounds := &l.server.shared.limits
 	if l.shortageSince.IsZero() {
@@ -98,46 +99,46 @@
 	return l.acceptWithSpare()
 }
 
-// acceptWithSpare gives up the spare descriptor and rejects by it whoever comes in the time that the admission policy
-// says, or admits them where that has freed places; then the descriptor is held again.
+// acceptWithSpare releases the spare descriptor and uses it to reject connections for the time that the admission
+// policy asks for, or to return a connection if eviction has freed a slot. It then takes a spare descriptor again.
 func (l *listener) acceptWithSpare() *connection {
 	defer l.spare.hold()
 	server := l.server
-	decision, _ := server.handleAdmissionEvent(admission.Event{Kind: admission.EventNoDescriptors})
+	decision, _ := server.handleAdmissionEvent(admission.Event{Kind: admission.EventDescriptorsExhausted})
 	if server.onDescriptorShortage != nil {
 		server.onDescriptorShortage()
 	}
 	l.spare.release()
-	withDeadline, canSet := l.Listener.(interface{ SetDeadline(time.Time) error })
-	if !canSet {
+	deadlineSetter, canSetDeadline := l.Listener.(interface{ SetDeadline(time.Time) error })
+	if !canSetDeadline {
 		time.Sleep(decision.Wait)
 		return nil
 	}
-	// All that wait are rejected at once, by one descriptor after the other: who waits in the system's queue believes to
-	// be accepted.
-	_ = withDeadline.SetDeadline(time.Now().Add(decision.Wait))
-	defer func() { _ = withDeadline.SetDeadline(time.Time{}) }()
+	// All waiting connections are rejected one after the other, because a client in the kernel's accept queue takes its
+	// connection for established.
+	_ = deadlineSetter.SetDeadline(time.Now().Add(decision.Wait))
+	defer func() { _ = deadlineSetter.SetDeadline(time.Time{}) }()
 	for range server.shared.limits.Sockets {
 		raw, err := l.Listener.Accept()
 		if err != nil {
 			if system.Exhausted(err) {
-				time.Sleep(decision.Wait) // not even the spare one is to be had
+				time.Sleep(decision.Wait) // even the released descriptor was taken
 			}
 			return nil
 		}
-		if c := l.admit(raw, l.cameAt(time.Now())); c != nil {
+		if c := l.admit(raw, l.earliestArrival(time.Now())); c != nil {
 			return c
 		}
 	}
 	return nil
 }
 
-// cameAt is when a connection that is accepted now may have come, and its first request with it: it has waited while
-// the process stood still, or while there was no descriptor for it.
-func (l *listener) cameAt(now time.Time) time.Time {
-	came := l.server.monitor.Watch().EarliestQueuedArrival(now)
-	if !l.shortageSince.IsZero() && l.shortageSince.Before(came) {
-		came = l.shortageSince
+// earliestArrival returns the earliest time at which a connection accepted now, and its first request, may have
+// arrived. The connection may have waited while the process was stalled or while there was no descriptor for it.
+func (l *listener) earliestArrival(now time.Time) time.Time {
+	earliest := l.server.monitor.Watch().EarliestQueuedArrival(now)
+	if !l.shortageSince.IsZero() && l.shortageSince.Before(earliest) {
+		earliest = l.shortageSince
 	}
-	return came
+	return earliest
 }
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -8,36 +8,36 @@
 	"fennelarch/policy/admission"
 )
 
-// errTagInUse says that a tag was used again while its request was in flight: no response under it could be
-// distinguished from another.
+// errTagInUse is returned if a tag is used again while its request is in flight, as the client could not tell the two
+// responses apart.
 var errTagInUse = errors.New("tag is in use")
 
-// inputSpace is where what comes next is to be read into.
-func (s *session) inputSpace() []byte { return s.input.Tail() }
+// inputBuffer returns the buffer for the next read.
+func (s *session) inputBuffer() []byte { return s.input.Tail() }
 
-// received says how much was read into the input space, and when it may have come at the earliest; nothing of it is
-// parsed yet.
-func (s *session) received(bytes int, now, cameAt time.Time) {
+// addInput adds bytes that were read into inputBuffer to the input, without parsing them. arrivedAt is the earliest
+// time at which they may have arrived.
+func (s *session) addInput(bytes int, now, arrivedAt time.Time) {
 	if s.state == stateEstablished && s.input.Len() == 0 {
-		s.messageBegan = now
+		s.messageStartedAt = now
 	}
 	s.input.Commit(bytes)
-	s.arrivals.add(bytes, cameAt)
+	s.arrivals.add(bytes, arrivedAt)
 }
 
-// isBackpressured says that the client must read its responses before more input is taken.
+// isBackpressured reports whether the client must read its responses before more input is parsed.
 func (s *session) isBackpressured() bool {
 	return len(s.pendingResponses) >= s.shared.limits.PendingResponses
 }
 
-// parse takes the complete messages that have come; of a closed connection none, as its client has gone. After an
-// error nothing on the connection can be understood any more, and all that was in flight has failed.
+// parse handles the complete messages in the input; once the session is closed, it handles none. After an error the
+// rest of the input is meaningless, and all requests in flight have failed.
 func (s *session) parse(now time.Time) error {
 	for !s.state.isClosed() && !s.isBackpressured() {
 		args, err := s.decoder.Next(&s.input)
 		if err == nil && args != nil {
-			s.noteMessage(now)
-			err = s.handleFrame(args, s.arrivals.takeTimeOf(s.input.Len()-s.decoder.FrameBytes()))
+			s.recordMessage(now)
+			err = s.handleFrame(args, s.arrivals.takeArrivalTime(s.input.Len()-s.decoder.FrameBytes()))
 		}
 		if err != nil {
 			s.failInFlight()
@@ -49,18 +49,18 @@
 	return nil
 }
 
-// noteMessage keeps account of a complete message; the first one is reported to the admission policy.
-func (s *session) noteMessage(now time.Time) {
-	s.messageBegan = now
+// recordMessage records a complete message and reports the first one to the admission policy.
+func (s *session) recordMessage(now time.Time) {
+	s.messageStartedAt = now
 	if s.state == stateAwaitingMessage {
 		s.transition(signalMessage)
 		s.admit(admission.Event{Kind: admission.EventMessage})
 	}
 }
 
-// handleFrame takes one frame. What cannot be used gets a response under its tag; without a tag, or under one that is
-// in use, no response could be distinguished from another.
-func (s *session) handleFrame(args [][]byte, cameAt time.Time) error {
+// handleFrame handles one frame. An unusable frame gets a failed response under its tag. A frame without a tag, or with
+// a tag in use, is an error, because the client could not attribute a response.
+func (s *session) handleFrame(args [][]byte, arrivedAt time.Time) error {
 	if len(args) < 2 || len(args[1]) > s.shared.limits.FieldBytes {
 		return resp.ErrFraming
 	}
@@ -80,7 +80,7 @@
 	case verbPing:
 		s.enqueue(response{tag: string(args[1]), status: statusPong})
 	case verbRequest:
-		s.handleRequest(tag, args, cameAt)
+		s.handleRequest(tag, args, arrivedAt)
 	default:
 		s.respondFailed(string(args[1]))
 	}
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -10,45 +10,45 @@
 	"fennelarch/policy/routing"
 )
 
-// partSizes are in how many bytes at a time a stream is fed.
+// partSizes holds the numbers of bytes in which a stream is fed to a session.
 var partSizes = []int{1, 13, 1 << 16}
 
-// What can be answered under a tag fails there and leaves the connection in use.
+// An invalid request with a usable tag fails under that tag, and the connection stays in use.
 func TestUnusableRequestsFail(t *testing.T) {
 	with := func(old, replacement string) string {
 		return frame("DO", "1", "clip", strings.Replace(testFields, old, replacement, 1))
 	}
 	for name, stream := range map[string]string{
-		"unknown verb":             frame("GET", "1", "clip", testFields),
-		"no class":                 frame("DO", "1"),
-		"no fields":                frame("DO", "1", "clip"),
-		"unknown class":            frame("DO", "1", "film", testFields),
-		"one string too many":      frame("DO", "1", "clip", testFields, "", "more"),
-		"empty fields":             frame("DO", "1", "clip", ""),
-		"no field":                 frame("DO", "1", "clip", "-"),
-		"no id":                    with("req=", "rid="),
-		"id too short":             with("req=9", "req="),
-		"id not hexadecimal":       with("req=9", "req=G"),
-		"no timeout":               with("timeout=1500,", ""),
-		"negative timeout":         with("1500", "-1"),
-		"huge timeout":             with("1500", "99999999999"),
-		"timeout of an hour":       with("1500", "3600000"),
-		"no object":                with("subject", "object"),
-		"object not hexadecimal":   with("7f3a", "zz3a"),
-		"part not a number":        with("piece=3", "piece=x"),
-		"group too large":          with("lot=17", "lot=256"),
-		"size not a number":        with("412.5", "NaN"),
-		"negative size":            with("412.5", "-1"),
-		"huge size":                with("412.5", "1e300"),
-		"line break in ETag":       with("4be0", "4\r\n0"),
-		"ETag twice":               frame("DO", "1", "clip", testFields+",ver=4be0c1927d55a6f3"),
-		"id twice":                 frame("DO", "1", "clip", testFields+",req=9b1f03aa5c7e2d42"),
-		"repeat neither yes or no": frame("DO", "1", "clip", testFields+",resent=2"),
-		"body too large":           do(1, strings.Repeat("x", 48_001)),
-		"cancel of no number":      frame("UNDO", "x"),
-		"tag zero":                 frame("DO", "0", "clip", testFields),
-		"negative tag":             frame("DO", "-1", "clip", testFields),
-		"empty tag":                frame("DO", "", "clip", testFields),
+		"unknown verb":           frame("GET", "1", "clip", testFields),
+		"no class":               frame("DO", "1"),
+		"no fields":              frame("DO", "1", "clip"),
+		"unknown class":          frame("DO", "1", "film", testFields),
+		"one string too many":    frame("DO", "1", "clip", testFields, "", "more"),
+		"empty fields":           frame("DO", "1", "clip", ""),
+		"no field":               frame("DO", "1", "clip", "-"),
+		"no id":                  with("req=", "rid="),
+		"id too short":           with("req=9", "req="),
+		"id not hexadecimal":     with("req=9", "req=G"),
+		"no timeout":             with("timeout=1500,", ""),
+		"negative timeout":       with("1500", "-1"),
+		"huge timeout":           with("1500", "99999999999"),
+		"timeout of an hour":     with("1500", "3600000"),
+		"no object":              with("subject", "object"),
+		"object not hexadecimal": with("7f3a", "zz3a"),
+		"part not a number":      with("piece=3", "piece=x"),
+		"group too large":        with("lot=17", "lot=256"),
+		"size not a number":      with("412.5", "NaN"),
+		"negative size":          with("412.5", "-1"),
+		"huge size":              with("412.5", "1e300"),
+		"line break in ETag":     with("4be0", "4\r\n0"),
+		"ETag twice":             frame("DO", "1", "clip", testFields+",ver=4be0c1927d55a6f3"),
+		"id twice":               frame("DO", "1", "clip", testFields+",req=9b1f03aa5c7e2d42"),
+		"repeat value not 1":     frame("DO", "1", "clip", testFields+",resent=2"),
+		"body too large":         do(1, strings.Repeat("x", 48_001)),
+		"cancel of no number":    frame("UNDO", "x"),
+		"tag zero":               frame("DO", "0", "clip", testFields),
+		"negative tag":           frame("DO", "-1", "clip", testFields),
+		"empty tag":              frame("DO", "", "clip", testFields),
 	} {
 		for _, partBytes := range partSizes {
 			t.Run(fmt.Sprint(name, " in parts of ", partBytes), func(t *testing.T) {
@@ -69,28 +69,28 @@
 	}
 }
 
-// What cannot be answered under a tag ends the connection, and what was in flight fails.
+// Input that cannot be answered under a tag ends the connection, and all requests in flight fail.
 func TestMalformedInputFailsRequestsInFlight(t *testing.T) {
 	for name, stream := range map[string]string{
-		"no frame":               "GET / HTTP/1.1\r\n",
-		"string too long":        "*2\r\n$4\r\nPING\r\n$99999999\r\n",
-		"no tag":                 frame("PING"),
-		"tag in use":             do(9, ""),
-		"tag in use, of no work": frame("PING", "9"),
+		"no frame":              "GET / HTTP/1.1\r\n",
+		"string too long":       "*2\r\n$4\r\nPING\r\n$99999999\r\n",
+		"no tag":                frame("PING"),
+		"tag in use":            do(9, ""),
+		"tag in use, by a ping": frame("PING", "9"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newTestSession()
 			got, err := s.feed(do(9, "")+stream, 1)
 			s.respond(9, engine.Response{Body: []byte("late")})
 			if err == nil || !strings.HasSuffix(got, "gone 1; 9 FAILED  ") || !s.isIdle() {
-				t.Errorf("the connection stays in use, or is served for what went before: %s", got)
+				t.Errorf("the connection stays in use, or the request in flight did not fail: %s", got)
 			}
 		})
 	}
 }
 
-// Whose a request is, and the operation that it repeats, are told by its fields: another deployment has them, and
-// nothing here may take its tenants for the first one, or lose the operation on the way.
+// A request's tenant and idempotency key are parsed from its fields. An unknown tenant must not be taken for the first
+// one, and the key must not be lost.
 func TestTenantAndIdempotencyKey(t *testing.T) {
 	lines := []string{"line-a", "line-b"}
 	for _, test := range []struct {
@@ -116,7 +116,7 @@
 			mustReceive(t, s, frame("DO", "1", "clip", testFields+test.fields))
 			messages := s.takeMessages()
 			if (len(messages) == 0) != test.fails {
-				t.Fatalf("taken: %v", len(messages) > 0)
+				t.Fatalf("the request was taken: %v", len(messages) > 0)
 			}
 			if test.fails {
 				return
@@ -128,7 +128,7 @@
 	}
 }
 
-// What lies in the ring of a connection that is closed is taken no more: its client has gone.
+// Input that remains in the ring of a closed connection is not parsed, because its client has left.
 func TestNothingTakenOnceClosed(t *testing.T) {
 	s := newTestSession()
 	for tag := range s.shared.limits.PendingResponses + 1 {
@@ -140,6 +140,6 @@
 	}
 	s.close()
 	if err := s.parse(time.Time{}); err != nil || len(s.takeMessages()) > 0 || len(s.inFlight) > 0 {
-		t.Errorf("a request was taken of a client that has gone, or %v", err)
+		t.Errorf("a request was taken from a client that had left, or parsing failed: %v", err)
 	}
 }
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -11,27 +11,26 @@
 	"fennelarch/internal/system"
 )
 
-// readPlan is what the reader is to do next.
+// readPlan describes the reader's next step.
 type readPlan struct {
-	messages    []engine.Message // for the engine
+	messages    []engine.Message // to be posted to the engine
 	state       connectionState
-	space       []byte
-	deadline    time.Time // nothing is to come for longer
-	isHeld      bool      // nothing may be parsed at the moment
-	mustClose   bool      // the connection is to be closed now
+	buffer      []byte    // buffer for the next read
+	deadline    time.Time // of the next read
+	isHeld      bool      // input may not be parsed at the moment
+	mustClose   bool      // the connection must be closed now
 	closeReason invariant.CloseReason
 }
 
-// readStep parses what has come and reads what comes next. It says whether the connection is over, and for what
-// reason. While nothing may be parsed, what comes is kept in the ring, so that a client that leaves or cancels
-// something is heard all the same.
-func (c *connection) readStep() (reason invariant.CloseReason, isOver bool) {
+// readStep parses the input, then reads more. It reports whether the connection has ended, and why. Reading goes on
+// while parsing is held, so that the client's cancels and its leaving are noticed.
+func (c *connection) readStep() (reason invariant.CloseReason, hasEnded bool) {
 	now := time.Now()
-	hasMore, malformed := c.parse(now)
+	hasMore, parseErr := c.parse(now)
 	plan := c.planRead(now)
 	c.forward(now, plan.messages)
 	switch {
-	case malformed != nil: // what was in flight has its response yet
+	case parseErr != nil: // requests in flight still get their responses
 		c.awaitIdle()
 		return invariant.CloseClientMalformed, true
 	case plan.state == stateClientLeft:
@@ -42,20 +41,20 @@
 		return reason, false
 	case plan.mustClose:
 		return plan.closeReason, true
-	case len(plan.space) == 0:
+	case len(plan.buffer) == 0:
 		time.Sleep(c.server.shared.limits.RecheckInterval)
 		return invariant.CloseClientLeft, hasPeerClosed(c.raw)
 	}
 	return c.readNext(&plan)
 }
 
-// readNext waits for what comes next, until the deadline of the plan.
-func (c *connection) readNext(plan *readPlan) (reason invariant.CloseReason, isOver bool) {
-	err := c.readInto(plan.space)
+// readNext reads more input, until the deadline of the plan.
+func (c *connection) readNext(plan *readPlan) (reason invariant.CloseReason, hasEnded bool) {
+	err := c.readInto(plan.buffer)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		now := time.Now()
-		if plan.isHeld || now.Before(plan.deadline) { // it was woken
+		if plan.isHeld || now.Before(plan.deadline) { // time for the next scan, or woken by wakeReader
 			return reason, false
 		}
 		return c.handleReadTimeout(now)
@@ -67,70 +66,70 @@
 	return reason, false
 }
 
-// parse parses what has come, unless it is held. Where something of it came long ago, the rest of what the client has
-// sent is looked through first: the client may have cancelled it since, or left. hasMore says that something in the
-// ring may be left to parse.
-func (c *connection) parse(now time.Time) (hasMore bool, malformed error) {
+// parse parses the input unless it is held. If a parsed request arrived long ago, the rest of the client's input is
+// scanned before the request is forwarded, because the client may have cancelled it since, or left. hasMore reports
+// whether unparsed input may remain in the ring.
+func (c *connection) parse(now time.Time) (hasMore bool, parseErr error) {
 	c.mu.Lock()
-	if wait := c.pauseFor.Swap(0); wait > 0 {
+	if wait := c.requestedPause.Swap(0); wait > 0 {
 		c.pausedUntil = now.Add(time.Duration(wait))
 	}
 	if c.isHeld(now) {
 		c.scanHeldInput(now)
 	}
 	if c.isHeld(now) {
-		c.unlockChanged()
+		c.unlockAndNotify()
 		return true, nil
 	}
-	malformed = c.session.parse(now)
+	parseErr = c.session.parse(now)
 	hasMore = c.session.isBackpressured()
-	hasStale := c.session.hasStaleRequest(now)
-	c.unlockChanged()
-	if hasStale && malformed == nil {
+	hasStaleRequest := c.session.hasStaleRequest(now)
+	c.unlockAndNotify()
+	if hasStaleRequest && parseErr == nil {
 		c.readAhead()
 		hasMore = true
 	}
-	return hasMore, malformed
+	return hasMore, parseErr
 }
 
-// isHeld says whether input may not be parsed at the moment.
+// isHeld reports whether input may not be parsed at the moment.
 func (c *connection) isHeld(now time.Time) bool {
 	return now.Before(c.pausedUntil) || c.session.isBackpressured()
 }
 
-// scanHeldInput looks through held input at intervals. A pause ends before the deadline of a request among it: what
-// is to be rejected is rejected in time.
+// scanHeldInput scans held input at intervals. It ends a pause shortly before the deadline of a request in the input,
+// so that the request can be rejected in time.
 func (c *connection) scanHeldInput(now time.Time) {
 	bounds := &c.server.shared.limits
-	if now.Sub(c.heldScannedAt) < bounds.HeldInputInterval {
+	if now.Sub(c.heldInputScannedAt) < bounds.HeldInputInterval {
 		return
 	}
-	c.heldScannedAt = now
+	c.heldInputScannedAt = now
 	if deadline := c.session.scanHeldInput(); !deadline.IsZero() && deadline.Sub(now) < bounds.PauseMargin {
 		c.pausedUntil = now
 	}
 }
 
-// readAhead reads what the system holds of the connection by now, and gives up what was cancelled in it. Where there
-// is more of it than the ring has room for, what came long ago is rejected: nobody can tell whether its client still
-// waits.
+// readAhead reads all input that the kernel holds and abandons the requests that are cancelled in it. If there is more
+// input than the ring has room for, stale requests are rejected, because it cannot be known whether the client still
+// waits for them.
 func (c *connection) readAhead() {
 	deadline := time.Now().Add(c.server.shared.limits.ReadAheadTimeout)
 	var err error
 	for err == nil {
 		c.mu.Lock()
-		space := c.session.inputSpace()
+		buffer := c.session.inputBuffer()
 		_ = c.SetReadDeadline(deadline)
 		c.mu.Unlock()
-		if len(space) == 0 {
+		if len(buffer) == 0 {
 			break
 		}
-		err = c.readInto(space)
+		err = c.readInto(buffer)
 	}
 	isAllRead := errors.Is(err, os.ErrDeadlineExceeded)
 	hasLeft := err != nil && !isAllRead || hasPeerClosed(c.raw)
 	c.mu.Lock()
-	defer c.unlockChanged()
+	defer c.unlockAndNotify()
 	if hasLeft {
 		c.session.closeAsClientLeft()
 		return
@@ -141,10 +140,10 @@
 	}
 }
 
-// planRead says what the reader is to do next, and by when it is to look again.
+// planRead returns the reader's next step and sets the deadline of its read.
 func (c *connection) planRead(now time.Time) readPlan {
 	c.mu.Lock()
-	defer c.unlockChanged()
+	defer c.unlockAndNotify()
 	bounds := &c.server.shared.limits
 	isDraining, grace := c.server.isDraining.Load(), time.Duration(0)
 	closeReason := invariant.CloseClientForCapacity
@@ -159,52 +158,53 @@
 		closeReason: closeReason,
 		state:       c.session.state,
 		messages:    c.session.takeMessages(),
-		space:       c.session.inputSpace(),
+		buffer:      c.session.inputBuffer(),
 		deadline:    c.session.readDeadline(now),
 	}
 	switch {
 	case isHeld:
 		plan.deadline = now.Add(bounds.HeldInputInterval)
 	case isDraining && c.session.state == stateAwaitingMessage && c.session.input.Len() == 0:
-		plan.deadline = c.session.messageBegan.Add(bounds.CloseLinger)
+		plan.deadline = c.session.messageStartedAt.Add(bounds.CloseLinger)
 	}
 	_ = c.SetReadDeadline(plan.deadline)
 	return plan
 }
 
-// readInto reads into the input ring, and keeps account of when what it read may have come.
-func (c *connection) readInto(space []byte) error {
-	begun := time.Now()
-	count, err := system.Read(c.Conn, space)
+// readInto reads into the input ring and records the earliest time at which the bytes may have arrived.
+func (c *connection) readInto(buffer []byte) error {
+	start := time.Now()
+	count, err := system.Read(c.Conn, buffer)
 	now, stalls := time.Now(), c.server.monitor.Watch()
-	cameAt := stalls.EarliestArrival(c.emptyAt, begun, now)
-	if count < len(space) && stalls.EarliestQueuedArrival(now).Equal(now) {
-		// The system holds nothing more of it; just after a stall, it may still be handing on what came meanwhile.
-		c.emptyAt = now
+	arrivedAt := stalls.EarliestArrival(c.receiveBufferEmptyAt, start, now)
+	if count < len(buffer) && stalls.EarliestQueuedArrival(now).Equal(now) {
+		// A short read means that the kernel's receive buffer is empty, except just after a stall, when the kernel may
+		// still be delivering older input.
+		c.receiveBufferEmptyAt = now
 	}
 	if count == 0 {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.session.received(count, now, cameAt)
-	return nil // an error comes again
+	c.session.addInput(count, now, arrivedAt)
+	return nil // the next read returns the error again
 }
 
-// handleReadTimeout is called when nothing came by the deadline, and says whether the connection is to be closed for
-// it.
-func (c *connection) handleReadTimeout(now time.Time) (reason invariant.CloseReason, isOver bool) {
+// handleReadTimeout is called when nothing was received by the deadline, and reports whether the connection must
+// therefore be closed.
+func (c *connection) handleReadTimeout(now time.Time) (reason invariant.CloseReason, hasEnded bool) {
 	c.mu.Lock()
 	reason = invariant.CloseClientIdle
 	if c.session.input.Len() > 0 {
 		reason = invariant.CloseIncomplete
 	}
-	isOver = c.session.handleReadTimeout()
+	hasEnded = c.session.handleReadTimeout()
 	messages := c.session.takeMessages()
-	c.unlockChanged()
+	c.unlockAndNotify()
 	c.forward(now, messages)
-	if isOver {
+	if hasEnded {
 		c.awaitIdle()
 	}
-	return reason, isOver
+	return reason, hasEnded
 }
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	rejectReadBytes   = 4 << 10 // of what has come, where a rejection waits for nothing
-	rejectWriteWithin = time.Millisecond
-	discardBytes      = 1 << 10 // of each read of what is passed over
+	rejectReadBytes    = 4 << 10 // input read by rejectWithoutWaiting
+	rejectWriteTimeout = time.Millisecond
+	discardBufferBytes = 1 << 10 // size of each read whose bytes are discarded
 )
 
-// rejectAtOnce responds to what has come by now, or sends an unsolicited rejection, and waits for nothing: too many
-// connections are being rejected for that.
-func (s *Server) rejectAtOnce(raw net.Conn, retryAfter time.Duration) {
+// rejectWithoutWaiting rejects the requests that have already arrived, or sends an unsolicited rejection. It does not
+// wait for input, because too many connections are being rejected at the same time.
+func (s *Server) rejectWithoutWaiting(raw net.Conn, retryAfter time.Duration) {
 	bounds := &s.shared.limits
 	input, decoder := resp.Ring{MaxBytes: bounds.ClientReadBuffer}, newDecoder(bounds)
-	input.Append(readNow(raw))
+	input.Append(readAvailable(raw))
 	output := appendRejections(nil, &decoder, &input, bounds.FieldBytes, retryAfter)
 	if len(output) == 0 {
 		output = unsolicitedRejection(retryAfter)
 	}
-	_ = raw.SetWriteDeadline(time.Now().Add(rejectWriteWithin))
+	_ = raw.SetWriteDeadline(time.Now().Add(rejectWriteTimeout))
 	_, _ = raw.Write(output)
 }
 
-// readNow reads what the system holds of a connection.
-func readNow(raw net.Conn) []byte {
+// readAvailable reads the input that the kernel holds, without blocking.
+func readAvailable(raw net.Conn) []byte {
 	buffer, count := make([]byte, rejectReadBytes), 0
-	if withDescriptor, canControl := raw.(syscall.Conn); canControl {
-		if descriptor, err := withDescriptor.SyscallConn(); err == nil {
-			_ = descriptor.Read(func(fd uintptr) (isDone bool) { // once, whatever comes of it
+	if syscallConn, hasSyscallConn := raw.(syscall.Conn); hasSyscallConn {
+		if descriptor, err := syscallConn.SyscallConn(); err == nil {
+			_ = descriptor.Read(func(fd uintptr) (isDone bool) { // one attempt, whatever its result
 				count, _ = syscall.Read(int(fd), buffer)
 				return true
 			})
@@ -43,7 +43,7 @@
 	return buffer[:max(0, count)]
 }
 
-// appendRejections appends the rejection of each complete message that has come.
+// appendRejections appends a rejection for each complete message in the input.
 func appendRejections(
 	output []byte, decoder *resp.Decoder, input *resp.Ring, maxTagBytes int, retryAfter time.Duration,
 ) []byte {
@@ -63,9 +63,9 @@
 	}
 }
 
-// reject responds to what was asked with the time to retry after, or sends an unsolicited rejection, and closes the
-// connection so that it arrives: closing over unread bytes would reset the connection, and the response would be
-// lost.
+// reject rejects the client's first requests, or sends an unsolicited rejection if none arrives in time, and closes the
+// connection. It discards further input before it closes: closing a connection with unread input would reset it, and
+// the rejection would be lost.
 func (s *Server) reject(raw net.Conn, retryAfter time.Duration) {
 	defer func() { _ = raw.Close() }()
 	bounds := &s.shared.limits
@@ -83,8 +83,9 @@
 	closeWriteAndDiscard(raw, bounds)
 }
 
-// respondRejected reads until a complete message has come, and rejects what has come by then. It says whether
-// anything had; the error is that of writing. It gives up once the input is full: a read of no bytes would never end.
+// respondRejected reads until a complete message has arrived and rejects all complete messages. It reports whether
+// there was one, and the error of the write. It gives up when the input buffer is full, because reads into an empty
+// buffer would repeat forever.
 func respondRejected(raw net.Conn, bounds *limits.Limits, retryAfter time.Duration) (responded bool, err error) {
 	input, decoder := resp.Ring{MaxBytes: bounds.ClientReadBuffer}, newDecoder(bounds)
 	for {
@@ -96,19 +97,19 @@
 			return true, err
 		}
 		if readErr != nil || input.Room() == 0 {
-			return false, nil //nolint:nilerr // the end of what comes: the client may still read a response
+			return false, nil //nolint:nilerr // the input has ended, but the client may still read a response
 		}
 	}
 }
 
-// closeWriteAndDiscard says that nothing more will be written, and passes over what the other side still sends,
-// within bounds of bytes and time.
+// closeWriteAndDiscard closes the write side of a connection and discards what the client still sends, up to a limit on
+// bytes and time.
 func closeWriteAndDiscard(raw net.Conn, bounds *limits.Limits) {
-	if half, canCloseWrite := raw.(interface{ CloseWrite() error }); canCloseWrite {
-		_ = half.CloseWrite()
+	if halfCloser, canCloseWrite := raw.(interface{ CloseWrite() error }); canCloseWrite {
+		_ = halfCloser.CloseWrite()
 	}
 	_ = raw.SetReadDeadline(time.Now().Add(bounds.CloseLinger))
-	discarded := make([]byte, discardBytes)
+	discarded := make([]byte, discardBufferBytes)
 	for range bounds.ClientReadBuffer / len(discarded) {
 		if _, err := raw.Read(discarded); err != nil {
 			return
--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -9,8 +9,7 @@
 	"fennelarch/policy/admission"
 )
 
-// A client that is not admitted is told so in a way that it can read, and the response arrives though it is still
-// sending.
+// A client that is not admitted gets a rejection that it can parse, even while it is still sending.
 func TestRejectionArrives(t *testing.T) {
 	address, _ := startServer(t, Options{Admission: admission.Settings{
 		ConnectionsPerPeer: 1, SendRetryAfter: true, MaxRetryAfter: time.Second,
@@ -43,8 +42,8 @@
 	}
 }
 
-// A client that is not admitted and sends more than is read of it, without a complete message, is told so all the same,
-// and its connection ends.
+// A client that is not admitted and sends more than the input buffer holds without completing a message still gets a
+// rejection, and its connection is closed.
 func TestRejectionOfEndlessInputEnds(t *testing.T) {
 	address, server := startServer(t, Options{Admission: admission.Settings{ConnectionsPerPeer: 1}})
 	first := dial(t, address)
@@ -62,7 +61,7 @@
 	_ = conn.Close()
 	for until := time.Now().Add(responseTimeout); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the rejected connection never ends")
+			t.Fatal("the rejected connection was not closed")
 		}
 	}
 }
--- a/internal/frontend/requestfields.go
+++ b/internal/frontend/requestfields.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	noTimeout       = -1 * time.Nanosecond // of a request whose timeout has not been read yet
-	usualFieldCount = 16                   // of a request; the names of more are kept on the heap
+	missingTimeout  = -1 * time.Nanosecond // timeout of a request whose timeout field has not been parsed
+	usualFieldCount = 16                   // names of up to this many fields are kept on the stack
 	minRequestArgs  = 2                    // class and fields
-	maxRequestArgs  = 3                    // and the body
-	bodyArgument    = 2
+	maxRequestArgs  = 3                    // class, fields and body
+	bodyIndex       = 2
 	firstPrintable  = '!'
 	lastPrintable   = '~'
 )
 
-// parseRequest reads a request's class, fields and body. It returns nil if the request can't be used.
+// parseRequest parses the class, fields and body of a request. It returns nil if the request is invalid.
 func (s *session) parseRequest(args [][]byte) *engine.Request {
 	if len(args) < minRequestArgs || len(args) > maxRequestArgs {
 		return nil
@@ -30,15 +30,15 @@
 	if !isKnown {
 		return nil
 	}
-	request := &engine.Request{Class: class, Write: s.shared.classSettings[class].isWrite, Timeout: noTimeout}
+	request := &engine.Request{Class: class, Write: s.shared.classSettings[class].isWrite, Timeout: missingTimeout}
 	fields := fieldParser{shared: s.shared, request: request}
 	if !fields.parseList(args[1]) {
 		return nil
 	}
-	if len(args) <= bodyArgument {
+	if len(args) <= bodyIndex {
 		return request
 	}
-	body := args[bodyArgument]
+	body := args[bodyIndex]
 	if len(body) > s.shared.limits.RequestBodyBytes {
 		return nil
 	}
@@ -48,7 +48,7 @@
 	return request
 }
 
-// fieldParser reads the fields of one request.
+// fieldParser parses the fields of one request.
 type fieldParser struct {
 	shared    *sharedState
 	request   *engine.Request
@@ -56,10 +56,10 @@
 	hasObject bool
 }
 
-// parseList reads a list of fields. No name may come twice, and those without which a request can't be routed must
-// come.
+// parseList parses a list of fields and reports whether it is valid. No name may occur twice, and the request ID, the
+// object and the timeout are required.
 func (p *fieldParser) parseList(list []byte) bool {
-	names := make([][]byte, 0, usualFieldCount) // as they lie in the ring
+	names := make([][]byte, 0, usualFieldCount) // slices of the input ring
 	var name, value []byte
 	for rest := list; len(rest) > 0; {
 		name, value, rest = resp.Field(rest)
@@ -74,8 +74,8 @@
 	return p.hasID && p.hasObject && p.request.Timeout >= 0
 }
 
-// parse reads one field, and says whether its value can be used. Unknown fields are passed over: clients may be newer
-// than the router.
+// parse parses one field and reports whether its value is valid. Unknown fields are ignored, because clients may be
+// newer than the router.
 func (p *fieldParser) parse(name, value []byte) (isValid bool) {
 	var number uint64
 	request := p.request
@@ -117,7 +117,7 @@
 	return sizeKB, err == nil && sizeKB >= 0 && sizeKB <= s.limits.MaxSizeKB
 }
 
-// parseTenant looks a tenant up by its name. A deployment without tenants takes any name.
+// parseTenant looks up a tenant by name. Without configured tenants, any name is valid.
 func (s *sharedState) parseTenant(name []byte) (tenant routing.TenantID, isValid bool) {
 	if len(s.tenants) == 0 {
 		return 0, true
@@ -126,8 +126,8 @@
 	return routing.TenantID(max(0, index)), index >= 0
 }
 
-// isIdempotencyKey says whether a value is one or more printable characters without spaces.
+// isIdempotencyKey reports whether a value consists of one or more printable ASCII characters without spaces.
 func isIdempotencyKey(value []byte) bool {
-	isOutside := func(r rune) bool { return r < firstPrintable || r > lastPrintable }
-	return len(value) > 0 && !bytes.ContainsFunc(value, isOutside)
+	isDisallowed := func(r rune) bool { return r < firstPrintable || r > lastPrintable }
+	return len(value) > 0 && !bytes.ContainsFunc(value, isDisallowed)
 }
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/invariant"
 )
 
-// response is one that waits to be put into the output ring.
+// response is a response that waits to be copied into the output ring.
 type response struct {
 	tag    string
 	status string
@@ -16,48 +16,49 @@
 	body   []byte
 }
 
-// backlogReserveParts: this part of the memory for responses is kept for clients of which next to nothing waits.
+// backlogReserveParts is the number of parts into which the memory for response bodies is divided. One part is reserved
+// for clients for which hardly any response bodies wait.
 const backlogReserveParts = 8
 
 func (s *session) enqueue(r response) { s.pendingResponses = append(s.pendingResponses, r) }
 
 func (s *session) respondFailed(tag string) { s.enqueue(response{tag: tag, status: statusFailed}) }
 
-// respondRejected rejects a request, and says when to retry where that is known.
+// respondRejected rejects a request. The response tells the client when to retry if retryAfter is positive.
 func (s *session) respondRejected(tag string, retryAfter time.Duration) {
 	s.enqueue(response{tag: tag, status: statusRejected, fields: retryAfterField(retryAfter)})
 }
 
-// respond adds the final response of a request, unless the client has given it up. One for which there is no memory
-// fails.
-func (s *session) respond(tag engine.Tag, from engine.Response) {
+// respond enqueues the final response to a request, unless the request was abandoned. If there is no memory for the
+// body, the request fails.
+func (s *session) respond(tag engine.Tag, engineResponse engine.Response) {
 	request, isInFlight := s.inFlight[tag]
 	if !isInFlight {
 		return
 	}
-	hasRoom := s.hasBacklogRoom(len(from.Body))
-	request.Invariants.End(endReasonOf(from, hasRoom), time.Now())
-	s.finish(tag, outcomeOf(from.Status))
+	hasRoom := s.hasBacklogRoom(len(engineResponse.Body))
+	request.Invariants.End(endReasonOf(engineResponse, hasRoom), time.Now())
+	s.finish(tag, outcomeOf(engineResponse.Status))
 	tagText := formatTag(tag)
 	switch {
-	case from.Status == engine.StatusOK && from.NotModified:
+	case engineResponse.Status == engine.StatusOK && engineResponse.NotModified:
 		s.enqueue(response{tag: tagText, status: statusOK, fields: responseNotModified})
-	case from.Status == engine.StatusOK && hasRoom:
-		s.addBacklog(len(from.Body))
-		s.enqueue(response{tag: tagText, status: statusOK, body: from.Body})
-	case from.Status == engine.StatusRejected:
-		s.respondRejected(tagText, from.RetryAfter)
+	case engineResponse.Status == engine.StatusOK && hasRoom:
+		s.addBacklog(len(engineResponse.Body))
+		s.enqueue(response{tag: tagText, status: statusOK, body: engineResponse.Body})
+	case engineResponse.Status == engine.StatusRejected:
+		s.respondRejected(tagText, engineResponse.RetryAfter)
 	default:
 		s.respondFailed(tagText)
 	}
 }
 
-// endReasonOf is how a request ends by a response.
-func endReasonOf(from engine.Response, hasRoom bool) invariant.EndReason {
+// endReasonOf returns the end reason of a request that gets the given response.
+func endReasonOf(engineResponse engine.Response, hasRoom bool) invariant.EndReason {
 	switch {
-	case from.Status == engine.StatusOK && (hasRoom || from.NotModified):
+	case engineResponse.Status == engine.StatusOK && (hasRoom || engineResponse.NotModified):
 		return invariant.EndServed
-	case from.Status == engine.StatusRejected:
+	case engineResponse.Status == engine.StatusRejected:
 		return invariant.EndRejected
 	}
 	return invariant.EndFailed
@@ -74,14 +75,14 @@
 	}
 }
 
-// addBacklog counts bytes of response bodies that wait, or, if negative, no longer do.
+// addBacklog adds to the number of waiting bytes of response bodies; a negative number subtracts.
 func (s *session) addBacklog(bytes int) {
 	s.backlogBytes += int64(bytes)
 	s.shared.backlogBytes.Add(int64(bytes))
 }
 
-// hasBacklogRoom says whether there is memory for a response that waits. The last part of it is for clients of which
-// next to nothing waits: one that does not read must not cost others their responses.
+// hasBacklogRoom reports whether there is memory for a response body of the given length. The last part of the memory
+// is reserved for clients with little waiting, so that a client that does not read costs others no responses.
 func (s *session) hasBacklogRoom(bytes int) bool {
 	bounds := &s.shared.limits
 	total := s.shared.backlogBytes.Load() + int64(bytes)
@@ -91,7 +92,7 @@
 	return total <= bounds.ResponseBacklogBytes && s.backlogBytes+int64(bytes) <= int64(bounds.ResponseBodyBytes)
 }
 
-// removePending takes responses with a tag back of which nothing is in the stream.
+// removePending discards pending responses with the given tag.
 func (s *session) removePending(tag string) {
 	s.pendingResponses = slices.DeleteFunc(s.pendingResponses, func(pending response) bool {
 		if pending.tag != tag {
@@ -102,13 +103,14 @@
 	})
 }
 
-// nextOutput is what is to be written next.
+// nextOutput returns the bytes to write next.
 func (s *session) nextOutput() []byte { return s.output.Next(s.beginNextResponse) }
 
-// wroteOutput says how much of it was written.
-func (s *session) wroteOutput(bytes int) { s.output.Advance(bytes) }
+// advanceOutput removes bytes that were written from the output.
+func (s *session) advanceOutput(bytes int) { s.output.Advance(bytes) }
 
-// beginNextResponse puts the next response into the output ring; the body of the last one is in.
+// beginNextResponse starts to copy the next response into the output ring, and reports whether there was one. The body
+// of the previous response has been copied completely.
 func (s *session) beginNextResponse() bool {
 	s.addBacklog(int(-s.outputBodyBytes))
 	s.outputBodyBytes = 0
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -19,41 +19,40 @@
 	"go.uber.org/zap"
 )
 
-// Server accepts client connections and serves them. redcon accepts, keeps and closes the connections; their bytes
-// are read here, within the session's bounds, because redcon's own reader grows with whatever length a client
-// announces.
+// Server accepts client connections and serves them. redcon accepts, keeps and closes the connections, but this package
+// reads from them, because the buffer of redcon's reader grows to any length that a client announces.
 type Server struct {
 	shared  sharedState
 	post    PostFunc
 	redcon  *redcon.Server
-	start   time.Time // events of admission count from it
+	start   time.Time // origin of the event times passed to the admission policy
 	log     *zap.Logger
-	tlsKeys *TLSKeys // nil: connections are plain
+	tlsKeys *TLSKeys // nil if connections do not use TLS
 	spare   *spareDescriptor
 	monitor *invariant.Monitor
 
 	eventQueueDelay func() time.Duration
 
-	onDescriptorShortage func() // nil: nobody has descriptors to spare
+	onDescriptorShortage func() // may be nil
 
 	goroutines     sync.WaitGroup // writers, rejections and wake-ups
-	busyCount      atomic.Int64   // connections on which something is open or to be written
-	unclosedCount  atomic.Int64   // connections that were accepted and are not closed yet
-	rejectingCount atomic.Int64   // connections that are being rejected
-	lingeringCount atomic.Int64   // evicted connections that are being closed so that what was written arrives
+	busyCount      atomic.Int64   // connections with open requests or pending output
+	unclosedCount  atomic.Int64   // accepted connections that are not closed yet
+	rejectingCount atomic.Int64   // connections being rejected
+	lingeringCount atomic.Int64   // evicted connections that linger until their output has arrived
 	isDraining     atomic.Bool
 
 	mu          sync.Mutex
 	admission   *admission.Controller
 	connections map[admission.ConnID]*connection
 	lastConnID  admission.ConnID
-	actions     []admission.Action // reused
+	actions     []admission.Action // buffer reused for each event
 }
 
-// PostFunc sends the engine a message that came at a time, and says whether the engine has taken it.
+// PostFunc sends the engine a message received at the given time, and reports whether the engine has taken it.
 type PostFunc func(at time.Time, message engine.Message) (taken bool)
 
-// Options are what a server is built with.
+// Options configures a Server.
 type Options struct {
 	Limits  limits.Limits
 	Names   config.Names
@@ -62,14 +61,14 @@
 	Log     *zap.Logger
 
 	Admission            admission.Settings
-	TLSKeys              *TLSKeys             // nil: connections are plain
-	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil: not at all
-	FlowKBPerSecond      float64              // transfer rate by which latency objectives grow
-	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; nil: nobody does
-	OnDescriptorShortage func()               // called when no descriptor is left: others may have some to spare
+	TLSKeys              *TLSKeys             // nil if connections do not use TLS
+	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil means no delay
+	FlowKBPerSecond      float64              // transfer rate that extends the latency objectives of large requests
+	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; may be nil
+	OnDescriptorShortage func()               // called without descriptors left, so that other parts can free some
 }
 
-// New returns a server that posts what clients want.
+// New returns a server that posts the messages of clients to the engine.
 func New(options Options) *Server {
 	server := &Server{
 		post: options.Post, start: time.Now(), log: options.Log, tlsKeys: options.TLSKeys, spare: newSpareDescriptor(),
@@ -87,25 +86,25 @@
 	return server
 }
 
-// withLimits fills in what the limits of the process say.
+// withLimits returns the settings with the limits of the process filled in.
 func withLimits(settings admission.Settings, bounds *limits.Limits) admission.Settings {
 	settings.MaxConnections, settings.FirstRequestGrace = bounds.ClientConnections, bounds.FirstRequestGrace
 	return settings
 }
 
-// UpdateAdmission applies changed settings.
+// UpdateAdmission applies changed admission settings.
 func (s *Server) UpdateAdmission(settings admission.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admission.UpdateSettings(withLimits(settings, &s.shared.limits))
 }
 
-// Serve accepts connections from a listener until it is closed.
+// Serve accepts and serves connections until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
 	return s.redcon.Serve(&listener{Listener: l, server: s, spare: s.spare})
 }
 
-// Drain has every connection closed as soon as nothing is owed on it; requests that still come are rejected at once.
+// Drain closes every connection once all its responses are written. Requests that arrive meanwhile are rejected.
 func (s *Server) Drain() {
 	s.isDraining.Store(true)
 	s.mu.Lock()
@@ -118,29 +117,29 @@
 	}
 }
 
-// Wait returns once all writers, rejections and wake-ups have ended. It may be called after Serve has returned, once
-// UnclosedCount and ConnectionCount are zero: a reader that has not ended may still start a writer.
+// Wait waits until all writers, rejections and wake-ups have ended. It must be called only after Serve has returned and
+// UnclosedCount and ConnectionCount are zero, because a reader that is still running may start a writer.
 func (s *Server) Wait() { s.goroutines.Wait() }
 
-// UnclosedCount returns how many connections are not closed yet.
+// UnclosedCount returns the number of connections that are not closed yet, including those being rejected.
 func (s *Server) UnclosedCount() int { return int(s.unclosedCount.Load() + s.rejectingCount.Load()) }
 
-// ConnectionCount returns how many connections there are.
+// ConnectionCount returns the number of connections that are served.
 func (s *Server) ConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.connections)
 }
 
-// AdmissionStatus returns the admission decisions so far, and the name of the overload mode.
+// AdmissionStatus returns the counts of admission decisions and the name of the overload mode.
 func (s *Server) AdmissionStatus() (counts admission.Counts, mode string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.admission.Counts, s.admission.Mode().String()
 }
 
-// ReportDescriptorShortage says that no descriptor was left for an upstream connection: idle connections are closed
-// for it.
+// ReportDescriptorShortage reports that there was no descriptor for an upstream connection. The admission policy then
+// closes idle client connections.
 func (s *Server) ReportDescriptorShortage() {
-	s.handleAdmissionEvent(admission.Event{Kind: admission.EventNoUpstreamDescriptors})
+	s.handleAdmissionEvent(admission.Event{Kind: admission.EventUpstreamDescriptorsExhausted})
 }
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// startServer starts a server whose engine takes everything and responds to nothing.
+// startServer starts a server whose engine takes every message and never responds.
 func startServer(t *testing.T, options Options, changes ...func(*limits.Limits)) (address net.Addr, server *Server) {
 	t.Helper()
 	bounds := testLimits(64)
@@ -28,7 +28,7 @@
 	return address, server
 }
 
-// connectAndSend opens a connection and returns what its client reads first.
+// connectAndSend opens a connection, sends text and returns the result of the first read.
 func connectAndSend(t *testing.T, address net.Addr, text string) (conn net.Conn, response string) {
 	t.Helper()
 	conn = dial(t, address)
@@ -38,15 +38,15 @@
 	return conn, string(buffer[:n])
 }
 
-// Idle connections are closed for those that come; where all are busy, the new one is rejected. What is in flight
-// goes on.
+// At the limit on connections, an idle connection is closed for a new one. If all are busy, the new connection is
+// rejected, and requests in flight go on.
 func TestTooManyClients(t *testing.T) {
 	address, server := startServer(t, Options{}, func(l *limits.Limits) {
 		l.ClientConnections, l.ClientIdleTimeout = 3, 200*time.Millisecond
 	})
-	// A connection counts as busy until its writer has noted what was written, a moment after the client may have read it.
+	// A connection counts as busy until its writer has recorded the write, slightly after the client may have read it.
 	awaitBusy := func(count int64) {
-		await(t, "the writers have ended", func() bool { return server.busyCount.Load() == count })
+		await(t, "the expected number of connections is busy", func() bool { return server.busyCount.Load() == count })
 	}
 	for range 10 {
 		if _, got := connectAndSend(t, address, frame("PING", "1")); got != pong("1") {
@@ -54,15 +54,15 @@
 		}
 		awaitBusy(0)
 	}
-	usual, _ := connectAndSend(t, address, frame("PING", "1"))
-	for range 6 { // they never ask
+	idle, _ := connectAndSend(t, address, frame("PING", "1"))
+	for range 6 { // connections that never send anything
 		dial(t, address)
 	}
-	_, _ = usual.Write([]byte(frame("PING", "2")))
-	if n, err := usual.Read(make([]byte, 100)); err != nil || n != len(pong("2")) {
-		t.Errorf("a client that is idle loses its place to those who never ask: %v", err)
+	_, _ = idle.Write([]byte(frame("PING", "2")))
+	if n, err := idle.Read(make([]byte, 100)); err != nil || n != len(pong("2")) {
+		t.Errorf("an idle client's connection was closed for clients that send nothing: %v", err)
 	}
-	for busy := range int64(3) { // busy from now on: a request is in flight on each
+	for busy := range int64(3) { // these connections stay busy with a request in flight
 		awaitBusy(busy)
 		if _, got := connectAndSend(t, address, frame("PING", "1")+do(2, "")); got != pong("1") {
 			t.Fatalf("%q", got)
@@ -70,9 +70,9 @@
 	}
 	awaitBusy(3)
 	if _, got := connectAndSend(t, address, frame("PING", "1")); got != frame("1", "BUSY", "", "") {
-		t.Errorf("a fourth busy client got %q", got)
+		t.Errorf("a fourth client got %q", got)
 	}
-	await(t, "three connections, all busy", func() bool {
+	await(t, "three connections are left, all busy", func() bool {
 		return server.ConnectionCount() <= 3 && server.busyCount.Load() == 3
 	})
 }
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -34,12 +34,12 @@
 const testFields = "req=9b1f03aa5c7e2d41,timeout=1500,subject=7f3a9c21e0b4d655," +
 	"piece=3,lot=17,need=412.5,ver=4be0c1927d55a6f3"
 
-// do is a request with the test fields.
+// do returns a request with the test fields.
 func do(tag int, body string) string { return frame("DO", fmt.Sprint(tag), "clip", testFields, body) }
 
-// receiveAt takes bytes that came at some moment, and parses them.
+// receiveAt adds bytes that arrived at the given time to the input and parses them.
 func (s *session) receiveAt(text string, now time.Time) error {
-	s.received(copy(s.inputSpace(), text), now, now)
+	s.addInput(copy(s.inputBuffer(), text), now, now)
 	return s.parse(now)
 }
 
@@ -50,12 +50,12 @@
 	}
 }
 
-// feed takes bytes in parts of that many, and returns what came of them: requests, cancels, and the responses
-// written.
+// feed feeds a stream to the session in parts of the given size. It returns a description of the resulting requests,
+// cancels and responses.
 func (s *session) feed(stream string, partBytes int) (string, error) {
 	var log []string
 	for len(stream) > 0 {
-		part := stream[:min(partBytes, len(stream), len(s.inputSpace()))]
+		part := stream[:min(partBytes, len(stream), len(s.inputBuffer()))]
 		err := s.receiveAt(part, time.Time{})
 		log = append(log, s.sentMessages()...)
 		log = append(log, s.writtenResponses()...)
@@ -67,7 +67,7 @@
 	return strings.Join(log, "; "), nil
 }
 
-// sentMessages takes what the engine is to be sent, in words.
+// sentMessages takes the messages for the engine and returns their descriptions.
 func (s *session) sentMessages() (log []string) {
 	for _, message := range s.takeMessages() {
 		switch m := message.(type) {
@@ -83,12 +83,12 @@
 	return log
 }
 
-// writtenResponses takes all that is to be written, a string for each response.
+// writtenResponses takes all output and returns a string for each response.
 func (s *session) writtenResponses() (log []string) {
 	var all string
 	for output := s.nextOutput(); len(output) > 0; output = s.nextOutput() {
 		all += string(output)
-		s.wroteOutput(len(output))
+		s.advanceOutput(len(output))
 	}
 	for part := range strings.SplitSeq(all, "*4\r\n") {
 		if lines := strings.Split(part, "\r\n"); len(lines) > 7 {
@@ -126,8 +126,8 @@
 	// [gone 1] true
 }
 
-// FuzzSession: no client may crash a session, leave anything in flight or waiting, or make it hold more than its
-// ring.
+// No input may crash a session, make it hold more than its input ring, or leave requests or responses after it is
+// closed.
 func FuzzSession(f *testing.F) {
 	f.Add(do(1, "body")+frame("UNDO", "1")+frame("PING", "2"), 7)
 	f.Add(frame("DO", "0", "clip", testFields)+"*1\r\n$", 1)
@@ -139,12 +139,12 @@
 		}
 		client.close()
 		if !client.isIdle() || client.shared.backlogBytes.Load() != 0 || client.shared.invalidTransitions.Load() != 0 {
-			t.Error("something is left")
+			t.Error("the closed session is not idle, holds responses, or made an invalid transition")
 		}
 	})
 }
 
-// BenchmarkRequest takes one request through a session, and its response.
+// BenchmarkRequest measures a request and its response in a session.
 func BenchmarkRequest(b *testing.B) {
 	client := newTestSession()
 	request, body, now := do(7, ""), make([]byte, 1000), time.Now()
@@ -155,6 +155,6 @@
 		}
 		client.takeMessages()
 		client.respond(7, engine.Response{Body: body})
-		client.wroteOutput(len(client.nextOutput()))
+		client.advanceOutput(len(client.nextOutput()))
 	}
 }
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 )
 
-// sharedState is what all sessions of a server have in common.
+// sharedState is the state that all sessions of a server share.
 type sharedState struct {
 	limits        limits.Limits
 	classes       map[string]routing.ClassID
@@ -24,27 +24,28 @@
 	monitor       *invariant.Monitor
 
 	lastRequestID      atomic.Uint64
-	backlogBytes       atomic.Int64 // of response bodies that are not in an output ring yet
+	backlogBytes       atomic.Int64 // total length of response bodies that are not in an output ring yet
 	invalidTransitions atomic.Uint64
 
 	mu       sync.Mutex
-	inFlight map[engine.ClientRequestID]claim // requests of all connections
+	inFlight map[engine.ClientRequestID]claim // request IDs in flight on all connections
 }
 
-// classSettings is what a session needs to know of a request class.
+// classSettings holds the settings of a request class that sessions need.
 type classSettings struct {
 	isWrite          bool
 	latencyObjective time.Duration
-	secondsPerKB     float64 // by which the objective grows
-	repeat           invariant.RepeatPolicy
+	secondsPerKB     float64 // growth of the latency objective with the size of a request
+	repeatPolicy     invariant.RepeatPolicy
 }
 
-// newClassSettings takes over a class. With a transfer rate, its objective grows with the size of what is asked for.
+// newClassSettings returns the settings of a class. With a transfer rate, the latency objective grows with the size of
+// the requested object.
 func newClassSettings(class *routing.Class, flowKBPerSecond float64) classSettings {
 	settings := classSettings{
 		isWrite:          class.Write,
 		latencyObjective: class.LatencyObjective,
-		repeat: invariant.RepeatPolicy{
+		repeatPolicy: invariant.RepeatPolicy{
 			Idempotency: class.Idempotency, DedupScope: class.DedupScope, DedupWindow: class.DedupWindow,
 		},
 	}
@@ -54,12 +55,12 @@
 	return settings
 }
 
-// objectiveFor is the latency objective of a request for that much.
+// objectiveFor returns the latency objective of a request for the given size.
 func (c *classSettings) objectiveFor(sizeKB float64) time.Duration {
 	return c.latencyObjective + time.Duration(sizeKB*c.secondsPerKB*float64(time.Second))
 }
 
-// setClasses takes over the configured classes under their names.
+// setClasses sets the configured classes and tenants.
 func (s *sharedState) setClasses(names config.Names, classes []routing.Class, flowKBPerSecond float64) {
 	s.tenants = names.Tenants
 	s.classes = map[string]routing.ClassID{}
@@ -69,14 +70,15 @@
 	}
 }
 
-// claim says what a client's request id stands for while requests with it are in flight, and how many there are.
+// claim records the object and part that a client's request ID stands for, and the number of requests in flight with
+// that ID.
 type claim struct {
 	object routing.ObjectID
 	part   int
 	count  int
 }
 
-// claim takes a request's id into use; one that stands for another object at the moment can't be.
+// claim adds a use of a request's ID. It reports false if the ID is in use for another object or part.
 func (s *sharedState) claim(request *engine.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +90,7 @@
 	return true
 }
 
-// release gives up one use of a request id.
+// release removes a use of a request ID.
 func (s *sharedState) release(id engine.ClientRequestID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +103,7 @@
 	}
 }
 
-// reportInvalidTransition counts a state change of a connection that cannot follow.
+// reportInvalidTransition reports a signal that is invalid in the state of a connection.
 func (s *sharedState) reportInvalidTransition(id admission.ConnID, state connectionState, signal connectionSignal) {
 	s.invalidTransitions.Add(1)
 	s.monitor.Violate(invariant.InvalidTransition, uint64(id),
--- a/internal/frontend/state.go
+++ b/internal/frontend/state.go
@@ -4,11 +4,11 @@
 type connectionState uint8
 
 const (
-	stateHandshaking     connectionState = iota // the TLS handshake is not over
-	stateAwaitingMessage                        // no complete message has come yet
-	stateEstablished                            // a complete message has come
-	stateClosed                                 // it is no longer in use, whoever ended it
-	stateClientLeft                             // its client was found to have left while its input was held
+	stateHandshaking     connectionState = iota // the TLS handshake has not ended
+	stateAwaitingMessage                        // no complete message received yet
+	stateEstablished                            // a complete message was received
+	stateClosed                                 // no longer in use, whichever side ended the connection
+	stateClientLeft                             // the client was found to have left while input was read ahead
 	connectionStateCount
 )
 
@@ -16,32 +16,33 @@
 	"handshaking", "awaiting_message", "established", "closed", "client_left",
 }
 
-// String is the name under which a state is logged.
+// String returns the name of the state in the log.
 func (s connectionState) String() string { return connectionStateNames[s] }
 
-// isClosed says whether nothing is read or written any more.
+// isClosed reports whether the connection is no longer read or written.
 func (s connectionState) isClosed() bool { return s == stateClosed || s == stateClientLeft }
 
-// connectionSignal is what changes the state of a client connection.
+// connectionSignal is an input of the state machine of a client connection.
 type connectionSignal uint8
 
 const (
 	signalHandshakeDone connectionSignal = iota
-	signalMessage                        // a complete message came
-	signalClose                          // the connection is given up, or broken
+	signalMessage                        // a complete message was received
+	signalClose                          // the connection is closed or broken
 	signalClientLeft                     // the client was found to have left
 	connectionSignalCount
 )
 
 var connectionSignalNames = [connectionSignalCount]string{"handshake_done", "message", "close", "client_left"}
 
-// String is the name under which a signal is logged.
+// String returns the name of the signal in the log.
 func (s connectionSignal) String() string { return connectionSignalNames[s] }
 
-// invalidState marks the transitions that no order of events can bring about.
+// invalidState marks transitions that no sequence of events can cause.
 const invalidState = connectionStateCount
 
-// connectionTransitions says which state follows. Closing is possible in each state and as often as one likes.
+// connectionTransitions holds the next state for each state and signal. A connection may be closed in any state and
+// more than once.
 var connectionTransitions = [connectionStateCount][connectionSignalCount]connectionState{
 	//                    handshake done        message           close            client left
 	stateHandshaking:     {stateAwaitingMessage, invalidState, stateClosed, invalidState},
@@ -51,7 +52,7 @@
 	stateClientLeft:      {invalidState, invalidState, stateClientLeft, stateClientLeft},
 }
 
-// transition follows the table. An invalid transition leaves the state as it is and is counted.
+// transition applies a signal. An invalid signal leaves the state unchanged and is reported.
 func (s *session) transition(signal connectionSignal) {
 	next := connectionTransitions[s.state][signal]
 	if next == invalidState {
--- a/internal/frontend/state_test.go
+++ b/internal/frontend/state_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// A connection goes from one state to the next in one direction only, and can be closed in each.
+// A connection never returns to an earlier state, and can be closed in any state.
 func TestConnectionTransitions(t *testing.T) {
 	for state := range connectionStateCount {
 		for signal := range connectionSignalCount {
 			next := connectionTransitions[state][signal]
 			if next < state {
-				t.Errorf("%v goes back to %v on %v", state, next, signal)
+				t.Errorf("%v returns to %v on %v", state, next, signal)
 			}
 		}
 		if !connectionTransitions[state][signalClose].isClosed() {
@@ -17,7 +17,7 @@
 	}
 }
 
-// A transition that cannot follow is counted, and leaves the state as it is.
+// An invalid transition is counted and leaves the state unchanged.
 func TestInvalidTransitionIsCounted(t *testing.T) {
 	s := newTestSession()
 	s.close()
--- a/internal/frontend/tls.go
+++ b/internal/frontend/tls.go
@@ -17,18 +17,18 @@
 	"go.uber.org/zap"
 )
 
-// TLSFiles are the files that a front end needs for TLS.
+// TLSFiles names the files that a front end needs for TLS.
 type TLSFiles struct {
 	Cert, Key          string
-	ClientCA           string // authority of known clients; empty: no certificate is asked for
-	ClientCertRequired bool   // a client must show one
-	MinVersion         uint16 // the lowest version of TLS
+	ClientCA           string // CA of client certificates; if empty, clients are not asked for a certificate
+	ClientCertRequired bool   // clients must present a certificate
+	MinVersion         uint16 // minimum TLS version
 }
 
-// TLSKeys are the keys in force. They are never logged.
+// TLSKeys holds the current TLS keys, which are never logged.
 type TLSKeys struct {
-	current      atomic.Pointer[tls.Config]
-	loggedSecond atomic.Int64 // the second of the process in which a failed handshake was last logged
+	current          atomic.Pointer[tls.Config]
+	lastLoggedSecond atomic.Int64 // second since processStart in which a failed handshake was last logged
 }
 
 var processStart = time.Now()
@@ -40,13 +40,14 @@
 
 var errCertificateExpired = errors.New("it has expired")
 
-// LoadTLSKeys reads keys from files.
+// LoadTLSKeys loads TLS keys from files.
 func LoadTLSKeys(f TLSFiles) (*TLSKeys, error) {
 	k := &TLSKeys{}
 	return k, k.Load(f)
 }
 
-// Load reads them again; connections that are open stay. A pair that cannot be used leaves the old one in force.
+// Load replaces the keys by those in the files; open connections are not affected. After an error the old keys stay in
+// use.
 func (k *TLSKeys) Load(f TLSFiles) error {
 	pair, err := system.LoadKeyPair(f.Cert, f.Key)
 	if err != nil {
@@ -74,24 +75,25 @@
 	return nil
 }
 
-// serverConn wraps a connection with the keys in force.
+// serverConn returns the TLS server side of a connection, with the current keys.
 func (k *TLSKeys) serverConn(raw net.Conn) *tls.Conn { return tls.Server(raw, k.current.Load()) }
 
-// handshake does the TLS handshake in time and returns the peer of the certificate that was shown, if any.
+// handshake performs the TLS handshake and returns the peer of the client certificate, or the zero Peer if there is
+// none.
 func (k *TLSKeys) handshake(conn *tls.Conn, timeout time.Duration) (peer admission.Peer, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return peer, err
 	}
-	if shown := conn.ConnectionState().PeerCertificates; len(shown) > 0 {
-		peer = admission.Certificate(sha256.Sum256(shown[0].RawSubjectPublicKeyInfo))
+	if certificates := conn.ConnectionState().PeerCertificates; len(certificates) > 0 {
+		peer = admission.Certificate(sha256.Sum256(certificates[0].RawSubjectPublicKeyInfo))
 	}
 	return peer, nil
 }
 
-// handshakeCost is the CPU time that a handshake is taken to have cost: most of a long one is waiting, and one that
-// failed mostly never came to a signature.
+// handshakeCost estimates the CPU time of a handshake. The cost is capped, because most of a long handshake is waiting,
+// and most failed handshakes end before the signature.
 func handshakeCost(elapsed time.Duration, err error) time.Duration {
 	if err != nil {
 		return min(elapsed, maxFailedHandshakeCost)
@@ -99,25 +101,26 @@
 	return min(elapsed, maxHandshakeCost)
 }
 
-// logFailure logs a failed handshake, but at most one a second.
+// logFailure logs a failed handshake, at most once a second.
 func (k *TLSKeys) logFailure(log *zap.Logger, err error) {
-	second := int64(time.Since(processStart)/time.Second) + 1 // a wall clock that is set back would silence it
-	if last := k.loggedSecond.Load(); second > last && k.loggedSecond.CompareAndSwap(last, second) {
+	second := int64(time.Since(processStart)/time.Second) + 1 // monotonic: the wall clock may be set back
+	if last := k.lastLoggedSecond.Load(); second > last && k.lastLoggedSecond.CompareAndSwap(last, second) {
 		log.Info("handshake failed", zap.Error(err))
 	}
 }
 
-// handshake finishes the TLS handshake, if there is one, and tells the admission policy whose certificate was shown.
+// handshake performs the TLS handshake, if the connection uses TLS, and reports its end and the client certificate's
+// peer to the admission policy.
 func (c *connection) handshake() (succeeded bool) {
 	keys := c.server.tlsKeys
 	tlsConn, isTLS := c.Conn.(*tls.Conn)
 	if keys == nil || !isTLS {
 		return true
 	}
-	begun := time.Now()
+	start := time.Now()
 	peer, err := keys.handshake(tlsConn, c.server.shared.limits.MessageTimeout)
 	c.server.handleAdmissionEvent(admission.Event{
-		Kind: admission.EventHandshakeDone, Conn: c.id, Peer: peer, Elapsed: handshakeCost(time.Since(begun), err),
+		Kind: admission.EventHandshakeDone, Conn: c.id, Peer: peer, Elapsed: handshakeCost(time.Since(start), err),
 	})
 	if err != nil {
 		keys.logFailure(c.server.log, err)
--- a/internal/frontend/tls_test.go
+++ b/internal/frontend/tls_test.go
@@ -20,7 +20,7 @@
 	"fennelarch/policy/admission"
 )
 
-// testAuthority signs certificates and writes them, with their keys, to a folder.
+// testAuthority is a CA that writes the certificates it signs, and their keys, to a folder.
 type testAuthority struct {
 	t           *testing.T
 	folder      string
@@ -40,7 +40,7 @@
 
 func (a *testAuthority) path(name string) string { return filepath.Join(a.folder, name) }
 
-// write signs a certificate and writes it with a new key, which it returns.
+// write generates a key, signs a certificate for the key, writes both and returns the key.
 func (a *testAuthority) write(name string, template *x509.Certificate) *ecdsa.PrivateKey {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -76,7 +76,7 @@
 	}
 }
 
-// writeServer writes a server's pair; one that is expired has been for an hour.
+// writeServer writes a server's certificate and key. A zero notAfter means an hour from now.
 func (a *testAuthority) writeServer(name string, notAfter time.Time) {
 	a.t.Helper()
 	a.write(name, &x509.Certificate{
@@ -84,7 +84,7 @@
 	})
 }
 
-// writeClient writes a client's pair and returns it.
+// writeClient writes a client's certificate and key and returns them.
 func (a *testAuthority) writeClient(name string) tls.Certificate {
 	a.t.Helper()
 	a.write(name, &x509.Certificate{
@@ -98,7 +98,7 @@
 }
 
 // dial connects to a server and returns the common name of its certificate.
-func (a *testAuthority) dial(address net.Addr, shown ...tls.Certificate) (conn *tls.Conn, commonName string) {
+func (a *testAuthority) dial(address net.Addr, certificates ...tls.Certificate) (conn *tls.Conn, commonName string) {
 	a.t.Helper()
 	pool := x509.NewCertPool()
 	text, err := os.ReadFile(a.path("ca.crt"))
@@ -106,7 +106,8 @@
 		a.t.Fatal(err)
 	}
 	pool.AppendCertsFromPEM(text)
-	conn, err = tls.Dial("tcp", address.String(), &tls.Config{RootCAs: pool, ServerName: "router", Certificates: shown})
+	conn, err = tls.Dial("tcp", address.String(),
+		&tls.Config{RootCAs: pool, ServerName: "router", Certificates: certificates})
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -114,7 +115,7 @@
 	return conn, conn.ConnectionState().PeerCertificates[0].Subject.CommonName
 }
 
-// ping returns what a client reads after a ping.
+// ping sends a ping and returns the result of the first read.
 func ping(conn net.Conn) string {
 	_, _ = io.WriteString(conn, frame("PING", "1"))
 	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
@@ -123,7 +124,7 @@
 	return string(buffer[:n])
 }
 
-// Keys are loaded again without a connection lost; a pair that cannot be used leaves the old one in force.
+// Reloading the keys keeps open connections. After an unusable pair, the old keys stay in use.
 func TestTLSKeysAreReloaded(t *testing.T) {
 	authority := newTestAuthority(t)
 	at := authority.path
@@ -151,20 +152,20 @@
 		}
 	}
 	if _, name := authority.dial(address); name != "one" {
-		t.Errorf("%s is in force after an unusable pair", name)
+		t.Errorf("certificate %s is in use after an unusable pair", name)
 	}
 	if err := keys.Load(TLSFiles{Cert: at("two.crt"), Key: at("two.key"), ClientCA: at("ca.crt")}); err != nil {
 		t.Fatal(err)
 	}
 	if after, name := authority.dial(address); name != "two" || ping(after) != pong("1") {
-		t.Errorf("%s is in force", name)
+		t.Errorf("certificate %s is in use after the reload", name)
 	}
 	if got := ping(before); got != pong("1") {
-		t.Errorf("a connection from before the reload gets %q", got)
+		t.Errorf("a connection opened before the reload got %q", got)
 	}
 }
 
-// A client that never finishes its handshake is closed in time.
+// The connection of a client that never finishes its handshake is closed in time.
 func TestUnfinishedHandshakeIsClosed(t *testing.T) {
 	authority := newTestAuthority(t)
 	authority.writeServer("one", time.Time{})
@@ -174,10 +175,10 @@
 	}
 	address, server := startServer(t, Options{TLSKeys: keys})
 	conn := dial(t, address)
-	begun := time.Now()
+	start := time.Now()
 	write(t, conn, "\x16\x03\x01")
-	if _, err := io.ReadAll(conn); os.IsTimeout(err) || time.Since(begun) > 4*time.Second {
-		t.Errorf("half a handshake is held for %v", time.Since(begun))
+	if _, err := io.ReadAll(conn); os.IsTimeout(err) || time.Since(start) > 4*time.Second {
+		t.Errorf("a connection with an unfinished handshake was kept for %v", time.Since(start))
 	}
 	await(t, "no connection is left", func() bool { return server.ConnectionCount() == 0 })
 	if count := server.shared.invalidTransitions.Load(); count > 0 {
--- a/internal/frontend/wireformat.go
+++ b/internal/frontend/wireformat.go
@@ -10,17 +10,17 @@
 	"fennelarch/internal/resp"
 )
 
-// The words of the client protocol stand in this file alone; everywhere else they have the names given here. A frame
-// is an array of strings:
+// This file holds all words of the client protocol; other files use the names defined here. A frame is an array of
+// strings:
 //
-//	a request:  verb, tag, class, fields, body (the last may be left out)
+//	a request:  verb, tag, class, fields, body (the body is optional)
 //	a cancel:   verb, tag
 //	a ping:     verb, tag
 //	a response: tag, status, fields, body
 //
-// Fields are a list of name=value, separated by commas. A tag is a number that the client chooses for each request.
+// Fields are a comma-separated list of name=value pairs. A tag is a number that the client chooses for each request.
 
-// Verbs of the client.
+// Verbs of client messages.
 const (
 	verbRequest = "DO"
 	verbCancel  = "UNDO"
@@ -35,7 +35,7 @@
 	statusFailed   = "FAILED"
 )
 
-// Fields of a request, and the field of engine.Request that each one sets.
+// Fields of a request, each with the field of engine.Request that it sets.
 const (
 	fieldRequestID      = "req"     // ClientRequestID
 	fieldTimeout        = "timeout" // Timeout, in milliseconds
@@ -48,7 +48,7 @@
 	fieldIdempotencyKey = "opkey"   // IdempotencyKey
 	fieldHeldETag       = "ver"     // HeldETag
 
-	repeatValue = "1" // the one value of fieldRepeat
+	repeatValue = "1" // the only valid value of fieldRepeat
 )
 
 // Fields of a response.
@@ -60,10 +60,10 @@
 const (
 	maxPart  = 1<<31 - 1
 	maxGroup = 1<<8 - 1
-	idDigits = 16 // hex digits of an id
+	idDigits = 16 // hex digits of an ID
 )
 
-// retryAfterField is the field that tells a client when to retry; none where that is not known.
+// retryAfterField returns the field that tells a client when to retry, or an empty string if wait is not positive.
 func retryAfterField(wait time.Duration) string {
 	if wait <= 0 {
 		return ""
@@ -71,8 +71,8 @@
 	return responseRetryAfter + strconv.FormatInt(max(1, wait.Milliseconds()), 10)
 }
 
-// unsolicitedRejection is what a rejected client is sent that has not asked for anything: an error in any reader of
-// RESP.
+// unsolicitedRejection returns the message for a rejected client that has sent no request. Any RESP client reads it as
+// an error.
 func unsolicitedRejection(wait time.Duration) []byte {
 	if wait <= 0 {
 		return []byte("-BUSY too many connections\r\n")
@@ -80,7 +80,7 @@
 	return fmt.Appendf(nil, "-BUSY too many connections, come back in %d ms\r\n", wait.Milliseconds())
 }
 
-// parseTag reads a tag; 0 is none.
+// parseTag parses a tag, which must be positive.
 func parseTag(text []byte) (tag engine.Tag, isTag bool) {
 	number, err := strconv.ParseUint(string(text), 10, 64)
 	return engine.Tag(number), err == nil && number > 0
@@ -88,7 +88,7 @@
 
 func formatTag(tag engine.Tag) string { return strconv.FormatUint(uint64(tag), 10) }
 
-// parseID reads 16 hex digits in the one form in which they can be written again.
+// parseID parses an ID of 16 lower-case hex digits, so that an ID has only one written form.
 func parseID(text []byte) (id uint64, isID bool) {
 	if len(text) != idDigits {
 		return 0, false
@@ -103,13 +103,13 @@
 	return id, err == nil
 }
 
-// parseNumber reads a decimal number that is not above a limit.
+// parseNumber parses a decimal number that must not exceed the limit.
 func parseNumber(text []byte, limit uint64) (number uint64, isNumber bool) {
 	number, err := strconv.ParseUint(string(text), 10, 64)
 	return number, err == nil && number <= limit
 }
 
-// newDecoder returns a decoder of client frames within the limits.
+// newDecoder returns a decoder that accepts client frames up to the given limits.
 func newDecoder(bounds *limits.Limits) resp.Decoder {
 	return resp.Decoder{
 		MaxStrings:     bounds.FrameStrings,
--- a/internal/frontend/writer.go
+++ b/internal/frontend/writer.go
@@ -6,7 +6,7 @@
 	"fennelarch/internal/system"
 )
 
-// writeLoop writes responses until the session is closed, or closes it where a write fails.
+// writeLoop writes responses until the session is closed. A failed write closes the session and the connection.
 func (c *connection) writeLoop() {
 	for {
 		output, isClosed := c.awaitOutput()
@@ -16,11 +16,11 @@
 		_ = c.SetWriteDeadline(time.Now().Add(c.server.shared.limits.WriteStallTimeout))
 		count, err := system.Write(c.Conn, output)
 		c.mu.Lock()
-		c.session.wroteOutput(count)
+		c.session.advanceOutput(count)
 		if err != nil {
 			c.session.close()
 		}
-		c.unlockChanged()
+		c.unlockAndNotify()
 		if err != nil {
 			_ = c.Conn.Close()
 			return
@@ -28,13 +28,13 @@
 	}
 }
 
-// awaitOutput waits until there is something to be written, or the session is closed.
+// awaitOutput waits until there is output to write or the session is closed.
 func (c *connection) awaitOutput() (output []byte, isClosed bool) {
 	c.mu.Lock()
-	defer c.unlockChanged()
+	defer c.unlockAndNotify()
 	output = c.session.nextOutput()
 	for len(output) == 0 && !c.session.state.isClosed() {
-		c.changed.Wait()
+		c.sessionChanged.Wait()
 		output = c.session.nextOutput()
 	}
 	return output, c.session.state.isClosed()
--- a/policy/admission/action.go
+++ b/policy/admission/action.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Accept      ActionKind = iota // the connection, or the request
-	Reject                        // with an error message and, if Wait is set, the time to retry after
-	Drop                          // without a message
-	CloseIdle                     // close an idle connection, to free its place
-	Pause                         // accept nothing for Wait, or, if Conn is set, read nothing of that connection
-	ModeChanged                   // From, To: the overload mode is another; for the log
+	Accept        ActionKind = iota // accept the connection or the request
+	Reject                          // reject it with an error message and, if Wait is set, a time to retry after
+	Drop                            // close the connection without a message
+	CloseIdle                       // close an idle connection to free its slot
+	Pause                           // for Wait, accept no connections or, if Conn is set, do not read from that connection
+	LogModeChange                   // log that the overload mode changed from From to To
 )
 
-// Action is one thing that the front end has to do; actions are carried out in the order given.
+// Action is an instruction to the front end, which carries out actions in the order in which they are returned.
 type Action struct {
 	Kind ActionKind
 	Conn ConnID
@@ -24,7 +24,7 @@
 	To   Mode
 }
 
-// Counts is the number of decisions of each kind so far.
+// Counts holds the number of decisions of each kind so far.
 type Counts struct {
 	Accepted, Rejected, Dropped, ClosedIdle, RequestsRejected, DescriptorsExhausted, Handshakes uint64
 }
--- a/policy/admission/connection.go
+++ b/policy/admission/connection.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// connectionState is what an accepted connection is doing. Its TLS handshake is apart from it: it takes a place among
-// the handshakes, not among the requests.
+// connectionState is the state of an accepted connection. A TLS handshake is tracked separately, because it is limited
+// together with the other handshakes, not with the requests.
 type connectionState uint8
 
 const (
-	stateNew     connectionState = iota // no complete message has come yet, and nothing is to be written
-	stateNewBusy                        // something is to be written, though no complete message has come
-	stateIdle                           // it has sent messages, and nothing is open
-	stateBusy                           // a request is open, or something is to be written
+	stateNew     connectionState = iota // no complete message received yet, and no output pending
+	stateNewBusy                        // output pending, but no complete message received yet
+	stateIdle                           // messages received, but no request open and no output pending
+	stateBusy                           // a request open or output pending
 	connectionStateCount
 )
 
-// connectionSignal is what changes the state of a connection.
+// connectionSignal is an input of the state machine of a connection.
 type connectionSignal uint8
 
 const (
-	signalMessage connectionSignal = iota // a complete message came
-	signalBusy                            // a request is open, or something is to be written
-	signalIdle                            // nothing is any more
+	signalMessage connectionSignal = iota // a complete message was received
+	signalBusy                            // a request is open or output is pending
+	signalIdle                            // no request is open and no output is pending
 	connectionSignalCount
 )
 
-// connectionTransitions says which state follows. Every signal may come in every state: the front end reports a
-// change of its own, and one that is known already changes nothing.
+// connectionTransitions holds the next state for each state and signal. Every signal may occur in every state, because
+// the front end reports changes that the controller may already know of; such a signal changes nothing.
 var connectionTransitions = [connectionStateCount][connectionSignalCount]connectionState{
 	//            message    busy          idle
 	stateNew:     {stateIdle, stateNewBusy, stateNew},
@@ -34,25 +34,25 @@
 	stateBusy:    {stateBusy, stateBusy, stateIdle},
 }
 
-// connection is one connection that was accepted.
+// connection is the record of an accepted connection.
 type connection struct {
 	id            ConnID
-	peer          int32
+	peerIndex     int32
 	state         connectionState
-	isReserved    bool // it has one of the places reserved for known peers
+	isReserved    bool // occupies a slot reserved for known peers
 	isHandshaking bool
 
 	openRequests       int
-	openKnownRequests  int           // of them, opened while its peer was known
-	rejectionsInRow    int           // requests rejected since the last one that was admitted
-	mayHaveUnreadUntil time.Duration // until then something of it may not have been read yet, as reading was paused
-	idleSince          time.Duration // when it was accepted, sent its first message or became idle
-	links                            // in the list of its state, while it is idle
+	openKnownRequests  int           // those of openRequests that were opened while the peer was known
+	rejectionsInRow    int           // requests rejected since the last admitted one
+	mayHaveUnreadUntil time.Duration // reading was paused, so until this time there may be unread input
+	idleSince          time.Duration // time of acceptance, of the first message or of the last change to idle
+	links                            // position in the list of idleListOf(state), if there is one
 }
 
 func (c *Controller) connectionLinks(index int32) *links { return &c.connections[index].links }
 
-// idleListOf returns the list of the connections in an idle state, or nil for the others.
+// idleListOf returns the list of the connections in the given state, or nil if the state is not idle.
 func (c *Controller) idleListOf(state connectionState) *idleList {
 	switch state {
 	case stateNew:
@@ -76,7 +76,7 @@
 	}
 }
 
-// transition follows the table, and says whether the state has changed.
+// transition applies a signal to a connection and reports whether its state has changed.
 func (c *Controller) transition(index int32, signal connectionSignal) (changed bool) {
 	conn := &c.connections[index]
 	next := connectionTransitions[conn.state][signal]
@@ -92,17 +92,17 @@
 	return true
 }
 
-// insert adds a connection that is accepted.
-func (c *Controller) insert(event *Event, peer int32, onReservedPlace bool) {
+// addConnection adds a record for an accepted connection and emits the Accept action.
+func (c *Controller) addConnection(event *Event, peerIndex int32, inReservedSlot bool) {
 	index := c.allocateConnection()
 	c.connections[index] = connection{
-		id: event.Conn, peer: peer, isReserved: onReservedPlace, isHandshaking: event.TLS, idleSince: c.now,
+		id: event.Conn, peerIndex: peerIndex, isReserved: inReservedSlot, isHandshaking: event.TLS, idleSince: c.now,
 	}
 	c.connectionIndex[event.Conn] = index
 	c.connectionCount++
-	if onReservedPlace {
+	if inReservedSlot {
 		c.reservedCount++
-		c.peers[peer].reserved++
+		c.peers[peerIndex].reserved++
 	}
 	if event.TLS {
 		c.handshakeCount++
@@ -122,11 +122,11 @@
 	return int32(len(c.connections) - 1)
 }
 
-// remove takes a connection out, with all that is accounted to it.
-func (c *Controller) remove(index int32) {
+// removeConnection deletes a connection and subtracts its requests, slot and handshake from the totals.
+func (c *Controller) removeConnection(index int32) {
 	conn := &c.connections[index]
 	c.removeFromIdleList(index)
-	peer := &c.peers[conn.peer]
+	peer := &c.peers[conn.peerIndex]
 	peer.openRequests -= conn.openRequests
 	c.openRequests -= conn.openRequests
 	c.openKnownRequests -= conn.openKnownRequests
@@ -140,15 +140,15 @@
 	c.connectionCount--
 	delete(c.connectionIndex, conn.id)
 	c.freeConnections = append(c.freeConnections, index)
-	c.detach(conn.peer)
+	c.removePeerConnection(conn.peerIndex)
 }
 
-// reassign accounts a connection to the certificate that it has shown: clients behind one address have quotas of
-// their own.
+// reassign moves a connection from its address to the peer of its client certificate, so that clients behind one
+// address have separate quotas.
 func (c *Controller) reassign(index int32, id Peer) {
 	to := c.findPeer(id)
 	conn := &c.connections[index]
-	from := conn.peer
+	from := conn.peerIndex
 	oldPeer, newPeer := &c.peers[from], &c.peers[to]
 	newPeer.isAllowlisted = true
 	oldPeer.openRequests -= conn.openRequests
@@ -157,10 +157,10 @@
 		oldPeer.reserved--
 		newPeer.reserved++
 	}
-	c.attach(to)
-	c.detach(from)
-	conn.peer = to
-	// The connection was admitted by the address's rate; the certificate's own quota holds from here on.
+	c.addPeerConnection(to)
+	c.removePeerConnection(from)
+	conn.peerIndex = to
+	// The address's quota admitted the connection; from here on the certificate's quota applies.
 	if c.exceedsConnectionQuota(newPeer, quotaFractions[c.mode][allowlisted]) {
 		c.closeIdle(index)
 	}
--- a/policy/admission/connection_test.go
+++ b/policy/admission/connection_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// A burst fills all places with connections that sent a message once and stay: one that comes then has the time to
-// send its own, and one of those is closed instead; one that has still not sent anything after that time goes first.
-// Met on a crowded day: new connections were closed after a tenth of a millisecond, one for the next.
+// Guards against new connections being closed for one another before their first messages arrive: under load, each was
+// closed after a tenth of a millisecond. When all slots are taken by idle connections that have sent a message, one of
+// these is closed for a new connection. A connection that has sent nothing for longer than firstMessageDelay is closed
+// first.
 func TestNewConnectionsHaveTimeForFirstMessage(t *testing.T) {
 	controller := New(Settings{MaxConnections: 20, FirstRequestGrace: time.Second, MaxRememberedPeers: 100})
-	now, last := time.Second, ConnID(0)
+	now, lastConn := time.Second, ConnID(0)
 	closed := map[ConnID]bool{}
 	handle := func(event Event) {
 		for _, action := range controller.Handle(now, &event, nil) {
@@ -21,9 +22,9 @@
 		}
 	}
 	arrive := func() ConnID {
-		last++
-		handle(Event{Kind: EventArrive, Conn: last, Peer: clientAddress(int(last))})
-		return last
+		lastConn++
+		handle(Event{Kind: EventArrival, Conn: lastConn, Peer: clientAddress(int(lastConn))})
+		return lastConn
 	}
 	for range 20 {
 		handle(Event{Kind: EventMessage, Conn: arrive()})
@@ -37,26 +38,26 @@
 	}
 	for _, id := range recent {
 		if closed[id] {
-			t.Errorf("connection %d was closed before it could send anything", id)
+			t.Errorf("connection %d was closed before it could send its first message", id)
 		}
 	}
 	now += 200 * time.Millisecond
 	arrive()
 	if !closed[recent[0]] {
-		t.Error("one that has sent nothing for long keeps its place")
+		t.Error("a connection that has long sent nothing was not closed for a new one")
 	}
 }
 
-// One address with many connections gets no more than its share of the requests.
+// An address with many connections gets no more than its share of the requests.
 func ExampleController() {
 	settings := testSettings()
 	settings.NewPerPeerPerSecond = 0
 	controller := New(settings)
-	last := ConnID(0)
+	lastConn := ConnID(0)
 	connect := func(client int) ConnID {
-		last++
-		controller.Handle(0, &Event{Kind: EventArrive, Conn: last, Peer: clientAddress(client)}, nil)
-		return last
+		lastConn++
+		controller.Handle(0, &Event{Kind: EventArrival, Conn: lastConn, Peer: clientAddress(client)}, nil)
+		return lastConn
 	}
 	request := func(id ConnID, times int) (admitted int) {
 		for range times {
@@ -91,7 +92,7 @@
 	for b.Loop() {
 		id++
 		now += 50 * time.Microsecond
-		event := Event{Kind: EventArrive, Conn: id, Peer: clientAddress(int(id) % 100_000)}
+		event := Event{Kind: EventArrival, Conn: id, Peer: clientAddress(int(id) % 100_000)}
 		actions = controller.Handle(now, &event, actions[:0])
 	}
 }
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -1,52 +1,53 @@
-// Package admission decides which client connections are accepted, which are closed for others, and how many requests
-// each client may have open. It does no I/O, reads no clock and starts no goroutine: it takes events with their times
-// and returns the actions that follow.
+// Package admission decides which client connections are accepted, which idle connections are closed to make room for
+// others, and how many requests each client may have open. It does no I/O, reads no clock and starts no goroutine: it
+// takes events with their times and returns the resulting actions.
 //
-// controller.go has the events in reading order; connection.go, peers.go and mode.go hold the states and their tables
-// of transitions; eviction.go, handshakes.go, requestquota.go and descriptors.go hold one decision each.
+// controller.go dispatches the events and is the place to start reading. connection.go, peers.go and mode.go hold the
+// states and their transition tables; eviction.go, handshakes.go, requestquota.go and descriptors.go make one decision
+// each.
 package admission
 
 import "time"
 
-// Controller holds all admission decisions of one router. It is not safe for concurrent use.
+// Controller makes all admission decisions of one router. It is not safe for concurrent use.
 type Controller struct {
-	// Counts is the number of decisions of each kind so far.
+	// Counts holds the number of decisions of each kind so far.
 	Counts Counts
 
 	settings Settings
 	now      time.Duration
-	actions  []Action // of the event that is being handled
+	actions  []Action // resulting from the event being handled
 	mode     Mode
 
 	connections     []connection // slab
-	freeConnections []int32      // unused entries of it
+	freeConnections []int32      // indexes of the unused entries of connections
 	connectionIndex map[ConnID]int32
-	newConnections  idleList // in stateNew
-	idleConnections idleList // in stateIdle
+	newConnections  idleList // connections in stateNew
+	idleConnections idleList // connections in stateIdle
 	connectionCount int
-	reservedCount   int // connections on reserved places
+	reservedCount   int // connections that occupy reserved slots
 
 	peers     []peerRecord // slab
 	freePeers []int32
 	peerIndex map[Peer]int32
-	idlePeers idleList // those without a connection
+	idlePeers idleList // peers without a connection
 
 	handshakeCount         int
-	handshakeCPUSeconds    float64 // that may be spent now; negative where it is overdrawn
+	handshakeCPUSeconds    float64 // CPU time left for handshakes; negative when overdrawn
 	handshakeCPURefilledAt time.Duration
 
 	openRequests         int
-	openKnownRequests    int // of them, of known peers
+	openKnownRequests    int // those of openRequests that belong to known peers
 	unknownRequestLimit  float64
 	limitAdjustedAt      time.Duration
-	knownRequestRejected bool // since the limit was adjusted last
+	knownRequestRejected bool // a known peer's request was rejected since the last adjustment of the limit
 
 	shedUntil            time.Duration
-	descriptorLimit      int // connections for which descriptors were found to suffice; 0: all
+	descriptorLimit      int // number of connections that the available descriptors allow; 0 means no limit
 	descriptorLimitSetAt time.Duration
 }
 
-// New returns a controller that knows no peer.
+// New returns a controller without connections and peers.
 func New(settings Settings) *Controller {
 	settings = settings.normalized()
 	return &Controller{
@@ -56,7 +57,7 @@
 	}
 }
 
-// UpdateSettings applies changed settings; existing connections stay.
+// UpdateSettings applies changed settings. It closes no existing connection.
 func (c *Controller) UpdateSettings(settings Settings) {
 	settings = settings.normalized()
 	c.settings, c.unknownRequestLimit = settings, float64(settings.MaxRequests)
@@ -67,22 +68,22 @@
 	}
 }
 
-// ConnectionCount returns how many connections there are.
+// ConnectionCount returns the number of accepted connections.
 func (c *Controller) ConnectionCount() int { return c.connectionCount }
 
 // Mode returns the current overload mode.
 func (c *Controller) Mode() Mode { return c.mode }
 
-// Handle takes one event and appends the actions that follow. A time before that of the last event counts as that
-// one's.
+// Handle processes one event and appends the resulting actions to the given slice. A time earlier than that of the
+// previous event is replaced by the time of the previous event.
 func (c *Controller) Handle(now time.Duration, event *Event, actions []Action) []Action {
 	c.now, c.actions = max(now, c.now), actions
 	switch event.Kind {
-	case EventArrive:
+	case EventArrival:
 		c.handleArrival(event)
-	case EventNoDescriptors:
+	case EventDescriptorsExhausted:
 		c.handleDescriptorsExhausted()
-	case EventNoUpstreamDescriptors:
+	case EventUpstreamDescriptorsExhausted:
 		c.handleUpstreamDescriptorsExhausted()
 	case EventDescriptorAvailable:
 		c.handleDescriptorAvailable()
@@ -95,80 +96,81 @@
 	return actions
 }
 
-// emit adds an action to those of the event.
+// emit appends an action to those of the current event.
 func (c *Controller) emit(action Action) { c.actions = append(c.actions, action) }
 
-// handleArrival accepts a new connection, or not.
+// handleArrival accepts or refuses a new connection.
 func (c *Controller) handleArrival(event *Event) {
 	c.handleDescriptorAvailable()
-	peer := c.findPeer(event.Peer)
-	c.attach(peer) // so that it is not forgotten while others are closed for it
-	if !c.admitConnection(event, peer) {
-		c.detach(peer)
+	peerIndex := c.findPeer(event.Peer)
+	c.addPeerConnection(peerIndex) // keeps the peer's record while other connections are closed for this one
+	if !c.admitConnection(event, peerIndex) {
+		c.removePeerConnection(peerIndex)
 	}
 	c.updateOccupancy()
 }
 
-// admitConnection accepts a connection, which is accounted to its peer already, or says that it is not admitted.
+// admitConnection accepts or refuses a connection that is already counted for its peer, and reports which.
 func (c *Controller) admitConnection(event *Event, peerIndex int32) bool {
 	peer := &c.peers[peerIndex]
-	who := c.reputation(peer)
-	fraction := quotaFractions[c.mode][who]
-	if c.exceedsConnectionQuota(peer, fraction) || !c.consumeNewConnection(peer, fraction) {
+	peerReputation := c.reputation(peer)
+	fraction := quotaFractions[c.mode][peerReputation]
+	if c.exceedsConnectionQuota(peer, fraction) || !c.takeConnectionToken(peer, fraction) {
 		c.penalize(peer)
 		return c.refuseConnection(event, Reject)
 	}
-	if event.TLS && !c.mayHandshake(who) {
+	if event.TLS && !c.mayHandshake(peerReputation) {
 		return c.refuseConnection(event, Drop)
 	}
-	decision := c.placeFor(peer, who)
-	if decision == reject || decision == admitEvicting && !c.evictIdle(who) {
+	decision := c.verdictFor(peer, peerReputation)
+	if decision == reject || decision == admitEvicting && !c.evictIdle(peerReputation) {
 		return c.refuseConnection(event, Reject)
 	}
-	c.insert(event, peerIndex, decision == admitReserved)
+	c.addConnection(event, peerIndex, decision == admitReserved)
 	return true
 }
 
-// placeFor looks up the verdict of the mode and adapts it to the places that are free.
-func (c *Controller) placeFor(peer *peerRecord, who reputation) verdict {
-	decision := verdicts[c.mode][who]
+// verdictFor returns the verdict of the current mode, adjusted to the slots that are free.
+func (c *Controller) verdictFor(peer *peerRecord, peerReputation reputation) verdict {
+	decision := verdicts[c.mode][peerReputation]
 	mayReserve := c.mayUseReserve(peer)
-	if decision == admit && who > unknown && mayReserve {
-		decision = admitReserved // so that no flood of unknown peers can have it closed
+	if decision == admit && peerReputation > unknown && mayReserve {
+		decision = admitReserved // protects the connection from eviction during a flood of unknown peers
 	}
-	hasFreePlace := c.connectionCount-c.reservedCount < c.unreservedPlaces()
-	if decision == admitReserved && !mayReserve || decision == admit && !hasFreePlace {
+	hasFreeSlot := c.connectionCount-c.reservedCount < c.unreservedSlots()
+	if decision == admitReserved && !mayReserve || decision == admit && !hasFreeSlot {
 		decision = admitEvicting
 	}
-	if decision == admitEvicting && hasFreePlace {
+	if decision == admitEvicting && hasFreeSlot {
 		decision = admit
 	}
 	return decision
 }
 
-// reserveParts is into how many parts the reserve is split, of which one peer may have one: a known peer that floods
-// leaves the others theirs.
+// reserveParts is the number of parts into which the reserve is divided. One peer may use one part, so that a known
+// peer that floods the router leaves reserved slots for the others.
 const reserveParts = 4
 
 func (c *Controller) mayUseReserve(peer *peerRecord) bool {
 	return c.reservedCount < c.settings.Reserve && peer.reserved < max(1, c.settings.Reserve/reserveParts)
 }
 
-// refuseConnection rejects a connection or drops it: before its TLS handshake it could not read a message.
-func (c *Controller) refuseConnection(event *Event, how ActionKind) (admitted bool) {
+// refuseConnection rejects or drops a connection. A TLS connection is always dropped, because its client cannot read a
+// message before the handshake.
+func (c *Controller) refuseConnection(event *Event, kind ActionKind) (admitted bool) {
 	if event.TLS {
-		how = Drop
+		kind = Drop
 	}
-	if how == Drop {
+	if kind == Drop {
 		c.Counts.Dropped++
 	} else {
 		c.Counts.Rejected++
 	}
-	c.emit(Action{Kind: how, Conn: event.Conn, Wait: c.retryAfter(event.Conn)})
+	c.emit(Action{Kind: kind, Conn: event.Conn, Wait: c.retryAfter(event.Conn)})
 	return false
 }
 
-// handleConnectionEvent takes an event of an accepted connection.
+// handleConnectionEvent processes an event of an accepted connection.
 func (c *Controller) handleConnectionEvent(index int32, event *Event) {
 	switch event.Kind {
 	case EventHandshakeDone:
@@ -184,8 +186,8 @@
 	case EventIdle:
 		c.handleIdle(index)
 	case EventClosed:
-		c.remove(index)
+		c.removeConnection(index)
 		c.updateOccupancy()
-	default: // of no connection: Handle has it
+	default: // Handle processes the events that concern no accepted connection
 	}
 }
--- a/policy/admission/descriptors.go
+++ b/policy/admission/descriptors.go
@@ -3,33 +3,33 @@
 import "time"
 
 const (
-	// acceptPause is how long nothing is accepted once no descriptor could be had: as long as a client's own retry at
-	// least, and short enough that the system's accept queue does not overflow meanwhile.
+	// acceptPause is how long no connection is accepted after descriptors have run out: at least as long as a client
+	// waits before it retries, and short enough that the kernel's accept queue does not overflow.
 	acceptPause = 20 * time.Millisecond
 	// sheddingPeriod is how long descriptors must have been available before unknown peers are admitted again.
 	sheddingPeriod = 500 * time.Millisecond
-	// upstreamEvictions is how many idle connections are closed where a connection to an endpoint found no descriptor:
-	// for that one, and the next few.
+	// upstreamEvictions is the number of idle connections closed when there is no descriptor for a connection to an
+	// endpoint: enough for that connection and the next few.
 	upstreamEvictions = 4
 )
 
-// When descriptors run out, the limit on connections falls to a part of those there are: the other descriptors are
-// what the connections to endpoints need. It rises slowly once descriptors are available.
+// When descriptors run out, the limit on connections falls to a fraction of the current number of connections, which
+// frees descriptors for connections to endpoints. The limit rises slowly once descriptors are available again.
 const (
-	limitAfterExhaustion   = 0.5
-	limitRecoveryStep      = 0.05
-	minDescriptorLimit     = 16
-	exhaustionCountsWithin = 2 * acceptPause // the limit falls once for each time that descriptors run out
+	exhaustionLimitFactor = 0.5
+	limitRecoveryStep     = 0.05
+	minDescriptorLimit    = 16
+	exhaustionInterval    = 2 * acceptPause // reports within this time are one shortage and lower the limit once
 )
 
-// handleDescriptorsExhausted lowers the limit on connections to what the descriptors suffice for, and pauses the
+// handleDescriptorsExhausted lowers the limit on connections, closes idle connections down to the limit and pauses the
 // accept loop.
 func (c *Controller) handleDescriptorsExhausted() {
 	c.Counts.DescriptorsExhausted++
 	c.shedUntil = c.now + sheddingPeriod
 	c.changeMode(descriptorsExhausted)
-	if c.descriptorLimit == 0 || c.now-c.descriptorLimitSetAt >= exhaustionCountsWithin {
-		c.descriptorLimit = max(minDescriptorLimit, int(limitAfterExhaustion*float64(c.connectionCount)))
+	if c.descriptorLimit == 0 || c.now-c.descriptorLimitSetAt >= exhaustionInterval {
+		c.descriptorLimit = max(minDescriptorLimit, int(exhaustionLimitFactor*float64(c.connectionCount)))
 		c.descriptorLimitSetAt = c.now
 	}
 	for c.connectionCount > c.descriptorLimit && c.evictIdle(allowlisted) {
@@ -37,7 +37,7 @@
 	c.emit(Action{Kind: Pause, Wait: acceptPause})
 }
 
-// handleUpstreamDescriptorsExhausted closes idle connections so that connections to endpoints can be made.
+// handleUpstreamDescriptorsExhausted closes idle connections to free descriptors for connections to endpoints.
 func (c *Controller) handleUpstreamDescriptorsExhausted() {
 	c.shedUntil = c.now + sheddingPeriod
 	c.changeMode(descriptorsExhausted)
@@ -46,7 +46,8 @@
 	}
 }
 
-// handleDescriptorAvailable raises the limit on connections again, and ends the shedding in time.
+// handleDescriptorAvailable raises the limit on connections by one step and leaves ModeShedding, each once its time has
+// come.
 func (c *Controller) handleDescriptorAvailable() {
 	if c.descriptorLimit > 0 && c.now-c.descriptorLimitSetAt >= sheddingPeriod {
 		c.descriptorLimitSetAt = c.now
@@ -61,7 +62,7 @@
 	c.updateOccupancy()
 }
 
-// maxConnections is how many connections there may be now.
+// maxConnections returns the current limit on connections.
 func (c *Controller) maxConnections() int {
 	if c.descriptorLimit > 0 {
 		return min(c.settings.MaxConnections, c.descriptorLimit)
@@ -69,8 +70,8 @@
 	return c.settings.MaxConnections
 }
 
-// unreservedPlaces is how many connections unknown peers may have.
-func (c *Controller) unreservedPlaces() int {
+// unreservedSlots returns the number of slots that are open to unknown peers.
+func (c *Controller) unreservedSlots() int {
 	limit := c.maxConnections()
 	return max(1, limit-c.settings.Reserve*limit/max(1, c.settings.MaxConnections))
 }
--- a/policy/admission/event.go
+++ b/policy/admission/event.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// ConnID identifies one connection; the front end numbers them from 1.
+// ConnID identifies a connection. The front end numbers connections from 1.
 type ConnID uint64
 
-// EventKind says what happened; the comment of each kind names the fields of Event that are set.
+// EventKind is the kind of an Event. The comment on each kind lists the fields of Event that are set.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	EventArrive                EventKind = iota // Conn, Peer, TLS: a connection was accepted by the system
-	EventHandshakeDone                          // Conn, Peer (of the certificate, or none), Elapsed: the handshake is over
-	EventMessage                                // Conn: a complete message came
-	EventRequest                                // Conn, Elapsed (event queue delay): it wants to open a request
-	EventRequestEnd                             // Conn, InTime, Rejected: one of its requests has its response
-	EventBusy                                   // Conn: a request is open or something is to be written
-	EventIdle                                   // Conn: nothing is any more
-	EventClosed                                 // Conn
-	EventNoDescriptors                          // no descriptor is left, in the process or the system
-	EventNoUpstreamDescriptors                  // none is left for a connection to an endpoint
-	EventDescriptorAvailable                    // a descriptor could be had again
+	EventArrival                      EventKind = iota // Conn, Peer, TLS: the kernel has accepted a connection
+	EventHandshakeDone                                 // Conn, Peer (certificate or zero), Elapsed (CPU): handshake ended
+	EventMessage                                       // Conn: a complete message was received
+	EventRequest                                       // Conn, Elapsed (event queue delay): the client sent a request
+	EventRequestEnd                                    // Conn, InTime, Rejected: a request has ended
+	EventBusy                                          // Conn: a request is open or output is pending
+	EventIdle                                          // Conn: no request is open and no output is pending
+	EventClosed                                        // Conn: the connection was closed
+	EventDescriptorsExhausted                          // the process or the system has run out of file descriptors
+	EventUpstreamDescriptorsExhausted                  // there was no descriptor for a connection to an endpoint
+	EventDescriptorAvailable                           // a descriptor is available
 )
 
-// Event is one thing that happened to a connection or to the descriptors of the process.
+// Event is a change of a connection or of the file descriptors of the process.
 type Event struct {
 	Kind     EventKind
 	Conn     ConnID
--- a/policy/admission/eviction.go
+++ b/policy/admission/eviction.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// firstMessageDelay is how long a connection that has sent nothing yet is taken to be about to: several times the way
-// of a client's first message. Otherwise, among many that come at once, each would be closed for the next one before
-// its message is there. It is spared for one that has been idle for longer than that, so that connections that never
-// send anything do not push out those that just did.
+// firstMessageDelay is how long a new connection is expected to take to send its first message: several times the
+// network delay. Without this allowance, when many connections arrive at once, each would be closed for the next one
+// before its first message is there. A connection that has sent messages and has been idle for longer than this is
+// closed first. After this time a new connection loses the allowance, so that connections that never send anything do
+// not displace those that have just sent a message.
 const firstMessageDelay = 100 * time.Millisecond
 
-// closeIdle has a connection closed for the sake of others.
+// closeIdle closes a connection to make room for others.
 func (c *Controller) closeIdle(index int32) {
 	c.Counts.ClosedIdle++
 	c.emit(Action{Kind: CloseIdle, Conn: c.connections[index].id})
-	c.remove(index)
+	c.removeConnection(index)
 }
 
-// mayClose says whether an idle connection may be closed for a peer of that reputation: none on a reserved place,
-// none of a known peer for an unknown one, and one that may have something unread only where descriptors have run out
-// (for an allowlisted peer).
-func (c *Controller) mayClose(conn *connection, beneficiary reputation) bool {
+// mayEvict reports whether an idle connection may be closed for a peer of the given reputation. A connection in a
+// reserved slot is never closed, a known peer's connection is not closed for an unknown peer, and a connection that may
+// have unread input is closed only for an allowlisted peer or because descriptors have run out.
+func (c *Controller) mayEvict(conn *connection, beneficiary reputation) bool {
 	if conn.isReserved || beneficiary < allowlisted && c.now < conn.mayHaveUnreadUntil {
 		return false
 	}
-	return beneficiary > unknown || c.reputation(&c.peers[conn.peer]) == unknown
+	return beneficiary > unknown || c.reputation(&c.peers[conn.peerIndex]) == unknown
 }
 
-// oldestClosable returns the connection of a list that was added first of those that may be closed.
-func (c *Controller) oldestClosable(list *idleList, beneficiary reputation) int32 {
+// oldestEvictable returns the oldest connection of a list that may be closed, or noIndex.
+func (c *Controller) oldestEvictable(list *idleList, beneficiary reputation) int32 {
 	index := list.oldest
-	for index != noIndex && !c.mayClose(&c.connections[index], beneficiary) {
+	for index != noIndex && !c.mayEvict(&c.connections[index], beneficiary) {
 		index = c.connections[index].younger
 	}
 	return index
 }
 
-// evictIdle closes the connection that has been idle longest, and says whether there was one. One that has sent
-// nothing yet goes before those that have, unless it has only just come.
+// evictIdle closes the connection that has been idle longest and reports whether it has closed one. Connections that
+// have sent nothing are preferred, unless they have only just arrived.
 func (c *Controller) evictIdle(beneficiary reputation) bool {
 	victim, longest := noIndex, time.Duration(math.MaxInt64)
-	if index := c.oldestClosable(&c.idleConnections, beneficiary); index != noIndex {
+	if index := c.oldestEvictable(&c.idleConnections, beneficiary); index != noIndex {
 		victim, longest = index, c.connections[index].idleSince
 	}
-	if index := c.oldestClosable(&c.newConnections, beneficiary); index != noIndex {
+	if index := c.oldestEvictable(&c.newConnections, beneficiary); index != noIndex {
 		since := c.connections[index].idleSince
 		if c.now-since < firstMessageDelay {
-			since = c.now - firstMessageDelay // one that has sent messages and was idle for longer goes first
+			since = c.now - firstMessageDelay // an idle connection that has sent messages is closed first if idle longer
 		} else {
 			since -= c.settings.FirstRequestGrace
 		}
@@ -65,14 +66,14 @@
 	return true
 }
 
-// handleIdle closes a connection that becomes idle where there are more than there may be.
+// handleIdle processes EventIdle. It closes the connection if there are more connections than the limit allows.
 func (c *Controller) handleIdle(index int32) {
 	if !c.transition(index, signalIdle) || c.connectionCount <= c.maxConnections() {
 		return
 	}
 	conn := &c.connections[index]
 	mayHaveUnread := c.now < conn.mayHaveUnreadUntil && c.mode != ModeShedding
-	if !conn.isReserved && !mayHaveUnread && c.reputation(&c.peers[conn.peer]) == unknown {
+	if !conn.isReserved && !mayHaveUnread && c.reputation(&c.peers[conn.peerIndex]) == unknown {
 		c.closeIdle(index)
 	}
 }
--- a/policy/admission/flood_test.go
+++ b/policy/admission/flood_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// flood has one address, or a thousand, take what they can: listed clients still get in, and are not closed for
-// unknown ones.
+// flood opens connections from the given number of addresses, as many as are accepted, and checks that listed clients
+// are still admitted and that their connections are not closed for unknown ones.
 func flood(addresses int) error {
 	clients := newModel()
-	own, accepted := clients.arrive(clientAddress(listedClient), false)
+	listedConn, accepted := clients.arrive(clientAddress(listedClient), false)
 	if !accepted {
-		return errors.New("a listed client does not get in at all")
+		return errors.New("a listed client is not admitted before the flood")
 	}
 	for i := range 10_000 {
 		clients.arrive(clientAddress(i%addresses), false)
@@ -21,8 +21,8 @@
 			clients.now += time.Millisecond
 		}
 	}
-	if clients.open[own] == nil {
-		clients.violate("a listed client's connection was closed for unknown ones")
+	if clients.open[listedConn] == nil {
+		clients.violate("a listed client's connection was closed for an unknown client")
 	}
 	controller := clients.controller
 	flooder := &controller.peers[controller.peerIndex[clientAddress(1%addresses)]]
@@ -31,12 +31,12 @@
 	}
 	for range 2 {
 		if _, accepted := clients.arrive(clientAddress(otherListedClient), false); !accepted {
-			clients.violate("a listed client does not get in during the flood, the mode is %s", controller.Mode())
+			clients.violate("a listed client is not admitted during the flood in mode %s", controller.Mode())
 		}
 	}
-	clients.handle(Event{Kind: EventNoDescriptors})
+	clients.handle(Event{Kind: EventDescriptorsExhausted})
 	if _, accepted := clients.arrive(clientAddress(listedClient), false); !accepted {
-		clients.violate("a listed client does not get in while descriptors are short")
+		clients.violate("a listed client is not admitted while descriptors are exhausted")
 	}
 	return clients.violation
 }
@@ -45,12 +45,13 @@
 
 func floodByThousand() error { return flood(1000) }
 
-// reputationOf is the reputation of a client that has a connection.
+// reputationOf returns the reputation of a client that has a connection.
 func (m *model) reputationOf(client int) reputation {
 	return m.controller.reputation(&m.controller.peers[m.controller.peerIndex[clientAddress(client)]])
 }
 
-// servedInTimeIsKnown: a peer that is served in time is known after a while; flooding makes it unknown again.
+// servedInTimeIsKnown checks that a peer becomes known when its requests are served in time, and unknown again when it
+// floods the router.
 func servedInTimeIsKnown() error {
 	clients := newModel()
 	id, _ := clients.arrive(clientAddress(5), false)
@@ -59,19 +60,19 @@
 		clients.handle(Event{Kind: EventRequestEnd, Conn: id, InTime: true})
 	}
 	if clients.reputationOf(5) != recentlyServed {
-		return errors.New("served eight times in time, and still unknown")
+		return errors.New("a peer is unknown after eight requests served in time")
 	}
 	clients.now += time.Minute
 	for range 200 {
 		clients.arrive(clientAddress(5), false)
 	}
 	if clients.reputationOf(5) != unknown {
-		return errors.New("it floods and is still known")
+		return errors.New("a peer that floods the router is still known")
 	}
 	return clients.violation
 }
 
-// servedLateIsUnknown: late responses make no peer known.
+// servedLateIsUnknown checks that late responses do not make a peer known.
 func servedLateIsUnknown() error {
 	m := newModel()
 	id, _ := m.arrive(clientAddress(5), false)
@@ -80,12 +81,12 @@
 		m.handle(Event{Kind: EventRequestEnd, Conn: id})
 	}
 	if m.reputationOf(5) != unknown {
-		return errors.New("never served in time, and known")
+		return errors.New("a peer whose requests were never served in time is known")
 	}
 	return m.violation
 }
 
-// checks are those that some planted fault in the tables has to fail.
+// checks are run by TestFloods; each fault planted by TestChecksFindPlantedFaults must fail at least one of them.
 var checks = []struct {
 	name  string
 	check func() error
@@ -116,12 +117,12 @@
 	}
 }
 
-// The checks can fail: with a wrong entry in a table, one does.
+// A wrong entry in one of the tables makes at least one check fail.
 func TestChecksFindPlantedFaults(t *testing.T) {
 	for name, plant := range map[string]func(){
-		"unknown peers on reserved places": func() { verdicts[ModeFull][unknown] = admitReserved },
-		"shedding without an end":          func() { modeTransitions[ModeShedding][descriptorsRestored] = ModeShedding },
-		"listed peers are shed":            func() { verdicts[ModeShedding][allowlisted] = reject },
+		"unknown peers in reserved slots": func() { verdicts[ModeFull][unknown] = admitReserved },
+		"shedding without an end":         func() { modeTransitions[ModeShedding][descriptorsRestored] = ModeShedding },
+		"listed peers are shed":           func() { verdicts[ModeShedding][allowlisted] = reject },
 		"full without an end": func() {
 			modeTransitions[ModeFull][occupancyLow], modeTransitions[ModeFull][occupancyEased] = ModeFull, ModeFull
 		},
@@ -132,7 +133,7 @@
 			defer func() { verdicts, modeTransitions, connectionTransitions = oldVerdicts, oldModes, oldStates }()
 			plant()
 			if firstFailure() == nil {
-				t.Error("not found")
+				t.Error("no check found the fault")
 			}
 		})
 	}
--- a/policy/admission/handshakes.go
+++ b/policy/admission/handshakes.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// unknownHandshakes is the part of the handshakes at once that unknown peers may have.
-	unknownHandshakes = 0.75
-	// slowHandshake is how long a handshake may take before it is closed for another: several round trips across a
-	// continent.
+	// unknownHandshakeShare is the fraction of the concurrent handshakes that unknown peers may have.
+	unknownHandshakeShare = 0.75
+	// slowHandshake is how long a handshake may take before its connection may be closed for another: several round
+	// trips across a continent.
 	slowHandshake = 300 * time.Millisecond
-	// handshakeBurstSeconds is how much CPU time may be saved up, as a part of a second's.
+	// handshakeBurstSeconds is the capacity of the CPU time budget, as seconds of refill.
 	handshakeBurstSeconds = 0.25
-	// knownHandshakeOverdraft is how far known peers may overdraw the CPU time, in seconds of it.
+	// knownHandshakeOverdraft is how far known peers may overdraw the CPU time budget, as seconds of refill.
 	knownHandshakeOverdraft = 1.0
 )
 
-// mayHandshake says whether one more handshake may begin: there is a place, or a slow one is closed for it, and the
-// CPU time for handshakes is not spent. What one costs is known when it is over: half a handshake costs next to
-// nothing.
-func (c *Controller) mayHandshake(who reputation) bool {
-	if !c.hasHandshakeCPU(who) {
+// mayHandshake reports whether another handshake may begin: the CPU time for handshakes is not used up, and the number
+// of handshakes is below its limit or a slow handshake is closed. The cost of a handshake is charged when it ends,
+// because an unfinished handshake has cost next to nothing.
+func (c *Controller) mayHandshake(peerReputation reputation) bool {
+	if !c.hasHandshakeCPU(peerReputation) {
 		return false
 	}
 	limit := c.settings.MaxHandshakes
-	if who == unknown {
-		limit = int(unknownHandshakes * float64(limit))
+	if peerReputation == unknown {
+		limit = int(unknownHandshakeShare * float64(limit))
 	}
 	if c.settings.MaxHandshakes <= 0 || c.handshakeCount < limit {
 		return true
@@ -34,8 +34,8 @@
 	return c.evictSlowHandshake()
 }
 
-// hasHandshakeCPU refills the CPU time for handshakes, and says whether any is left for a peer of that reputation.
-func (c *Controller) hasHandshakeCPU(who reputation) bool {
+// hasHandshakeCPU refills the CPU time budget and reports whether any is left for a peer of the given reputation.
+func (c *Controller) hasHandshakeCPU(peerReputation reputation) bool {
 	share := c.settings.HandshakeCPU
 	if share <= 0 {
 		return true
@@ -46,10 +46,11 @@
 	if c.handshakeCPUSeconds < -knownHandshakeOverdraft*share {
 		return false
 	}
-	return who != unknown || c.handshakeCPUSeconds > 0
+	return peerReputation != unknown || c.handshakeCPUSeconds > 0
 }
 
-// evictSlowHandshake closes the connection whose handshake has taken longest, if that is too long.
+// evictSlowHandshake closes the connection with the longest-running handshake if that handshake is slow, and reports
+// whether it has closed one.
 func (c *Controller) evictSlowHandshake() bool {
 	for index := c.newConnections.oldest; index != noIndex; index = c.connections[index].younger {
 		conn := &c.connections[index]
@@ -61,7 +62,8 @@
 	return false
 }
 
-// handleHandshakeDone charges a handshake, and accounts the connection to the certificate that was shown.
+// handleHandshakeDone charges the cost of a handshake and moves the connection to the peer of the client certificate,
+// if there is one.
 func (c *Controller) handleHandshakeDone(index int32, event *Event) {
 	if conn := &c.connections[index]; conn.isHandshaking {
 		conn.isHandshaking = false
--- a/policy/admission/idlelist.go
+++ b/policy/admission/idlelist.go
@@ -1,10 +1,10 @@
 package admission
 
-// noIndex is the index of no slab entry.
+// noIndex stands for the absence of a slab entry.
 const noIndex int32 = -1
 
-// idleList is a doubly linked list of slab entries in the order in which they were added. An entry is in one list at
-// most and holds its own links, so that the list allocates nothing.
+// idleList is a doubly linked list of slab entries in insertion order. An entry is in at most one list and holds its
+// own links, so that the list needs no allocation.
 type idleList struct {
 	oldest, youngest int32
 	length           int
@@ -15,7 +15,7 @@
 
 func newIdleList() idleList { return idleList{oldest: noIndex, youngest: noIndex} }
 
-// add appends an entry as the youngest; linksOf finds an entry's links.
+// add appends an entry as the youngest. linksOf returns the links of an entry.
 func (l *idleList) add(index int32, linksOf func(int32) *links) {
 	*linksOf(index) = links{l.youngest, noIndex}
 	if l.youngest != noIndex {
@@ -27,7 +27,7 @@
 	l.length++
 }
 
-// remove takes an entry out.
+// remove unlinks an entry.
 func (l *idleList) remove(index int32, linksOf func(int32) *links) {
 	entry := *linksOf(index)
 	if entry.older != noIndex {
--- a/policy/admission/mode.go
+++ b/policy/admission/mode.go
@@ -1,44 +1,44 @@
 package admission
 
-// Mode is how close the router is to its bounds.
+// Mode is an overload mode: how close the router is to its limits.
 type Mode uint8
 
 // The overload modes.
 const (
 	ModeOpen     Mode = iota
 	ModeTight         // unknown peers have half of their quotas
-	ModeFull          // an unknown peer gets in only where an idle connection can be closed for it
-	ModeShedding      // descriptors have run out: only allowlisted peers get in
+	ModeFull          // unknown peers are admitted only if an idle connection can be closed for them
+	ModeShedding      // descriptors have run out, and only allowlisted peers are admitted
 	modeCount
 )
 
 var modeNames = [modeCount]string{"open", "tight", "full", "shedding"}
 
-// String is the name under which a mode is logged.
+// String returns the name of the mode in the log.
 func (m Mode) String() string { return modeNames[m] }
 
-// modeSignal is what may change the mode.
+// modeSignal is an input of the state machine of the mode.
 type modeSignal uint8
 
 const (
-	occupancyLow         modeSignal = iota // under half of the unreserved places are taken
-	occupancyHigh                          // over three quarters
-	occupancyFull                          // all
-	occupancyEased                         // under nine tenths again
-	descriptorsExhausted                   // a descriptor could not be had
-	descriptorsRestored                    // descriptors are to be had, and have been for a while
+	occupancyLow         modeSignal = iota // fewer than half of the unreserved slots are occupied
+	occupancyHigh                          // at least three quarters are occupied
+	occupancyFull                          // all are occupied
+	occupancyEased                         // fewer than nine tenths are occupied
+	descriptorsExhausted                   // no file descriptor was available
+	descriptorsRestored                    // descriptors have been available for a while
 	modeSignalCount
 )
 
-// Parts of the unreserved places at which the occupancy signals are given.
+// Fractions of the unreserved slots at which the occupancy signals are raised.
 const (
 	lowOccupancy   = 0.5
 	highOccupancy  = 0.75
 	easedOccupancy = 0.9
 )
 
-// modeTransitions says which mode follows. A mode is left at a lower occupancy than it is entered at, so that one
-// connection more or less does not change it back and forth.
+// modeTransitions holds the next mode for each mode and signal. A mode is left at a lower occupancy than it is entered
+// at, so that a single connection does not switch it back and forth.
 var modeTransitions = [modeCount][modeSignalCount]Mode{
 	//            low       high       full      eased      exhausted     restored
 	ModeOpen:     {ModeOpen, ModeTight, ModeFull, ModeOpen, ModeShedding, ModeOpen},
@@ -47,43 +47,42 @@
 	ModeShedding: {ModeShedding, ModeShedding, ModeShedding, ModeShedding, ModeShedding, ModeTight},
 }
 
-// changeMode follows the table.
+// changeMode applies a signal to the mode.
 func (c *Controller) changeMode(signal modeSignal) {
 	if next := modeTransitions[c.mode][signal]; next != c.mode {
-		c.emit(Action{Kind: ModeChanged, From: c.mode, To: next})
+		c.emit(Action{Kind: LogModeChange, From: c.mode, To: next})
 		c.mode = next
 	}
 }
 
-// updateOccupancy derives the mode from how many places are taken. Those that known peers have of their reserve do
-// not count.
+// updateOccupancy derives the mode from the number of occupied slots. Reserved slots do not count.
 func (c *Controller) updateOccupancy() {
-	taken, places := float64(c.connectionCount-c.reservedCount), float64(c.unreservedPlaces())
+	occupied, slots := float64(c.connectionCount-c.reservedCount), float64(c.unreservedSlots())
 	switch {
-	case taken >= places:
+	case occupied >= slots:
 		c.changeMode(occupancyFull)
-	case taken >= highOccupancy*places:
+	case occupied >= highOccupancy*slots:
 		c.changeMode(occupancyHigh)
 	}
 	switch {
-	case taken < lowOccupancy*places:
+	case occupied < lowOccupancy*slots:
 		c.changeMode(occupancyLow)
-	case taken < easedOccupancy*places:
+	case occupied < easedOccupancy*slots:
 		c.changeMode(occupancyEased)
 	}
 }
 
-// verdict is what becomes of a new connection.
+// verdict is the decision about a new connection.
 type verdict uint8
 
 const (
 	admit         verdict = iota
-	admitReserved         // on one of the places reserved for known peers
-	admitEvicting         // if an idle connection can be closed for it; rejected otherwise
+	admitReserved         // admit in a slot reserved for known peers
+	admitEvicting         // admit if an idle connection can be closed, otherwise reject
 	reject
 )
 
-// verdicts says what becomes of a new connection whose peer is within its quotas.
+// verdicts holds the verdict on a new connection whose peer is within its quotas.
 var verdicts = [modeCount][reputationCount]verdict{
 	//            unknown        recentlyServed allowlisted
 	ModeOpen:     {admit, admit, admit},
@@ -92,8 +91,8 @@
 	ModeShedding: {reject, reject, admitReserved},
 }
 
-// quotaFractions is the part of its quotas that a peer has. They hold for every peer, so that none can flood the
-// router.
+// quotaFractions holds the factor that scales a peer's quotas. Quotas apply even to allowlisted peers, so that no peer
+// can flood the router.
 var quotaFractions = [modeCount][reputationCount]float64{
 	//        unknown recentlyServed allowlisted
 	ModeOpen:     {1, 1, 2},
--- a/policy/admission/model_test.go
+++ b/policy/admission/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Clients of the tests that the operator has listed.
+// Clients that testSettings allowlists.
 const listedClient, otherListedClient = 200_000, 200_001
 
 func clientAddress(n int) Peer {
@@ -28,14 +28,14 @@
 	return settings.WithDefaults()
 }
 
-// model has clients that connect, ask, leave and flood in any order, and checks after each event what must always
-// hold.
+// model simulates clients that connect, send requests, leave and flood in any order, and checks the invariants of the
+// controller after each event.
 type model struct {
 	controller *Controller
 	now        time.Duration
 	lastConn   ConnID
 	open       map[ConnID]*modelConnection
-	violation  error // the first one
+	violation  error // the first violation
 }
 
 type modelConnection struct {
@@ -54,7 +54,8 @@
 	}
 }
 
-// handle plays one event, carries out its actions, and returns the one on the event's own connection.
+// handle passes an event to the controller, carries out the actions, and returns the kind of the decision about the
+// event's own connection.
 func (m *model) handle(event Event) (decision ActionKind) {
 	decision = Drop
 	for _, action := range m.controller.Handle(m.now, &event, nil) {
@@ -63,7 +64,7 @@
 			m.closeIdle(action.Conn)
 		case Accept, Reject, Drop:
 			if action.Conn != event.Conn {
-				m.violate("a decision on another connection")
+				m.violate("decision about another connection")
 			}
 			decision = action.Kind
 			if action.Wait < 0 || action.Wait > m.controller.settings.MaxRetryAfter {
@@ -79,41 +80,41 @@
 func (m *model) closeIdle(id ConnID) {
 	conn := m.open[id]
 	if conn == nil {
-		m.violate("connection %d is closed, which is not there", id)
+		m.violate("connection %d was closed, but is not open", id)
 		return
 	}
 	if conn.isBusy {
-		m.violate("a busy connection is closed")
+		m.violate("a busy connection was closed")
 	}
 	delete(m.open, id)
 }
 
 func (m *model) arrive(peer Peer, tls bool) (id ConnID, accepted bool) {
 	m.lastConn++
-	accepted = m.handle(Event{Kind: EventArrive, Conn: m.lastConn, Peer: peer, TLS: tls}) == Accept
+	accepted = m.handle(Event{Kind: EventArrival, Conn: m.lastConn, Peer: peer, TLS: tls}) == Accept
 	if accepted {
 		controller := m.controller
 		conn := &controller.connections[controller.connectionIndex[m.lastConn]]
-		if conn.isReserved && controller.reputation(&controller.peers[conn.peer]) == unknown {
-			m.violate("an unknown peer on a reserved place")
+		if conn.isReserved && controller.reputation(&controller.peers[conn.peerIndex]) == unknown {
+			m.violate("an unknown peer was admitted in a reserved slot")
 		}
 		m.open[m.lastConn] = &modelConnection{isHandshaking: tls}
 	}
 	return m.lastConn, accepted
 }
 
-// check compares the controller's counts with what the model knows, and with the bounds.
+// check compares the controller's counts with those of the model and with the limits.
 func (m *model) check() {
 	controller, settings := m.controller, &m.controller.settings
 	count, reserved := controller.connectionCount, controller.reservedCount
-	if len(m.open) != count && len(m.open) != count-1 { // one that is being accepted
-		m.violate("%d connections, %d counted", len(m.open), count)
+	if len(m.open) != count && len(m.open) != count-1 { // a connection that is being accepted is not in open yet
+		m.violate("%d connections are open, but %d are counted", len(m.open), count)
 	}
 	if count > settings.MaxConnections {
-		m.violate("%d connections of %d", count, settings.MaxConnections)
+		m.violate("%d connections exceed the limit of %d", count, settings.MaxConnections)
 	}
 	if count-reserved > settings.MaxConnections-settings.Reserve {
-		m.violate("%d unreserved places of %d are taken", count-reserved, settings.MaxConnections-settings.Reserve)
+		m.violate("%d connections in %d unreserved slots", count-reserved, settings.MaxConnections-settings.Reserve)
 	}
 	onReserved, requests := 0, 0
 	for _, index := range controller.connectionIndex {
@@ -124,7 +125,8 @@
 		}
 	}
 	if onReserved != reserved || requests != controller.openRequests {
-		m.violate("%d reserved, %d counted; %d requests, %d counted", onReserved, reserved, requests, controller.openRequests)
+		m.violate("%d reserved slots, but %d are counted; %d requests, but %d are counted",
+			onReserved, reserved, requests, controller.openRequests)
 	}
 	if controller.idlePeers.length > settings.MaxRememberedPeers ||
 		len(controller.peerIndex) > settings.MaxRememberedPeers+settings.MaxConnections+1 {
@@ -132,7 +134,7 @@
 	}
 }
 
-// pick draws one of the open connections.
+// pick draws an open connection.
 func (m *model) pick(draw func(int) int) (ConnID, *modelConnection) {
 	if len(m.open) == 0 {
 		return 0, nil
@@ -149,7 +151,7 @@
 	return 0, nil
 }
 
-// step plays one event that is drawn.
+// step draws an event and handles it.
 func (m *model) step(draw func(int) int) {
 	switch kind := draw(24); {
 	case kind < 6:
@@ -161,7 +163,7 @@
 	case kind < 13:
 		m.now += time.Duration(draw(400)) * time.Millisecond
 	case kind == 13:
-		m.handle(Event{Kind: EventNoDescriptors})
+		m.handle(Event{Kind: EventDescriptorsExhausted})
 	case kind == 14:
 		m.handle(Event{Kind: EventDescriptorAvailable})
 	default:
@@ -207,7 +209,8 @@
 	}
 }
 
-// finish closes every connection: all counts return to zero, and a while later the mode is open again.
+// finish closes every connection and checks that all counts return to zero and that the mode is open again a minute
+// later.
 func (m *model) finish() {
 	for id := ConnID(1); id <= m.lastConn; id++ {
 		if m.open[id] != nil {
@@ -219,17 +222,17 @@
 	if controller.connectionCount != 0 || controller.reservedCount != 0 || controller.openRequests != 0 ||
 		controller.openKnownRequests != 0 || controller.handshakeCount != 0 ||
 		len(controller.connectionIndex) != 0 || controller.peersWithConnections() != 0 {
-		m.violate("left: %d connections, %d reserved, %d requests, %d handshakes", controller.connectionCount,
+		m.violate("counted at the end: %d connections, %d reserved, %d requests, %d handshakes", controller.connectionCount,
 			controller.reservedCount, controller.openRequests, controller.handshakeCount)
 	}
 	m.now += time.Minute
 	m.handle(Event{Kind: EventDescriptorAvailable})
 	if _, accepted := m.arrive(clientAddress(7), false); !accepted || controller.mode != ModeOpen {
-		m.violate("no client is connected, and the mode is %s", controller.Mode())
+		m.violate("a client is not admitted, or the mode is not open without other clients: %s", controller.Mode())
 	}
 }
 
-// play plays drawn events on a new model, and returns the first violation.
+// play runs the given number of drawn events on a new model and returns the first violation.
 func play(draw func(int) int, steps int) error {
 	m := newModel()
 	for i := 0; i < steps && m.violation == nil; i++ {
@@ -241,8 +244,8 @@
 	return m.violation
 }
 
-// Whatever comes in whatever order: the reserve is never taken by an unknown peer, no busy connection is closed,
-// counts return to zero, no mode is a dead end, and what is remembered is bounded.
+// Whatever the order of events, unknown peers get no reserved slot, no busy connection is closed, counts return to
+// zero, every mode can be left, and the number of remembered peers is bounded.
 func TestInvariantsHoldInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		steps := rapid.IntRange(10, 500).Draw(t, "steps")
@@ -252,7 +255,7 @@
 	})
 }
 
-// playSeeds plays events drawn from forty seeds.
+// playSeeds runs events drawn with each of forty seeds.
 func playSeeds() error {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 5))
--- a/policy/admission/peers.go
+++ b/policy/admission/peers.go
@@ -10,42 +10,42 @@
 
 const (
 	unknown        reputation = iota
-	recentlyServed            // several of its requests were served in time, not long ago
-	allowlisted               // by the operator, or by a certificate of the operator's authority
+	recentlyServed            // several of the peer's requests were recently served in time
+	allowlisted               // listed by the operator, or holding a certificate of the operator's authority
 	reputationCount
 )
 
-// peerRecord is what is known of a peer, while it has connections and for some time after.
+// peerRecord is the state of a peer, kept while the peer has connections and for some time after.
 type peerRecord struct {
 	id            Peer
 	connections   int
-	reserved      int // of them on places reserved for known peers
+	reserved      int // those of connections that occupy reserved slots
 	openRequests  int
 	isAllowlisted bool
 
-	score    float64 // requests served in time, decaying
+	score    float64 // requests served in time, with exponential decay
 	scoredAt time.Duration
 
-	newConnections float64 // tokens: new connections that it may open now
-	refilledAt     time.Duration
+	connectionTokens float64 // number of new connections that the peer may open now
+	tokensRefilledAt time.Duration
 
-	links // among the peers without a connection
+	links // position in idlePeers, if the peer has no connection
 }
 
 const (
-	// recentlyServedScore is how many requests served in time make a peer known. A flooder that opens connections and
-	// asks for nothing has none.
+	// recentlyServedScore is the score at which a peer is known. A flooder that opens connections but sends no requests
+	// scores nothing.
 	recentlyServedScore = 5
-	// maxScore is a minute's work of one ordinary client.
+	// maxScore corresponds to a minute of requests from an ordinary client.
 	maxScore = 20
-	// scoreHalfLife has a client stay known over a break, and not over a weekend.
+	// scoreHalfLife lets a client stay known during a break, but not over a weekend.
 	scoreHalfLife = 30 * time.Minute
-	// quotaViolationPenalty is what a connection rejected for the peer's own quotas costs its score: a flooder is
-	// unknown soon, and a client that reconnects once too often stays known.
+	// quotaViolationPenalty is subtracted from a peer's score when one of its connections is rejected for its quotas. A
+	// flooder soon becomes unknown, while a client that reconnects once too often stays known.
 	quotaViolationPenalty = 0.5
 )
 
-// findPeer returns the index of a peer's record, which is created if there is none.
+// findPeer returns the index of a peer's record, and creates the record if necessary.
 func (c *Controller) findPeer(id Peer) int32 {
 	if index, isRemembered := c.peerIndex[id]; isRemembered {
 		return index
@@ -53,7 +53,7 @@
 	c.forgetPeers(c.settings.MaxRememberedPeers - 1)
 	index := c.allocatePeer()
 	c.peers[index] = peerRecord{
-		id: id, newConnections: float64(c.settings.Burst), refilledAt: c.now, scoredAt: c.now,
+		id: id, connectionTokens: float64(c.settings.Burst), tokensRefilledAt: c.now, scoredAt: c.now,
 		isAllowlisted: c.settings.IsKnown != nil && c.settings.IsKnown(id),
 	}
 	c.peerIndex[id] = index
@@ -73,8 +73,8 @@
 
 func (c *Controller) peerLinks(index int32) *links { return &c.peers[index].links }
 
-// attach accounts a connection to a peer.
-func (c *Controller) attach(index int32) {
+// addPeerConnection counts a connection for a peer.
+func (c *Controller) addPeerConnection(index int32) {
 	peer := &c.peers[index]
 	peer.connections++
 	if peer.connections == 1 {
@@ -82,8 +82,8 @@
 	}
 }
 
-// detach takes a connection off a peer.
-func (c *Controller) detach(index int32) {
+// removePeerConnection stops counting a connection for a peer.
+func (c *Controller) removePeerConnection(index int32) {
 	peer := &c.peers[index]
 	peer.connections--
 	if peer.connections == 0 {
@@ -92,8 +92,8 @@
 	}
 }
 
-// forgetPeers drops the peers whose last connection closed longest ago, until only that many without a connection are
-// left.
+// forgetPeers deletes records of peers without a connection until at most the given number remain, starting with the
+// peers whose last connection closed longest ago.
 func (c *Controller) forgetPeers(remaining int) {
 	for c.idlePeers.length > max(0, remaining) {
 		index := c.idlePeers.oldest
@@ -103,10 +103,10 @@
 	}
 }
 
-// peersWithConnections is how many peers have a connection.
+// peersWithConnections returns the number of peers that have a connection.
 func (c *Controller) peersWithConnections() int { return len(c.peerIndex) - c.idlePeers.length }
 
-// decayedScore brings a peer's score to this moment.
+// decayedScore updates a peer's score to the current time and returns it.
 func (c *Controller) decayedScore(peer *peerRecord) float64 {
 	if elapsed := c.now - peer.scoredAt; elapsed > 0 {
 		peer.score *= math.Exp2(-float64(elapsed) / float64(scoreHalfLife))
@@ -115,12 +115,12 @@
 	return peer.score
 }
 
-// penalize lowers the score of a peer that went beyond its quotas.
+// penalize lowers the score of a peer that has exceeded its quotas.
 func (c *Controller) penalize(peer *peerRecord) {
 	peer.score = math.Max(0, peer.score-quotaViolationPenalty)
 }
 
-// reward raises the score of a peer one of whose requests was served in time.
+// reward raises the score of a peer for a request that was served in time.
 func (c *Controller) reward(peer *peerRecord) {
 	peer.score = math.Min(maxScore, c.decayedScore(peer)+1)
 }
@@ -135,24 +135,24 @@
 	return unknown
 }
 
-// exceedsConnectionQuota says whether a peer has more connections than this part of the quota.
+// exceedsConnectionQuota reports whether a peer has more connections than the given fraction of its quota.
 func (c *Controller) exceedsConnectionQuota(peer *peerRecord, fraction float64) bool {
 	quota := c.settings.ConnectionsPerPeer
 	return quota > 0 && peer.connections > max(1, int(float64(quota)*fraction))
 }
 
-// consumeNewConnection takes a new connection out of a peer's token bucket, and says whether there was a token.
-func (c *Controller) consumeNewConnection(peer *peerRecord, fraction float64) bool {
+// takeConnectionToken takes a token from a peer's bucket for a new connection and reports whether there was one.
+func (c *Controller) takeConnectionToken(peer *peerRecord, fraction float64) bool {
 	if c.settings.NewPerPeerPerSecond <= 0 {
 		return true
 	}
 	burst := math.Max(1, float64(c.settings.Burst)*fraction)
-	refill := c.settings.NewPerPeerPerSecond * fraction * max(0, c.now-peer.refilledAt).Seconds()
-	peer.newConnections = math.Min(burst, peer.newConnections+refill)
-	peer.refilledAt = c.now
-	if peer.newConnections < 1 {
+	refill := c.settings.NewPerPeerPerSecond * fraction * max(0, c.now-peer.tokensRefilledAt).Seconds()
+	peer.connectionTokens = math.Min(burst, peer.connectionTokens+refill)
+	peer.tokensRefilledAt = c.now
+	if peer.connectionTokens < 1 {
 		return false
 	}
-	peer.newConnections--
+	peer.connectionTokens--
 	return true
 }
