--- a/policy/admission/requestquota.go
+++ b/policy/admission/requestquota.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// maxRejectionsInRow is after how many rejected requests in a row a connection is not read for a while: a client
-	// that does not heed Retry-After costs no more than one that does. Under overload it is not read after the first
-	// one.
+	// maxRejectionsInRow is the number of consecutive rejected requests after which reading from a connection is paused,
+	// so that a client that ignores the time to retry after costs no more than one that respects it. Under overload,
+	// reading is paused after the first rejection.
 	maxRejectionsInRow = 8
-	// crossingTime is how long before its connection ends a client may have sent something that it then sends again
-	// elsewhere.
-	crossingTime = 50 * time.Millisecond
-	// baseRetryAfter is the shortest time to retry after; it grows with the mode, and is spread over the clients.
+	// maxTransitTime bounds how long a message can be in transit. A client that learns that its connection is closed
+	// sends again elsewhere what it sent within this time before the close.
+	maxTransitTime = 50 * time.Millisecond
+	// baseRetryAfter is the basis of the time to retry after, which grows with the mode and varies between clients.
 	baseRetryAfter = 250 * time.Millisecond
 )
 
 const (
-	// maxQueueDelay is how long an event may wait for the engine before unknown peers get fewer requests: several times
-	// the wait of a busy day, and little beside a latency objective.
+	// maxQueueDelay is how long an event may wait for the engine before the request limit of unknown peers is lowered:
+	// several times the delay on a busy day, and little compared to a latency objective.
 	maxQueueDelay = 3 * time.Millisecond
-	// The request limit of unknown peers follows the load at this interval: down in a fifth of a second, back in some
-	// seconds, so that a flood is not let in again at once.
+	// limitAdjustInterval is the interval at which the request limit of unknown peers is adjusted to the load. The limit
+	// falls within a fifth of a second and takes some seconds to recover, so that a flood is not admitted again at once.
 	limitAdjustInterval = 20 * time.Millisecond
 	limitDecrease       = 0.8
 	limitIncrease       = 1.01
-	// minRequestLimit keeps some requests coming, so that it shows when the engine has caught up.
+	// minRequestLimit admits a few requests even under overload, which show when the engine has caught up.
 	minRequestLimit = 8
 )
 
-// handleRequest admits a request or rejects it, and pauses a connection that keeps asking.
+// handleRequest admits or rejects a request.
 func (c *Controller) handleRequest(index int32, queueDelay time.Duration) {
 	c.adjustRequestLimit(queueDelay)
 	conn := &c.connections[index]
-	peer := &c.peers[conn.peer]
-	who := c.reputation(peer)
-	if !c.hasRequestQuota(peer, who) {
+	peer := &c.peers[conn.peerIndex]
+	peerReputation := c.reputation(peer)
+	if !c.hasRequestQuota(peer, peerReputation) {
 		c.rejectRequest(conn)
 		return
 	}
@@ -45,7 +45,7 @@
 	conn.openRequests++
 	peer.openRequests++
 	c.openRequests++
-	if who > unknown {
+	if peerReputation > unknown {
 		conn.openKnownRequests++
 		c.openKnownRequests++
 	}
@@ -60,15 +60,15 @@
 	isOverloaded := c.mode >= ModeFull || c.unknownRequestLimit < float64(c.settings.MaxRequests)
 	if conn.rejectionsInRow >= maxRejectionsInRow || isOverloaded {
 		conn.rejectionsInRow = 0
-		conn.mayHaveUnreadUntil = c.now + baseRetryAfter + crossingTime
+		conn.mayHaveUnreadUntil = c.now + baseRetryAfter + maxTransitTime
 		c.emit(Action{Kind: Pause, Conn: conn.id, Wait: baseRetryAfter})
 	}
 }
 
-// handleRequestEnd takes a request off the quotas; one that was served in time counts for its peer.
+// handleRequestEnd subtracts a request from the quotas. A request that was served in time raises the peer's score.
 func (c *Controller) handleRequestEnd(index int32, event *Event) {
 	conn := &c.connections[index]
-	peer := &c.peers[conn.peer]
+	peer := &c.peers[conn.peerIndex]
 	if conn.openRequests > 0 {
 		conn.openRequests--
 		peer.openRequests--
@@ -86,30 +86,31 @@
 	}
 }
 
-// hasRequestQuota says whether a peer may open one more request. Known peers have all that may be open to themselves;
-// unknown ones have no more than their limit, and each its share once half of that is taken.
-func (c *Controller) hasRequestQuota(peer *peerRecord, who reputation) bool {
+// hasRequestQuota reports whether a peer may open another request. Known peers may use the whole limit on open
+// requests. Unknown peers together have a lower limit, and once half of it is used, each of them is held to an equal
+// share.
+func (c *Controller) hasRequestQuota(peer *peerRecord, peerReputation reputation) bool {
 	switch {
 	case c.settings.RequestsPerPeer > 0 && peer.openRequests >= c.settings.RequestsPerPeer:
 		return false
-	case who == unknown && c.mode == ModeShedding:
-		return false // requests that are open already come first
+	case peerReputation == unknown && c.mode == ModeShedding:
+		return false // requests that are already open have priority
 	case c.settings.MaxRequests <= 0:
 		return true
-	case who > unknown:
+	case peerReputation > unknown:
 		return c.openKnownRequests < c.settings.MaxRequests
 	}
-	ofUnknown := float64(c.openRequests - c.openKnownRequests)
-	share := c.unknownRequestLimit / float64(max(1, c.peersWithConnections())) * quotaFractions[c.mode][who]
-	if ofUnknown >= c.unknownRequestLimit {
+	openUnknownRequests := float64(c.openRequests - c.openKnownRequests)
+	share := c.unknownRequestLimit / float64(max(1, c.peersWithConnections())) * quotaFractions[c.mode][peerReputation]
+	if openUnknownRequests >= c.unknownRequestLimit {
 		return false
 	}
-	return ofUnknown < c.unknownRequestLimit/2 || float64(peer.openRequests) < max(1, share)
+	return openUnknownRequests < c.unknownRequestLimit/2 || float64(peer.openRequests) < max(1, share)
 }
 
-// adjustRequestLimit has the request limit of unknown peers follow how long events wait for the engine, and whether a
-// known peer's request was rejected: what unknown peers ask for may fill connections and the origin before it fills
-// the core.
+// adjustRequestLimit lowers the request limit of unknown peers if events wait too long for the engine or if the routing
+// policy has rejected a known peer's request, and raises it otherwise. Rejections count because requests of unknown
+// peers may overload upstream connections and the origin before they overload the CPU.
 func (c *Controller) adjustRequestLimit(queueDelay time.Duration) {
 	if c.settings.MaxRequests <= 0 || c.now-c.limitAdjustedAt < limitAdjustInterval {
 		return
@@ -123,8 +124,8 @@
 	}
 }
 
-// retryAfter is when a rejected client is to come back: the later the higher the mode, and not all at the same
-// moment.
+// retryAfter returns how long a rejected client is to wait before it retries. The time grows with the mode and varies
+// between connections, so that clients do not all return at the same moment.
 func (c *Controller) retryAfter(id ConnID) time.Duration {
 	const goldenRatio, hashBits = 0x9e3779b97f4a7c15, 24
 	if !c.settings.SendRetryAfter {
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Settings are the bounds of admission; a bound that is 0 is not enforced.
+// Settings holds the limits of admission. A limit of 0 is not enforced.
 type Settings struct {
 	MaxConnections int // connections of all clients
-	Reserve        int // of them, for known clients only
+	Reserve        int // slots of MaxConnections that are reserved for known clients
 
 	ConnectionsPerPeer  int     // connections of one peer
-	NewPerPeerPerSecond float64 // new connections of one peer
+	NewPerPeerPerSecond float64 // rate of new connections of one peer
 	Burst               int     // new connections of one peer at once
 	RequestsPerPeer     int     // open requests of one peer
-	MaxRequests         int     // open requests of all peers; as they run out, each peer has its share only
+	MaxRequests         int     // open requests of all peers; when they run short, unknown peers get equal shares
 
-	MaxHandshakes      int           // TLS handshakes at once
-	HandshakeCPU       float64       // part of a core that handshakes may use
-	MaxRememberedPeers int           // peers without a connection of which a record is kept
-	FirstRequestGrace  time.Duration // added to the idle time of a connection that has not sent a message yet
-	MinIdle            time.Duration // how long a connection must have been idle to be closed for an unknown peer's
-	SendRetryAfter     bool          // rejections may carry a time to retry after
-	MaxRetryAfter      time.Duration // the longest such time
-	IsKnown            func(Peer) bool
+	MaxHandshakes      int             // concurrent TLS handshakes
+	HandshakeCPU       float64         // fraction of a core that handshakes may use
+	MaxRememberedPeers int             // peers without a connection whose records are kept
+	FirstRequestGrace  time.Duration   // added to the idle time of a connection that has not sent a message yet
+	MinIdle            time.Duration   // how long a connection must be idle before it is closed for an unknown peer
+	SendRetryAfter     bool            // rejections may carry a time to retry after
+	MaxRetryAfter      time.Duration   // upper bound of the time to retry after
+	IsKnown            func(Peer) bool // reports whether the operator has allowlisted a peer; may be nil
 }
 
 const (
-	defaultMaxHandshakes      = 64          // what a core signs in a twentieth of a second
-	defaultHandshakeCPU       = 0.3         // requests need little of a core; a flood may not have half of it
-	defaultMinIdle            = time.Second // less would have a flood close as many as it opens, at a higher cost
-	defaultMaxRememberedPeers = 4096        // some 600 KB
-	burstPerBound             = 2           // a peer may come back with all its connections at once, twice
+	defaultMaxHandshakes      = 64          // signatures that a core computes in a twentieth of a second
+	defaultHandshakeCPU       = 0.3         // requests need little CPU, but a flood must not get half a core
+	defaultMinIdle            = time.Second // with less, each connection of a flood would close another, at a higher cost
+	defaultMaxRememberedPeers = 4096        // about 600 KB
+	burstFactor               = 2           // a peer may reopen all its connections twice in a row
 )
 
-// WithDefaults fills in what an operator who wants admission control has not set.
+// WithDefaults returns the settings with defaults for the fields that the operator has left unset.
 func (s Settings) WithDefaults() Settings {
 	if s.ConnectionsPerPeer > 0 && s.Burst <= 0 {
-		s.Burst = burstPerBound * s.ConnectionsPerPeer
+		s.Burst = burstFactor * s.ConnectionsPerPeer
 	}
 	if s.NewPerPeerPerSecond > 0 && s.Burst <= 0 {
-		s.Burst = int(max(1, burstPerBound*s.NewPerPeerPerSecond))
+		s.Burst = int(max(1, burstFactor*s.NewPerPeerPerSecond))
 	}
 	if s.MaxHandshakes <= 0 {
 		s.MaxHandshakes = defaultMaxHandshakes
@@ -54,9 +54,9 @@
 	return s
 }
 
-// normalized bounds settings so that the controller can rely on them.
+// normalized returns the settings limited to values that the controller can work with.
 func (s Settings) normalized() Settings {
 	s.MaxRememberedPeers = max(1, s.MaxRememberedPeers)
-	s.Reserve = min(s.Reserve, s.MaxConnections/2) // an unknown peer must be able to become known
+	s.Reserve = min(s.Reserve, s.MaxConnections/2) // unknown peers need slots to become known
 	return s
 }
