--- a/internal/frontend/inflight.go
+++ b/internal/frontend/inflight.go
@@ -75,7 +75,7 @@
 	return true
 }
 
-// failInFlight fails all requests in flight, because the client's input can no longer be parsed.
+// failInFlight fails all requests in flight, because the client's input is malformed or incomplete.
 func (s *session) failInFlight() {
 	for _, tag := range s.sortedTags() {
 		s.abandon(tag, invariant.EndFailed)
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -15,7 +15,7 @@
 type readPlan struct {
 	messages    []engine.Message // to be posted to the engine
 	state       connectionState
-	buffer      []byte    // buffer for the next read
+	buffer      []byte    // for the next read
 	deadline    time.Time // of the next read
 	isHeld      bool      // input may not be parsed at the moment
 	mustClose   bool      // the connection must be closed now
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// reportInvalidTransition reports a signal that is invalid in the state of a connection.
+// reportInvalidTransition counts and reports a signal that is invalid in the state of a connection.
 func (s *sharedState) reportInvalidTransition(id admission.ConnID, state connectionState, signal connectionSignal) {
 	s.invalidTransitions.Add(1)
 	s.monitor.Violate(invariant.InvalidTransition, uint64(id),
--- a/internal/frontend/tls.go
+++ b/internal/frontend/tls.go
@@ -20,7 +20,7 @@
 // TLSFiles names the files that a front end needs for TLS.
 type TLSFiles struct {
 	Cert, Key          string
-	ClientCA           string // CA of client certificates; if empty, clients are not asked for a certificate
+	ClientCA           string // CA whose certificates make clients known; if empty, none are requested
 	ClientCertRequired bool   // clients must present a certificate
 	MinVersion         uint16 // minimum TLS version
 }
--- a/policy/admission/action.go
+++ b/policy/admission/action.go
@@ -12,16 +12,16 @@
 	Drop                            // close the connection without a message
 	CloseIdle                       // close an idle connection to free its slot
 	Pause                           // for Wait, accept no connections or, if Conn is set, do not read from that connection
-	LogModeChange                   // log that the overload mode changed from From to To
+	LogModeChange                   // log the change of the overload mode
 )
 
 // Action is an instruction to the front end, which carries out actions in the order in which they are returned.
 type Action struct {
 	Kind ActionKind
-	Conn ConnID
-	Wait time.Duration
-	From Mode
-	To   Mode
+	Conn ConnID        // zero if the action concerns no single connection
+	Wait time.Duration // length of a pause, or time to retry after
+	From Mode          // previous mode, for LogModeChange
+	To   Mode          // new mode, for LogModeChange
 }
 
 // Counts holds the number of decisions of each kind so far.
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -19,7 +19,7 @@
 	actions  []Action // resulting from the event being handled
 	mode     Mode
 
-	connections     []connection // slab
+	connections     []connection // slab, indexed through connectionIndex
 	freeConnections []int32      // indexes of the unused entries of connections
 	connectionIndex map[ConnID]int32
 	newConnections  idleList // connections in stateNew
@@ -27,8 +27,8 @@
 	connectionCount int
 	reservedCount   int // connections that occupy reserved slots
 
-	peers     []peerRecord // slab
-	freePeers []int32
+	peers     []peerRecord // slab, indexed through peerIndex
+	freePeers []int32      // indexes of the unused entries of peers
 	peerIndex map[Peer]int32
 	idlePeers idleList // peers without a connection
 
@@ -37,13 +37,13 @@
 	handshakeCPURefilledAt time.Duration
 
 	openRequests         int
-	openKnownRequests    int // those of openRequests that belong to known peers
-	unknownRequestLimit  float64
+	openKnownRequests    int     // those of openRequests that belong to known peers
+	unknownRequestLimit  float64 // limit on the open requests of unknown peers
 	limitAdjustedAt      time.Duration
 	knownRequestRejected bool // a known peer's request was rejected since the last adjustment of the limit
 
-	shedUntil            time.Duration
-	descriptorLimit      int // number of connections that the available descriptors allow; 0 means no limit
+	shedUntil            time.Duration // earliest time to leave ModeShedding
+	descriptorLimit      int           // number of connections that the available descriptors allow; 0 means no limit
 	descriptorLimitSetAt time.Duration
 }
 
@@ -133,12 +133,12 @@
 // verdictFor returns the verdict of the current mode, adjusted to the slots that are free.
 func (c *Controller) verdictFor(peer *peerRecord, peerReputation reputation) verdict {
 	decision := verdicts[c.mode][peerReputation]
-	mayReserve := c.mayUseReserve(peer)
-	if decision == admit && peerReputation > unknown && mayReserve {
+	canUseReserve := c.mayUseReserve(peer)
+	if decision == admit && peerReputation > unknown && canUseReserve {
 		decision = admitReserved // protects the connection from eviction during a flood of unknown peers
 	}
 	hasFreeSlot := c.connectionCount-c.reservedCount < c.unreservedSlots()
-	if decision == admitReserved && !mayReserve || decision == admit && !hasFreeSlot {
+	if decision == admitReserved && !canUseReserve || decision == admit && !hasFreeSlot {
 		decision = admitEvicting
 	}
 	if decision == admitEvicting && hasFreeSlot {
--- a/policy/admission/event.go
+++ b/policy/admission/event.go
@@ -11,9 +11,9 @@
 // The kinds of events.
 const (
 	EventArrival                      EventKind = iota // Conn, Peer, TLS: the kernel has accepted a connection
-	EventHandshakeDone                                 // Conn, Peer (certificate or zero), Elapsed (CPU): handshake ended
+	EventHandshakeDone                                 // Conn, Peer, Elapsed: the TLS handshake has ended
 	EventMessage                                       // Conn: a complete message was received
-	EventRequest                                       // Conn, Elapsed (event queue delay): the client sent a request
+	EventRequest                                       // Conn, Elapsed: the client sent a request
 	EventRequestEnd                                    // Conn, InTime, Rejected: a request has ended
 	EventBusy                                          // Conn: a request is open or output is pending
 	EventIdle                                          // Conn: no request is open and no output is pending
@@ -27,9 +27,9 @@
 type Event struct {
 	Kind     EventKind
 	Conn     ConnID
-	Peer     Peer
-	TLS      bool
-	InTime   bool // the request was served within its latency objective
-	Rejected bool // the request was rejected by the routing policy
-	Elapsed  time.Duration
+	Peer     Peer          // address or, after a handshake, client certificate; zero without a certificate
+	TLS      bool          // the connection begins with a TLS handshake
+	InTime   bool          // the request was served within its latency objective
+	Rejected bool          // the request was rejected by the routing policy
+	Elapsed  time.Duration // CPU time of the handshake, or event queue delay of the request
 }
