--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -26,7 +26,7 @@
 		receive(t, server.cancelled)
 		server.write(conn, strings.Repeat("y", 20_000))
 		if text := server.readToEnd(conn); text != frame("1", "FAILED", "", "") {
-			t.Fatalf("%q", text)
+			t.Fatalf("unexpected response: %q", text)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 		conn := server.dial()
 		server.write(conn, frame("PING", "1"))
 		if text := server.readToEnd(conn); text != pong("1") { // the router has closed its write side
-			t.Fatalf("%q", text)
+			t.Fatalf("unexpected response: %q", text)
 		}
 		server.write(conn, requestFrame(2))
 		await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
@@ -69,7 +69,7 @@
 	server.Drain()
 	start := time.Now()
 	if text := server.readToEnd(idle); text != "" {
-		t.Errorf("%q", text)
+		t.Errorf("unexpected response: %q", text)
 	}
 	if elapsed := time.Since(start); elapsed > server.shared.limits.ClientIdleTimeout/2 {
 		t.Errorf("the idle connection was closed only after %v", elapsed)
@@ -81,13 +81,13 @@
 	server.write(late, requestFrame(5))
 	for _, conn := range []net.Conn{half, late} {
 		if text := server.readToEnd(conn); !strings.Contains(text, "BUSY") {
-			t.Errorf("%q", text)
+			t.Errorf("unexpected response: %q", text)
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
 	respond(request, []byte("bytes"))
 	if text := server.readToEnd(busy); text != frame("4", "BUSY", "", "")+frame("3", "OK", "", "bytes") {
-		t.Errorf("%q", text)
+		t.Errorf("unexpected response: %q", text)
 	}
 	for _, conn := range []net.Conn{idle, busy, half, late} {
 		_ = conn.Close()
@@ -107,7 +107,7 @@
 	start := time.Now()
 	server.write(server.dial(), frame("PING", "2"))
 	if text := server.readToEnd(evicted); text != "" {
-		t.Errorf("%q", text)
+		t.Errorf("unexpected response: %q", text)
 	}
 	if elapsed := time.Since(start); elapsed > server.shared.limits.ClientIdleTimeout/2 {
 		t.Errorf("the evicted connection was closed only after %v", elapsed)
--- a/internal/frontend/deadlines_test.go
+++ b/internal/frontend/deadlines_test.go
@@ -49,7 +49,7 @@
 			conn := server.dial()
 			server.write(conn, frame("PING", "1")+c.partial)
 			if got := server.readToEnd(conn); got != pong("1")+c.want {
-				t.Errorf("%q", got)
+				t.Errorf("unexpected response: %q", got)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 	for tag, milliseconds := range []int{0, 10, 30} {
 		request := client.inFlight[engine.Tag(tag+1)]
 		if request == nil || !request.ReceivedAt.Equal(at(milliseconds)) {
-			t.Errorf("request %d: %+v", tag+1, request)
+			t.Errorf("request %d is missing or has a wrong arrival time: %+v", tag+1, request)
 		}
 	}
 	if len(client.arrivals.list) > 1 {
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -161,7 +161,7 @@
 	s.t.Helper()
 	text, err := io.ReadAll(conn)
 	if err != nil {
-		s.t.Errorf("after %.60q: %v", text, err)
+		s.t.Errorf("the connection failed after %.60q: %v", text, err)
 	}
 	return string(text)
 }
@@ -171,7 +171,7 @@
 	s.t.Helper()
 	text := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, text); err != nil || string(text) != want {
-		s.t.Fatalf("got %q, %v, want %q", text, err, want)
+		s.t.Fatalf("got %q, error %v, want %q", text, err, want)
 	}
 }
 
--- a/internal/frontend/inflight_test.go
+++ b/internal/frontend/inflight_test.go
@@ -41,7 +41,7 @@
 	got, err := newTestSession().feed(stream, 1000)
 	if err != nil || strings.Count(got, "request") != 32 || !strings.Contains(got, "33 FAILED") ||
 		!strings.Contains(got, "34 FAILED") {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("got %s, error %v", got, err)
 	}
 }
 
@@ -49,17 +49,17 @@
 func TestCancelAndResponseCross(t *testing.T) {
 	client := newTestSession()
 	if got, err := client.feed(do(1, "")+do(2, ""), 1<<16); err != nil || strings.Count(got, "request") != 2 {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("got %s, error %v", got, err)
 	}
 	got, err := client.feed(frame("UNDO", "1")+frame("UNDO", "1")+frame("UNDO", "7"), 1<<16)
 	if err != nil || got != "gone 1" {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("got %s, error %v", got, err)
 	}
 	client.respond(1, engine.Response{Body: []byte("late")})
 	client.respond(2, engine.Response{Body: []byte("in time")})
 	got, err = client.feed(frame("UNDO", "2"), 1<<16)
 	if backlog := client.shared.backlogBytes.Load(); got != "" || err != nil || !client.isIdle() || backlog != 0 {
-		t.Errorf("%q, %v, %d bytes of responses held", got, err, backlog)
+		t.Errorf("got %q, error %v, %d bytes of responses held", got, err, backlog)
 	}
 }
 
@@ -80,12 +80,12 @@
 		mustReceive(t, client, frame("PING", fmt.Sprint(100+i)))
 	}
 	if !client.isBackpressured() || len(client.pendingResponses) > bounds.PendingResponses {
-		t.Errorf("%d responses wait", len(client.pendingResponses))
+		t.Errorf("the input is not held, or %d responses wait", len(client.pendingResponses))
 	}
 	all := strings.Join(client.writtenResponses(), ";")
 	served, failed := strings.Count(all, "OK"), strings.Count(all, "FAILED")
 	if served < 8 || failed+served != 32 {
-		t.Errorf("%d OK, %d FAILED", served, failed)
+		t.Errorf("got %d OK and %d FAILED responses", served, failed)
 	}
 	if backlog := client.shared.backlogBytes.Load(); backlog != 0 {
 		t.Errorf("%d bytes of responses held at the end", backlog)
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -55,7 +55,7 @@
 				got, err := newTestSession().feed(stream+do(2, "")+frame("PING", "3"), partBytes)
 				if err != nil || strings.Count(got, "FAILED") != 1 || strings.Count(got, "request") != 1 ||
 					!strings.Contains(got, "3 UP") {
-					t.Errorf("%s, %v", got, err)
+					t.Errorf("got %s, error %v", got, err)
 				}
 			})
 		}
@@ -65,7 +65,7 @@
 func TestLargestBody(t *testing.T) {
 	got, err := newTestSession().feed(do(1, strings.Repeat("x", 48_000)), 1<<16)
 	if err != nil || !strings.HasSuffix(got, "48000 bytes") {
-		t.Errorf("%.100s, %v", got, err)
+		t.Errorf("got %.100s, error %v", got, err)
 	}
 }
 
--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -35,7 +35,7 @@
 			_, _ = io.WriteString(conn, test.sends)
 			got, err := io.ReadAll(conn)
 			if !strings.HasPrefix(string(got), test.want) || err != nil {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("got %q, error %v", got, err)
 			}
 			_ = conn.Close()
 		})
@@ -56,7 +56,7 @@
 	response := make([]byte, 64)
 	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	if n, err := conn.Read(response); err != nil || !strings.HasPrefix(string(response[:n]), "-BUSY") {
-		t.Errorf("%q, %v", response[:n], err)
+		t.Errorf("got %q, error %v", response[:n], err)
 	}
 	_ = conn.Close()
 	for until := time.Now().Add(responseTimeout); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -50,7 +50,7 @@
 	}
 	for range 10 {
 		if _, got := connectAndSend(t, address, frame("PING", "1")); got != pong("1") {
-			t.Fatalf("%q", got)
+			t.Fatalf("unexpected response: %q", got)
 		}
 		awaitBusy(0)
 	}
@@ -65,7 +65,7 @@
 	for busy := range int64(3) { // these connections stay busy with a request in flight
 		awaitBusy(busy)
 		if _, got := connectAndSend(t, address, frame("PING", "1")+do(2, "")); got != pong("1") {
-			t.Fatalf("%q", got)
+			t.Fatalf("unexpected response: %q", got)
 		}
 	}
 	awaitBusy(3)
--- a/internal/frontend/state_test.go
+++ b/internal/frontend/state_test.go
@@ -8,7 +8,7 @@
 		for signal := range connectionSignalCount {
 			next := connectionTransitions[state][signal]
 			if next < state {
-				t.Errorf("%v returns to %v on %v", state, next, signal)
+				t.Errorf("%v returns to %v on signal %v", state, next, signal)
 			}
 		}
 		if !connectionTransitions[state][signalClose].isClosed() {
--- a/internal/frontend/tls_test.go
+++ b/internal/frontend/tls_test.go
@@ -139,7 +139,7 @@
 	address, _ := startServer(t, Options{TLSKeys: keys, Admission: admission.Settings{SendRetryAfter: true}})
 	before, name := authority.dial(address, client)
 	if got := ping(before); got != pong("1") || name != "one" {
-		t.Fatalf("%q of %s", got, name)
+		t.Fatalf("got response %q and certificate %s", got, name)
 	}
 	for _, unusable := range []TLSFiles{
 		{Cert: at("none.crt"), Key: at("one.key")},
@@ -148,7 +148,7 @@
 		{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("one.key")},
 	} {
 		if err := keys.Load(unusable); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v", err)
+			t.Errorf("loading an unusable pair returned %v", err)
 		}
 	}
 	if _, name := authority.dial(address); name != "one" {
--- a/policy/admission/model_test.go
+++ b/policy/admission/model_test.go
@@ -68,7 +68,7 @@
 			}
 			decision = action.Kind
 			if action.Wait < 0 || action.Wait > m.controller.settings.MaxRetryAfter {
-				m.violate("retry after %v", action.Wait)
+				m.violate("time to retry after %v is out of range", action.Wait)
 			}
 		default:
 		}
@@ -130,7 +130,7 @@
 	}
 	if controller.idlePeers.length > settings.MaxRememberedPeers ||
 		len(controller.peerIndex) > settings.MaxRememberedPeers+settings.MaxConnections+1 {
-		m.violate("%d peers are remembered", len(controller.peerIndex))
+		m.violate("too many peers are remembered: %d", len(controller.peerIndex))
 	}
 }
 
