--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -9,8 +9,7 @@
 	"fennelarch/policy/admission"
 )
 
-// A client that is not admitted is told so in a way that it can read, and the response arrives though it is still
-// sending.
+// A client that is not admitted gets a rejection that it can parse, even while it is still sending.
 func TestRejectionArrives(t *testing.T) {
 	address, _ := startServer(t, Options{Admission: admission.Settings{
 		ConnectionsPerPeer: 1, SendRetryAfter: true, MaxRetryAfter: time.Second,
@@ -36,15 +35,15 @@
 			_, _ = io.WriteString(conn, test.sends)
 			got, err := io.ReadAll(conn)
 			if !strings.HasPrefix(string(got), test.want) || err != nil {
-				t.Errorf("%q, %v", got, err)
+				t.Errorf("got %q, error %v", got, err)
 			}
 			_ = conn.Close()
 		})
 	}
 }
 
-// A client that is not admitted and sends more than is read of it, without a complete message, is told so all the same,
-// and its connection ends.
+// A client that is not admitted and sends more than the input buffer holds without completing a message still gets a
+// rejection, and its connection is closed.
 func TestRejectionOfEndlessInputEnds(t *testing.T) {
 	address, server := startServer(t, Options{Admission: admission.Settings{ConnectionsPerPeer: 1}})
 	first := dial(t, address)
@@ -57,12 +56,12 @@
 	response := make([]byte, 64)
 	_ = conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	if n, err := conn.Read(response); err != nil || !strings.HasPrefix(string(response[:n]), "-BUSY") {
-		t.Errorf("%q, %v", response[:n], err)
+		t.Errorf("got %q, error %v", response[:n], err)
 	}
 	_ = conn.Close()
 	for until := time.Now().Add(responseTimeout); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the rejected connection never ends")
+			t.Fatal("the rejected connection was not closed")
 		}
 	}
 }
--- a/policy/admission/action.go
+++ b/policy/admission/action.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Accept      ActionKind = iota // the connection, or the request
-	Reject                        // with an error message and, if Wait is set, the time to retry after
-	Drop                          // without a message
-	CloseIdle                     // close an idle connection, to free its place
-	Pause                         // accept nothing for Wait, or, if Conn is set, read nothing of that connection
-	ModeChanged                   // From, To: the overload mode is another; for the log
+	Accept        ActionKind = iota // accept the connection or the request
+	Reject                          // reject it with an error message and, if Wait is set, a time to retry after
+	Drop                            // close the connection without a message
+	CloseIdle                       // close an idle connection to free its slot
+	Pause                           // for Wait, accept no connections or, if Conn is set, do not read from that connection
+	LogModeChange                   // log the change of the overload mode
 )
 
-// Action is one thing that the front end has to do; actions are carried out in the order given.
+// Action is an instruction to the front end, which carries out actions in the order in which they are returned.
 type Action struct {
 	Kind ActionKind
-	Conn ConnID
-	Wait time.Duration
-	From Mode
-	To   Mode
+	Conn ConnID        // zero if the action concerns no single connection
+	Wait time.Duration // length of a pause, or time to retry after
+	From Mode          // previous mode, for LogModeChange
+	To   Mode          // new mode, for LogModeChange
 }
 
-// Counts is the number of decisions of each kind so far.
+// Counts holds the number of decisions of each kind so far.
 type Counts struct {
 	Accepted, Rejected, Dropped, ClosedIdle, RequestsRejected, DescriptorsExhausted, Handshakes uint64
 }
