--- a/policy/routing/action.go
+++ b/policy/routing/action.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an action.
 type ActionKind uint8
 
-// The kinds of actions; each comment names the fields of Action that are set.
+// The kinds of actions. Each comment lists the fields of Action that are set.
 const (
-	// ActionLookup asks an endpoint for what it has cached: Request, Endpoint, Timeout. The router does not use it.
+	// ActionLookup asks an endpoint for a cached copy: Request, Endpoint, Timeout. The router never emits it.
 	ActionLookup ActionKind = iota
 	// ActionSend sends an attempt: Request, Endpoint, Source, Timeout, StartWithin, MaxAge, CacheRank, FillOptions.
 	ActionSend
-	// ActionReject rejects a request: Request, Wait until the client may come back.
+	// ActionReject rejects a request: Request, Wait (the delay before the client may retry).
 	ActionReject
-	// ActionFail fails a request, which may have run: Request.
+	// ActionFail reports to the client that its request, which may have run, has failed: Request.
 	ActionFail
 	// ActionCancel cancels an attempt: Request, Attempt.
 	ActionCancel
@@ -21,37 +21,38 @@
 	ActionHealthCheck
 	// ActionTimer sets a timer: Wait, Timer.
 	ActionTimer
-	// ActionWatchEndpoints asks for the endpoint list and its changes.
+	// ActionWatchEndpoints requests the endpoint list and its later changes.
 	ActionWatchEndpoints
-	// ActionPollEndpoints asks for the endpoint list once. The router does not use it.
+	// ActionPollEndpoints requests the endpoint list once. The router never emits it.
 	ActionPollEndpoints
 	// ActionLog writes a log line: Text.
 	ActionLog
 )
 
-// FillOptions is a set of options for a miss.
+// FillOptions is a set of options for an attempt and the fill that it may cause.
 type FillOptions uint8
 
-// The options for a miss, which may be combined.
+// The fill options, which can be combined.
 const (
-	CoalesceFill         FillOptions = 1  // wait for a fill under way
-	OnlyIfCached         FillOptions = 2  // the source gives only what it has cached
+	CoalesceFill         FillOptions = 1  // wait for a fill in progress
+	OnlyIfCached         FillOptions = 2  // the source answers only from its cache
 	NoStore              FillOptions = 4  // the parent keeps no copy
-	StaleWhileRevalidate FillOptions = 8  // serve an ageing copy and fetch it anew in the background
+	StaleWhileRevalidate FillOptions = 8  // serve a stale copy and refresh it in the background
 	StoreLocally         FillOptions = 16 // the router itself keeps a copy of the answer
 )
 
-// Action is what the router wants done, in the order given.
+// Action is an instruction of the router to the front end. Actions are carried out in the order in which they are
+// returned.
 type Action struct {
 	Kind        ActionKind
 	Request     RequestID
 	Attempt     AttemptNumber
 	Endpoint    EndpointID
 	Source      EndpointID
-	Timeout     time.Duration // 0: until the client gives up
-	StartWithin time.Duration // on its way by then, or never; 0: no bound of its own
-	MaxAge      time.Duration // 0: the class's own limit
-	CacheRank   uint8         // 0 no copy, 1 to 3 the rank
+	Timeout     time.Duration // 0: the request's deadline
+	StartWithin time.Duration // not sent if it cannot be sent within this time; 0: no such limit
+	MaxAge      time.Duration // maximum age of a copy; 0: the limit of the class
+	CacheRank   uint8         // rank of the cached copy, 1 to 3; 0: the cache keeps no copy
 	FillOptions FillOptions
 	Wait        time.Duration
 	Timer       uint64
--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -3,45 +3,46 @@
 import "time"
 
 const (
-	// maxAttempts is how many attempts a request has places for; one more would hardly come within its objective.
+	// maxAttempts is the maximum number of attempts of a request. A further attempt would rarely meet the objective.
 	maxAttempts = 8
-	// minTimeLeft is the least time to the deadline in which an answer may still come back.
+	// minTimeLeft is the minimum time to the deadline at which an attempt is sent. With less, no answer can arrive in
+	// time.
 	minTimeLeft = 2 * ms
 )
 
-// attemptState follows an attempt from its sending to its result.
+// attemptState is the state of an attempt, from its sending to its result.
 type attemptState uint8
 
 const (
 	attemptInFlight    attemptState = iota
-	attemptCountedLate              // in flight; the origin limiter was told that it is late
-	attemptOverdue                  // in flight; it was found overdue, and hedged where that was allowed
+	attemptCountedLate              // in flight; counted as late at the origin limiter
+	attemptOverdue                  // in flight; overdue, and hedged if that was allowed
 	attemptEnded
 )
 
-// attempt is one sending of a request to an endpoint, with the source that a miss is filled from.
+// attempt is one attempt of a request at an endpoint, with the source from which a miss is filled.
 type attempt struct {
 	endpoint     endpointIndex
 	source       endpointIndex
 	sentAt       time.Duration
-	expected     time.Duration // predicted time to its end
-	linkShare    float64       // the part of its time in which it uses the link
-	originShare  float64       // the part of its time in which it may wait for the origin
+	expected     time.Duration // predicted duration
+	linkShare    float64       // share of its duration in which it uses the link
+	originShare  float64       // share of its duration in which it may wait for the origin
 	state        attemptState
 	mayHaveRun   bool
-	onlyIfCached bool // the source gives only what it has cached
-	needsFill    bool // predicted to need a fill
+	onlyIfCached bool // the source answers only from its cache
+	needsFill    bool // a fill is predicted
 	storesCopy   bool // the cache keeps a copy
 }
 
 func (a *attempt) isInFlight() bool { return a.state != attemptEnded }
 
-// isPending reports whether the attempt is in flight and was not found overdue yet.
+// isPending reports whether the attempt is in flight and not yet overdue.
 func (a *attempt) isPending() bool {
 	return a.state == attemptInFlight || a.state == attemptCountedLate
 }
 
-// attemptPlan says where an attempt is to go.
+// attemptPlan holds the endpoint, source and options of an attempt to be sent.
 type attemptPlan struct {
 	stage    fillStage
 	endpoint endpointIndex
@@ -49,8 +50,7 @@
 	options  FillOptions
 }
 
-// sendAttempt sends a request to an endpoint if the guards of the five rules allow it, and reports whether they did.
-// Every attempt passes here.
+// sendAttempt sends an attempt if the five rules allow it, and reports whether it did. All attempts are sent here.
 func (r *Router) sendAttempt(req *request, plan attemptPlan) bool {
 	if !r.mayAttempt(req, plan) {
 		return false
@@ -79,39 +79,40 @@
 	return true
 }
 
-// mayAttempt holds the guards of rules 1 to 4; sendAction sets the bound of rule 5.
+// mayAttempt reports whether rules 1 to 4 allow the attempt. sendAction enforces rule 5.
 func (r *Router) mayAttempt(req *request, plan attemptPlan) bool {
-	// Rule 1: nothing for a request that is answered, nor so late that its answer cannot come back.
+	// Rule 1: no attempt for an answered request, or so late that the answer cannot arrive in time.
 	if req.state != requestOpen || req.attemptCount >= r.settings.MaxAttempts || req.deadline-r.now < minTimeLeft {
 		return false
 	}
-	// Rule 2: what may have run is sent again only as its class allows.
+	// Rule 2: a request that may have run is repeated only as its class allows.
 	if req.inFlight > 0 && !r.settings.HedgedRequests || !r.mayRepeat(req, plan.endpoint) {
 		return false
 	}
-	// Rule 3: nothing past its drain grace, as endpoint or as source.
+	// Rule 3: no attempt names an endpoint or a source whose drain grace is over.
 	if !r.isUsable(plan.endpoint) || !r.isUsable(plan.source) {
 		return false
 	}
-	// Rule 4: no more to a cold endpoint than it bears, as endpoint or as source.
+	// Rule 4: a cold endpoint or source gets no more load than its budget.
 	return r.hasBudget(req, plan.endpoint) && (plan.source == plan.endpoint || r.hasBudget(req, plan.source))
 }
 
-// countAtOrigin counts an attempt at the origin limiter for the part of its time in which it may wait for the origin.
+// countAtOrigin counts an attempt at the origin limiter, weighted by the share of its duration in which it may wait for
+// the origin.
 func (r *Router) countAtOrigin(req *request, att *attempt) {
 	isFromCache := att.source == att.endpoint || r.endpoints[att.source].role == roleCache
 	if att.onlyIfCached || isFromCache || r.settings.Classes[req.class].Write {
 		return
 	}
 	att.originShare = float64(r.originLimiter.wait+ms) / float64(r.originLimiter.wait+req.transferTime+ms)
-	// After a lookup at the parent it is known that the parent does not have the object.
+	// After stageParentCached the parent is known not to have the object.
 	if att.source != r.origin && req.stage != stageParentCached {
 		att.originShare *= r.originLimiter.originShare
 	}
 	r.originLimiter.begin(att.originShare, r.random.float(), r.now)
 }
 
-// sendAction is the order to send an attempt.
+// sendAction returns the action that sends an attempt.
 func (r *Router) sendAction(req *request, plan attemptPlan) Action {
 	target, class := &r.endpoints[plan.endpoint], &r.settings.Classes[req.class]
 	action := Action{
@@ -121,7 +122,7 @@
 	if class.Write {
 		return action
 	}
-	action.MaxAge = r.maxAge(req) // rule 5: nothing older than the last purge will do
+	action.MaxAge = r.maxAge(req) // rule 5: no copy older than the last purge
 	if target.role == roleCache {
 		action.CacheRank = r.cacheRank(req)
 	}
@@ -137,7 +138,7 @@
 	return action
 }
 
-// handleAttemptResult learns from the result of an attempt and does what follows.
+// handleAttemptResult learns from the result of an attempt, and closes or continues the request.
 func (r *Router) handleAttemptResult(req *request, event *Event) {
 	if req == nil || int(event.Attempt) >= req.attemptCount || !req.attempts[event.Attempt].isInFlight() {
 		return
@@ -165,7 +166,7 @@
 	}
 }
 
-// endAttempt takes an attempt off the links and the origin limiter.
+// endAttempt marks an attempt as ended and stops counting it at the links and the origin limiter.
 func (r *Router) endAttempt(req *request, att *attempt, outcome Outcome) {
 	att.state = attemptEnded
 	req.inFlight--
--- a/policy/routing/bench_test.go
+++ b/policy/routing/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkRequest measures the decisions for a request that is a hit, by the number of caches of its location.
+// BenchmarkRequest measures the decisions for a request that is a hit, for several numbers of caches.
 func BenchmarkRequest(b *testing.B) {
 	for _, caches := range []int{4, 130, 1000} {
 		b.Run(fmt.Sprint(caches), func(b *testing.B) {
@@ -29,7 +29,7 @@
 					Kind: EventRequest, Request: id, Object: ObjectID(id%5000 + 1), SizeKB: 30, TimeLeft: 2 * time.Second,
 				}, actions[:0])
 				if len(actions) == 0 {
-					b.Fatal("no attempt")
+					b.Fatal("no attempt was sent")
 				}
 				actions = router.Handle(now, &Event{
 					Kind: EventAttemptResult, Request: id, Endpoint: actions[len(actions)-1].Endpoint, Outcome: Succeeded,
--- a/policy/routing/drain.go
+++ b/policy/routing/drain.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// usableGraceTenths is how many tenths of the drain grace are used. The rest is left, so that an attempt sent at its
-// end does not reach the endpoint after it.
+// usableGraceTenths is the part of the drain grace, in tenths, in which attempts are sent. The rest is a margin: an
+// attempt sent at the end of the grace would arrive after it.
 const usableGraceTenths = 9
 
-// isUsable reports whether an attempt may still name the endpoint: it is listed ready, or is leaving for so short a
-// time that its grace still runs. Guards rule 3.
+// isUsable reports whether an attempt may name the endpoint: it is ready, or it began to leave so recently that its
+// drain grace is not over. This enforces rule 3.
 func (r *Router) isUsable(index endpointIndex) bool {
 	if index == noEndpoint {
 		return false
@@ -16,7 +16,7 @@
 	return target.state == Ready || r.now-target.leavingSince < r.settings.DrainGrace*usableGraceTenths/10
 }
 
-// setState takes the state from the endpoint list, and keeps the time at which it first said that the endpoint leaves.
+// setState sets the state from the endpoint list. It records the time at which a ready endpoint begins to leave.
 func (e *endpoint) setState(state EndpointState, listedAt time.Duration) {
 	if state != Ready && e.state == Ready {
 		e.leavingSince = listedAt
--- a/policy/routing/drain_test.go
+++ b/policy/routing/drain_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// An endpoint that left before this router heard of it has no grace left, whether the list tells it all at once or
-// event by event.
+// An endpoint that began to drain before this router learned of it has no grace left, whether one list or several
+// events report the drain.
 func TestDrainBeforeTheStartHasNoGrace(t *testing.T) {
 	fullList := func(h *harness, endpoints ...Endpoint) {
 		h.handle(&Event{
@@ -32,7 +32,7 @@
 			h.actions = h.router.Start(0, nil)
 			tell(h)
 			if index, isKnown := h.router.endpointByID[cacheB]; isKnown && h.router.isUsable(index) {
-				t.Error("it may still be named at the start")
+				t.Error("the draining endpoint is still usable")
 			}
 			for id := range RequestID(40) {
 				h.request(id+1, readClass, ObjectID(id+1))
@@ -47,7 +47,7 @@
 	for i := range router.requests.slots {
 		for _, att := range router.requests.slots[i].sentAttempts() {
 			if router.endpoints[att.endpoint].id == id || router.endpoints[att.source].id == id {
-				t.Errorf("an attempt names endpoint %d", id)
+				t.Errorf("an attempt names endpoint %d after its drain grace", id)
 			}
 		}
 	}
@@ -58,11 +58,11 @@
 	h.isMuted = true
 	h.handle(&Event{Kind: EventEndpoints, Endpoints: []Endpoint{drainingMember(cacheB)}})
 	if !h.router.isUsable(h.router.endpointByID[cacheB]) {
-		t.Error("a drain that is told now has no grace")
+		t.Error("an endpoint that has just begun to drain is not usable")
 	}
 }
 
-// Rule 3: a cache told to drain gets no request at once, and is no source once its grace is over.
+// Rule 3: a draining cache gets no new requests, and it is not a fill source once its grace is over.
 func Example_drain() {
 	h := newHarness(testSettings(), cacheA, cacheB)
 	object := h.firstObject(cacheA, parentP)
--- a/policy/routing/endpoints.go
+++ b/policy/routing/endpoints.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// endpointRole says what an endpoint is to this router.
+// endpointRole is the role of an endpoint for this router.
 type endpointRole uint8
 
 const (
-	roleLocalCache endpointRole = iota // the router itself, with copies of its own
+	roleLocalCache endpointRole = iota // the router's own cache
 	roleCache
 	roleParent
 	roleOrigin
@@ -19,19 +19,21 @@
 	return [...]string{"local cache", "cache", "parent", "origin"}[e]
 }
 
-// endpointIndex is the place of an endpoint in Router.endpoints.
+// endpointIndex is the index of an endpoint in Router.endpoints.
 type endpointIndex int32
 
 // noEndpoint stands for no endpoint.
 const noEndpoint endpointIndex = -1
 
-// forgetAfter is how long after it is gone the place of an endpoint may be used again.
+// forgetAfter is the delay after which the slot of an endpoint that is gone may be reused. It exceeds the time in which
+// the relay uses previous rings, which may name the endpoint.
 const forgetAfter = 2 * relayFor
 
-// idleTransfers is less than any transfer: an endpoint with fewer has none, but for rounding.
+// idleTransfers is the number of transfers below which an endpoint counts as idle. It is less than any transfer counts
+// and more than a rounding error.
 const idleTransfers = 0.001
 
-// endpoint is what the router knows of a cache of its location, a parent or the origin.
+// endpoint holds the state of a cache of the router's location, a parent, the origin or the local cache.
 type endpoint struct {
 	id             EndpointID
 	role           endpointRole
@@ -39,22 +41,22 @@
 	cell           CellID
 	weight         float64
 	state          EndpointState
-	leavingSince   time.Duration // when the list first said that it drains or is gone
+	leavingSince   time.Duration // when the list first reported that the endpoint is draining or gone
 	slowStart      slowStart
 	outlier        outlierDetector
-	link           link          // its link out, as far as this router's transfers show it
-	throughput     decayingRate  // seconds of transfers that it has answered, a second
-	utilization    float64       // by its last report
-	lastHeardAt    time.Duration // last sign of life
-	brokenAt       time.Duration // when a connection to it last broke
-	noFillsUntil   time.Duration // until then it has no capacity for a fill
-	cachedFillWait time.Duration // usual time to the first byte of a fill that it has cached
-	fillSlowdown   float64       // usual length of a fill's body over its prediction
-	lateFillAt     time.Duration // when a fill from it was last counted as late at the origin limiter
-	listVersion    int           // the last list that named it
+	link           link          // the endpoint's outgoing link, observed by this router's transfers
+	throughput     decayingRate  // answered transfers, in seconds of transfers per second
+	utilization    float64       // as last reported
+	lastHeardAt    time.Duration // time of the last sign of life
+	brokenAt       time.Duration // time of the last broken connection that was counted
+	noFillsUntil   time.Duration // no capacity for a fill before this time
+	cachedFillWait time.Duration // mean time to the first byte of a fill from a copy that this source had
+	fillSlowdown   float64       // mean ratio of the duration of a fill's body to its prediction
+	lateFillAt     time.Duration // when a fill from this source was last counted as late at the origin limiter
+	listVersion    int           // version of the last list that named the endpoint
 }
 
-// handleEndpointList takes an endpoint list or its changes, or plans to ask again where there was no answer.
+// handleEndpointList applies an endpoint list or its changes, or schedules another request if the list failed.
 func (r *Router) handleEndpointList(event *Event) {
 	if event.EndpointListKind == EndpointListFailed {
 		spread := time.Duration(r.random.float() * float64(endpointListRetryWait))
@@ -65,7 +67,7 @@
 	r.rebuildRings()
 }
 
-// applyEndpointList takes what the list says of the endpoints. Those that a whole list does not name are gone.
+// applyEndpointList updates the endpoints from the list. Endpoints that a whole list does not name are gone.
 func (r *Router) applyEndpointList(event *Event) {
 	r.listVersion++
 	listedAt := r.now - event.Age
@@ -89,7 +91,7 @@
 	}
 }
 
-// update takes a line of the list.
+// update updates an endpoint from its entry in the list.
 func (e *endpoint) update(listed *Endpoint, listVersion int, listedAt time.Duration) {
 	e.listVersion, e.weight = listVersion, listed.Weight
 	if listed.StartedAt > e.slowStart.startedAt {
@@ -98,7 +100,8 @@
 	e.setState(listed.State, listedAt)
 }
 
-// addEndpoint adds an endpoint that was not known. Those that are gone and caches of other locations are passed over.
+// addEndpoint adds an unknown endpoint and returns its index. It skips an endpoint that is gone and a cache of another
+// location, and returns noEndpoint.
 func (r *Router) addEndpoint(listed *Endpoint) endpointIndex {
 	role := r.roleOf(listed.Kind)
 	if listed.State == Gone || role == roleCache && listed.Zone != r.settings.Zone {
@@ -106,13 +109,13 @@
 	}
 	index := r.allocateEndpoint()
 	r.endpointByID[listed.ID] = index
-	// One that is not ready when it is first heard of began to leave at some time before.
+	// An endpoint that is not ready in its first entry began to leave at an unknown earlier time.
 	r.endpoints[index] = endpoint{
 		id: listed.ID, role: role, zone: listed.Zone, cell: listed.Cell,
 		slowStart: r.slowStartOf(role), lastHeardAt: r.now, leavingSince: LongAgo,
 	}
 	if r.settings.WeightIsLinkCapacity {
-		r.endpoints[index].link.capacity = listed.Weight // as listed, until transfers show it
+		r.endpoints[index].link.capacity = listed.Weight // until transfers show the capacity
 	}
 	if role == roleOrigin {
 		r.origin = index
@@ -131,7 +134,7 @@
 	}
 }
 
-// allocateEndpoint finds a place for a new endpoint: that of one long gone, else a new one.
+// allocateEndpoint returns a slot for a new endpoint: the slot of an endpoint that has long been gone, else a new slot.
 func (r *Router) allocateEndpoint() endpointIndex {
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
@@ -144,7 +147,7 @@
 	return endpointIndex(len(r.endpoints) - 1)
 }
 
-// rebuildRings builds the rings anew and keeps the last ones for the relay.
+// rebuildRings rebuilds the rings. It keeps the previous ring of caches for the relay.
 func (r *Router) rebuildRings() {
 	caches, parents := newRing(r.readyMembers(roleCache)), newRing(r.readyMembers(roleParent))
 	if len(r.caches.members) > 0 && !slices.Equal(caches.members, r.caches.members) {
@@ -154,7 +157,7 @@
 	r.originLimiter.share = r.originLimiterShare()
 }
 
-// readyMembers lists the ready endpoints with the role.
+// readyMembers returns the ready endpoints with the role.
 func (r *Router) readyMembers(role endpointRole) []ringMember {
 	var members []ringMember
 	for i := range r.endpoints {
@@ -165,7 +168,7 @@
 	return members
 }
 
-// addLocalCache adds the router's own copies as an endpoint, whose link nobody else uses.
+// addLocalCache adds the router's own cache as an endpoint. No other router uses its link.
 func (r *Router) addLocalCache(capacity float64) {
 	r.localCache = r.allocateEndpoint()
 	r.endpoints[r.localCache] = endpoint{
--- a/policy/routing/endpoints_test.go
+++ b/policy/routing/endpoints_test.go
@@ -1,6 +1,6 @@
 package routing
 
-// The endpoint list is requested at the start, and again after a failure.
+// The endpoint list is requested at the start and again after a failure.
 func Example_endpointListRetry() {
 	settings := testSettings()
 	settings.PollEndpoints = true
--- a/policy/routing/event.go
+++ b/policy/routing/event.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// RequestID names an open request. Ids are opaque: they may be compared and hashed, and tell nothing else.
+// RequestID identifies an open request. Ids are opaque and may only be compared and hashed.
 type RequestID uint64
 
-// EndpointID names a cache, a parent or the origin; 0 is none.
+// EndpointID identifies a cache, a parent or the origin; 0 stands for no endpoint.
 type EndpointID uint64
 
-// ObjectID names an object; 0 is none.
+// ObjectID identifies an object; 0 stands for no object.
 type ObjectID uint64
 
-// GroupID names a group of objects that are purged together.
+// GroupID identifies a group of objects that can be purged together.
 type GroupID uint32
 
-// ZoneID is the number of a zone, the location of routers and caches.
+// ZoneID is the number of a zone, which is a location of routers and caches.
 type ZoneID int
 
 // CellID is the number of a cell, a part of a zone.
 type CellID int
 
-// KindID is the number of a kind of endpoint, as the settings name them.
+// KindID is the number of a kind of endpoint. Settings.ParentKind and Settings.OriginKind are such numbers.
 type KindID int
 
-// ClassID is the number of a request class, its place in Settings.Classes.
+// ClassID is the index of a request class in Settings.Classes.
 type ClassID int
 
-// TenantID is the number of a tenant, its place in Settings.Tenants.
+// TenantID is the index of a tenant in Settings.Tenants.
 type TenantID int
 
-// AttemptNumber counts the attempts of a request from 0.
+// AttemptNumber is the number of an attempt of a request, starting at 0.
 type AttemptNumber int
 
-// LocalCache is the router itself as an endpoint, where the front end keeps copies for it.
+// LocalCache is the endpoint id of the router's own cache, in which the front end keeps copies.
 const LocalCache = EndpointID(math.MaxUint64)
 
-// LongAgo is the start of an endpoint that has been warm for as long as is known.
+// LongAgo is the start time of an endpoint that is warm and whose real start is unknown.
 const LongAgo = time.Duration(math.MinInt64 / 4)
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// The kinds of events; each comment names the fields of Event that are set.
+// The kinds of events. Each comment lists the fields of Event that are set.
 const (
 	// EventRequest is a new request: Request, Class, Tenant, Object, Group, Part, SizeKB, TimeLeft, Repeat, Write.
 	EventRequest EventKind = iota
-	// EventAttemptResult is the end of an attempt: Request, Attempt, Endpoint, Outcome, Elapsed, Final, Note,
+	// EventAttemptResult reports the end of an attempt: Request, Attempt, Endpoint, Outcome, Elapsed, Final, Note,
 	// FirstByteWait, LoadReport.
 	EventAttemptResult
-	// EventStreamStarted says that the client gets its answer already: Request, Attempt, Endpoint, Elapsed.
+	// EventStreamStarted reports that the client has begun to receive its answer: Request, Attempt, Endpoint, Elapsed.
 	EventStreamStarted
-	// EventClientGone says that the client has left or given up: Request.
+	// EventClientGone reports that the client has disconnected or given up: Request.
 	EventClientGone
-	// EventEndpoints is the endpoint list or a change of it: EndpointListKind, Endpoints, Age.
+	// EventEndpoints is the endpoint list or a change to it: EndpointListKind, Endpoints, Age.
 	EventEndpoints
-	// EventPurge makes older copies invalid: Object or Group, Age.
+	// EventPurge invalidates older copies: Object or Group, Age.
 	EventPurge
 	// EventHealthCheck is the result of a health check: Endpoint, Outcome, Elapsed, LoadReport.
 	EventHealthCheck
-	// EventTimer says that a timer has run out: Timer.
+	// EventTimer reports that a timer has expired: Timer.
 	EventTimer
-	// EventGossip comes from another router; it is not used.
+	// EventGossip is a message of another router. The router ignores it.
 	EventGossip
 )
 
 // Outcome is how an attempt or a health check ended.
 type Outcome uint8
 
-// The outcomes. Only after those that say so is it known that the request did not run.
+// The outcomes of an attempt. Only an outcome marked "did not run" ensures that the request did not run.
 const (
 	OutcomeNone      Outcome = iota
-	Succeeded                // the client has its answer
+	Succeeded                // the client has received its answer
 	Failed                   // may have run
 	Overloaded               // did not run
 	TimedOut                 // may have run
@@ -84,36 +84,36 @@
 	CacheMiss                // did not run
 )
 
-// Note tells how an answer came about or what failed.
+// Note says how an answer was produced or what failed.
 type Note uint8
 
-// The notes.
+// The notes of an attempt's result.
 const (
 	NoteNone              Note = iota
 	NoteHit                    // the cache had a copy
-	NoteFilled                 // the source had a copy
-	NoteViaOrigin              // filled by way of the origin
-	NoteCoalesced              // joined a fill; with CacheMiss: one is under way
-	NoteStale                  // from a copy past its fresh time
-	NoteSourceRefused          // the source refused
-	NoteSourceUnreachable      // the source was not reached, broke off or ran out of time
+	NoteFilled                 // filled from the source's own copy
+	NoteViaOrigin              // filled from a source that fetched the object from the origin
+	NoteCoalesced              // joined a fill in progress; with CacheMiss: a fill is in progress
+	NoteStale                  // served from a copy that is no longer fresh
+	NoteSourceRefused          // the source refused the fill
+	NoteSourceUnreachable      // the source could not be reached, closed the connection or timed out
 	NoteSourceMiss             // the source does not have the object
 	NoteNoFillCapacity         // the cache has no capacity for a fill
-	NoteOriginFailed           // the origin failed behind the parent
+	NoteOriginFailed           // the parent's request to the origin failed
 )
 
-// EndpointListKind says how Event.Endpoints relate to the list that is known.
+// EndpointListKind says how Event.Endpoints relates to the known endpoint list.
 type EndpointListKind uint8
 
 // The kinds of endpoint lists.
 const (
-	EndpointListDelta  EndpointListKind = iota // changes of the known list
+	EndpointListDelta  EndpointListKind = iota // changes to the known list
 	EndpointListFull                           // the whole list
-	EndpointListCached                         // the whole list, from before the start
-	EndpointListFailed                         // the list could not be had
+	EndpointListCached                         // the whole list, as saved before the router started
+	EndpointListFailed                         // the list could not be fetched
 )
 
-// EndpointState is what the list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -123,7 +123,7 @@
 	Draining
 )
 
-// Endpoint is one line of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
 	State     EndpointState
@@ -140,7 +140,7 @@
 	Values [4]float64
 }
 
-// Event is what a router is told. Endpoints is lent for the call only.
+// Event is the input of Router.Handle. The router does not keep Endpoints after the call.
 type Event struct {
 	Kind          EventKind
 	Request       RequestID
@@ -148,7 +148,7 @@
 	Endpoint      EndpointID
 	Outcome       Outcome
 	Note          Note
-	Final         bool // the client has its final answer
+	Final         bool // the client has received its final answer
 	Elapsed       time.Duration
 	FirstByteWait time.Duration
 	LoadReport    LoadReport
@@ -158,13 +158,13 @@
 	Object   ObjectID
 	Group    GroupID
 	Part     int
-	SizeKB   float64       // 0 where it is not told
+	SizeKB   float64       // 0 if the request does not include it
 	TimeLeft time.Duration // until the client gives up
 	Repeat   bool
 	Write    bool
 
 	EndpointListKind EndpointListKind
 	Endpoints        []Endpoint
-	Age              time.Duration // how old the list may be, or how long ago the purge was issued
+	Age              time.Duration // maximum age of the list, or the time since the purge was issued
 	Timer            uint64
 }
--- a/policy/routing/harness_test.go
+++ b/policy/routing/harness_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// harness drives one router by hand and prints what it does, in words that a person can read.
+// harness drives a router with events and prints its actions in readable form.
 type harness struct {
 	router      *Router
 	now         time.Duration
-	actions     []Action // of the last event
+	actions     []Action // actions after the last event
 	nextAttempt map[RequestID]AttemptNumber
-	isMuted     bool // prints nothing
+	isMuted     bool // print nothing
 }
 
-// Endpoints of the small fleet that the traces use: caches of the router's location, parents and the origin.
+// Endpoints of the tests: caches of the router's location, parents and the origin.
 const (
 	cacheA EndpointID = 101 + iota
 	cacheB
@@ -40,8 +40,8 @@
 	writeClass
 )
 
-// testSettings are the settings that the traces start from: one idempotent class, one of writes, everything told and
-// allowed.
+// testSettings returns the default settings of the tests: an idempotent class of reads and a class of writes, with full
+// response detail and all features enabled.
 func testSettings() Settings {
 	return Settings{
 		Routers: 1, Zone: 2, ZoneRouters: []int{0, 0, 1}, ParentKind: 1, OriginKind: 2,
@@ -58,7 +58,7 @@
 	}
 }
 
-// newHarness starts a router that knows the caches, both parents and the origin.
+// newHarness starts a router with the given caches, both parents and the origin.
 func newHarness(settings Settings, caches ...EndpointID) *harness {
 	h := &harness{router: New(settings, 1), now: time.Minute, nextAttempt: map[RequestID]AttemptNumber{}}
 	h.actions = h.router.Start(h.now, nil)
@@ -66,7 +66,7 @@
 	return h
 }
 
-// member is an endpoint as a list has it: ready, and warm.
+// member returns the list entry of a ready and warm endpoint.
 func member(id EndpointID) Endpoint {
 	listed := Endpoint{ID: id, State: Ready, Zone: 2, Weight: 1, StartedAt: LongAgo}
 	switch {
@@ -96,14 +96,14 @@
 	h.handle(&Event{Kind: EventEndpoints, EndpointListKind: kind, Endpoints: members(ids...)})
 }
 
-// change tells of one endpoint: its state, and when it started (LongAgo: unchanged).
+// change reports the state and the start time (LongAgo: unchanged) of one endpoint.
 func (h *harness) change(id EndpointID, state EndpointState, startedAt time.Duration) {
 	listed := member(id)
 	listed.State, listed.StartedAt = state, startedAt
 	h.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{listed}})
 }
 
-// handle gives the router an event, prints its actions, and ends the attempts that it cancels.
+// handle passes an event to the router, prints the resulting actions, and ends the attempts that the router cancels.
 func (h *harness) handle(event *Event) {
 	h.actions = h.router.Handle(h.now, event, h.actions[:0])
 	for _, action := range h.actions {
@@ -153,7 +153,7 @@
 	return text
 }
 
-// request brings a request of 100 KB: a tenth of a second at full pace.
+// request sends a request for an object of 100 KB, which takes a tenth of a second without congestion.
 func (h *harness) request(id RequestID, class ClassID, object ObjectID) {
 	h.nextAttempt[id] = 0
 	h.handle(&Event{
@@ -162,12 +162,12 @@
 	})
 }
 
-// requestUntoldSize brings a request for a read that does not tell its size.
+// requestUntoldSize sends a read request without a size.
 func (h *harness) requestUntoldSize(id RequestID, object ObjectID, timeLeft time.Duration) {
 	h.handle(&Event{Kind: EventRequest, Request: id, Object: object, TimeLeft: timeLeft})
 }
 
-// result ends a request's next attempt after a time.
+// result ends an attempt of a request after a time. Successive calls end the attempts in the order of their sending.
 func (h *harness) result(id RequestID, endpoint EndpointID, after time.Duration, outcome Outcome, note Note) {
 	h.advance(after)
 	h.handle(&Event{
@@ -178,7 +178,7 @@
 	h.nextAttempt[id]++
 }
 
-// advance lets time pass with the router's ticks.
+// advance advances the time and handles the router's ticks.
 func (h *harness) advance(duration time.Duration) {
 	for end := h.now + duration; h.now < end; {
 		h.now = min(end, h.now+tickInterval)
@@ -186,17 +186,17 @@
 	}
 }
 
-// ownerOf is the cache whose arc holds the object.
+// ownerOf returns the cache that owns the object.
 func (h *harness) ownerOf(object ObjectID) EndpointID {
 	return h.router.endpoints[h.router.caches.owner(mix(uint64(object)))].id
 }
 
-// parentOf is the parent whose arc holds the object.
+// parentOf returns the parent that owns the object.
 func (h *harness) parentOf(object ObjectID) EndpointID {
 	return h.router.endpoints[h.router.parents.owner(mix(uint64(object)))].id
 }
 
-// firstObject returns the first object from 1 on whose cache and parent are the ones named.
+// firstObject returns the lowest object id that the given cache and parent own.
 func (h *harness) firstObject(cache, parent EndpointID) ObjectID {
 	for object := ObjectID(1); ; object++ {
 		if h.ownerOf(object) == cache && h.parentOf(object) == parent {
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -3,18 +3,19 @@
 import "time"
 
 const (
-	// overdueFactor is how many times its predicted time an attempt may take.
+	// overdueFactor is the multiple of its predicted duration that an attempt may take before it is overdue.
 	overdueFactor = 2
-	// overdueAfter is how far past that an attempt may be before silence counts: a short pause of an endpoint or a
-	// resent packet should fit.
+	// overdueAfter is the additional delay before an attempt is overdue. A short pause of an endpoint or a retransmitted
+	// packet must fit, or healthy endpoints are ejected.
 	overdueAfter = 150 * ms
 )
 
-// overdueAge is the age from which an attempt that was expected to take so long is overdue.
+// overdueAge returns the age at which an attempt with the expected duration is overdue.
 func overdueAge(expected time.Duration) time.Duration { return overdueFactor*expected + overdueAfter }
 
-// checkOverdueAttempts sends writes again whose backoff is over, and hedges requests with overdue attempts. Guards
-// against silent caches and parents (vanished, cut off, stalled). An endpoint's long pause may cost a double transfer.
+// checkOverdueAttempts retries writes whose backoff is over, and hedges requests with overdue attempts. This protects
+// against silent caches and parents (crashed, disconnected or stalled). If an endpoint only pauses for long, the object
+// may be transferred twice.
 func (r *Router) checkOverdueAttempts() {
 	for i := range r.requests.slots {
 		req := &r.requests.slots[i]
@@ -32,7 +33,7 @@
 }
 
 // checkOverdueAttempt hedges the request if the attempt is overdue and its endpoint or source has shown no sign of life
-// since it was sent; or, with a known size, if the endpoint lives but the attempt does not end.
+// since the attempt was sent. If the request's size is known, it also hedges although both have.
 func (r *Router) checkOverdueAttempt(req *request, att *attempt) {
 	age := r.now - att.sentAt
 	if !att.isPending() || req.transferTime == 0 || age < overdueAge(att.expected) || att.endpoint == r.origin {
@@ -43,7 +44,7 @@
 		return
 	}
 	if !att.onlyIfCached && age < overdueAge(att.expected+r.originLimiter.wait) && att.needsFill {
-		return // it may well wait for the origin
+		return // the attempt may still wait for the origin
 	}
 	silent := r.silentEndpoint(att)
 	if silent != att.endpoint && !att.needsFill && !req.sizeTold {
@@ -52,16 +53,16 @@
 	att.state = attemptOverdue
 	if silent != noEndpoint {
 		r.recordFailure(silent, hardFailure)
-		r.originLimiter.end(att.originShare, r.now) // nothing of it waits for the origin any more
+		r.originLimiter.end(att.originShare, r.now) // the attempt no longer waits for the origin
 		att.originShare = 0
 	} else if !req.sizeKnown {
-		return // it may just be long
+		return // the transfer may just be long
 	}
 	r.hedge(req, att, silent)
 }
 
-// isLateFill reports whether a fill from the origin, or by way of it, is so late that the origin must be slow. A
-// parent's silence counts once, not with each fill that waits for it.
+// isLateFill reports whether a fill from or through the origin is so late that the origin must be slow. While a parent
+// is silent, only one of the fills that wait for it counts.
 func (r *Router) isLateFill(req *request, att *attempt, age time.Duration) bool {
 	if !req.sizeTold || !att.needsFill || att.originShare <= 0 || att.state == attemptCountedLate {
 		return false
@@ -71,15 +72,16 @@
 		(att.source == r.origin || source.lateFillAt <= source.lastHeardAt)
 }
 
-// countLateFill tells the origin limiter of a late fill.
+// countLateFill counts a late fill at the origin limiter.
 func (r *Router) countLateFill(att *attempt, age time.Duration) {
 	att.state = attemptCountedLate
 	r.endpoints[att.source].lateFillAt = r.now
 	r.originLimiter.observe(age, true, r.now)
 }
 
-// silentEndpoint is the endpoint, or else the source, of the attempt that has shown no sign of life since it was sent.
-// Of sources only full answers tell.
+// silentEndpoint returns the endpoint, or else the source, of the attempt if it has shown no sign of life since the
+// attempt was sent, and noEndpoint if both have. Sources are checked only with DetailFull, since no other answers show
+// that a source is alive.
 func (r *Router) silentEndpoint(att *attempt) endpointIndex {
 	if r.endpoints[att.endpoint].lastHeardAt < att.sentAt {
 		return att.endpoint
@@ -91,7 +93,8 @@
 	return noEndpoint
 }
 
-// hedge sends a second attempt beside an overdue one: past the source if that one is silent, else by another cache.
+// hedge sends a second attempt beside an overdue one: with another source if the source is silent, else to another
+// cache.
 func (r *Router) hedge(req *request, att *attempt, silent endpointIndex) {
 	isRepeatable := r.settings.Classes[req.class].Idempotency != NonIdempotent
 	if !isRepeatable || r.now > req.objectiveAt || !r.retries.canSpend() {
--- a/policy/routing/hedging_test.go
+++ b/policy/routing/hedging_test.go
@@ -1,13 +1,13 @@
 package routing
 
-// Found on branch-library grown: a hedged attempt finds no cache left while the first one is still in flight; its late
-// result must not be taken for one of that cache.
+// After a hedged attempt no cache is left while the first attempt is still in flight. The late result of the first
+// attempt must not lead to another attempt.
 func Example_noCacheLeft() {
 	settings := testSettings()
 	settings.AllowDirect = false
 	harness := newHarness(settings, cacheA, cacheB)
 	harness.request(1, readClass, harness.firstObject(cacheA, parentP))
-	harness.advance(400 * ms) // overdue and silent: a hedged attempt
+	harness.advance(400 * ms) // attempt 0 is overdue and A is silent, so attempt 1 is sent
 	harness.handle(&Event{
 		Kind: EventAttemptResult, Request: 1, Attempt: 1, Endpoint: cacheB,
 		Outcome: Overloaded, Note: NoteNoFillCapacity,
@@ -22,8 +22,8 @@
 	//   0.40s request 1: rejected
 }
 
-// Found on depot-records: a silent cache. An attempt that is overdue at an endpoint not heard of since is hedged, and
-// three successes end the ejection; an answer to an attempt sent before it shows that there was no restart.
+// A silent cache: an attempt is hedged once it is overdue and its endpoint has shown no sign of life since, and the
+// endpoint is ejected. A late answer to an attempt sent before the ejection shows that the endpoint did not restart.
 func Example_silentCache() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
--- a/policy/routing/invalidation_test.go
+++ b/policy/routing/invalidation_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Copies of a class may be 2 s old. A purge that was told a while ago makes that stricter, and never laxer.
+// Copies of the class may be 2 s old. A purge lowers this limit and never raises it.
 func TestPurgeExtendsNoFreshness(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[readClass].FreshFor = 2 * time.Second
@@ -23,17 +23,17 @@
 		harness.router.now = time.Minute + test.later
 		req := &request{class: readClass, object: 7}
 		if got := harness.router.maxAge(req); got != test.want {
-			t.Errorf("%v after the purge was told a copy may be %v old, not %v", test.later, got, test.want)
+			t.Errorf("%v after the purge arrived: max age %v, want %v", test.later, got, test.want)
 		}
 	}
 }
 
-// Rule 5: after a purge only younger copies will do, until all old ones are dropped.
+// Rule 5: after a purge only younger copies are accepted, until all caches have dropped their old copies.
 func Example_purge() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.handle(&Event{Kind: EventPurge, Object: 9, Group: 1, Age: 200 * ms})
 	harness.request(1, readClass, 9)
-	harness.request(2, readClass, 17) // same group, not purged
+	harness.request(2, readClass, 17) // same group, but the purge names only object 9
 	harness.advance(time.Second)
 	harness.handle(&Event{Kind: EventPurge, Group: 1, Age: 300 * ms})
 	harness.request(3, readClass, 17)
--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// congestionGrowth is how much more a shared link slows a transfer down, over the slowdown on arrival, by the requests
-// that come during the transfer: a full link stays full. Other values were tried: with less, requests that are admitted
-// end late, with more some are rejected on calm days.
+// congestionGrowth is the additional slowdown that requests arriving during a transfer cause on a shared link, as a
+// multiple of the slowdown at its start. A full link stays full. With a lower value, admitted requests end late; with a
+// higher value, some requests are rejected in normal operation.
 const congestionGrowth = 1.6
 
-// prediction is what an attempt is expected to take.
+// prediction is the predicted cost of an attempt.
 type prediction struct {
-	duration  time.Duration // until the answer is through
-	linkShare float64       // the part of duration in which it uses the link
+	duration  time.Duration // until the answer is complete
+	linkShare float64       // share of duration in which the attempt uses the link
 	needsFill bool
 }
 
-// predict estimates an attempt at the endpoint with the source. Without a source it is the time of a hit.
+// predict predicts an attempt at the endpoint with the source. Without a source it predicts a hit.
 func (r *Router) predict(req *request, index, source endpointIndex) prediction {
 	if r.settings.Classes[req.class].Write {
 		return prediction{duration: req.transferTime}
@@ -22,7 +22,7 @@
 	target := &r.endpoints[index]
 	slowdown := r.slowdown(&target.link, r.warmFraction(index))
 	wait := time.Duration(0)
-	// A request past the caches comes through the location's link whatever the parent holds.
+	// A request that bypasses the caches uses the location's ingress link even if the parent has a copy.
 	bypassesCaches := target.role > roleCache
 	needsFill := bypassesCaches || source != index && source != noEndpoint && !r.isExpectedAt(req, index)
 	if needsFill && (bypassesCaches || r.endpoints[source].role != roleCache) {
@@ -31,7 +31,7 @@
 	}
 	growth := congestionGrowth
 	if target.link.dedicated {
-		growth = 0 // one transfer after the other, and nobody else's
+		growth = 0 // only this router uses the link, one transfer after the other
 	}
 	transfer := time.Duration(float64(req.transferTime) * (slowdown + (slowdown-1)*growth))
 	return prediction{
@@ -41,7 +41,7 @@
 	}
 }
 
-// usualFillWait is the usual time to the first byte of a fill from the source.
+// usualFillWait returns the usual time to the first byte of a fill from the source.
 func (r *Router) usualFillWait(source endpointIndex) time.Duration {
 	if source == r.origin {
 		return r.originLimiter.wait
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Where neither sizes nor sources are told, the shortest answers stand for hits: a busy cache gets no more, but an idle
-// one always gets a request, so that a slow moment is not believed for ever. Found on a deployment that tells nothing:
-// all requests were admitted until all were late.
+// Without response detail and sizes, the shortest answer counts as a hit. A busy cache gets no more requests, but an
+// idle cache always gets one, so that a slow period does not shut it out permanently. If congestion goes unnoticed, all
+// requests are admitted until all are late.
 func Example_noResponseDetail() {
 	settings := testSettings()
 	settings.ResponseDetail, settings.FlowKBPerSecond, settings.AllowDirect = DetailNone, 0, false
@@ -27,9 +27,9 @@
 	request(2)
 	answer(2, 300*ms)
 	request(3)
-	answer(3, 900*ms) // thrice as long as it needs: other routers send there too
+	answer(3, 900*ms) // three times the shortest: other routers use the cache too
 	request(4)
-	harness.advance(2100 * ms) // and then it may have capacity again
+	harness.advance(2100 * ms) // the estimated capacity is no longer trusted
 	request(5)
 	request(6)
 	// Output:
@@ -41,8 +41,8 @@
 	//   4.20s request 6: rejected
 }
 
-// Found on counter-net grown: sizes and links are guessed, the list tells the links. A fresh router takes what the link
-// carries in time, not all that comes.
+// If the weights in the endpoint list are link capacities, a new router admits only the requests that the link can
+// serve in time. Otherwise it admits all requests until it has estimated the capacity.
 func Example_linkCapacityFromWeight() {
 	for _, isLinkKnown := range []bool{false, true} {
 		settings, sent := testSettings(), 0
--- a/policy/routing/learning.go
+++ b/policy/routing/learning.go
@@ -3,40 +3,44 @@
 import "time"
 
 const (
-	// draggingFactor is how many times its prediction the body of a fill may take before its parent counts as failing:
-	// the location's links are in the prediction, so what is left is the parent's own. Guards against slow and
-	// throttled parents that begin to answer in good time.
+	// draggingFactor is the multiple of its prediction that the body of a fill may take before the parent counts as
+	// failing. The prediction includes the location's links, so the rest of the delay is caused by the parent. This
+	// detects slow and throttled parents whose first byte is in time.
 	draggingFactor = 2
-	// maxFillSlowdown bounds what one odd fill can tell.
+	// maxFillSlowdown limits the ratio with which one outlying fill enters the mean fillSlowdown of a parent.
 	maxFillSlowdown = 8
-	// minFillSlowdown is the least slowdown of another parent that a parent is compared with.
+	// minFillSlowdown is the lower bound of the fillSlowdown with which that of another parent is compared. Without it,
+	// each parent would count as slow beside a parent that has no fills yet.
 	minFillSlowdown = 0.5
-	// calmUtilization is the load below which a cache's link is taken to run at full pace.
+	// calmUtilization is the reported utilization below which the link of a cache is considered free of congestion.
 	calmUtilization = 0.8
-	// minLinkSample is the shortest transfer that is a sample of a link.
+	// minLinkSample is the minimum transfer time of a sample of a link's congestion.
 	minLinkSample = 100 * ms
-	// fillPace and originSharePace are how many samples the averages of fills and of the origin's share reach over.
+	// fillPace and originSharePace are the numbers of samples over which the averages of fills and of originShare
+	// extend.
 	fillPace        = 8
 	originSharePace = 20
-	// leastOfCacheLink and leastOfIngress are the least capacities that a congested transfer can show.
+	// leastOfCacheLink and leastOfIngress are the minimum capacities, in transfers, that a congested transfer can
+	// indicate.
 	leastOfCacheLink = 0.1
 	leastOfIngress   = 1
-	// congestedCacheLink is how far a fill may be slower than its cache's link explains before the ingress explains it.
+	// congestedCacheLink is the multiple of the slowdown expected from its cache's link above which the slowdown of a
+	// fill is attributed to the ingress link.
 	congestedCacheLink = 1.5
 )
 
-// answer is a successful attempt, as learning sees it.
+// answer is a successful attempt with the values derived from it.
 type answer struct {
 	req          *request
 	att          *attempt
 	event        *Event
-	body         time.Duration // first to last byte
-	slowdown     float64       // of the body
-	bypassCaches bool          // from a parent or the origin
+	body         time.Duration // time from the first to the last byte
+	slowdown     float64       // ratio of body to the request's transfer time
+	bypassCaches bool          // the answer came from a parent or the origin
 	isHit        bool
 }
 
-// learnFromSuccess keeps what a good answer tells of the endpoints and links on its way.
+// learnFromSuccess updates the endpoints and links that a successful attempt used.
 func (r *Router) learnFromSuccess(req *request, att *attempt, event *Event) {
 	r.recordSuccess(att.endpoint, att.sentAt, event.Note == NoteHit)
 	if req.failedBy != noEndpoint {
@@ -69,8 +73,8 @@
 	}
 }
 
-// isHit reports whether the answer came from a cached copy. Where no answer tells, the first of an object stands for a
-// hit, and any of a cache that should hold it.
+// isHit reports whether the answer came from a cached copy. With DetailNone the first answer for an object counts as a
+// hit, and so does each answer of a cache that is expected to hold the object.
 func (r *Router) isHit(got *answer, record *objectRecord) bool {
 	if got.event.Note == NoteHit {
 		return true
@@ -79,10 +83,10 @@
 		(record.transferTime == 0 || r.isExpectedAt(got.req, got.att.endpoint))
 }
 
-// learnFromHit learns the size of an object, and from it the capacity of the cache's link.
+// learnFromHit updates the transfer time of the object and its class, and the capacity of the cache's link.
 func (r *Router) learnFromHit(got *answer, record *objectRecord) {
 	req, stats, target := got.req, &r.classStats[got.req.class], &r.endpoints[got.att.endpoint]
-	// The shortest time seen is nearest to the transfer time at full pace.
+	// The shortest observed time is closest to the transfer time without congestion.
 	isShortest := !req.sizeTold && (record.transferTime == 0 || got.event.Elapsed < record.transferTime)
 	if isShortest {
 		record.transferTime = got.event.Elapsed
@@ -96,7 +100,7 @@
 	}
 }
 
-// learnFromFill learns of the source of a fill, unless it was another cache, and of the location's ingress link.
+// learnFromFill updates the source of a fill and the location's ingress link. It ignores fills from other caches.
 func (r *Router) learnFromFill(got *answer) {
 	source := &r.endpoints[got.att.source]
 	if source.role == roleCache {
@@ -111,7 +115,7 @@
 	r.learnOriginWait(got)
 }
 
-// assessFill counts a fill for or against its parent.
+// assessFill counts a fill as a success or, if it was slow, as a failure of its source.
 func (r *Router) assessFill(got *answer) {
 	att, source := got.att, &r.endpoints[got.att.source]
 	slowdown := min(maxFillSlowdown, float64(got.body)/float64(att.expected+ms))
@@ -124,8 +128,8 @@
 	}
 }
 
-// isDragging compares a parent's fills with those of the others: where sizes are only guessed, one long body tells
-// nothing, but they are guessed alike for all parents.
+// isDragging reports whether a parent's fills are much slower than those of another parent. If sizes are only
+// estimated, one slow fill proves nothing, but the estimates are equally wrong for all parents.
 func (r *Router) isDragging(index endpointIndex) bool {
 	for _, other := range r.parents.members {
 		slowdown := max(minFillSlowdown, r.endpoints[other].fillSlowdown)
@@ -136,7 +140,7 @@
 	return false
 }
 
-// learnOriginWait learns how long a fill waits by way of the origin, or for a parent that has the object.
+// learnOriginWait updates the usual wait of fills through the origin, or of fills from a copy that the parent had.
 func (r *Router) learnOriginWait(got *answer) {
 	source, wait := &r.endpoints[got.att.source], got.event.FirstByteWait
 	viaOrigin := 0.0
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// concurrencySpan is the span over which the usual load of a link by this router is measured, to tell what others of
-// its kind put on it: some requests, even where each router has few.
+// concurrencySpan is the time constant of the average concurrency, from which the load by other routers is estimated.
+// It is long enough to include some requests even if each router has few.
 const concurrencySpan = 5 * time.Second
 
-// concurrency counts what this router has in flight, and its decaying average.
+// concurrency holds the number of transfers of this router in flight and its exponentially decaying average.
 type concurrency struct {
 	current, average float64
 	changedAt        time.Duration
@@ -19,43 +19,49 @@
 	return c.current + (c.average-c.current)*math.Exp(-float64(now-c.changedAt)/float64(concurrencySpan))
 }
 
-// add counts what begins, or with a negative amount what ends.
+// add adds the amount to the number in flight. A negative amount stands for transfers that have ended.
 func (c *concurrency) add(amount float64, now time.Duration) {
 	c.average, c.changedAt = c.averageAt(now), now
 	c.current += amount
 }
 
 const (
-	// congestedSlowdown parts a transfer at full pace, with the noise of its size and way, from one on a full link.
+	// congestedSlowdown is the slowdown from which a transfer counts as congested. Smaller slowdowns are within the
+	// noise of sizes and paths.
 	congestedSlowdown = 1.25
-	// capacityPace is the weight of a transfer in the capacity; it doubles where transfers are a second apart.
+	// capacityPace is the weight of a new transfer in the estimated capacity. It doubles if transfers are a second
+	// apart.
 	capacityPace = 0.1
-	// busyFraction is the part of its capacity above which a link at full pace shows that it has more.
+	// busyFraction is the share of the estimated capacity above which an uncongested transfer shows that the capacity is
+	// larger.
 	busyFraction = 0.7
-	// firstCapacityFactor is how far the first congested transfer may have understated the capacity.
+	// firstCapacityFactor is the factor by which the first congested transfer may underestimate the capacity.
 	firstCapacityFactor = 1.5
-	// capacityTrustedFor is how long a capacity under one transfer is believed without news; then one goes on trial.
+	// capacityTrustedFor is the time for which an estimated capacity below one transfer is used without a new
+	// observation. After it, one transfer may be sent, since otherwise the estimate would never be corrected.
 	capacityTrustedFor = 2 * time.Second
-	// reportValidFor is how long a report of the link's load is used: some times as long as they are apart.
+	// reportValidFor is the time for which a report of the link's load is used. It is several times the interval of the
+	// reports.
 	reportValidFor = 2 * time.Second
-	// reportSmoothing is how many times less than the mean of earlier reports a new one weighs.
+	// reportSmoothing is the divisor of the weight of a new report in the mean utilization.
 	reportSmoothing = 4
 )
 
-// link is a network link as this router's own transfers show it. capacity is how many transfers fit at full pace, those
-// of other routers included, 0 without evidence.
+// link is an estimate of a network link from this router's own transfers. capacity is the number of transfers, those of
+// other routers included, that fit without congestion, or 0 if it is unknown.
 type link struct {
 	concurrency
 	capacity            float64
 	reportedUtilization float64
 	reportedAt          time.Duration
-	observedAt          time.Duration // when its capacity was learned
-	dedicated           bool          // no other router uses it
+	observedAt          time.Duration // time of the last observation
+	dedicated           bool          // no other router uses the link
 }
 
-// observe takes the slowdown of a transfer and how many ran beside it. One at full pace shows that more fit than ran; a
-// congested one how many did, at the least so many: a slow endpoint gives less than one. A tenth forgets in some ten
-// transfers; where they are few, each counts twice.
+// observe updates the capacity from the slowdown of a transfer and the number of concurrent transfers (beside). An
+// uncongested transfer shows that more would have fit. A congested transfer shows how many did fit; the result is at
+// least the given minimum (least), and may be below one for a slow endpoint. With a weight of a tenth, the influence of
+// earlier transfers ends after some ten new ones; if transfers are rare, each weighs twice as much.
 func (l *link) observe(slowdown, beside, least float64, now time.Duration) {
 	pace := capacityPace + capacityPace*min(1, (now-l.observedAt).Seconds())
 	l.observedAt = now
@@ -71,14 +77,15 @@
 	}
 }
 
-// observeReport takes a report of the link's utilization.
+// observeReport updates the mean utilization from a report.
 func (l *link) observeReport(utilization float64, now time.Duration) {
 	l.reportedUtilization += (utilization - l.reportedUtilization) / reportSmoothing
 	l.reportedAt = now
 }
 
-// transfers is how many transfers run on the link by now: this router's, and for each of the others that share it what
-// this one usually has there, or the middle of that and of what reports tell. trafficShare is this router's part.
+// transfers estimates the number of transfers in progress on the link: this router's own, and this router's average for
+// each other router that shares the link. If there is a recent report, the transfers of other routers are the mean of
+// this estimate and the reported number. trafficShare is this router's share of the traffic.
 func (l *link) transfers(trafficShare float64, now time.Duration) float64 {
 	if l.dedicated {
 		return l.current
@@ -90,12 +97,12 @@
 	return l.current + others
 }
 
-// totalTransfers is how many transfers of all routers run on a link of the location by now.
+// totalTransfers estimates the number of transfers of all routers in progress on a link of the location.
 func (r *Router) totalTransfers(l *link) float64 {
 	return l.transfers(r.trafficShare, r.now)
 }
 
-// slowdown is how many times longer than alone one more transfer takes, on a link that gives a part of its capacity.
+// slowdown returns the factor by which congestion prolongs one more transfer on a link with a part of its capacity.
 func (r *Router) slowdown(l *link, part float64) float64 {
 	if l.capacity <= 0 {
 		return 1
@@ -110,7 +117,7 @@
 // occupyLinks counts an attempt at the links that it uses.
 func (r *Router) occupyLinks(att *attempt) { r.addToLinks(att, att.linkShare) }
 
-// releaseLinks takes an attempt that has ended off its links.
+// releaseLinks stops counting an ended attempt at its links.
 func (r *Router) releaseLinks(att *attempt) { r.addToLinks(att, -att.linkShare) }
 
 func (r *Router) addToLinks(att *attempt, amount float64) {
@@ -120,7 +127,7 @@
 	}
 }
 
-// ingressTransfers is the capacity of the link into the router's location in transfers, 0 where it is not told.
+// ingressTransfers returns the capacity, in transfers, of the link into the router's location, or 0 if it is not set.
 func (s *Settings) ingressTransfers() float64 {
 	zone := int(s.Zone)
 	if zone >= len(s.ZoneIngressKBPerSecond) || s.FlowKBPerSecond <= 0 {
--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -26,7 +26,7 @@
 				learned.observe(test.slowdown, test.beside, leastOfCacheLink, now)
 			}
 			if learned.capacity < test.least || learned.capacity > test.most {
-				t.Errorf("capacity %v, want %v to %v", learned.capacity, test.least, test.most)
+				t.Errorf("got capacity %v, want %v to %v", learned.capacity, test.least, test.most)
 			}
 		})
 	}
@@ -37,10 +37,10 @@
 	idle.observe(1, 3, leastOfCacheLink, time.Minute)
 	busy.observe(1, 12, leastOfCacheLink, time.Minute)
 	if idle.capacity != 10 {
-		t.Errorf("an idle link grew to %v", idle.capacity)
+		t.Errorf("the capacity of an idle link grew to %v", idle.capacity)
 	}
 	if busy.capacity <= 10 {
-		t.Errorf("a busy link stayed at %v", busy.capacity)
+		t.Errorf("the capacity of a busy link did not grow: %v", busy.capacity)
 	}
 }
 
@@ -48,7 +48,7 @@
 	now := time.Minute
 	shared := link{concurrency: concurrency{current: 2, average: 2, changedAt: now}, capacity: 10}
 	reported := shared
-	reported.observeReport(4, now) // a first report counts a quarter: the link is full
+	reported.observeReport(4, now) // the first report has a weight of a quarter, so the mean utilization is 1
 	dedicated := shared
 	dedicated.dedicated = true
 	for name, test := range map[string]struct {
@@ -73,19 +73,19 @@
 	var counted concurrency
 	counted.add(4, time.Minute)
 	if got := counted.averageAt(time.Minute); got != 0 {
-		t.Errorf("average %v at once", got)
+		t.Errorf("got average %v at the start, want 0", got)
 	}
 	if got, want := counted.averageAt(time.Minute+concurrencySpan), 4*(1-math.Exp(-1)); !isNear(got, want) {
-		t.Errorf("average %v after a span, want %v", got, want)
+		t.Errorf("got average %v after one span, want %v", got, want)
 	}
 	counted.add(-4, time.Hour)
 	if got := counted.averageAt(2 * time.Hour); !isNear(got, 0) {
-		t.Errorf("average %v long after the end", got)
+		t.Errorf("got average %v long after the last transfer, want 0", got)
 	}
 }
 
-// A link is shared: a router alone, with one fill at a time, finds a link that fits one free; one of twenty finds it
-// full once its own fills tell what the others have there, and asks the caches only.
+// The ingress link has capacity for one transfer. A router that is alone and has one fill at a time finds it free. One
+// of twenty routers infers from its own fills that the link is full, and sends requests without fills.
 func Example_sharedLink() {
 	for _, routers := range []int{1, 20} {
 		settings, fills := testSettings(), 0
@@ -111,15 +111,15 @@
 	// 20 routers: 5 of 30 requests are filled
 }
 
-// Load reports frozen at a full link, and sizes that are not told. The link may not be closed for good: one fill always
-// goes.
+// Load reports that are stuck at a full link, and requests without sizes. The link must not be closed permanently: one
+// fill is always admitted.
 func Example_frozenReports() {
 	settings := testSettings()
 	settings.ReportChannel, settings.ReportColumns = ReportsWithResponses, []Signal{SignalLinkUtilization}
 	settings.ZoneIngressKBPerSecond = []float64{0, 0, 20000}
 	harness := newHarness(settings, cacheA, cacheB)
 	harness.isMuted = true
-	for id := RequestID(5000); id < 5030; id++ { // hits tell the usual size
+	for id := RequestID(5000); id < 5030; id++ { // the router learns the usual size from hits
 		harness.requestUntoldSize(id, ObjectID(id), time.Second)
 		harness.result(id, harness.ownerOf(ObjectID(id)), 100*ms, Succeeded, NoteHit)
 	}
--- a/policy/routing/loadreport.go
+++ b/policy/routing/loadreport.go
@@ -3,18 +3,20 @@
 import "slices"
 
 const (
-	// healthCheckInterval is how often one cache is asked for its load, in turn, where reports come only so.
+	// healthCheckInterval is the interval between health checks, which go to one cache after the other.
 	healthCheckInterval = 500 * ms
-	// requestsPerHealthCheck bounds health checks to a few in a hundred requests, also where each router has few.
+	// requestsPerHealthCheck is the minimum number of requests between health checks. It limits health checks to one
+	// per 20 requests, even if each router has few requests.
 	requestsPerHealthCheck = 20
-	// minReportedUtilization and minTransfers are the least of which a report tells the capacity of a link.
+	// minReportedUtilization and minTransfers are the utilization and the number of transfers up to which a report is
+	// not used to estimate the capacity of a link, since their ratio is too uncertain.
 	minReportedUtilization = 0.2
 	minTransfers           = 0.5
-	// reportedCapacityPace is how many reports a capacity is averaged over.
+	// reportedCapacityPace is the number of reports over which the capacity is averaged.
 	reportedCapacityPace = 10
 )
 
-// checkHealth asks a cache for the load of the location's link, where no answer tells.
+// checkHealth sends a health check to a cache to learn the load of the location's link, if answers carry no reports.
 func (r *Router) checkHealth() {
 	if r.now < r.nextHealthCheck || r.sinceHealthCheck < requestsPerHealthCheck || !r.learnsByHealthChecks() {
 		return
@@ -26,14 +28,14 @@
 	}
 }
 
-// learnsByHealthChecks reports whether the load of the location's link is told by health checks alone.
+// learnsByHealthChecks reports whether only health checks report the load of the location's link.
 func (r *Router) learnsByHealthChecks() bool {
 	return len(r.caches.members) > 0 && r.settings.HealthChecks &&
 		r.settings.ReportChannel == ReportsWithHealthChecks &&
 		slices.Contains(r.settings.ReportColumns, SignalLinkUtilization)
 }
 
-// applyLoadReport reads the load report of an endpoint.
+// applyLoadReport applies the load report of an endpoint.
 func (r *Router) applyLoadReport(index endpointIndex, report *LoadReport) {
 	reporter := &r.endpoints[index]
 	for i := range min(report.Count, len(r.settings.ReportColumns)) {
@@ -49,8 +51,8 @@
 	}
 }
 
-// observeIngressReport takes a report of the location's link. A link whose size the settings tell is as wide as they
-// say.
+// observeIngressReport applies a report of the utilization of the location's link. If the settings do not have the
+// capacity of the link, it is estimated from the report.
 func (r *Router) observeIngressReport(utilization float64) {
 	if r.settings.ingressTransfers() > 0 {
 		r.ingress.observeReport(utilization, r.now)
--- a/policy/routing/movingaverage.go
+++ b/policy/routing/movingaverage.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// movingAverage is a moving mean of times: the plain mean of the first samples, then an exponential one.
+// movingAverage is a moving average of durations: the arithmetic mean of the first samples, then an exponential one.
 type movingAverage struct {
 	value   float64
 	samples int
 }
 
-// add takes one sample; pace is its weight once there are many.
+// add adds a sample. Once there are many samples, pace is the weight of a new sample.
 func (m *movingAverage) add(sample time.Duration, pace float64) {
 	m.samples++
 	m.value += (float64(sample) - m.value) * max(pace, 1/float64(m.samples))
@@ -19,22 +19,23 @@
 
 func (m *movingAverage) duration() time.Duration { return time.Duration(m.value) }
 
-// peakDecay is how long the peak of a rate is remembered: some times as long as a fault lasts.
+// peakDecay is the time constant with which the peak of a rate decays. It is several times the duration of a fault, so
+// that the peak survives one.
 const peakDecay = time.Minute
 
-// decayingRate is an amount a second: a decaying sum, divided by its span or by what of that has been observed. peak is
-// the highest rate lately.
+// decayingRate is a rate per second: an exponentially decaying sum divided by its span. peak is the recent maximum of
+// the rate, for which the sum is divided by the observed part of the span.
 type decayingRate struct {
 	value, peak          float64
 	startedAt, updatedAt time.Duration
 }
 
-// valueAt is the decayed sum, a second, at a time.
+// valueAt returns the rate per second at a time.
 func (d *decayingRate) valueAt(now, span time.Duration) float64 {
 	return d.value * math.Exp(-float64(now-d.updatedAt)/float64(max(span, ms)))
 }
 
-// add takes an amount into the rate over the span.
+// add adds an amount to the rate, which is measured over the span.
 func (d *decayingRate) add(amount float64, now, span time.Duration) {
 	if d.updatedAt == 0 {
 		d.startedAt = now
@@ -45,10 +46,11 @@
 	d.updatedAt = now
 }
 
-// minObservedSpans is the least part of a span that is taken as observed: less tells nothing.
+// minObservedSpans is the minimum age of a rate, in spans, that is used to correct its peak. With less, a few early
+// samples yield a peak that is far too high.
 const minObservedSpans = 0.2
 
-// observedFraction is the part of a decaying sum that has built up at an age.
+// observedFraction returns the fraction of its final value that a decaying sum has reached at an age.
 func observedFraction(age, span time.Duration) float64 {
 	return 1 - math.Exp(-max(minObservedSpans, float64(age)/float64(span)))
 }
--- a/policy/routing/movingaverage_test.go
+++ b/policy/routing/movingaverage_test.go
@@ -11,13 +11,13 @@
 		average.add(sample, 0.02)
 	}
 	if got := average.duration(); got < 200*ms-time.Microsecond || got > 200*ms+time.Microsecond {
-		t.Errorf("the mean of three is %v", got)
+		t.Errorf("got mean %v of the three samples, want 200ms", got)
 	}
 	for range 1000 {
 		average.add(time.Second, 0.02)
 	}
 	if got := average.duration(); got < 999*ms {
-		t.Errorf("%v after a thousand samples of 1 s", got)
+		t.Errorf("got mean %v after 1000 samples of 1s, want at least 999ms", got)
 	}
 }
 
@@ -26,15 +26,15 @@
 	now := time.Minute
 	for range 1000 {
 		now += 10 * ms
-		rate.add(0.05, now, time.Second) // 5 a second
+		rate.add(0.05, now, time.Second) // 5 per second
 	}
 	if got := rate.valueAt(now, time.Second); got < 4.8 || got > 5.2 {
-		t.Errorf("rate %v, want about 5", got)
+		t.Errorf("got rate %v, want about 5", got)
 	}
 	if rate.peak < 4.8 || rate.peak > 6 {
-		t.Errorf("peak %v, want about 5", rate.peak)
+		t.Errorf("got peak %v, want about 5", rate.peak)
 	}
 	if got := rate.valueAt(now+10*time.Second, time.Second); got > 0.01 {
-		t.Errorf("rate %v long after the end", got)
+		t.Errorf("got rate %v long after the last sample, want about 0", got)
 	}
 }
--- a/policy/routing/objecthistory.go
+++ b/policy/routing/objecthistory.go
@@ -3,26 +3,27 @@
 import "time"
 
 const (
-	// historySize is a power of two, some times the objects that are requested within expectedCachedFor.
+	// historySize is the number of slots, a power of two. It is several times the number of objects that are requested
+	// within expectedCachedFor, so that few objects overwrite each other.
 	historySize = 1 << 14
-	// expectedCachedFor is how long a cache is expected to hold what is not requested again.
+	// expectedCachedFor is the time for which a cache is expected to hold an object that is not requested again.
 	expectedCachedFor = 10 * time.Second
-	// maxCountedRequests bounds the counter of an object's requests.
+	// maxCountedRequests is the maximum of the counter of an object's requests, which has eight bits.
 	maxCountedRequests = 255
 )
 
-// objectHistory remembers the objects of recent requests: their size, their popularity and where they are cached. It is
-// a table of fixed size in which an object takes the place of another one with the same slot.
+// objectHistory records the objects of recent requests: their transfer times, their numbers of requests and the caches
+// that hold them. It is a table of fixed size in which an object replaces an earlier object with the same slot.
 type objectHistory struct {
 	records []objectRecord
 }
 
-// objectRecord is what is remembered of an object.
+// objectRecord is the record of an object.
 type objectRecord struct {
 	hash         uint64
-	seenAt       time.Duration // last answer
-	transferTime time.Duration // at full pace, 0 where unknown
-	holder       endpointIndex // the cache that should hold a copy
+	seenAt       time.Duration // time of the last answer
+	transferTime time.Duration // without congestion, 0 if unknown
+	holder       endpointIndex // the cache that is expected to hold a copy
 	requests     uint8
 }
 
@@ -30,7 +31,7 @@
 	return objectHistory{records: make([]objectRecord, historySize)}
 }
 
-// find returns the record of an object, or nil.
+// find returns the record of an object, or nil if there is none.
 func (h *objectHistory) find(hash uint64) *objectRecord {
 	if record := &h.records[hash%historySize]; record.hash == hash {
 		return record
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// ensure returns the record of an object; where there is none it begins one.
+// ensure returns the record of an object, which it creates if there is none.
 func (h *objectHistory) ensure(hash uint64) *objectRecord {
 	record := &h.records[hash%historySize]
 	if record.hash != hash {
@@ -54,7 +55,7 @@
 	}
 }
 
-// isCachedAt reports whether an endpoint that runs since startedAt is expected to hold the object.
+// isCachedAt reports whether an endpoint that has been running since startedAt is expected to hold the object.
 func (o *objectRecord) isCachedAt(index endpointIndex, startedAt, now time.Duration) bool {
 	return o.holder == index && now-o.seenAt < expectedCachedFor && o.seenAt >= startedAt
 }
@@ -65,14 +66,14 @@
 	return record != nil && record.isCachedAt(index, r.endpoints[index].slowStart.startedAt, r.now)
 }
 
-// Ranks of a copy in a cache, as Action.CacheRank has them.
+// The ranks of a cached copy in Action.CacheRank.
 const (
 	rankFirstRequest uint8 = 1
 	rankRequested    uint8 = 2
 )
 
-// cacheRank is the rank at which a copy is cached: the lowest at the first request, the next when it is asked for
-// again.
+// cacheRank returns the rank with which a copy is cached: the lowest at the first request for the object, the next
+// higher at later requests.
 func (r *Router) cacheRank(req *request) uint8 {
 	if record := r.history.find(req.hash); record != nil && record.requests > 0 {
 		return rankRequested
--- a/policy/routing/objecthistory_test.go
+++ b/policy/routing/objecthistory_test.go
@@ -8,15 +8,15 @@
 func TestObjectHistoryFindsWhatItRecorded(t *testing.T) {
 	history := newObjectHistory()
 	if history.find(7) != nil {
-		t.Error("a record of an object that was never seen")
+		t.Error("found a record of an unknown object")
 	}
 	record := history.ensure(7)
 	if record.holder != noEndpoint || history.find(7) != record || history.ensure(7) != record {
-		t.Error("the record was not found again")
+		t.Error("the new record was not found again")
 	}
-	history.ensure(7 + historySize) // takes its slot
+	history.ensure(7 + historySize) // takes the slot of object 7
 	if history.find(7) != nil {
-		t.Error("a record that was replaced is still found")
+		t.Error("a replaced record is still found")
 	}
 }
 
@@ -46,6 +46,6 @@
 		record.countRequest()
 	}
 	if record.requests != maxCountedRequests {
-		t.Errorf("%d requests counted", record.requests)
+		t.Errorf("counted %d requests, want the maximum", record.requests)
 	}
 }
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -3,60 +3,64 @@
 import "time"
 
 const (
-	// initialOriginLimit fits a usual load from the start on, but not that of many routers that start together.
+	// initialOriginLimit is the limit at the start, in fills. It admits the usual load of one router. A larger limit
+	// would overload the origin when many routers start together.
 	initialOriginLimit = 8
-	// wideOriginLimit is wide. Twice what is in flight with answers in good time may be more: the limit matters when
-	// answers say so.
+	// wideOriginLimit is the value, in fills, up to which timely answers raise the limit at any load. The limit rises
+	// above it only if more than half as many fills are in flight. Late answers soon reduce a limit that is too high.
 	wideOriginLimit = 24
-	// minOriginLimit keeps trials going.
+	// minOriginLimit is the lower bound of the limit, in fills. With less, no trial fills would be sent.
 	minOriginLimit = 1
-	// originFailureInterval is the time within which answers were under way together and tell one thing.
+	// originFailureInterval is the time within which several failures reduce the limit only once. Their attempts were
+	// in flight together, so their failures have the same cause.
 	originFailureInterval = 100 * ms
-	// sparableWait is the part of the usual wait that a fill may be spared: half of all waits are shorter. 0.7 did no
-	// more.
+	// sparableWait is the largest share of the usual wait that the admission of a fill may leave out of its prediction.
+	// Half of all waits are shorter than the usual wait, so that many such fills end in time. A share of 0.7 has no
+	// advantage.
 	sparableWait = 0.5
-	// limitIncrease is how far an answer in good time raises the limit, and scarceLimitIncrease how much further where
-	// answers are scarce.
+	// limitIncrease is the number of fills by which a timely answer raises the limit. scarceLimitIncrease is the
+	// additional number at a scarcity of 1.
 	limitIncrease       = 0.5
 	scarceLimitIncrease = 1.5
-	// limitDecrease is what a failure leaves of the limit, and scarceLimitDecrease how much less where answers are
-	// scarce.
+	// limitDecrease is the factor by which a failure multiplies the limit. scarceLimitDecrease is subtracted from the
+	// factor at a scarcity of 1.
 	limitDecrease       = 0.75
 	scarceLimitDecrease = 0.7
-	// limitHeadroom is how many times what is in flight the limit may rise to.
+	// limitHeadroom is the multiple of the fills in flight up to which the limit may rise.
 	limitHeadroom = 2
-	// waitPace is how far an observation moves the usual wait. It grows with the time since the last one, to
-	// maxWaitPace.
+	// waitPace is the share of the usual wait by which an observation moves it. The share grows by waitPacePerSecond
+	// with the time since the last observation, up to maxWaitPace.
 	waitPace          = 0.07
 	waitPacePerSecond = 0.15
 	maxWaitPace       = 0.4
-	// originLimiterCaches is how many caches a router with a whole limit has behind it: one of many routers that share
-	// few caches gets less, and less than a slot is a part of the time.
+	// originLimiterCaches is the number of caches for which a router has a full limit. A router that shares few caches
+	// with many other routers has a smaller limit. A limit below one fill admits fills only part of the time.
 	originLimiterCaches = 4
-	// originTrialInterval is the distance of trials of a whole limit while it is closed: failures may come at once, so
-	// that slots alone would let all routers through at once, and parents and caches try on their own.
+	// originTrialInterval is the mean interval between trials of a router with a full limit while the limiter is closed.
+	// Failures may reach all routers at the same time, and without the interval all would send a trial at once. Parents
+	// and caches also retry the origin on their own.
 	originTrialInterval = 600 * ms
 )
 
-// originLimiter is an adaptive concurrency limit on the fills that wait for the origin. It closes when requests are
-// late after they waited for the origin for half their objective, or when it fails, and opens again with each answer
-// in good time. Guards against a slow, overloaded or stopped origin, and against pushing it over; also holds back
-// fills while many caches are empty. It hurts when a few slow answers close it: then requests are rejected that the
-// origin could have served.
+// originLimiter is an adaptive concurrency limit on the fills that wait for the origin. Failures of the origin reduce
+// the limit, and so do requests that are late after waiting for the origin for more than half their objective. Each
+// timely answer raises the limit. The limiter protects a slow, overloaded or stopped origin, and holds back fills while
+// many caches are empty. Its drawback: if a few slow answers close the limiter, requests are rejected that the origin
+// could have served.
 type originLimiter struct {
 	limit       float64
-	share       float64       // this router's part of a whole limit
-	inFlight    concurrency   // the fills that wait
-	wait        time.Duration // usual time to the first byte by way of the origin
-	originShare float64       // the part of the parents' fills that went to the origin
+	share       float64       // this router's share of a full limit
+	inFlight    concurrency   // fills that wait for the origin
+	wait        time.Duration // usual time to the first byte of a fill through the origin
+	originShare float64       // share of the parents' fills that reached the origin
 	reducedAt   time.Duration
-	goodAt      time.Duration // last answer in good time
-	observedAt  time.Duration // last observation of the wait
-	nextTrial   time.Duration // no trial before, while it is closed
-	closed      bool          // as last logged
+	goodAt      time.Duration // time of the last timely answer
+	observedAt  time.Duration // time of the last observation of the wait
+	nextTrial   time.Duration // earliest time of the next trial while the limiter is closed
+	closed      bool          // whether the limiter was last logged as closed
 }
 
-// observe takes the wait of a fill by way of the origin.
+// observe takes the wait of a fill through the origin, and whether its request is late.
 func (o *originLimiter) observe(wait time.Duration, isLate bool, now time.Duration) {
 	o.observeWait(wait, now)
 	if isLate {
@@ -68,8 +72,8 @@
 	o.limit = min(widest, o.limit+limitIncrease+scarceLimitIncrease*o.scarcity())
 }
 
-// observeWait moves the usual wait, a running median: waits are skewed, and a few long ones don't make the next one
-// late. Where answers are few, each moves it further.
+// observeWait adjusts the usual wait, which is a running median. Waits are skewed, and a few long waits do not make the
+// next request late. If answers are rare, each moves the median further.
 func (o *originLimiter) observeWait(wait, now time.Duration) {
 	pace := min(maxWaitPace, waitPace+waitPacePerSecond*(now-o.observedAt).Seconds())
 	step := time.Duration(pace * float64(o.wait))
@@ -84,7 +88,7 @@
 	}
 }
 
-// recordFailure reduces the limit, once for all failures that come together.
+// recordFailure reduces the limit, but only once for several failures within originFailureInterval.
 func (o *originLimiter) recordFailure(now time.Duration) {
 	if now-o.reducedAt >= originFailureInterval {
 		o.reducedAt = now
@@ -92,13 +96,14 @@
 	}
 }
 
-// scarcity is how far a router with a part of a limit must take its few answers to speak for those of others.
+// scarcity says, from 0 to 1, how few of the origin's answers this router sees. The smaller its share of a full limit,
+// the more each answer must stand for the answers that other routers see.
 func (o *originLimiter) scarcity() float64 { return (1 - o.share) * (1 - o.share) }
 
-// isClosed reports whether only trials are let through.
+// isClosed reports whether only trials are admitted.
 func (o *originLimiter) isClosed() bool { return o.limit <= minOriginLimit }
 
-// hasCapacity reports whether one of so many slots is free.
+// hasCapacity reports whether one of the slots of a full limit is free for this router.
 func (o *originLimiter) hasCapacity(slots float64, now time.Duration) bool {
 	if o.isClosed() {
 		return o.inFlight.current < minOriginLimit && now >= o.nextTrial
@@ -107,22 +112,24 @@
 	return o.inFlight.current < max(1, slots) && (slots >= 1 || o.inFlight.averageAt(now) < slots)
 }
 
-// begin counts a fill that may wait for the origin for a part of its time. jitter spreads the trials of all routers.
+// begin counts a fill that may wait for the origin for a part of its duration. jitter, from 0 to 1, spreads the trials
+// of all routers over time.
 func (o *originLimiter) begin(part, jitter float64, now time.Duration) {
 	o.inFlight.add(part, now)
 	o.nextTrial = now + time.Duration((0.5+jitter)*float64(originTrialInterval)/o.share)
 }
 
-// end takes off a fill that has ended, or that no longer waits for the origin.
+// end stops counting a fill that has ended or no longer waits for the origin.
 func (o *originLimiter) end(part float64, now time.Duration) { o.inFlight.add(-part, now) }
 
-// sparedWait is the part of the usual wait that a fill may hope to be spared, more of it the wider the limit is.
+// sparedWait returns the part of the usual wait that the admission of a fill leaves out of its prediction. The part
+// grows with the limit.
 func (o *originLimiter) sparedWait() time.Duration {
 	return time.Duration(sparableWait * (1 - o.scarcity()) * min(1, o.limit/wideOriginLimit) * float64(o.wait))
 }
 
-// updateClosed reports whether the limiter has closed, or is open again, since the last call. It counts as open only at
-// its initial limit, so that it is not logged with each trial.
+// updateClosed reports whether the limiter has closed or opened since the last call. It counts as open again only at
+// the initial limit, so that trials do not cause log lines.
 func (o *originLimiter) updateClosed() (changed bool) {
 	closed := o.isClosed()
 	if closed == o.closed || !closed && o.limit < initialOriginLimit {
@@ -132,7 +139,7 @@
 	return true
 }
 
-// logOriginLimiter logs that the limiter has closed or is open again.
+// logOriginLimiter logs when the limiter has closed or opened.
 func (r *Router) logOriginLimiter() {
 	if !r.originLimiter.updateClosed() {
 		return
@@ -144,9 +151,9 @@
 	r.logEndpoint(state, r.origin)
 }
 
-// mayReachOrigin reports whether a fill from the source may go although it may have to wait for the origin: the limiter
-// has capacity and the fill comes in time, with luck where the limit is wide. One at a time goes in any case: who else
-// would see the origin recover?
+// mayReachOrigin reports whether a fill that may have to wait for the origin is admitted: the limiter has capacity and
+// the fill is predicted in time, less the spared wait. One fill at a time is admitted whatever its prediction, since
+// otherwise no router would notice that the origin has recovered.
 func (r *Router) mayReachOrigin(req *request, index, source endpointIndex) bool {
 	if source == noEndpoint || r.now >= req.objectiveAt {
 		return false
@@ -163,7 +170,7 @@
 	return r.originLimiter.hasCapacity(r.originLimiter.limit, r.now) && r.now+expected <= req.objectiveAt
 }
 
-// originLimiterShare is this router's part of a whole limit.
+// originLimiterShare returns this router's share of a full limit.
 func (r *Router) originLimiterShare() float64 {
 	return min(1, r.trafficShare*float64(max(1, len(r.caches.members)))/originLimiterCaches)
 }
--- a/policy/routing/originlimit_test.go
+++ b/policy/routing/originlimit_test.go
@@ -14,17 +14,17 @@
 		limiter.recordFailure(now)
 	}
 	if !limiter.isClosed() || !limiter.updateClosed() || !limiter.closed {
-		t.Fatalf("not closed at a limit of %v", limiter.limit)
+		t.Fatalf("the limiter is not closed at a limit of %v", limiter.limit)
 	}
 	for limiter.limit < initialOriginLimit {
 		if limiter.updateClosed() {
-			t.Fatalf("logged as open at a limit of %v", limiter.limit)
+			t.Fatalf("the limiter is logged as open at a limit of %v", limiter.limit)
 		}
 		now += 100 * ms
 		limiter.observe(50*ms, false, now)
 	}
 	if !limiter.updateClosed() || limiter.closed {
-		t.Errorf("still closed at a limit of %v", limiter.limit)
+		t.Errorf("the limiter is still closed at a limit of %v", limiter.limit)
 	}
 }
 
@@ -34,7 +34,7 @@
 		limiter.recordFailure(time.Minute)
 	}
 	if limiter.limit != 12 {
-		t.Errorf("the limit is %v, want 12", limiter.limit)
+		t.Errorf("got limit %v, want 12", limiter.limit)
 	}
 }
 
@@ -42,20 +42,20 @@
 	now := time.Minute
 	limiter := originLimiter{limit: minOriginLimit, share: 0.5}
 	if !limiter.hasCapacity(minOriginLimit, now) {
-		t.Fatal("no first trial")
+		t.Fatal("the first trial is not admitted")
 	}
 	limiter.begin(1, 0.5, now)
 	limiter.end(1, now)
-	interval := 2 * originTrialInterval // half a limit tries half as often
+	interval := 2 * originTrialInterval // with half a full limit, trials are half as frequent
 	if limiter.hasCapacity(minOriginLimit, now+interval-1) {
-		t.Error("a second trial too soon")
+		t.Error("the second trial is admitted too early")
 	}
 	if !limiter.hasCapacity(minOriginLimit, now+interval) {
-		t.Error("no second trial")
+		t.Error("the second trial is not admitted")
 	}
 	limiter.begin(1, 0.5, now+interval)
 	if limiter.hasCapacity(minOriginLimit, now+time.Hour) {
-		t.Error("a trial beside one in flight")
+		t.Error("a trial is admitted while another is in flight")
 	}
 }
 
@@ -63,23 +63,22 @@
 	limiter := originLimiter{limit: 8, share: 1}
 	for range 8 {
 		if !limiter.hasCapacity(limiter.limit, time.Minute) {
-			t.Fatal("no capacity below the limit")
+			t.Fatal("the limiter has no capacity below the limit")
 		}
 		limiter.begin(1, 0, time.Minute)
 	}
 	if limiter.hasCapacity(limiter.limit, time.Minute) {
-		t.Error("capacity at the limit")
+		t.Error("the limiter has capacity at the limit")
 	}
 }
 
-// Found on depot-records at tight objectives: the usual wait for the origin is a little too long, so half of all fills
-// would come in time. They go while the limit is wide, and with a narrow one the parent is asked for what it has
-// cached.
+// Fills with the usual wait for the origin are a little late, but half of all fills have a shorter wait. With a high
+// limit such a fill is admitted; with a low limit the parent may answer only from its cache.
 func Example_originWaitMayBeSpared() {
 	harness := newHarness(testSettings(), cacheA)
 	for i, limit := range []float64{24, 4} {
 		harness.router.originLimiter.wait, harness.router.originLimiter.limit = 650*ms, limit
-		harness.router.originLimiter.inFlight.add(1, harness.now) // the one trial is in flight
+		harness.router.originLimiter.inFlight.add(1, harness.now) // the fill that is always admitted
 		harness.request(RequestID(i+1), readClass, harness.firstObject(cacheA, parentP)+ObjectID(100*i))
 		harness.result(RequestID(i+1), cacheA, 150*ms, Succeeded, NoteFilled)
 	}
@@ -88,8 +87,8 @@
 	//   0.15s request 2: attempt to A, fill from P, only if cached
 }
 
-// Found on depot-records at five times its usual rate: the limit is as wide as what is in flight with answers in
-// good time asks for, and as narrow as ever once they are late.
+// With timely answers the limit rises with the number of fills in flight, and with late answers it falls to the
+// minimum. With a fixed maximum, requests would be rejected at five times the usual rate.
 func Example_originLimitWidens() {
 	limiter := originLimiter{limit: initialOriginLimit, share: 0.5}
 	for _, test := range []struct {
@@ -109,8 +108,8 @@
 	// 5 in flight, late true: 1
 }
 
-// Found on depot-records: a parent falls silent, and clients send writes by the hundred and give them up at once.
-// Neither says much of the origin: what its parent does not give is filled from the origin at once.
+// A parent is silent, and clients cancel many writes soon after sending them. Neither means that the origin is slow, so
+// the origin limiter must stay open for fills that replace those of the parent.
 func Example_originLimiterIgnoresCancelledWrites() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	harness.isMuted = true
@@ -122,7 +121,7 @@
 	object := harness.firstObject(cacheA, parentP)
 	for id := RequestID(101); id <= 105; id++ {
 		harness.request(id, readClass, object)
-		for i, cache := range []EndpointID{cacheA, cacheB} { // the caches are well
+		for i, cache := range []EndpointID{cacheA, cacheB} { // the caches are healthy
 			harness.request(id*10+RequestID(i), readClass, harness.firstObject(cache, parentQ))
 			harness.result(id*10+RequestID(i), cache, 60*ms, Succeeded, NoteHit)
 		}
@@ -137,8 +136,8 @@
 	//   2.20s request 203: attempt to A, fill from origin
 }
 
-// Found on branch-library: a slow origin. Late fills close the limiter; then the parent is asked for what it has
-// cached, and a request that would have to wait for the origin is rejected.
+// A slow origin: late fills close the limiter. Then parents may answer only from their caches, and a request that would
+// have to wait for the origin is rejected.
 func Example_slowOrigin() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.isMuted = true
@@ -146,7 +145,7 @@
 		harness.request(id, readClass, ObjectID(id))
 		harness.result(id, cacheA, 1500*ms, Succeeded, NoteViaOrigin)
 	}
-	harness.advance(10 * time.Second) // trials keep a distance
+	harness.advance(10 * time.Second) // until the next trial is due
 	harness.isMuted = false
 	harness.request(42, readClass, 1000)
 	harness.request(43, readClass, 1001)
--- a/policy/routing/outlier.go
+++ b/policy/routing/outlier.go
@@ -2,59 +2,64 @@
 
 import "time"
 
-// A failure moves the failure rate by its severity: an error answer is softer than a lost connection.
+// Weights with which a failure or a success moves the failure rate towards 1 or 0. Silence or a failed connect weighs
+// more than an error answer, a broken connection or a slow fill.
 const (
-	softFailure = 0.15
-	hardFailure = 0.3
-	// successWeight is how far a success moves the failure rate back.
+	softFailure   = 0.15
+	hardFailure   = 0.3
 	successWeight = 0.15
 )
 
 const (
-	// ejectionRate is the failure rate at which an endpoint is ejected: two lost connections, or four errors in a row.
+	// ejectionRate is the failure rate above which an endpoint is ejected: after two failed connects or four error
+	// answers in a row.
 	ejectionRate = 0.45
-	// firstTrialInterval is the time to the first trial. It doubles with each failed one, up to maxTrialInterval.
+	// firstTrialInterval is the delay from the ejection to the first trial. Each failed trial doubles the interval, up
+	// to maxTrialInterval.
 	firstTrialInterval = time.Second
 	maxTrialInterval   = 4 * time.Second
-	// trialGapDivisor gives the part of the interval after which a trial that is under way is followed by another.
+	// trialGapDivisor divides the trial interval to give the delay between a trial and the next, if the first has not
+	// failed.
 	trialGapDivisor = 4
-	// successesToReturn ends an ejection: so many successes in a row.
+	// successesToReturn is the number of consecutive successes that end an ejection.
 	successesToReturn = 3
-	// parentRemapAfter parts a brief failure of a parent from one that moves its arc: the design's 10 s.
+	// parentRemapAfter is the time after which the arc of an ejected parent moves to the next parent. The design
+	// specifies 10 s, so that a brief failure moves no arc.
 	parentRemapAfter = 10 * time.Second
 )
 
-// outlierDetector follows a cache or a parent through its failures. An endpoint with a high failure rate is ejected;
-// then single requests go to it on trial, and some successes in a row end the ejection.
+// outlierDetector tracks the failures of a cache or a parent. An endpoint with a high failure rate is ejected. An
+// ejected endpoint gets single trial requests, and several consecutive successes end the ejection.
 type outlierDetector struct {
 	ejected       bool
-	wasSilent     bool // it was ejected for silence: it may have been restarted
+	wasSilent     bool // the last failure was silence or a failed connect: the endpoint may have restarted
 	failureRate   float64
 	ejectedAt     time.Duration
 	nextTrial     time.Duration
 	trialInterval time.Duration
-	successes     int // in a row, since the ejection
+	successes     int // consecutive successes since the ejection
 }
 
-// allowsAttempt reports whether an attempt may go to the endpoint: it is not ejected, or due for a trial.
+// allowsAttempt reports whether an attempt may be sent to the endpoint: it is not ejected, or a trial is due.
 func (o *outlierDetector) allowsAttempt(now time.Duration) bool {
 	return !o.ejected || now >= o.nextTrial
 }
 
-// isRemapped reports whether a parent has been ejected for so long that its arc belongs to the next one, but for
-// trials.
+// isRemapped reports whether a parent has been ejected for so long that its arc belongs to the next parent, except when
+// a trial is due.
 func (o *outlierDetector) isRemapped(now time.Duration) bool {
 	return o.ejected && now-o.ejectedAt >= parentRemapAfter && now < o.nextTrial
 }
 
-// beginTrial notes an attempt, which is a trial where the endpoint is ejected: no other one follows at once.
+// beginTrial records that an attempt is sent. If the endpoint is ejected, the attempt is a trial and the next trial is
+// delayed.
 func (o *outlierDetector) beginTrial(now time.Duration) {
 	if o.ejected {
 		o.nextTrial = now + o.trialInterval/trialGapDivisor
 	}
 }
 
-// recordFailure takes a failure and reports whether it ejects the endpoint.
+// recordFailure counts a failure and reports whether it ejects the endpoint.
 func (o *outlierDetector) recordFailure(severity float64, now time.Duration) (isEjection bool) {
 	o.failureRate += severity * (1 - o.failureRate)
 	o.successes = 0
@@ -73,17 +78,17 @@
 	return true
 }
 
-// recovery is what a success means for an ejection.
+// recovery says whether and how a success ends an ejection.
 type recovery uint8
 
 const (
 	recoveryNone      recovery = iota // not ejected, or still on probation
-	recoveryReturned                  // back, with what it had cached
-	recoveryRestarted                 // back after a silence: taken for restarted
+	recoveryReturned                  // ejection ended; the endpoint still has its cached copies
+	recoveryRestarted                 // ejection ended after silence; the endpoint is treated as restarted
 )
 
-// recordSuccess takes an answer to an attempt sent at a time. One sent before a silence, or answered from a cached
-// copy, shows that nothing was lost.
+// recordSuccess counts an answer to an attempt sent at sentAt. If the attempt was sent before the ejection or answered
+// from a cached copy, the endpoint has not restarted.
 func (o *outlierDetector) recordSuccess(sentAt time.Duration, fromCache bool) recovery {
 	o.failureRate -= successWeight * o.failureRate
 	if !o.ejected {
@@ -102,20 +107,19 @@
 	return ended
 }
 
-// isHealthy reports whether an endpoint may get an attempt: it is not ejected, or due for a trial, which the attempt
-// then begins.
+// isHealthy reports whether an endpoint may get an attempt: it is not ejected, or a trial is due.
 func (r *Router) isHealthy(index endpointIndex) bool {
 	return r.endpoints[index].outlier.allowsAttempt(r.now)
 }
 
-// recordFailure counts a failure against an endpoint.
+// recordFailure counts a failure of an endpoint, and logs an ejection.
 func (r *Router) recordFailure(index endpointIndex, severity float64) {
 	if r.endpoints[index].outlier.recordFailure(severity, r.now) {
 		r.logEndpoint("ejected", index)
 	}
 }
 
-// recordSuccess counts an answer of an endpoint to an attempt sent at a time.
+// recordSuccess counts an answer of an endpoint to an attempt sent at sentAt, and logs the end of an ejection.
 func (r *Router) recordSuccess(index endpointIndex, sentAt time.Duration, fromCache bool) {
 	answered := &r.endpoints[index]
 	answered.lastHeardAt = r.now
@@ -124,7 +128,7 @@
 		return
 	}
 	if ended == recoveryRestarted {
-		// It is cold and empty; an endpoint list may say so too late.
+		// The endpoint is cold and its cache is empty; the endpoint list may report the restart too late.
 		answered.slowStart.startedAt = max(answered.slowStart.startedAt, r.now-firstTrialInterval)
 	}
 	r.logEndpoint("ejection ended", index)
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -18,7 +18,7 @@
 			failures := 1
 			for ; !detector.recordFailure(test.severity, time.Minute); failures++ {
 				if failures > 100 {
-					t.Fatal("never ejected")
+					t.Fatal("not ejected after 100 failures")
 				}
 			}
 			if failures != test.want {
@@ -32,7 +32,7 @@
 	var detector outlierDetector
 	for range 1000 {
 		if detector.recordFailure(softFailure, time.Minute) {
-			t.Fatal("ejected though most answers are good")
+			t.Fatal("ejected although most attempts succeed")
 		}
 		for range 3 {
 			detector.recordSuccess(time.Minute, false)
@@ -52,10 +52,10 @@
 	detector := ejectedDetector(now)
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		if got := detector.nextTrial - now; got != want {
-			t.Errorf("next trial after %v, want %v", got, want)
+			t.Errorf("got a delay of %v to the next trial, want %v", got, want)
 		}
 		if detector.allowsAttempt(detector.nextTrial - 1) {
-			t.Error("an attempt is allowed before the trial")
+			t.Error("an attempt is allowed before the trial is due")
 		}
 		now = detector.nextTrial
 		if !detector.allowsAttempt(now) {
@@ -63,7 +63,7 @@
 		}
 		detector.beginTrial(now)
 		if detector.allowsAttempt(now) {
-			t.Error("a second attempt is allowed beside the trial")
+			t.Error("a second attempt is allowed at the time of the trial")
 		}
 		detector.recordFailure(hardFailure, now)
 	}
@@ -123,8 +123,8 @@
 	}
 }
 
-// A parent that is not reached: origin fills at first, after 10 s its arc is the next parent's, with trials between;
-// once listed gone and back ready it has its arc again.
+// The objects of an unreachable parent are filled from the origin at first. After 10 s the parent's arc belongs to the
+// next parent, except for trials.
 func Example_parentLoss() {
 	harness := newHarness(testSettings(), cacheA)
 	object := harness.firstObject(cacheA, parentP)
@@ -136,7 +136,7 @@
 		harness.result(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	}
 	harness.advance(10 * time.Second)
-	harness.request(4, readClass, object) // due for a trial
+	harness.request(4, readClass, object) // a trial is due
 	harness.result(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
 	harness.result(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	harness.request(5, readClass, object)
@@ -152,9 +152,9 @@
 	//  10.66s request 5: attempt to A, fill from Q
 }
 
-// Found on depot-records: clients ask for what no endpoint can do, and all endpoints say so. Each request is rejected
-// once two have, and no endpoint is ejected; one that errs where another does not is ejected, and what ends many
-// attempts at once counts once.
+// Requests that fail at each endpoint are rejected after two error answers, and no endpoint is ejected. An endpoint
+// whose failed requests succeed at another endpoint is ejected. Connections that break at the same moment count as one
+// failure.
 func Example_requestsOwnFault() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
@@ -198,8 +198,8 @@
 	//   0.42s request 21: attempt to B, fill from P
 }
 
-// Found on branch-library grown: all caches break some connections, none is lost. They are ejected one by one, and then
-// all are asked all the same; one that answers from a cached copy is not taken for restarted.
+// All caches break some connections, but none is lost. Once all are ejected, they are still tried. A cache that answers
+// from a cached copy is not treated as restarted.
 func Example_brokenEverywhere() {
 	settings := testSettings()
 	settings.AllowDirect = false
@@ -223,7 +223,7 @@
 	//   0.98s request 8: attempt to A, fill from P
 }
 
-// Found on branch-library: a parent that begins its fills in good time, and then is slow, counts as failing.
+// A parent whose fills begin in time but then are slow counts as failing.
 func Example_draggingParent() {
 	harness := newHarness(testSettings(), cacheA)
 	for id := RequestID(1); id <= 6; id++ {
--- a/policy/routing/random_test.go
+++ b/policy/routing/random_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The first numbers of two seeds: a change of the generator would change every decision that draws one.
+// The first numbers of two seeds. A change of the generator would change every decision that uses a random number.
 func TestRandomNumbersAreStable(t *testing.T) {
 	for seed, want := range map[uint64][3]float64{
 		1: {0.7996301718521863, 0.5209461254999042, 0.9231933446135372},
@@ -11,7 +11,7 @@
 		generator := newPCG(seed)
 		for i := range want {
 			if got := generator.float(); got != want[i] {
-				t.Errorf("seed %d, number %d: %v, want %v", seed, i, got, want[i])
+				t.Errorf("seed %d, number %d: got %v, want %v", seed, i, got, want[i])
 			}
 		}
 	}
@@ -24,7 +24,7 @@
 	}
 	for i, count := range counts {
 		if count < 9600 || count > 10400 {
-			t.Errorf("%d of 100000 in tenth %d", count, i)
+			t.Errorf("%d of 100000 numbers are in tenth %d, want about 10000", count, i)
 		}
 	}
 }
--- a/policy/routing/relay.go
+++ b/policy/routing/relay.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// relayFor is how long after a list change a moved slot is filled from its previous owner: the design's 30 s.
+	// relayFor is the time after a list change in which objects of a moved arc are filled from the previous owner. The
+	// design specifies 30 s.
 	relayFor = 30 * time.Second
-	// maxPreviousRings is how many rings are remembered: a deployment changes the list every few seconds.
+	// maxPreviousRings is the number of previous rings that are kept. A deployment changes the list every few seconds.
 	maxPreviousRings = 3
 )
 
-// previousRing is a ring of caches that was replaced.
+// previousRing is a former ring of caches.
 type previousRing struct {
 	ring       ring
 	replacedAt time.Duration
 }
 
-// rememberRing keeps the ring of caches, which is about to be replaced, for the relay.
+// rememberRing saves the ring of caches, which is about to be replaced, for the relay.
 func (r *Router) rememberRing() {
 	if len(r.previousRings) == maxPreviousRings {
 		r.previousRings = slices.Delete(r.previousRings, 0, 1)
@@ -26,9 +27,10 @@
 	r.previousRings = append(r.previousRings, previousRing{r.caches, r.now})
 }
 
-// previousOwner is the cache that owned the request's arc before it moved, or none. It must still have the copies: a
-// cold cache has none, and one past its drain grace must not be asked. A cache that started lately is empty though its
-// arc may not have moved: the next of the ring had it meanwhile.
+// previousOwner returns the cache that owned the request's arc before the arc moved, or noEndpoint. The cache must
+// still have its copies, which a cold cache has not, and its drain grace must not be over. If the request's cache has
+// started recently, it is empty although the arc may not have moved: the next cache of the ring has served the arc
+// meanwhile.
 func (r *Router) previousOwner(req *request) endpointIndex {
 	if r.settings.PeerFill == PeerFillNone {
 		return noEndpoint
--- a/policy/routing/relay_test.go
+++ b/policy/routing/relay_test.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Objects of an arc that moved are filled from its previous owner for 30 s, if that has a copy, then from the parent.
+// Objects of a moved arc are filled from the previous owner for 30 s if it has a copy, and otherwise from the parent.
 func Example_relay() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
@@ -12,7 +12,7 @@
 	harness.request(1, readClass, object)
 	harness.result(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
 	harness.result(1, cacheB, 150*ms, Succeeded, NoteFilled)
-	harness.change(cacheA, Ready, LongAgo) // back before its grace ran out: the arc moves again
+	harness.change(cacheA, Ready, LongAgo) // ready again within its drain grace: the arc moves back
 	harness.request(2, readClass, object)
 	harness.result(2, cacheA, 120*ms, Succeeded, NoteFilled)
 	harness.advance(31 * time.Second)
--- a/policy/routing/request.go
+++ b/policy/routing/request.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// requestState follows a request from its arrival to the end of its last attempt.
+// requestState is the state of a request, from its arrival to the end of its last attempt.
 type requestState uint8
 
 const (
 	requestOpen            requestState = iota
-	requestStreaming                    // open; its answer is on its way to the client
+	requestStreaming                    // open; the client is receiving the answer
 	requestClosed                       // answered or given up; attempts in flight are cancelled
-	requestClosedStreaming              // closed after its answer began: attempts in flight are let run
+	requestClosedStreaming              // closed after the answer began; attempts in flight are not cancelled
 	requestStateCount
 )
 
-// afterStreamStarted is the state of a request once an answer is on its way.
+// afterStreamStarted maps the state of a request to the state once the client has begun to receive the answer.
 var afterStreamStarted = [requestStateCount]requestState{
 	requestOpen:            requestStreaming,
 	requestStreaming:       requestStreaming,
@@ -24,7 +24,7 @@
 	requestClosedStreaming: requestClosedStreaming,
 }
 
-// afterClose is the state of a request once it has its final answer or its client has left.
+// afterClose maps the state of a request to the state once the request has its final answer or its client has left.
 var afterClose = [requestStateCount]requestState{
 	requestOpen:            requestClosed,
 	requestStreaming:       requestClosedStreaming,
@@ -32,40 +32,40 @@
 	requestClosedStreaming: requestClosedStreaming,
 }
 
-// request is an open request, or a closed one whose last attempts have yet to end.
+// request is an open request, or a closed request with attempts that have not ended.
 type request struct {
 	id           RequestID
 	class        ClassID
 	object       ObjectID
 	group        GroupID
-	hash         uint64        // its object's place on the rings
-	deadline     time.Duration // the client gives up
-	objectiveAt  time.Duration // an answer later than this is late
-	transferTime time.Duration // at full pace
-	retryWriteAt time.Duration // when a write is attempted again, 0: not
-	sizeTold     bool          // the request told its size
-	sizeKnown    bool          // the request told its size, or the history has it
-	overQuota    bool          // its tenant is over its quota
+	hash         uint64        // position of the object on the rings
+	deadline     time.Duration // the client gives up at this time
+	objectiveAt  time.Duration // an answer after this time misses the latency objective
+	transferTime time.Duration // on links without congestion
+	retryWriteAt time.Duration // time of the next attempt of a write, 0: none planned
+	sizeTold     bool          // the request includes its size
+	sizeKnown    bool          // the request includes its size, or the object's history has it
+	overQuota    bool          // the tenant has exceeded its quota
 	state        requestState
 	stage        fillStage
-	cache        endpointIndex // the cache whose turn it is
-	failedBy     endpointIndex // the endpoint that failed it without saying why
+	cache        endpointIndex // the cache that serves the current attempt
+	failedBy     endpointIndex // the endpoint that last answered with an error without a note
 	attempts     [maxAttempts]attempt
 	attemptCount int
 	inFlight     int // attempts that have not ended
 }
 
-// isOpen reports whether the client is still owed an answer, or the end of one.
+// isOpen reports whether the client is still waiting for the answer or the end of the answer.
 func (q *request) isOpen() bool { return q.state == requestOpen || q.state == requestStreaming }
 
-// hasTriedSource reports whether the request's cache has asked a source for more than a cached copy.
+// hasTriedSource reports whether an attempt at the request's cache named the source without OnlyIfCached.
 func (q *request) hasTriedSource(source endpointIndex) bool {
 	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool {
 		return att.endpoint == q.cache && att.source == source && !att.onlyIfCached
 	})
 }
 
-// hasAsked reports whether an attempt went to the endpoint.
+// hasAsked reports whether an attempt was sent to the endpoint.
 func (q *request) hasAsked(index endpointIndex) bool {
 	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool { return att.endpoint == index })
 }
@@ -75,13 +75,13 @@
 	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool { return att.mayHaveRun })
 }
 
-// isLinkSample reports whether the request's transfer tells how congested a link is: its size is known, and it is not
-// short.
+// isLinkSample reports whether the request's transfer is suitable for estimating the congestion of a link: its size is
+// known, and it is not short.
 func (q *request) isLinkSample() bool { return q.sizeKnown && q.transferTime >= minLinkSample }
 
 func (q *request) sentAttempts() []attempt { return q.attempts[:q.attemptCount] }
 
-// requestTable holds the requests by id. Slots are used again, so that the ordinary path allocates nothing.
+// requestTable holds the requests by id. It reuses its slots, so that the ordinary path does not allocate.
 type requestTable struct {
 	slots    []request
 	free     []int
@@ -90,7 +90,7 @@
 
 func newRequestTable() requestTable { return requestTable{slotByID: map[RequestID]int{}} }
 
-// find returns the request with the id, or nil.
+// find returns the request with the id, or nil if there is none.
 func (t *requestTable) find(id RequestID) *request {
 	if slot, isKnown := t.slotByID[id]; isKnown {
 		return &t.slots[slot]
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// add returns a zeroed request with the id. It is valid until the next one is added.
+// add adds a request with the id and returns it. The pointer is valid until the next call of add.
 func (t *requestTable) add(id RequestID) *request {
 	slot := len(t.slots)
 	if count := len(t.free); count > 0 {
@@ -120,7 +120,8 @@
 	}
 }
 
-// closeRequest ends a request: attempts in flight are cancelled, and its slot is used again when they have ended.
+// closeRequest closes a request. Attempts in flight are cancelled, except while an answer is being received. The slot
+// becomes free once all attempts have ended.
 func (r *Router) closeRequest(req *request) {
 	req.state = afterClose[req.state]
 	if r.settings.Cancel && req.state == requestClosed {
@@ -133,5 +134,5 @@
 	r.requests.release(req)
 }
 
-// objectHash is the place of a request's object, and of its part, on the rings.
+// objectHash returns the position of the requested part of the object on the rings.
 func (e *Event) objectHash() uint64 { return mix(uint64(e.Object) ^ uint64(e.Part)*goldenGamma) }
--- a/policy/routing/request_test.go
+++ b/policy/routing/request_test.go
@@ -9,16 +9,16 @@
 	first.state = requestClosed
 	table.release(first)
 	if table.find(1) == nil {
-		t.Fatal("released with an attempt in flight")
+		t.Fatal("a request with an attempt in flight was released")
 	}
 	first.inFlight = 0
 	table.release(first)
 	if table.find(1) != nil {
-		t.Fatal("not released")
+		t.Fatal("a closed request was not released")
 	}
 	second := table.add(2)
 	if len(table.slots) != 1 || second.id != 2 || second.state != requestOpen {
-		t.Errorf("%d slots, request %d in state %v", len(table.slots), second.id, second.state)
+		t.Errorf("got %d slots and request %d in state %v", len(table.slots), second.id, second.state)
 	}
 	table.release(second)
 	if table.find(2) != second {
@@ -38,19 +38,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := afterStreamStarted[test.from]; got != test.streaming {
-				t.Errorf("after its answer began: %v, want %v", got, test.streaming)
+				t.Errorf("after the answer began: got state %v, want %v", got, test.streaming)
 			}
 			if got := afterClose[test.from]; got != test.closed {
-				t.Errorf("after its close: %v, want %v", got, test.closed)
+				t.Errorf("after closing: got state %v, want %v", got, test.closed)
 			}
 			if got := (&request{state: test.from}).isOpen(); got != test.isOpen {
-				t.Errorf("open: %v", got)
+				t.Errorf("got isOpen %v", got)
 			}
 		})
 	}
 }
 
-// A client that leaves while its answer streams: the attempt is let run, and a second notice cancels nothing either.
+// If a client leaves while it is receiving its answer, the attempt is not cancelled, not even by a second
+// EventClientGone.
 func TestStreamingRequestIsNotCancelled(t *testing.T) {
 	for name, isStreaming := range map[string]bool{"streaming": true, "not streaming": false} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +63,7 @@
 			for range 2 {
 				actions := router.Handle(router.now, &Event{Kind: EventClientGone, Request: 1}, nil)
 				if isCancelled := len(actions) == 1 && actions[0].Kind == ActionCancel; isCancelled == isStreaming {
-					t.Errorf("cancelled: %v", isCancelled)
+					t.Errorf("got cancelled %v", isCancelled)
 				}
 			}
 		})
--- a/policy/routing/retry.go
+++ b/policy/routing/retry.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Attempts after a failure are limited to retryTokensPerRequest for each request on average, with a reserve of
-// maxRetryTokens for a burst: enough for a fifth of all requests to fail once, too few to double the load when
-// everything fails.
+// Each request adds retryTokensPerRequest tokens, up to maxRetryTokens, and each retry after a failure takes one token.
+// This is enough if a fifth of all requests fail once, and too little to double the load if all requests fail. Larger
+// values let retries multiply the load of a fault; smaller values reject requests that a retry could serve.
 const (
 	retryTokensPerRequest = 0.25
 	maxRetryTokens        = 20
 )
 
-// retryBudget limits the attempts after a failure, so that retries do not multiply the load of a fault.
+// retryBudget limits retries after a failure, so that retries do not multiply the load during a fault.
 type retryBudget struct {
 	tokens float64
 }
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens} }
 
-// earn adds what one request earns.
+// earn adds the tokens of one request.
 func (b *retryBudget) earn() {
 	b.tokens = min(maxRetryTokens, b.tokens+retryTokensPerRequest)
 }
 
-// canSpend reports whether a whole token is left.
+// canSpend reports whether at least one token is left.
 func (b *retryBudget) canSpend() bool { return b.tokens >= 1 }
 
-// spend takes a token and reports whether there was one. A part of a token is lost.
+// spend takes a token and reports whether one was left. If less than one token is left, spend drops the remainder.
 func (b *retryBudget) spend() bool {
 	b.tokens--
 	if b.tokens < 0 {
@@ -35,11 +35,12 @@
 	return true
 }
 
-// writeBackoff is the base of the exponential backoff of writes, so that a crowded origin recovers.
+// writeBackoff is the base of the exponential backoff of writes. A shorter delay gives an overloaded origin no time to
+// recover.
 const writeBackoff = 60 * ms
 
-// scheduleWriteRetry plans the next attempt of a write that provably did not run, and reports whether it can be in
-// time.
+// scheduleWriteRetry schedules the next attempt of a write and reports whether it did. It does not if the attempt would
+// be sent after the objective, or if the write may have run and mayRepeat does not allow a repeat.
 func (r *Router) scheduleWriteRetry(req *request) bool {
 	wait := writeBackoff << req.attemptCount
 	if r.now+wait >= req.objectiveAt || !r.mayRepeat(req, r.origin) {
@@ -49,9 +50,9 @@
 	return true
 }
 
-// mayRepeat reports whether a request may be attempted at the endpoint, given the attempts that may have run: an
-// idempotent one always, another one never, and one with an idempotency key inside the scope and the window in which
-// its repeats are dropped. Guards rule 2.
+// mayRepeat reports whether a request may be sent to the endpoint after earlier attempts that may have run. An
+// idempotent request may always be sent, a request with an idempotency key only within its DedupScope and DedupWindow,
+// and any other request never. This enforces rule 2.
 func (r *Router) mayRepeat(req *request, index endpointIndex) bool {
 	class := &r.settings.Classes[req.class]
 	if class.Idempotency == Idempotent {
@@ -70,7 +71,7 @@
 	return true
 }
 
-// inDedupScope reports whether two endpoints share the record of idempotency keys.
+// inDedupScope reports whether two endpoints share a record of idempotency keys.
 func inDedupScope(scope DedupScope, first, second *endpoint) bool {
 	switch scope {
 	case ScopeAll:
@@ -82,8 +83,8 @@
 	}
 }
 
-// dedupWindowLeft is what is left of the time in which repeats of a request with an idempotency key are dropped, 0
-// where nothing may have run yet. A repeat must be on its way by then, however late its connection comes up. Guards
+// dedupWindowLeft returns the time left in which repeats of a request with an idempotency key are dropped, or 0 if no
+// attempt may have run yet. A repeat must be sent within this time, even if connecting takes long. This enforces
 // rule 2.
 func (r *Router) dedupWindowLeft(req *request) time.Duration {
 	class := &r.settings.Classes[req.class]
--- a/policy/routing/retry_test.go
+++ b/policy/routing/retry_test.go
@@ -12,7 +12,7 @@
 		spent++
 	}
 	if spent != maxRetryTokens {
-		t.Errorf("a burst of %d, want %d", spent, maxRetryTokens)
+		t.Errorf("got a burst of %d retries, want %d", spent, maxRetryTokens)
 	}
 	for range 40 {
 		budget.earn()
@@ -21,7 +21,7 @@
 		budget.spend()
 	}
 	if spent != 10 {
-		t.Errorf("40 requests earned %d retries, want 10", spent)
+		t.Errorf("got %d retries for 40 requests, want 10", spent)
 	}
 }
 
@@ -31,7 +31,7 @@
 		budget.earn()
 	}
 	if budget.tokens != maxRetryTokens {
-		t.Errorf("%v tokens, want %d", budget.tokens, maxRetryTokens)
+		t.Errorf("got %v tokens, want %d", budget.tokens, maxRetryTokens)
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// Rule 2: a write that is not idempotent is retried, after a backoff, only if it provably did not run.
+// Rule 2: a write that is not idempotent is retried, after a backoff, only if it certainly did not run.
 func Example_nonIdempotentWrite() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.request(1, writeClass, 7)
@@ -74,7 +74,8 @@
 	//   0.26s request 2: failed
 }
 
-// Rule 2: a request with an idempotency key that may have run is retried inside its cell only, and is not rejected.
+// Rule 2: a request with an idempotency key of scope cell that may have run is not retried in another cell. It fails
+// instead of being rejected, because the client's retry might go to another cell.
 func Example_idempotencyKey() {
 	settings := testSettings()
 	class := &settings.Classes[readClass]
@@ -95,15 +96,15 @@
 	//   0.04s request 2: attempt to B, fill from P
 }
 
-// Rule 2: a repeat of what may have run must be on its way while repeats are dropped, whenever its connection comes up.
+// Rule 2: a repeat of a request that may have run must be sent within the dedup window, however long connecting takes.
 func Example_idempotencyWindow() {
 	settings := testSettings()
 	class := &settings.Classes[readClass]
 	class.Idempotency, class.DedupWindow = IdempotentWithKey, 300*ms
 	harness := newHarness(settings, cacheA, cacheB, cacheC)
 	harness.request(1, readClass, harness.firstObject(cacheA, parentP))
-	harness.result(1, cacheA, 20*ms, ConnectFailed, NoteNone)     // it did not run
-	harness.result(1, cacheB, 100*ms, ConnectionBroken, NoteNone) // it may have
+	harness.result(1, cacheA, 20*ms, ConnectFailed, NoteNone)     // did not run
+	harness.result(1, cacheB, 100*ms, ConnectionBroken, NoteNone) // may have run
 	harness.result(1, cacheC, 210*ms, ConnectFailed, NoteNone)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
--- a/policy/routing/ring.go
+++ b/policy/routing/ring.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// pointsPerEndpoint is the usual number of points of a member. So many even the members' arcs to some six in a hundred.
+// pointsPerEndpoint is the mean number of points of a member. With 200 points, members of equal weight differ in their
+// arcs by some six percent.
 const pointsPerEndpoint = 200
 
-// goldenGamma is the increment of splitmix64; a multiple of it separates inputs that differ by little.
+// goldenGamma is the increment of splitmix64. Multiples of it separate inputs that differ little.
 const goldenGamma = 0x9e3779b97f4a7c15
 
-// ring is a consistent-hash ring. A member owns the arcs that end at its points; a heavier member has more points. The
-// points follow from ids and weights alone, so that all routers build the same ring.
+// ring is a consistent-hash ring. A member owns the arcs that end at its points and has points in proportion to its
+// weight. The points depend only on ids and weights, so that all routers build the same ring.
 type ring struct {
 	points  []ringPoint
 	members []endpointIndex
 
-	lastVisit []int // by member: the last walk that met it
-	walks     int
+	lastVisit []int // for each member, the number of the last walk that visited it
+	walks     int   // number of walks so far
 }
 
-// ringMember is an endpoint that a ring is built from.
+// ringMember is an endpoint from which a ring is built.
 type ringMember struct {
 	index  endpointIndex
 	id     EndpointID
@@ -35,7 +36,7 @@
 	member   int32
 }
 
-// newRing builds the ring of the members.
+// newRing returns a ring of the members.
 func newRing(members []ringMember) ring {
 	built := ring{lastVisit: make([]int, len(members))}
 	totalWeight := 0.0
@@ -60,7 +61,7 @@
 	return built
 }
 
-// find visits each member once, in ring order from the hash on, and returns the first that is accepted.
+// find visits each member once, in ring order starting at the hash, and returns the first accepted one, or noEndpoint.
 func (g *ring) find(hash uint64, accepts func(endpointIndex) bool) endpointIndex {
 	next := g.firstPointFrom(hash)
 	g.walks++
@@ -86,8 +87,8 @@
 	return noEndpoint
 }
 
-// firstPointFrom returns the index of the first point at or after the hash. The search is written out because the calls
-// that a generic one makes took a fifth of the time of a decision.
+// firstPointFrom returns the index of the first point at or after the hash. The binary search is written out, since the
+// function calls of a generic one take a fifth of the time of a decision.
 func (g *ring) firstPointFrom(hash uint64) int {
 	low, high := 0, len(g.points)
 	for low < high {
@@ -101,7 +102,7 @@
 	return low
 }
 
-// owner returns the member whose arc holds the hash.
+// owner returns the member that owns the hash.
 func (g *ring) owner(hash uint64) endpointIndex {
 	return g.find(hash, func(endpointIndex) bool { return true })
 }
--- a/policy/routing/ring_test.go
+++ b/policy/routing/ring_test.go
@@ -14,7 +14,7 @@
 	return newRing(members)
 }
 
-// sharesOf counts which part of many objects each member owns.
+// sharesOf returns the share of objects that each member owns.
 func sharesOf(built *ring) []float64 {
 	const objects = 20000
 	shares := make([]float64, len(built.members))
@@ -53,7 +53,7 @@
 	for object := range uint64(5000) {
 		owner := before.owner(mix(object))
 		if owner < 3 && after.owner(mix(object)) != owner {
-			t.Fatalf("object %d moved from member %d, which is still there", object, owner)
+			t.Fatalf("object %d moved away from member %d, which is still in the ring", object, owner)
 		}
 	}
 }
@@ -67,11 +67,11 @@
 			return false
 		})
 		if found != noEndpoint {
-			t.Errorf("found %d though none was accepted", found)
+			t.Errorf("found member %d although none was accepted", found)
 		}
 		slices.Sort(visited)
 		if !slices.Equal(visited, []endpointIndex{0, 1, 2, 3, 4}) {
-			t.Errorf("visited %v", visited)
+			t.Errorf("visited members %v, want each once", visited)
 		}
 	}
 }
@@ -79,6 +79,6 @@
 func TestRingWithoutMembersOwnsNothing(t *testing.T) {
 	built := newRing(nil)
 	if owner := built.owner(7); owner != noEndpoint {
-		t.Errorf("owner %d", owner)
+		t.Errorf("got owner %d, want none", owner)
 	}
 }
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -7,34 +7,36 @@
 
 const ms = time.Millisecond
 
-// Timers, as Event.Timer and Action.Timer have them.
+// The values of Event.Timer and Action.Timer.
 const (
 	timerTick         = 0
 	timerEndpointList = 1
 )
 
 const (
-	// tickInterval is how often open requests are checked: well under the shortest objective, and cheap.
+	// tickInterval is the interval at which open requests are checked. It is well below the shortest latency objective,
+	// and a check is cheap.
 	tickInterval = 20 * ms
-	// endpointListRetryWait is how long after a failed call the endpoint list is asked for again, with as much jitter.
+	// endpointListRetryWait is the delay before the endpoint list is requested again after a failure. A random delay of
+	// up to the same length is added.
 	endpointListRetryWait = 250 * ms
-	// untoldTransferFactor bounds a transfer time, over the objective, that may hold the wait of a fill: such a time
-	// rejects nothing by itself, or nothing better would ever be learned.
+	// untoldTransferFactor limits a transfer time that may include the wait for a fill, as a share of the latency
+	// objective. A longer time would by itself reject each later request, and no shorter time would ever be observed.
 	untoldTransferFactor = 0.95
 )
 
-// Router decides for one router instance.
+// Router makes the routing decisions of one router instance.
 type Router struct {
 	settings Settings
 	random   pcg
-	now      time.Duration // of the event that is handled
-	actions  []Action      // of the event that is handled
+	now      time.Duration // time of the event being handled
+	actions  []Action      // actions of the event being handled
 
 	endpoints       []endpoint
 	endpointByID    map[EndpointID]endpointIndex
 	listVersion     int
 	origin          endpointIndex
-	localCache      endpointIndex // the router itself, where it keeps copies
+	localCache      endpointIndex // the router's own cache, noEndpoint if it has none
 	caches, parents ring
 	previousRings   []previousRing
 	cacheSlowStart  slowStartSettings
@@ -47,14 +49,14 @@
 	retries      retryBudget
 	purges       []purge
 
-	ingress          link // into the location, as this router's fills show it
+	ingress          link // link into the location, observed by this router's fills
 	originLimiter    originLimiter
-	trafficShare     float64 // this router's part of its location's requests
+	trafficShare     float64 // this router's share of its location's requests
 	nextHealthCheck  time.Duration
-	sinceHealthCheck int // requests
+	sinceHealthCheck int // requests since the last health check
 }
 
-// New returns a router that knows its settings and no endpoint yet. The seed is that of its random generator.
+// New returns a router with the settings and no endpoints. The seed initializes its random number generator.
 func New(settings Settings, seed uint64) *Router {
 	r := &Router{
 		settings: settings, random: newPCG(seed), trafficShare: 1,
@@ -83,7 +85,7 @@
 	return r
 }
 
-// Start begins the router's work and returns its first actions, appended to actions.
+// Start starts the router. It appends the first actions to actions and returns the result.
 func (r *Router) Start(now time.Duration, actions []Action) []Action {
 	r.now, r.actions = now, actions
 	r.setTimer(tickInterval, timerTick)
@@ -93,7 +95,7 @@
 	return r.actions
 }
 
-// Handle takes one event and returns the actions that it calls for, appended to actions.
+// Handle processes one event. It appends the resulting actions to actions and returns the result.
 func (r *Router) Handle(now time.Duration, event *Event, actions []Action) []Action {
 	r.now, r.actions = now, actions
 	switch event.Kind {
@@ -142,7 +144,7 @@
 	r.emit(Action{Kind: ActionTimer, Wait: wait, Timer: timer})
 }
 
-// logEndpoint logs what happened to an endpoint: its role, its id and the text.
+// logEndpoint logs the text with the endpoint's role and id.
 func (r *Router) logEndpoint(text string, index endpointIndex) {
 	if index == noEndpoint {
 		return
@@ -151,7 +153,7 @@
 	r.emit(Action{Kind: ActionLog, Text: fmt.Sprintf("%s %x: %s", subject.role, uint64(subject.id), text)})
 }
 
-// handleRequest takes a new request, and sends or rejects it.
+// handleRequest sends or rejects a new request.
 func (r *Router) handleRequest(event *Event) {
 	if int(event.Class) >= len(r.settings.Classes) {
 		r.reject(event.Request, 0)
@@ -169,7 +171,8 @@
 	r.route(req)
 }
 
-// addRequest adds a request with its transfer time, objective and quota.
+// addRequest adds a request to the table, and sets its transfer time, its objective and whether its tenant is over
+// quota.
 func (r *Router) addRequest(event *Event) *request {
 	class := &r.settings.Classes[event.Class]
 	r.sinceHealthCheck++
@@ -185,8 +188,8 @@
 	return req
 }
 
-// estimateTransfer sets the transfer time of a request by its size, or that of the object or the class. sizeKB is 0
-// where the request does not tell it.
+// estimateTransfer sets the transfer time of a request from sizeKB, else from the object's history, else from the mean
+// of its class. sizeKB is 0 if the request does not include a size.
 func (r *Router) estimateTransfer(req *request, sizeKB float64) {
 	class, usual := &r.settings.Classes[req.class], &r.classStats[req.class].transferTime
 	record := r.history.find(req.hash)
@@ -206,8 +209,8 @@
 	}
 }
 
-// route sends a request by the ordinary path: the ring's cache, filled from the previous owner if the arc moved, else
-// from the parent.
+// route sends a request on the ordinary path: to the ring's cache, which fills from the previous owner if the object's
+// arc of the ring has moved, else from the parent.
 func (r *Router) route(req *request) {
 	req.cache = r.pickCache(req)
 	if r.sendWithFill(req, stageRelay) {
@@ -219,8 +222,9 @@
 	r.giveUp(req)
 }
 
-// sendWithFill sends the request to its cache with the source of the stage, or of a later stage where that one cannot
-// be used. It reports whether an attempt went out. None does where an earlier attempt ends after no cache was left.
+// sendWithFill sends the request to its cache with the fill source of the stage, or of a later stage if that source
+// cannot be used, and reports whether an attempt was sent. None is sent if no cache is left, which occurs when an
+// earlier attempt ends late.
 func (r *Router) sendWithFill(req *request, stage fillStage) bool {
 	if req.cache == noEndpoint {
 		return false
@@ -246,27 +250,28 @@
 	return r.sendLookup(req)
 }
 
-// sendWithRelay sends the request to its cache, filled from the previous owner if that has a copy.
+// sendWithRelay sends the request to its cache, to be filled from the previous owner if that cache has a copy.
 func (r *Router) sendWithRelay(req *request) bool {
 	owner := r.previousOwner(req)
 	return owner != noEndpoint && r.isInTime(req, req.cache, owner) &&
 		r.sendAttempt(req, attemptPlan{stageRelay, req.cache, owner, OnlyIfCached})
 }
 
-// sendWithOriginFill sends the request to its cache, filled straight from the origin.
+// sendWithOriginFill sends the request to its cache, to be filled directly from the origin.
 func (r *Router) sendWithOriginFill(req *request) bool {
 	return !req.hasTriedSource(r.origin) && r.mayReachOrigin(req, req.cache, r.origin) &&
 		r.sendAttempt(req, attemptPlan{stageOrigin, req.cache, r.origin, 0})
 }
 
-// sendLookup asks the cache for a copy where nothing can be filled in time.
+// sendLookup sends the request to its cache without a fill, if no fill can complete in time.
 func (r *Router) sendLookup(req *request) bool {
 	return req.attemptCount == 0 && r.isInTime(req, req.cache, noEndpoint) &&
 		r.sendAttempt(req, attemptPlan{stageLookup, req.cache, req.cache, 0})
 }
 
-// bypassCaches sends a request straight to a parent: only where the settings allow it and no cache of the location is
-// fit to be asked at all (all lost, cold or failing). The origin is left to writes: its link is thin.
+// bypassCaches sends a request directly to a parent. The caller ensures that the settings allow it and that no cache of
+// the location can be used (all are lost, cold or failing). Reads do not go directly to the origin, whose link has
+// little capacity.
 func (r *Router) bypassCaches(req *request) bool {
 	parent, isFailing := r.pickParent(req)
 	if isFailing {
@@ -282,7 +287,7 @@
 	return !req.hasTriedSource(parent) && r.sendAttempt(req, attemptPlan{stageBypass, parent, parent, 0})
 }
 
-// sendWrite runs a write at the origin: straight where that is allowed, else through a cache.
+// sendWrite sends a write to the origin: directly if that is allowed, else through a cache.
 func (r *Router) sendWrite(req *request) {
 	req.retryWriteAt = 0
 	target := r.origin
@@ -295,7 +300,7 @@
 	}
 }
 
-// followUp does what follows the failure of an attempt of an open request.
+// followUp retries or gives up an open request after one of its attempts has failed.
 func (r *Router) followUp(req *request, failure failureKind) {
 	following := transitions[req.stage][failure]
 	if r.settings.Classes[req.class].Write {
@@ -304,7 +309,7 @@
 		}
 		return
 	}
-	// An attempt after a failure, unlike one after a miss, needs a token: else retries multiply a fault's load.
+	// A retry after a failure, unlike one after a miss, needs a token. Otherwise retries multiply the load of a fault.
 	if following.kind != rejectRequest && failure != failureNotCached {
 		if !r.retries.spend() || r.now >= req.objectiveAt {
 			following.kind = rejectRequest
--- a/policy/routing/router_test.go
+++ b/policy/routing/router_test.go
@@ -11,7 +11,7 @@
 	object := harness.firstObject(cacheA, parentP)
 	harness.request(1, readClass, object)
 	harness.result(1, cacheA, 150*ms, Succeeded, NoteFilled)
-	harness.request(2, readClass, object) // the same object: the same cache and source
+	harness.request(2, readClass, object) // the same object, so the same cache and source
 	harness.result(2, cacheA, 110*ms, Succeeded, NoteHit)
 	harness.request(3, readClass, harness.firstObject(cacheB, parentQ))
 	harness.result(3, cacheB, 150*ms, Succeeded, NoteFilled)
@@ -21,15 +21,15 @@
 	//   0.26s request 3: attempt to B, fill from Q
 }
 
-// Rule 1: one final answer, at once when the last attempt has failed, and nothing after it.
+// Rule 1: a request gets one final answer, immediately after its last attempt has failed, and no attempt after it.
 func Example_oneAnswer() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.request(1, readClass, 7)
 	harness.result(1, cacheA, 200*ms, TimedOut, NoteNone)
-	harness.handle(&Event{Kind: EventClientGone, Request: 1}) // an id that is not open any more
+	harness.handle(&Event{Kind: EventClientGone, Request: 1}) // request 1 is no longer open
 	harness.advance(time.Second)
 	harness.request(2, readClass, harness.firstObject(cacheA, parentQ))
-	harness.handle(&Event{Kind: EventClientGone, Request: 2}) // the client left: nothing more is owed
+	harness.handle(&Event{Kind: EventClientGone, Request: 2}) // the client has left, so no answer follows
 	harness.result(2, cacheA, 10*ms, Cancelled, NoteNone)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
@@ -38,11 +38,11 @@
 	//   1.20s request 2: attempt 0 cancelled
 }
 
-// Found on depot-records and counter-net: all caches lost. Requests go straight to a parent, by way of the origin, and
-// count on the location's link: once that is full, they are rejected.
+// All caches are lost: requests go directly to a parent, which fills them from the origin. They use the location's
+// ingress link, and are rejected once it is full.
 func Example_bypassCaches() {
 	settings := testSettings()
-	settings.ZoneIngressKBPerSecond = []float64{0, 0, 1000} // one transfer at full pace
+	settings.ZoneIngressKBPerSecond = []float64{0, 0, 1000} // capacity for one transfer
 	harness := newHarness(settings, cacheA)
 	for id := RequestID(1); id <= 2; id++ {
 		harness.request(id, readClass, harness.firstObject(cacheA, parentP))
@@ -65,7 +65,7 @@
 	//   0.26s request 8: rejected
 }
 
-// Many list changes, purges, objects and requests leave the state bounded: slots are used again.
+// After many list changes, purges, objects and requests the state is bounded, because slots are reused.
 func Example_boundedState() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.isMuted = true
@@ -90,7 +90,7 @@
 	// 35 35 4 1 0 3 16384
 }
 
-// The ordinary path allocates nothing once the request table has grown.
+// The ordinary path does not allocate once the request table has grown.
 func TestOrdinaryPathAllocatesNothing(t *testing.T) {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	id := RequestID(0)
@@ -109,6 +109,6 @@
 		harness.actions = harness.router.Handle(harness.now, &result, harness.actions[:0])
 	})
 	if got != 0 {
-		t.Errorf("the ordinary path allocates %v times a request", got)
+		t.Errorf("the ordinary path makes %v allocations per request, want 0", got)
 	}
 }
--- a/policy/routing/selection.go
+++ b/policy/routing/selection.go
@@ -1,22 +1,22 @@
 package routing
 
-// maxSpill is how many caches after the ring's own may take a request that would be late there: more would spread
-// copies of everything over the location.
+// maxSpill is the number of caches after the first suitable one that may serve a request instead because it would be
+// late at the first. More would spread copies of all objects over the location.
 const maxSpill = 1
 
-// strictness says which conditions a cache has to meet. Where no cache meets all, fewer are asked for.
+// strictness says which conditions a cache has to meet. If no cache meets all conditions, fewer are required.
 type strictness uint8
 
 const (
 	strictAll    strictness = iota
-	strictHealth            // a cold cache takes any object, its budget alone decides
-	strictNone              // an ejected cache is asked as well: what fails everywhere is a shared fault
+	strictHealth            // also a cold cache for any object within its budget
+	strictNone              // also an ejected cache: if all caches fail, the fault is a shared one
 	strictnessCount
 )
 
-// pickCache finds the first cache from the request's place on the ring on that may have it: listed, in health, warm
-// enough for this object, not asked yet, and predicted in time. If none is in time, it is the first: it may have the
-// object. Ejected caches are asked only where requests may not bypass the caches.
+// pickCache returns the first cache, in ring order from the request's hash, that is ready, healthy, warm enough for the
+// object, not yet tried and predicted in time. If none is in time, it returns the first that meets the other
+// conditions, since it may have a copy. Ejected caches are tried only if requests may not bypass the caches.
 func (r *Router) pickCache(req *request) endpointIndex {
 	source, isFailing := r.pickParent(req)
 	if isFailing {
@@ -34,7 +34,8 @@
 	return noEndpoint
 }
 
-// findCache returns the first cache that meets the conditions, and the first of those within maxSpill that is in time.
+// findCache returns the first cache that meets the conditions, and the first such cache within maxSpill that is
+// predicted in time.
 func (r *Router) findCache(req *request, source endpointIndex, strict strictness) (first, inTime endpointIndex) {
 	first = noEndpoint
 	left := maxSpill + 1
@@ -65,8 +66,8 @@
 	return r.hasBudget(req, index) && !req.hasAsked(index)
 }
 
-// pickParent names the ring's parent for the object, and whether it is failing for the moment. A parent that has been
-// failing for long has handed its arc to the next one, but for trials.
+// pickParent returns the ring's parent for the object, and whether the parent is ejected. The arc of a parent that has
+// been ejected for long belongs to the next parent, except for trials.
 func (r *Router) pickParent(req *request) (parent endpointIndex, isFailing bool) {
 	parent = r.parents.find(req.hash, func(index endpointIndex) bool {
 		return !r.endpoints[index].outlier.isRemapped(r.now) && r.mayFill(req, index)
@@ -74,15 +75,15 @@
 	return parent, parent != noEndpoint && !r.isHealthy(parent)
 }
 
-// pickOtherParent is a healthy parent that the request has not been filled from: where the origin cannot be reached
-// for a failing parent's objects.
+// pickOtherParent returns a parent that is not ejected and from which the request's cache has not tried to fill. It is
+// used when the ring's parent is failing and the origin cannot be reached.
 func (r *Router) pickOtherParent(req *request) endpointIndex {
 	return r.parents.find(req.hash, func(index endpointIndex) bool {
 		return !req.hasTriedSource(index) && !r.endpoints[index].outlier.ejected && r.mayFill(req, index)
 	})
 }
 
-// mayFill reports whether a parent is warm enough for the object and the request.
+// mayFill reports whether a parent is warm enough for the object and has budget for the request.
 func (r *Router) mayFill(req *request, index endpointIndex) bool {
 	return r.takesObject(index, req.hash) && r.hasBudget(req, index)
 }
--- a/policy/routing/settings.go
+++ b/policy/routing/settings.go
@@ -2,60 +2,60 @@
 
 import "time"
 
-// Idempotency says what a repeat of a request would do.
+// Idempotency says whether a request may run more than once.
 type Idempotency uint8
 
-// What a repeat would do.
+// The degrees of idempotency.
 const (
-	Idempotent        Idempotency = iota // may run again
-	IdempotentWithKey                    // repeats are dropped inside a scope, for a while
-	NonIdempotent                        // must never run twice
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // repeats are dropped within DedupScope for DedupWindow
+	NonIdempotent                        // must not run twice
 )
 
-// DedupScope is the set of endpoints that share the record of idempotency keys, and so drop each other's repeats.
+// DedupScope is the set of endpoints that share a record of idempotency keys, and therefore drop each other's repeats.
 type DedupScope uint8
 
-// The scopes: all endpoints, those of a zone, those of a cell.
+// The scopes: all endpoints, the endpoints of a zone, the endpoints of a cell.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// PeerFill says which caches may be the source of a fill.
+// PeerFill says which other caches a cache may fill from.
 type PeerFill uint8
 
-// The caches that may be a source: none, those of the same location, all.
+// The permitted sources: no cache, the caches of the same location, all caches.
 const (
 	PeerFillNone PeerFill = iota
 	PeerFillLocation
 	PeerFillAny
 )
 
-// ResponseDetail says how much an answer tells of the way it took.
+// ResponseDetail says which notes an answer carries.
 type ResponseDetail uint8
 
-// The details of answers.
+// The levels of detail.
 const (
-	DetailNone ResponseDetail = iota // none
-	DetailHit                        // whether it was a hit
-	DetailFull                       // the source as well, and why a fill failed
+	DetailNone ResponseDetail = iota // no notes
+	DetailHit                        // whether the answer was a hit
+	DetailFull                       // also the source of a fill and the reason why a fill failed
 )
 
-// ReportChannel says what load reports come with.
+// ReportChannel says which messages carry load reports.
 type ReportChannel uint8
 
-// The channels of load reports.
+// The messages that carry load reports.
 const (
 	ReportsNone ReportChannel = iota
 	ReportsWithResponses
 	ReportsWithHealthChecks
 )
 
-// Signal is one column of a load report.
+// Signal is the quantity in one column of a load report.
 type Signal uint8
 
-// The columns of a load report. Those that the router does not read are SignalOther.
+// The signals of a load report. SignalOther stands for any other column, which the router ignores.
 const (
 	SignalOther Signal = iota
 	SignalInFlight
@@ -65,70 +65,70 @@
 	SignalLinkUtilization
 )
 
-// Class is what the settings say of one class of requests.
+// Class holds the settings of one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer later than this is worth LateValue
+	LatencyObjective time.Duration // an answer after this time is worth only LateValue
 	ObjectiveStretch float64       // the objective grows by this multiple of the transfer time
-	Deadline         time.Duration // the client gives up after this
-	Value            float64       // of an answer within the objective
-	LateValue        float64       // of an answer after it
+	Deadline         time.Duration // the client gives up after this time
+	Value            float64       // value of an answer within the objective
+	LateValue        float64       // value of an answer after the objective
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	DedupWindow      time.Duration // how long repeats with an idempotency key are dropped
 	Stream           bool
 	Write            bool          // runs at the origin and is never cached
-	FreshFor         time.Duration // 0: fresh until purged
-	MaxStale         time.Duration // how much older a copy may be when asked for
+	FreshFor         time.Duration // time for which a copy is fresh, 0: until purged
+	MaxStale         time.Duration // time past FreshFor for which a stale copy may be served on request
 }
 
-// Tenant is a customer's part of the service.
+// Tenant holds the settings of one tenant.
 type Tenant struct {
-	QuotaPerSecond float64 // requests a second across all routers
+	QuotaPerSecond float64 // requests per second across all routers
 }
 
-// Settings are what a router is told at its start.
+// Settings holds the fixed settings of a router.
 type Settings struct {
 	Routers                int
 	Zone                   ZoneID
-	ZoneRouters            []int     // routers that serve each zone
-	ZoneIngressKBPerSecond []float64 // KB a second into each zone, 0 where it is not told
+	ZoneRouters            []int     // number of routers that serve each zone
+	ZoneIngressKBPerSecond []float64 // KB per second into each zone, 0 if not known
 	ParentKind             KindID    // -1: no parents
 	OriginKind             KindID    // -1: no origin
 	Classes                []Class
 	Tenants                []Tenant
 
-	HealthChecks   bool // may be sent
+	HealthChecks   bool // health checks may be sent
 	Cancel         bool // attempts may be cancelled
 	HedgedRequests bool // a request may have two attempts in flight
-	RetryAfter     bool // a rejected client may be told when to come back
+	RetryAfter     bool // a rejection may tell the client when to retry
 	MaxRetryAfter  time.Duration
-	MaxAttempts    int // of a request
+	MaxAttempts    int // per request
 	ConnectTimeout time.Duration
 
-	PollEndpoints bool          // the list comes only when asked for
-	PollInterval  time.Duration // and must be asked for this often
+	PollEndpoints bool          // the endpoint list arrives only when requested
+	PollInterval  time.Duration // interval of these requests
 
 	DrainGrace           time.Duration
-	SlowStartShare       float64 // of its capacity a cache starts with
+	SlowStartShare       float64 // share of its capacity with which a cache starts
 	SlowStartFor         time.Duration
-	OverloadFactor       float64
+	OverloadFactor       float64 // multiple of its capacity above which an overloaded cache fails
 	OverloadWindow       time.Duration
 	ParentSlowStartShare float64
 	ParentSlowStartFor   time.Duration
 	ParentOverloadFactor float64
-	OriginOverloadFactor float64 // 0: it never stops
+	OriginOverloadFactor float64 // 0: overload does not stop the origin
 	OriginOverloadWindow time.Duration
 	PurgeGrace           time.Duration
-	PurgeCompleteAfter   time.Duration // by then every old copy is dropped
+	PurgeCompleteAfter   time.Duration // by then every cache has dropped its old copies
 
-	AllowDirect     bool // requests may go straight to a parent or the origin
-	CoalesceFills   bool // a request may join a fill under way
+	AllowDirect     bool // requests may go directly to a parent or the origin
+	CoalesceFills   bool // a request may join a fill in progress
 	PeerFill        PeerFill
 	ResponseDetail  ResponseDetail
-	FlowKBPerSecond float64 // KB a second of one transfer to a client
+	FlowKBPerSecond float64 // KB per second of one transfer to a client
 
-	LocalCacheCapacity   float64 // transfers that fit on the router's own link, 0: it keeps no copies
-	WeightIsLinkCapacity bool    // an endpoint's weight counts, if roughly, the transfers that its link carries
+	LocalCacheCapacity   float64 // transfers that fit on the router's own link, 0: the router keeps no copies
+	WeightIsLinkCapacity bool    // an endpoint's weight is the approximate number of transfers that fit on its link
 
 	ReportChannel ReportChannel
 	ReportColumns []Signal
--- a/policy/routing/shedding.go
+++ b/policy/routing/shedding.go
@@ -3,16 +3,19 @@
 import "time"
 
 const (
-	// predictionMargin is what the rest of a prediction may be off. Other values were tried, as for congestionGrowth.
+	// predictionMargin is the factor by which a prediction may be too short. With a lower value, admitted requests end
+	// late; with a higher value, some requests are rejected in normal operation.
 	predictionMargin = 1.2
-	// overQuotaFactor is how many times its predicted time a request of a tenant over its quota must have.
+	// overQuotaFactor is the factor by which the predicted duration of a request is increased if its tenant is over its
+	// quota.
 	overQuotaFactor = 2
-	// usualRetryAfter is the mean of Retry-After: about a latency objective, spread against a common return.
+	// usualRetryAfter is the mean delay before a rejected client may retry, about one latency objective. Delays are
+	// random, so that clients do not return all at once.
 	usualRetryAfter = 300 * ms
 )
 
-// isInTime is the admission test: whether an answer of the endpoint, filled from the source, is predicted before the
-// latency objective. Requests of a tenant over its quota must leave capacity for others'.
+// isInTime is the admission test. It reports whether an answer of the endpoint, filled from the source, is predicted
+// before the latency objective. Requests of a tenant over its quota must leave capacity for other tenants.
 func (r *Router) isInTime(req *request, index, source endpointIndex) bool {
 	predicted := r.predict(req, index, source)
 	if predicted.needsFill && r.now < r.endpoints[index].noFillsUntil {
@@ -24,7 +27,7 @@
 	return r.now+time.Duration(predictionMargin*float64(predicted.duration)) <= req.objectiveAt
 }
 
-// isOverQuota reports whether the tenant has had its quota lately; its request must then not crowd out others'.
+// isOverQuota takes a token of the tenant's quota, and reports whether there was none left.
 func (r *Router) isOverQuota(tenant TenantID) bool {
 	if int(tenant) >= len(r.tenantQuotas) {
 		return false
@@ -33,7 +36,8 @@
 	return quota > 0 && !r.tenantQuotas[tenant].take(quota/float64(max(1, r.settings.Routers)), r.now)
 }
 
-// giveUp ends a request that no attempt is left for, unless one in flight may still answer it.
+// giveUp rejects or fails a request for which no other attempt is possible, unless an attempt in flight or the router's
+// own cache may still answer it.
 func (r *Router) giveUp(req *request) {
 	if !req.isOpen() || req.inFlight > 0 {
 		return
@@ -49,8 +53,9 @@
 	r.closeRequest(req)
 }
 
-// sendToLocalCache sends a request to the router's own copies. They are asked last, where the caches cannot answer in
-// time, so that the caches learn of every request. Guards against lost, cold and overloaded caches of whatever cause.
+// sendToLocalCache sends a request to the router's own cache, and reports whether it did. The local cache is tried
+// last, when the caches cannot answer in time, so that the caches see every request. It helps if caches are lost, cold
+// or overloaded for any reason.
 func (r *Router) sendToLocalCache(req *request) bool {
 	class := &r.settings.Classes[req.class]
 	if r.localCache == noEndpoint || class.Idempotency != Idempotent || class.Write || req.hasAsked(r.localCache) {
@@ -60,14 +65,14 @@
 		r.sendAttempt(req, attemptPlan{stage: stageLocalCache, endpoint: r.localCache, source: r.localCache})
 }
 
-// mayReject reports whether the client may be told to send the request again; else it fails.
+// mayReject reports whether the client may be told to retry the request. Otherwise the request fails.
 func (r *Router) mayReject(req *request) bool {
 	class := &r.settings.Classes[req.class]
 	return class.Idempotency == Idempotent || !req.mayHaveRun() ||
 		class.Idempotency == IdempotentWithKey && class.DedupScope == ScopeAll
 }
 
-// retryAfter is the time after which a rejected client may come back, 0 where it is not told.
+// retryAfter returns the delay after which a rejected client may retry, or 0 if the client is not told.
 func (r *Router) retryAfter() time.Duration {
 	if !r.settings.RetryAfter {
 		return 0
--- a/policy/routing/shedding_test.go
+++ b/policy/routing/shedding_test.go
@@ -1,7 +1,7 @@
 package routing
 
-// What the caches cannot give in time, a copy of the router's own may: it is asked last, and not for a request that may
-// not run twice; after a purge no copy from before it will do.
+// An idempotent request that the caches cannot serve in time goes to the router's own cache. After a purge the local
+// cache must not answer from an older copy.
 func Example_localCache() {
 	settings := testSettings()
 	settings.LocalCacheCapacity, settings.AllowDirect = 1, false
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -3,38 +3,40 @@
 import "time"
 
 const (
-	// budgetSafety is the part of a cold endpoint's budget that all routers together allow themselves: chance must fit
-	// too.
+	// budgetSafety is the share of a cold endpoint's budget that all routers together use on average. The rest is left
+	// for random bursts.
 	budgetSafety = 0.6
-	// guessedThroughput stands for what a warm endpoint carries before any was seen to.
+	// guessedThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until one has
+	// been observed.
 	guessedThroughput = 1
-	// minBudgetRate keeps next to nothing of the budget where a setting is missing.
+	// minBudgetRate is the budget rate, in seconds of transfers per second, if a setting is missing. It is almost zero,
+	// since nothing is known about the load that the endpoint can bear, but a rate of zero would be a division by zero.
 	minBudgetRate = 1e-6
-	// minThroughputSpan is the span over which a throughput is measured by a router alone; one of many sees less and
-	// takes longer, to maxThroughputSpan.
+	// minThroughputSpan is the span over which a router that is alone measures a throughput. One of many routers sees
+	// fewer requests and measures over a longer span, up to maxThroughputSpan.
 	minThroughputSpan = time.Second
 	maxThroughputSpan = 15 * time.Second
-	// slowStartSalt makes the share of objects that a cold endpoint takes independent of their place on the ring.
+	// slowStartSalt makes the choice of the objects that a cold endpoint takes independent of their ring positions.
 	slowStartSalt = 0xc01d
 )
 
-// slowStartSettings are the settings of the slow start of all endpoints with a role.
+// slowStartSettings holds the slow start settings of all endpoints with a role.
 type slowStartSettings struct {
-	initialShare   float64 // of its capacity that an endpoint starts with
+	initialShare   float64 // share of its capacity with which an endpoint starts
 	duration       time.Duration
-	overloadFactor float64 // the multiple of its warmed-up capacity that it bears
-	overloadWindow time.Duration
+	overloadFactor float64       // multiple of its warmed-up capacity that an endpoint can bear
+	overloadWindow time.Duration // time over which the load is compared with the capacity
 }
 
-// slowStart limits what an endpoint gets until it has warmed up.
+// slowStart limits the load of an endpoint until it has warmed up.
 type slowStart struct {
 	settings    *slowStartSettings // nil: always warm
 	startedAt   time.Duration
-	budgetStart time.Duration // the startedAt that the budget is counted for
-	nextAllowed time.Duration // while it is cold: nothing from this router before
+	budgetStart time.Duration // value of startedAt when the budget was begun
+	nextAllowed time.Duration // earliest time of the next request from this router while the endpoint is cold
 }
 
-// warmFraction is the part of its capacity that the endpoint surely gives by now.
+// warmFraction returns the share of its capacity that the endpoint is known to have reached.
 func (s *slowStart) warmFraction(now time.Duration) float64 {
 	if s.settings == nil {
 		return 1
@@ -46,7 +48,7 @@
 	return initial + (1-initial)*max(0, float64(age))/float64(s.settings.duration)
 }
 
-// beginBudget starts the budget of an endpoint that was started anew, and reports whether it did.
+// beginBudget begins a new budget if the endpoint has been restarted, and reports whether it did.
 func (s *slowStart) beginBudget(now time.Duration) bool {
 	if s.budgetStart == s.startedAt {
 		return false
@@ -55,9 +57,9 @@
 	return true
 }
 
-// consume puts the next request to a cold endpoint as far off as its budget asks. times is how many requests are
-// counted, weight the transfer time of one, throughput what this router's part of the warm endpoint carries. What is
-// saved up and may go at once is what the overload window bears beside the requests that go on in it.
+// consume counts a number of requests (times), each with a transfer time (weight), and delays the next request to the
+// cold endpoint accordingly. throughput is the throughput of this router's share of the warm endpoint. Unused budget is
+// saved up to the amount that the endpoint can bear within the overload window in addition to the continuing requests.
 func (s *slowStart) consume(times float64, weight time.Duration, throughput float64, now time.Duration) {
 	rate := max(minBudgetRate, budgetSafety*s.settings.overloadFactor*s.warmFraction(now)*throughput)
 	gap := time.Duration(float64(weight) / rate)
@@ -65,7 +67,7 @@
 	s.nextAllowed = max(s.nextAllowed, now-max(0, saved-gap)) + time.Duration(times*float64(gap))
 }
 
-// slowStartOf returns the slow start of an endpoint with the role.
+// slowStartOf returns the initial slow start of an endpoint with the role.
 func (r *Router) slowStartOf(role endpointRole) slowStart {
 	ramp := slowStart{startedAt: LongAgo, budgetStart: LongAgo}
 	switch role {
@@ -78,33 +80,35 @@
 	return ramp
 }
 
-// warmFraction is the part of its capacity that an endpoint surely gives by now.
+// warmFraction returns the share of its capacity that an endpoint is known to have reached.
 func (r *Router) warmFraction(index endpointIndex) float64 {
 	return r.endpoints[index].slowStart.warmFraction(r.now)
 }
 
-// takesObject reports whether an endpoint takes the object: all objects once it is warm, while cold the share that it
-// can give, chosen by the object's hash, so that all routers agree without talking. Guards rule 4.
+// takesObject reports whether an endpoint takes requests for the object. A warm endpoint takes all objects. A cold
+// endpoint takes a share equal to its warmFraction, chosen by the object's hash, so that all routers agree without
+// communicating. This enforces rule 4.
 func (r *Router) takesObject(index endpointIndex, hash uint64) bool {
 	return unitFloat(mix(hash^slowStartSalt)) < r.warmFraction(index)
 }
 
-// hasBudget reports whether a cold endpoint can bear this request from this router now.
+// hasBudget reports whether an endpoint is warm, or has budget for this request from this router now.
 func (r *Router) hasBudget(req *request, index endpointIndex) bool {
 	ramp := &r.endpoints[index].slowStart
 	if ramp.warmFraction(r.now) >= 1 {
 		return true
 	}
 	if ramp.beginBudget(r.now) {
-		// Nothing saved up: all routers hear of its start at about the same time, or start together after it.
+		// Begins with a random delay and nothing saved up: all routers learn of the endpoint's start at about the same
+		// time, or start together after it.
 		r.consumeBudget(req, index, r.random.float()*(1-r.trafficShareOf(index)))
 	}
 	return r.now >= ramp.nextAllowed
 }
 
-// consumeBudget counts so many requests against the budget of a cold endpoint. A router whose part is less than one
-// request waits its turn, from a random start, so that many together keep the budget. Guards rule 4 when the load is
-// far from usual: a lost location, retries, a dead neighbour.
+// consumeBudget counts a number of requests (times) against the budget of a cold endpoint. A router whose share of the
+// budget is less than one request starts with a random delay, so that many routers together keep the budget. This
+// enforces rule 4 under unusual load: a lost location, retries, a failed neighbour.
 func (r *Router) consumeBudget(req *request, index endpointIndex, times float64) {
 	ramp := &r.endpoints[index].slowStart
 	if ramp.warmFraction(r.now) >= 1 {
@@ -113,7 +117,8 @@
 	ramp.consume(times, r.budgetWeight(req), r.warmThroughput(index), r.now)
 }
 
-// budgetWeight is the transfer time that a request is counted with: until sizes are known, longer than any usual one.
+// budgetWeight returns the transfer time with which a request is counted. Until sizes are known, it is the latency
+// objective, which is longer than any usual transfer.
 func (r *Router) budgetWeight(req *request) time.Duration {
 	if stats := &r.classStats[req.class]; stats.hasUsualSize() {
 		return stats.usualTransferTime()
@@ -121,9 +126,9 @@
 	return r.settings.Classes[req.class].LatencyObjective
 }
 
-// warmThroughput is what the endpoint carries of this router's traffic once it is warm, in seconds of transfers a
-// second: its link as the list tells it, or what others with its role were seen to carry for this router at their
-// best. Those that carried far less tell of little use.
+// warmThroughput returns the throughput, in seconds of transfers per second, that the endpoint has for this router once
+// it is warm. The endpoint's weight is used if it is the capacity of its link, else the mean of the peak throughputs of
+// endpoints with the same role. Much lower peaks are left out, since they are due to low demand.
 func (r *Router) warmThroughput(index endpointIndex) float64 {
 	cold, sum, count := &r.endpoints[index], 0.0, 0.0
 	if r.settings.WeightIsLinkCapacity {
@@ -141,12 +146,12 @@
 	return max(guessedThroughput*r.trafficShareOf(index), sum/max(1, count))
 }
 
-// throughputSpan is the span over which the throughput of an endpoint is measured.
+// throughputSpan returns the span over which the throughput of an endpoint is measured.
 func (r *Router) throughputSpan(index endpointIndex) time.Duration {
 	return min(maxThroughputSpan, time.Duration(float64(minThroughputSpan)/r.trafficShareOf(index)))
 }
 
-// trafficShareOf is this router's part of the traffic of an endpoint.
+// trafficShareOf returns this router's share of the traffic of an endpoint.
 func (r *Router) trafficShareOf(index endpointIndex) float64 {
 	if r.endpoints[index].role == roleCache {
 		return r.trafficShare
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -1,7 +1,7 @@
 package routing
 
-// Many routers that share nothing, driven side by side by one clock, with one cold endpoint among them: what all of
-// them send to it together, against what it bears.
+// These tests run many independent routers on one clock, with one cold endpoint. They compare the total load that the
+// routers send to the endpoint with the load that it can bear.
 
 import (
 	"fmt"
@@ -11,28 +11,28 @@
 	"time"
 )
 
-// coldFleet describes a run of many routers with one cold endpoint: uneven traffic, and a burst of it at the moment
-// when the endpoint's neighbours are lost.
+// coldFleet describes a run of many routers with one cold endpoint. The traffic is uneven, and it increases when the
+// endpoint's neighbours are lost.
 type coldFleet struct {
 	routers  int
-	link     float64 // transfers that each endpoint's link carries when it is warm
+	link     float64 // capacity of each warm endpoint's link in transfers
 	isParent bool    // the cold endpoint is a parent, else a cache
 	lostAt   time.Duration
-	quiet    float64 // of the usual traffic until then
-	failing  bool    // what reaches the endpoint fails, so that requests are retried
+	quiet    float64 // traffic until lostAt, as a share of the usual traffic
+	failing  bool    // requests to the cold endpoint fail, so that they are retried
 	seed     uint64
 
-	restartAt time.Duration // when restarted of ten routers are killed and start anew at once, 0: never
-	restarted int
+	restartAt time.Duration // when some routers are killed and restarted at once, 0: never
+	restarted int           // number of restarted routers out of each ten
 }
 
-// arrival is one request, or fill, that reached the cold endpoint.
+// arrival is a request or fill that reached the cold endpoint.
 type arrival struct {
 	at   time.Duration
-	work float64 // over the mean
+	work float64 // transfer time as a multiple of the mean
 }
 
-// pendingResult is an attempt whose result is to come.
+// pendingResult is the result of an attempt, which is delivered at a later time.
 type pendingResult struct {
 	at       time.Duration
 	router   int
@@ -56,8 +56,8 @@
 	lost     []EndpointID // the neighbours that are lost
 
 	routers   []*harness
-	startedAt []time.Duration // by router
-	share     []float64       // of the traffic, by router
+	startedAt []time.Duration // start time of each router
+	share     []float64       // share of the traffic of each router
 	pending   []pendingResult
 	cached    map[EndpointID]map[ObjectID]bool
 
@@ -65,7 +65,7 @@
 	requests, served float64
 }
 
-// play returns what reached the cold endpoint, and the part of all requests that was served.
+// play runs the fleet. It returns the arrivals at the cold endpoint and the share of requests that were served.
 func (f *coldFleet) play(settings Settings, start time.Duration) (arrivals []arrival, served float64) {
 	run := newFleetRun(*f, settings, start)
 	length := settings.SlowStartFor
@@ -95,7 +95,7 @@
 	total := 0.0
 	for i := range fleet.routers {
 		f.routers = append(f.routers, f.startRouter(i, 0))
-		weight := math.Exp(f.random.float()*3 - 1.5) // some get twenty times what others do
+		weight := math.Exp(f.random.float()*3 - 1.5) // some routers get twenty times as much traffic as others
 		f.share = append(f.share, weight)
 		total += weight
 	}
@@ -105,8 +105,8 @@
 	return f
 }
 
-// startRouter starts a router's process, which has a clock of its own that stands at 0 when it starts; startedAt is
-// that moment on the test's clock.
+// startRouter starts a router, whose own clock is 0 at its start. startedAt is the time of the start on the test's
+// clock.
 func (f *fleetRun) startRouter(number int, startedAt time.Duration) *harness {
 	seed := f.seed*1000 + uint64(number) + uint64(startedAt)
 	started := &harness{
@@ -127,7 +127,7 @@
 	return started
 }
 
-// isTurnOf reports whether a moment after the start falls into this turn.
+// isTurnOf reports whether a time after the start of the run lies within the current turn.
 func (f *fleetRun) isTurnOf(moment time.Duration) bool {
 	age := f.now - f.start
 	return moment > 0 && age >= moment && age < moment+fleetTurn
@@ -167,7 +167,7 @@
 	f.pending = slices.DeleteFunc(f.pending, func(p pendingResult) bool { return p.router%10 < f.restarted })
 }
 
-// loseNeighbours tells all routers at once.
+// loseNeighbours reports the loss of the neighbours to all routers at once.
 func (f *fleetRun) loseNeighbours() {
 	for i, router := range f.routers {
 		router.now = f.now - f.startedAt[i]
@@ -177,7 +177,7 @@
 	}
 }
 
-// sendRequests brings a router its requests of a turn.
+// sendRequests sends a router its requests of the current turn.
 func (f *fleetRun) sendRequests(router int) {
 	rate := f.share[router] * 60 * f.link * fleetTurn.Seconds()
 	if f.lostAt > f.now-f.start {
@@ -193,7 +193,7 @@
 	}
 }
 
-// carryOut carries out the attempts that a router wants sent.
+// carryOut carries out the ActionSend actions of a router.
 func (f *fleetRun) carryOut(router int) {
 	for _, action := range f.routers[router].actions {
 		if action.Kind != ActionSend {
@@ -219,7 +219,7 @@
 	}
 }
 
-// deliver tells a router the result of an attempt.
+// deliver passes the result of an attempt to its router.
 func (f *fleetRun) deliver(p *pendingResult) {
 	router := f.routers[p.router]
 	event := Event{
@@ -235,8 +235,9 @@
 	f.carryOut(p.router)
 }
 
-// worst is the highest ratio, over all windows, of the work that reached the endpoint to what it bears without
-// falling: N and twice its root and two more, N as the settings allow it at the window's end.
+// worst returns the maximum, over all overload windows, of the ratio of the work that reached the endpoint to the work
+// that it can bear. If the settings allow N requests per window at the end of the window, the endpoint can bear
+// N + 2*sqrt(N) + 2, which leaves room for random variation.
 func (f *coldFleet) worst(settings Settings, start time.Duration, arrivals []arrival) (worst float64) {
 	initial, duration, multiple := settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor
 	if f.isParent {
@@ -251,31 +252,31 @@
 			first++
 		}
 		warm := initial + (1-initial)*float64(last.at-start)/float64(duration)
-		// Requests of mean work, a tenth of a second each.
+		// In requests of mean work, which take a tenth of a second each.
 		bearable := multiple * warm * f.link / 0.1 * settings.OverloadWindow.Seconds()
 		worst = math.Max(worst, sum/(bearable+2*math.Sqrt(bearable)+2))
 	}
 	return worst
 }
 
-// fleetSettings are settings that tell the links, and allow no way past the caches.
+// fleetSettings returns settings in which weights are link capacities and requests may not bypass the caches.
 func fleetSettings() Settings {
 	settings := testSettings()
 	settings.WeightIsLinkCapacity, settings.AllowDirect = true, false
 	return settings
 }
 
-// run plays the fleet, and returns the worst ratio and a text for the log.
+// run runs the fleet. It returns the worst ratio and a description of the result.
 func (f *coldFleet) run() (ratio float64, text string) {
 	start, settings := time.Minute, fleetSettings()
 	arrivals, served := f.play(settings, start)
 	ratio = f.worst(settings, start, arrivals)
-	return ratio, fmt.Sprintf("%.2f of what it bears, %.2f served", ratio, served)
+	return ratio, fmt.Sprintf("%.2f of the load that the endpoint can bear, %.2f of the requests served", ratio, served)
 }
 
-// Rule 4 over the fleet: however many routers there are, however uneven their traffic, and when a neighbour of the cold
-// endpoint is lost at any moment, all of them together stay within its budget. The cost is seen in the part of requests
-// that is served.
+// Rule 4 for all routers together: for any number of routers with uneven traffic, and whenever the neighbours of the
+// cold endpoint are lost, the routers together stay within its budget. The logged share of served requests shows the
+// cost.
 func TestColdEndpointAndManyRouters(t *testing.T) {
 	for _, routers := range []int{1, 4, 20, 300} {
 		for _, link := range []float64{1, 60} {
@@ -295,15 +296,15 @@
 	for seed, lostAt := range []time.Duration{0, 3 * time.Second, 9 * time.Second, 13 * time.Second} {
 		fleet.lostAt, fleet.seed = lostAt, uint64(seed+1)
 		ratio, text := fleet.run()
-		t.Logf("lost at %2.0f s: %s", lostAt.Seconds(), text)
+		t.Logf("neighbours lost at %2.0f s: %s", lostAt.Seconds(), text)
 		if ratio > 1 {
-			t.Errorf("lost at %v: the cold endpoint falls, at %.2f of what it bears", lostAt, ratio)
+			t.Errorf("neighbours lost at %v: got %.2f of the load that the cold endpoint can bear", lostAt, ratio)
 		}
 	}
 }
 
-// Most or all routers are killed and start anew at once, some time after an endpoint started cold: each of them meets
-// it for the first time, and all together stay within its budget.
+// Most or all routers are killed and restarted at once some time after an endpoint started. Each has no record of the
+// cold endpoint, and all together must stay within its budget.
 func TestColdEndpointAndManyRestarts(t *testing.T) {
 	for _, routers := range []int{4, 20, 300} {
 		for _, link := range []float64{1, 10, 60} {
@@ -331,9 +332,9 @@
 		fleet.lostAt, fleet.quiet, fleet.seed = restart.at+2*time.Second, restart.quiet, uint64(seed+1)
 		fleet.restartAt, fleet.restarted = restart.at, restart.restarted
 		ratio, text := fleet.run()
-		t.Logf("%d of 10 at %.1f s: %s", restart.restarted, restart.at.Seconds(), text)
+		t.Logf("%d of 10 routers restarted at %.1f s: %s", restart.restarted, restart.at.Seconds(), text)
 		if ratio > 1 {
-			t.Errorf("restart at %v: the cold endpoint falls, at %.2f of what it bears", restart.at, ratio)
+			t.Errorf("restart at %v: got %.2f of the load that the cold endpoint can bear", restart.at, ratio)
 		}
 	}
 }
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// testSlowStart is the slow start of an endpoint that started after a minute.
+// testSlowStart returns the slow start of an endpoint that started at time.Minute.
 func testSlowStart() slowStart {
 	return slowStart{
 		settings: &slowStartSettings{
@@ -40,18 +40,18 @@
 func TestEndpointWithoutSlowStartIsWarm(t *testing.T) {
 	ramp := slowStart{startedAt: time.Minute}
 	if got := ramp.warmFraction(time.Minute); got != 1 {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want 1", got)
 	}
 }
 
 func TestBudgetBeginsOncePerStart(t *testing.T) {
 	ramp := testSlowStart()
 	if !ramp.beginBudget(time.Minute) || ramp.beginBudget(time.Minute+time.Second) {
-		t.Error("the budget did not begin once")
+		t.Error("the budget did not begin exactly once")
 	}
 	ramp.startedAt = 2 * time.Minute
 	if !ramp.beginBudget(2 * time.Minute) {
-		t.Error("the budget did not begin again with a new start")
+		t.Error("the budget did not begin again after a restart")
 	}
 }
 
@@ -59,14 +59,15 @@
 	now := time.Minute
 	ramp := testSlowStart()
 	ramp.beginBudget(now)
-	// 0.6 of twice a fifth of one transfer at a time: one of 100 ms each 417 ms.
+	// The budget is 0.6 (budgetSafety) times 2 (overloadFactor) times 0.2 (initialShare) of one transfer at a time: one
+	// transfer of 100 ms each 417 ms.
 	const requests = 50
 	for range requests {
 		ramp.consume(1, 100*ms, 1, now)
 	}
 	gap := (ramp.nextAllowed - now) / requests
 	if gap < 410*ms || gap > 420*ms {
-		t.Errorf("one request each %v", gap)
+		t.Errorf("got one request each %v, want about 417ms", gap)
 	}
 }
 
@@ -74,21 +75,22 @@
 	now := time.Minute
 	ramp := testSlowStart()
 	ramp.beginBudget(now)
-	now += 9 * time.Second // nothing was asked of it
+	now += 9 * time.Second // no requests in this time
 	atOnce := 0
 	for ; now >= ramp.nextAllowed; atOnce++ {
 		ramp.consume(1, 100*ms, 1, now)
 	}
 	warm := ramp.warmFraction(now)
 	if most := 2 * warm * 3 / 0.1; float64(atOnce) > most {
-		t.Errorf("%d requests at once, but a window bears %.1f", atOnce, most)
+		t.Errorf("got %d requests at once, but the endpoint can bear only %.1f per window", atOnce, most)
 	}
 	if atOnce < 2 {
-		t.Errorf("nothing was saved up: %d at once", atOnce)
+		t.Errorf("got %d requests at once, want at least 2 from the saved budget", atOnce)
 	}
 }
 
-// Rule 4: a cache that just started has a fifth of its objects, and a budget besides; the rest goes to its neighbour.
+// Rule 4: a cache that has just started takes a fifth of its objects within its budget. The other requests go to its
+// neighbour.
 func Example_coldCache() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	harness.change(cacheA, Ready, harness.now)
@@ -113,8 +115,8 @@
 	// 1 of 20 went to A while it was cold
 }
 
-// Rule 4, found on counter-net: a fresh router that knows no sizes, and a location that is all cold. Until
-// sizes are known a request weighs its objective, so that few go before anything is learned.
+// Rule 4: a new router that knows no sizes, in a location where all caches are cold. Until sizes are known, each
+// request counts with its latency objective, so that only few are sent before the sizes are learned.
 func Example_coldCacheAndUnknownSizes() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.isMuted = true
@@ -131,8 +133,8 @@
 	// 1 of 200 went to A at once
 }
 
-// Rule 4, found on branch-library grown: twenty routers share a location, and each has less than one request of a
-// cold cache's budget. They take turns, from a random start, in place of one request each at once.
+// Rule 4: twenty routers share a location, and the share of each in a cold cache's budget is less than one request.
+// They take turns, each after a random delay, instead of all sending one request at once.
 func Example_coldCacheAndManyRouters() {
 	settings := testSettings()
 	settings.Routers, settings.ZoneRouters = 20, []int{0, 0, 20}
@@ -154,7 +156,7 @@
 	// 4 in 6 s; 3 within 3 s would push it over
 }
 
-// Settings without the figures of slow start: a cold cache is not known to bear anything, so it gets almost nothing.
+// Without slow start settings it is unknown what load a cold cache can bear, so it gets almost none.
 func Example_slowStartSettingsMissing() {
 	settings := testSettings()
 	settings.SlowStartShare, settings.OverloadFactor = 0, 0
--- a/policy/routing/tokenbucket.go
+++ b/policy/routing/tokenbucket.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// tokenBucket limits a rate. It holds at most the tokens of one second.
+// tokenBucket is a rate limiter that holds at most the tokens of one second.
 type tokenBucket struct {
 	tokens   float64
 	filledAt time.Duration
 }
 
-// take takes one token from a bucket that gains ratePerSecond, and reports whether there was one.
+// take takes one token from a bucket that is filled at ratePerSecond, and reports whether one was left.
 func (b *tokenBucket) take(ratePerSecond float64, now time.Duration) bool {
 	b.tokens = min(ratePerSecond, b.tokens+ratePerSecond*(now-b.filledAt).Seconds())
 	b.filledAt = now
--- a/policy/routing/tokenbucket_test.go
+++ b/policy/routing/tokenbucket_test.go
@@ -24,7 +24,7 @@
 				now += test.interval
 			}
 			if taken < test.want-1 || taken > test.want+1 {
-				t.Errorf("%d taken, want %d", taken, test.want)
+				t.Errorf("got %d tokens, want %d", taken, test.want)
 			}
 		})
 	}
--- a/policy/routing/transitions.go
+++ b/policy/routing/transitions.go
@@ -1,43 +1,43 @@
 package routing
 
-// fillStage says how an attempt is served: by which kind of cache, filled from which kind of source.
+// fillStage says which kind of endpoint serves an attempt, and which kind of source a miss is filled from.
 type fillStage uint8
 
 const (
 	stageParent       fillStage = iota // the ring's cache, filled from the ring's parent
-	stageRelay                         // the ring's cache, filled from the previous owner if that has a copy
-	stageParentCached                  // filled from the parent if that has a copy: the origin limiter is closed
-	stageOrigin                        // filled straight from the origin: the parent is failing
-	stageBypass                        // past the caches, straight to a parent or the origin
-	stageLookup                        // the cache only, no fill
-	stageLocalCache                    // the router's own copies
+	stageRelay                         // the ring's cache, filled from the previous owner if it has a copy
+	stageParentCached                  // as stageParent, but only if the parent has a copy: the origin has no capacity
+	stageOrigin                        // the ring's cache, filled directly from the origin: the parent is failing
+	stageBypass                        // directly to a parent or the origin, bypassing the caches
+	stageLookup                        // the ring's cache without a fill
+	stageLocalCache                    // the router's own cache
 	stageCount
 )
 
-// failureKind says what failed where an attempt has ended without an answer.
+// failureKind says what failed when an attempt has ended without an answer.
 type failureKind uint8
 
 const (
-	failureNotCached  failureKind = iota // no suitable copy where it was asked for
+	failureNotCached  failureKind = iota // neither the endpoint nor the source has a suitable copy
 	failureSource                        // the source failed
-	failureOrigin                        // the origin failed behind the parent
-	failureNoCapacity                    // the cache is overloaded, or has no capacity for a fill
-	failureEndpoint                      // the cache failed
+	failureOrigin                        // the parent's request to the origin failed
+	failureNoCapacity                    // the endpoint is overloaded, or has no capacity for a fill
+	failureEndpoint                      // the endpoint failed
 	failureTimeout                       // no answer in time
-	failureRequest                       // another endpoint failed it alike: it is the request's own fault
+	failureRequest                       // a second endpoint answered with an error, so the request is the cause
 	failureCount
 )
 
-// followUpKind says what follows a failed attempt.
+// followUpKind says how the router continues after a failed attempt.
 type followUpKind uint8
 
 const (
-	tryNextSource followUpKind = iota // the same cache, filled from the source of the next stage
-	tryNextCache                      // the next cache of the ring
-	rejectRequest                     // nothing more can be done in time
+	tryNextSource followUpKind = iota // retry at the same cache, with the source of another stage
+	tryNextCache                      // retry at the next cache of the ring
+	rejectRequest                     // give up: no further attempt can succeed in time
 )
 
-// transition is what follows a failed attempt; stage is the next one where kind is tryNextSource.
+// transition is the reaction to a failed attempt. Field stage is used only with tryNextSource.
 type transition struct {
 	stage fillStage
 	kind  followUpKind
@@ -50,8 +50,8 @@
 	toRejection = transition{kind: rejectRequest}
 )
 
-// transitions says what follows when an attempt has ended without an answer. Where a next stage cannot be used (no such
-// endpoint, no budget, not in time), sendWithFill and route go on to a later one or give up.
+// transitions maps the stage of an attempt and its failure to the reaction. If the next stage cannot be used (no such
+// endpoint, no budget, not in time), sendWithFill and route continue with a later stage or give up.
 var transitions = [stageCount][failureCount]transition{
 	stageParent: {
 		failureNotCached: toOrigin, failureSource: toOrigin, failureOrigin: toRejection,
@@ -90,7 +90,7 @@
 	},
 }
 
-// classifyFailure tells from the result of an attempt what failed. Without a note only the outcome speaks.
+// classifyFailure returns what failed according to the note in the result of an attempt, else according to the outcome.
 func classifyFailure(event *Event) failureKind {
 	switch event.Note {
 	case NoteSourceMiss:
--- a/policy/routing/transitions_test.go
+++ b/policy/routing/transitions_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The whole table: what follows each failure, by the stage of the attempt.
+// Prints the whole transition table except for rejections.
 func Example_transitions() {
 	stages := [stageCount]string{"parent", "relay", "parent cached", "origin", "bypass", "lookup", "local cache"}
 	describe := func(following transition) string {
