--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -147,7 +147,7 @@
 	r.endAttempt(req, att, event.Outcome)
 	r.applyLoadReport(att.endpoint, &event.LoadReport)
 	failure := classifyFailure(event)
-	isRepeatedError := event.Outcome == Failed && req.failedBy != noEndpoint && req.failedBy != att.endpoint
+	isRepeatedError := event.Outcome == Failed && req.lastErrorFrom != noEndpoint && req.lastErrorFrom != att.endpoint
 	if failure == failureEndpoint && isRepeatedError {
 		failure = failureRequest
 	}
--- a/policy/routing/attribution.go
+++ b/policy/routing/attribution.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// simultaneousBreaks is the minimum time between two broken connections to an endpoint that count as separate
+	// connectionBreakInterval is the minimum time between two broken connections to an endpoint that count as separate
 	// failures. One broken connection may end many attempts, which would otherwise eject the endpoint.
-	simultaneousBreaks = 20 * ms
-	// noFillsFor is the time during which a cache that had no capacity gets no requests that need a fill. Some transfers
-	// end in this time.
-	noFillsFor = 100 * ms
+	connectionBreakInterval = 20 * ms
+	// noFillsDuration is the time in which a cache that had no capacity gets no requests that need a fill. Some of its
+	// transfers end in this time.
+	noFillsDuration = 100 * ms
 )
 
 // attributeFailure counts a failure against its cause: the endpoint, the source, the origin or the request.
@@ -26,7 +26,7 @@
 		r.attributeToEndpoint(req, att, event.Outcome)
 		return
 	case failureNoCapacity:
-		answered.noFillsUntil = r.now + noFillsFor
+		answered.noFillsUntil = r.now + noFillsDuration
 	case failureSource:
 		r.attributeToSource(att, event)
 	case failureOrigin:
@@ -46,12 +46,12 @@
 	target := &r.endpoints[att.endpoint]
 	switch {
 	case outcome == Failed:
-		req.failedBy = att.endpoint // the result of the next endpoint shows whether the request is the cause
+		req.lastErrorFrom = att.endpoint // the result of the next endpoint shows whether the request is the cause
 	case outcome != ConnectionBroken:
-		r.recordFailure(att.endpoint, hardFailure)
-	case r.now-target.brokenAt >= simultaneousBreaks:
+		r.recordFailure(att.endpoint, hardFailureWeight)
+	case r.now-target.brokenAt >= connectionBreakInterval:
 		target.brokenAt = r.now
-		r.recordFailure(att.endpoint, softFailure)
+		r.recordFailure(att.endpoint, softFailureWeight)
 	}
 }
 
@@ -61,15 +61,15 @@
 	case att.source == r.origin || r.wasWaitingForOrigin(att, event.FirstByteWait):
 		r.originLimiter.recordFailure(r.now)
 	case event.Note == NoteSourceUnreachable:
-		r.recordFailure(att.source, hardFailure)
+		r.recordFailure(att.source, hardFailureWeight)
 	default:
-		r.recordFailure(att.source, softFailure)
+		r.recordFailure(att.source, softFailureWeight)
 	}
 }
 
 // wasWaitingForOrigin reports whether a source probably failed because it waited for the origin: it failed late, it has
 // shown a sign of life since the attempt was sent, and the origin has given no timely answer since then.
 func (r *Router) wasWaitingForOrigin(att *attempt, firstByteWait time.Duration) bool {
-	return !att.onlyIfCached && firstByteWait > overdueAfter &&
-		r.endpoints[att.source].lastHeardAt > att.sentAt && r.originLimiter.goodAt < att.sentAt
+	return !att.onlyIfCached && firstByteWait > overdueMargin &&
+		r.endpoints[att.source].lastHeardAt > att.sentAt && r.originLimiter.lastTimelyAt < att.sentAt
 }
--- a/policy/routing/endpoints.go
+++ b/policy/routing/endpoints.go
@@ -25,13 +25,13 @@
 // noEndpoint stands for no endpoint.
 const noEndpoint endpointIndex = -1
 
-// forgetAfter is the delay after which the slot of an endpoint that is gone may be reused. It exceeds the time in which
-// the relay uses previous rings, which may name the endpoint.
-const forgetAfter = 2 * relayFor
+// slotReuseDelay is the delay after which the slot of an endpoint that is gone may be reused. It is longer than
+// relayDuration, in which previous rings may still name the endpoint.
+const slotReuseDelay = 2 * relayDuration
 
-// idleTransfers is the number of transfers below which an endpoint counts as idle. It is less than any transfer counts
-// and more than a rounding error.
-const idleTransfers = 0.001
+// maxIdleTransfers is the number of transfers below which an endpoint counts as idle. It is less than any transfer
+// counts and more than a rounding error.
+const maxIdleTransfers = 0.001
 
 // endpoint holds the state of a cache of the router's location, a parent, the origin or the local cache.
 type endpoint struct {
@@ -59,8 +59,8 @@
 // handleEndpointList applies an endpoint list or its changes, or schedules another request if the list failed.
 func (r *Router) handleEndpointList(event *Event) {
 	if event.EndpointListKind == EndpointListFailed {
-		spread := time.Duration(r.random.float() * float64(endpointListRetryWait))
-		r.setTimer(endpointListRetryWait+spread, timerEndpointList)
+		spread := time.Duration(r.random.float() * float64(endpointListRetryDelay))
+		r.setTimer(endpointListRetryDelay+spread, timerEndpointList)
 		return
 	}
 	r.applyEndpointList(event)
@@ -138,7 +138,7 @@
 func (r *Router) allocateEndpoint() endpointIndex {
 	for i := range r.endpoints {
 		e := &r.endpoints[i]
-		if e.state == Gone && e.link.current < idleTransfers && r.now-e.leavingSince > forgetAfter {
+		if e.state == Gone && e.link.current < maxIdleTransfers && r.now-e.leavingSince > slotReuseDelay {
 			delete(r.endpointByID, e.id)
 			return endpointIndex(i)
 		}
--- a/policy/routing/harness_test.go
+++ b/policy/routing/harness_test.go
@@ -162,8 +162,8 @@
 	})
 }
 
-// requestUntoldSize sends a read request without a size.
-func (h *harness) requestUntoldSize(id RequestID, object ObjectID, timeLeft time.Duration) {
+// requestWithoutSize sends a read request without a size.
+func (h *harness) requestWithoutSize(id RequestID, object ObjectID, timeLeft time.Duration) {
 	h.handle(&Event{Kind: EventRequest, Request: id, Object: object, TimeLeft: timeLeft})
 }
 
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -5,13 +5,13 @@
 const (
 	// overdueFactor is the multiple of its predicted duration that an attempt may take before it is overdue.
 	overdueFactor = 2
-	// overdueAfter is the additional delay before an attempt is overdue. A short pause of an endpoint or a retransmitted
+	// overdueMargin is the additional delay before an attempt is overdue. A short pause of an endpoint or a retransmitted
 	// packet must fit, or healthy endpoints are ejected.
-	overdueAfter = 150 * ms
+	overdueMargin = 150 * ms
 )
 
 // overdueAge returns the age at which an attempt with the expected duration is overdue.
-func overdueAge(expected time.Duration) time.Duration { return overdueFactor*expected + overdueAfter }
+func overdueAge(expected time.Duration) time.Duration { return overdueFactor*expected + overdueMargin }
 
 // checkOverdueAttempts retries writes whose backoff is over, and hedges requests with overdue attempts. This protects
 // against silent caches and parents (crashed, disconnected or stalled). If an endpoint only pauses for long, the object
@@ -47,12 +47,12 @@
 		return // the attempt may still wait for the origin
 	}
 	silent := r.silentEndpoint(att)
-	if silent != att.endpoint && !att.needsFill && !req.sizeTold {
+	if silent != att.endpoint && !att.needsFill && !req.sizeInRequest {
 		return
 	}
 	att.state = attemptOverdue
 	if silent != noEndpoint {
-		r.recordFailure(silent, hardFailure)
+		r.recordFailure(silent, hardFailureWeight)
 		r.originLimiter.end(att.originShare, r.now) // the attempt no longer waits for the origin
 		att.originShare = 0
 	} else if !req.sizeKnown {
@@ -64,7 +64,7 @@
 // isLateFill reports whether a fill from or through the origin is so late that the origin must be slow. While a parent
 // is silent, only one of the fills that wait for it counts.
 func (r *Router) isLateFill(req *request, att *attempt, age time.Duration) bool {
-	if !req.sizeTold || !att.needsFill || att.originShare <= 0 || att.state == attemptCountedLate {
+	if !req.sizeInRequest || !att.needsFill || att.originShare <= 0 || att.state == attemptCountedLate {
 		return false
 	}
 	source := &r.endpoints[att.source]
@@ -97,10 +97,10 @@
 // cache.
 func (r *Router) hedge(req *request, att *attempt, silent endpointIndex) {
 	isRepeatable := r.settings.Classes[req.class].Idempotency != NonIdempotent
-	if !isRepeatable || r.now > req.objectiveAt || !r.retries.canSpend() {
+	if !isRepeatable || r.now > req.objectiveAt || !r.retries.hasToken() {
 		return
 	}
-	r.retries.spend()
+	r.retries.take()
 	if silent == att.source && silent != att.endpoint {
 		req.cache = att.endpoint
 		r.sendWithFill(req, stageOrigin)
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -14,7 +14,7 @@
 	settings.Classes[readClass].ObjectiveStretch = 0
 	harness := newHarness(settings, cacheA)
 	request := func(id RequestID) {
-		harness.requestUntoldSize(id, 7, 3*time.Second)
+		harness.requestWithoutSize(id, 7, 3*time.Second)
 	}
 	answer := func(id RequestID, took time.Duration) {
 		harness.advance(took)
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -29,22 +29,22 @@
 	// congestedSlowdown is the slowdown from which a transfer counts as congested. Smaller slowdowns are within the
 	// noise of sizes and paths.
 	congestedSlowdown = 1.25
-	// capacityPace is the weight of a new transfer in the estimated capacity. It doubles if transfers are a second
+	// capacityWeight is the weight of a new transfer in the estimated capacity. It doubles if transfers are a second
 	// apart.
-	capacityPace = 0.1
+	capacityWeight = 0.1
 	// busyFraction is the share of the estimated capacity above which an uncongested transfer shows that the capacity is
 	// larger.
 	busyFraction = 0.7
 	// firstCapacityFactor is the factor by which the first congested transfer may underestimate the capacity.
 	firstCapacityFactor = 1.5
-	// capacityTrustedFor is the time for which an estimated capacity below one transfer is used without a new
-	// observation. After it, one transfer may be sent, since otherwise the estimate would never be corrected.
-	capacityTrustedFor = 2 * time.Second
-	// reportValidFor is the time for which a report of the link's load is used. It is several times the interval of the
+	// maxCapacityAge is the time for which an estimated capacity below one transfer is used without a new observation.
+	// After it, one transfer is tried, since otherwise the estimate would never be corrected.
+	maxCapacityAge = 2 * time.Second
+	// maxReportAge is the time for which a report of the link's load is used. It is several times the interval of the
 	// reports.
-	reportValidFor = 2 * time.Second
-	// reportSmoothing is the divisor of the weight of a new report in the mean utilization.
-	reportSmoothing = 4
+	maxReportAge = 2 * time.Second
+	// reportWeightDivisor is the divisor of the weight of a new report in the mean utilization.
+	reportWeightDivisor = 4
 )
 
 // link is an estimate of a network link from this router's own transfers. capacity is the number of transfers, those of
@@ -58,28 +58,28 @@
 	dedicated           bool          // no other router uses the link
 }
 
-// observe updates the capacity from the slowdown of a transfer and the number of concurrent transfers (beside). An
-// uncongested transfer shows that more would have fit. A congested transfer shows how many did fit; the result is at
-// least the given minimum (least), and may be below one for a slow endpoint. With a weight of a tenth, the influence of
-// earlier transfers ends after some ten new ones; if transfers are rare, each weighs twice as much.
-func (l *link) observe(slowdown, beside, least float64, now time.Duration) {
-	pace := capacityPace + capacityPace*min(1, (now-l.observedAt).Seconds())
+// observe updates the capacity from the slowdown of a transfer and the number of transfers at the same time. An
+// uncongested transfer shows that more would have fit. A congested transfer shows how many did fit, which is less than
+// one for a slow endpoint but at least minCapacity. With a weight of a tenth, the influence of earlier transfers ends
+// after some ten new ones; if transfers are rare, each weighs twice as much.
+func (l *link) observe(slowdown, concurrent, minCapacity float64, now time.Duration) {
+	weight := capacityWeight + capacityWeight*min(1, (now-l.observedAt).Seconds())
 	l.observedAt = now
 	switch {
 	case slowdown < congestedSlowdown:
-		if l.capacity > 0 && beside+1 > l.capacity*busyFraction {
-			l.capacity += capacityPace * max(1, beside+1-l.capacity)
+		if l.capacity > 0 && concurrent+1 > l.capacity*busyFraction {
+			l.capacity += capacityWeight * max(1, concurrent+1-l.capacity)
 		}
 	case l.capacity <= 0:
-		l.capacity = max(least, beside/slowdown*firstCapacityFactor)
+		l.capacity = max(minCapacity, concurrent/slowdown*firstCapacityFactor)
 	default:
-		l.capacity += pace * (max(least, beside/slowdown) - l.capacity)
+		l.capacity += weight * (max(minCapacity, concurrent/slowdown) - l.capacity)
 	}
 }
 
 // observeReport updates the mean utilization from a report.
 func (l *link) observeReport(utilization float64, now time.Duration) {
-	l.reportedUtilization += (utilization - l.reportedUtilization) / reportSmoothing
+	l.reportedUtilization += (utilization - l.reportedUtilization) / reportWeightDivisor
 	l.reportedAt = now
 }
 
@@ -91,7 +91,7 @@
 		return l.current
 	}
 	others := l.averageAt(now) * (1/trafficShare - 1)
-	if l.reportedUtilization > 0 && now-l.reportedAt < reportValidFor && trafficShare < 1 {
+	if l.reportedUtilization > 0 && now-l.reportedAt < maxReportAge && trafficShare < 1 {
 		others = (others + max(0, l.reportedUtilization*l.capacity-l.averageAt(now))) / 2
 	}
 	return l.current + others
@@ -108,7 +108,7 @@
 		return 1
 	}
 	capacity := l.capacity
-	if r.now-l.observedAt > capacityTrustedFor {
+	if r.now-l.observedAt > maxCapacityAge {
 		capacity = max(1, capacity)
 	}
 	return max(1, (r.totalTransfers(l)+1)/(capacity*part))
--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -11,8 +11,8 @@
 
 func TestLinkLearnsItsCapacity(t *testing.T) {
 	for name, test := range map[string]struct {
-		slowdown, beside float64
-		least, most      float64
+		slowdown, concurrent float64
+		least, most          float64
 	}{
 		"congested":             {2, 10, 4.5, 5.5},
 		"of less than one":      {5, 1, 0.15, 0.25},
@@ -23,7 +23,7 @@
 			now := time.Minute
 			for range 100 {
 				now += time.Second
-				learned.observe(test.slowdown, test.beside, leastOfCacheLink, now)
+				learned.observe(test.slowdown, test.concurrent, minCacheLinkCapacity, now)
 			}
 			if learned.capacity < test.least || learned.capacity > test.most {
 				t.Errorf("got capacity %v, want %v to %v", learned.capacity, test.least, test.most)
@@ -34,8 +34,8 @@
 
 func TestLinkAtFullPaceGrowsWhereItIsBusy(t *testing.T) {
 	idle, busy := link{capacity: 10}, link{capacity: 10}
-	idle.observe(1, 3, leastOfCacheLink, time.Minute)
-	busy.observe(1, 12, leastOfCacheLink, time.Minute)
+	idle.observe(1, 3, minCacheLinkCapacity, time.Minute)
+	busy.observe(1, 12, minCacheLinkCapacity, time.Minute)
 	if idle.capacity != 10 {
 		t.Errorf("the capacity of an idle link grew to %v", idle.capacity)
 	}
@@ -120,12 +120,12 @@
 	harness := newHarness(settings, cacheA, cacheB)
 	harness.isMuted = true
 	for id := RequestID(5000); id < 5030; id++ { // the router learns the usual size from hits
-		harness.requestUntoldSize(id, ObjectID(id), time.Second)
+		harness.requestWithoutSize(id, ObjectID(id), time.Second)
 		harness.result(id, harness.ownerOf(ObjectID(id)), 100*ms, Succeeded, NoteHit)
 	}
 	for id := RequestID(1); id <= 1200; id += 12 {
 		for k := id; k < id+12; k++ {
-			harness.requestUntoldSize(k, ObjectID(k), time.Second)
+			harness.requestWithoutSize(k, ObjectID(k), time.Second)
 		}
 		harness.now += 110 * ms
 		for k := id; k < id+12; k++ {
@@ -136,7 +136,7 @@
 		}
 	}
 	harness.isMuted = false
-	harness.requestUntoldSize(2000, harness.firstObject(cacheA, parentP), time.Second)
+	harness.requestWithoutSize(2000, harness.firstObject(cacheA, parentP), time.Second)
 	// Output:
 	// 14.00s request 2000: attempt to A, fill from P
 }
--- a/policy/routing/loadreport.go
+++ b/policy/routing/loadreport.go
@@ -8,20 +8,20 @@
 	// requestsPerHealthCheck is the minimum number of requests between health checks. It limits health checks to one
 	// per 20 requests, even if each router has few requests.
 	requestsPerHealthCheck = 20
-	// minReportedUtilization and minTransfers are the utilization and the number of transfers up to which a report is
-	// not used to estimate the capacity of a link, since their ratio is too uncertain.
+	// minReportedUtilization and minReportedTransfers are the utilization and the number of transfers up to which a
+	// report is not used to estimate the capacity of a link, since their ratio is too uncertain.
 	minReportedUtilization = 0.2
-	minTransfers           = 0.5
-	// reportedCapacityPace is the number of reports over which the capacity is averaged.
-	reportedCapacityPace = 10
+	minReportedTransfers   = 0.5
+	// reportedCapacitySamples is the number of reports over which the capacity is averaged.
+	reportedCapacitySamples = 10
 )
 
 // checkHealth sends a health check to a cache to learn the load of the location's link, if answers carry no reports.
 func (r *Router) checkHealth() {
-	if r.now < r.nextHealthCheck || r.sinceHealthCheck < requestsPerHealthCheck || !r.learnsByHealthChecks() {
+	if r.now < r.nextHealthCheck || r.requestsSinceHealthCheck < requestsPerHealthCheck || !r.learnsByHealthChecks() {
 		return
 	}
-	r.nextHealthCheck, r.sinceHealthCheck = r.now+healthCheckInterval, 0
+	r.nextHealthCheck, r.requestsSinceHealthCheck = r.now+healthCheckInterval, 0
 	turn := int(r.now/healthCheckInterval) % len(r.caches.members)
 	if index := r.caches.members[turn]; r.isHealthy(index) {
 		r.emit(Action{Kind: ActionHealthCheck, Endpoint: r.endpoints[index].id})
@@ -58,12 +58,12 @@
 		r.ingress.observeReport(utilization, r.now)
 		return
 	}
-	if utilization <= minReportedUtilization || r.totalTransfers(&r.ingress) <= minTransfers {
+	if utilization <= minReportedUtilization || r.totalTransfers(&r.ingress) <= minReportedTransfers {
 		return
 	}
 	capacity := max(1, r.totalTransfers(&r.ingress)/utilization)
 	if r.ingress.capacity <= 0 {
 		r.ingress.capacity = capacity
 	}
-	r.ingress.capacity += (capacity - r.ingress.capacity) / reportedCapacityPace
+	r.ingress.capacity += (capacity - r.ingress.capacity) / reportedCapacitySamples
 }
--- a/policy/routing/movingaverage.go
+++ b/policy/routing/movingaverage.go
@@ -11,17 +11,17 @@
 	samples int
 }
 
-// add adds a sample. Once there are many samples, pace is the weight of a new sample.
-func (m *movingAverage) add(sample time.Duration, pace float64) {
+// add adds a sample. weight is the weight of a new sample once there are many.
+func (m *movingAverage) add(sample time.Duration, weight float64) {
 	m.samples++
-	m.value += (float64(sample) - m.value) * max(pace, 1/float64(m.samples))
+	m.value += (float64(sample) - m.value) * max(weight, 1/float64(m.samples))
 }
 
 func (m *movingAverage) duration() time.Duration { return time.Duration(m.value) }
 
-// peakDecay is the time constant with which the peak of a rate decays. It is several times the duration of a fault, so
-// that the peak survives one.
-const peakDecay = time.Minute
+// peakDecayTime is the time constant with which the peak of a rate decays. It is several times the duration of a fault,
+// so that the peak survives one.
+const peakDecayTime = time.Minute
 
 // decayingRate is a rate per second: an exponentially decaying sum divided by its span. peak is the recent maximum of
 // the rate, for which the sum is divided by the observed part of the span.
@@ -41,7 +41,7 @@
 		d.startedAt = now
 	}
 	d.value = d.valueAt(now, span) + amount/max(span, ms).Seconds()
-	decayedPeak := d.peak * math.Exp(-float64(now-d.updatedAt)/float64(peakDecay))
+	decayedPeak := d.peak * math.Exp(-float64(now-d.updatedAt)/float64(peakDecayTime))
 	d.peak = max(decayedPeak, d.value/observedFraction(now-d.startedAt, span))
 	d.updatedAt = now
 }
--- a/policy/routing/objecthistory.go
+++ b/policy/routing/objecthistory.go
@@ -4,10 +4,10 @@
 
 const (
 	// historySize is the number of slots, a power of two. It is several times the number of objects that are requested
-	// within expectedCachedFor, so that few objects overwrite each other.
+	// within expectedCacheTime, so that few objects overwrite each other.
 	historySize = 1 << 14
-	// expectedCachedFor is the time for which a cache is expected to hold an object that is not requested again.
-	expectedCachedFor = 10 * time.Second
+	// expectedCacheTime is the time for which a cache is expected to hold an object that is not requested again.
+	expectedCacheTime = 10 * time.Second
 	// maxCountedRequests is the maximum of the counter of an object's requests, which has eight bits.
 	maxCountedRequests = 255
 )
@@ -57,7 +57,7 @@
 
 // isCachedAt reports whether an endpoint that has been running since startedAt is expected to hold the object.
 func (o *objectRecord) isCachedAt(index endpointIndex, startedAt, now time.Duration) bool {
-	return o.holder == index && now-o.seenAt < expectedCachedFor && o.seenAt >= startedAt
+	return o.holder == index && now-o.seenAt < expectedCacheTime && o.seenAt >= startedAt
 }
 
 // isExpectedAt reports whether the endpoint is expected to hold the request's object.
--- a/policy/routing/objecthistory_test.go
+++ b/policy/routing/objecthistory_test.go
@@ -29,7 +29,7 @@
 	}{
 		"at its holder":            {3, 0, time.Minute + time.Second, true},
 		"at another endpoint":      {2, 0, time.Minute + time.Second, false},
-		"after too long":           {3, 0, time.Minute + expectedCachedFor, false},
+		"after too long":           {3, 0, time.Minute + expectedCacheTime, false},
 		"its holder was restarted": {3, time.Minute + 1, time.Minute + time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -6,36 +6,36 @@
 	// initialOriginLimit is the limit at the start, in fills. It admits the usual load of one router. A larger limit
 	// would overload the origin when many routers start together.
 	initialOriginLimit = 8
-	// wideOriginLimit is the value, in fills, up to which timely answers raise the limit at any load. The limit rises
+	// baseMaxOriginLimit is the value, in fills, up to which timely answers raise the limit at any load. The limit rises
 	// above it only if more than half as many fills are in flight. Late answers soon reduce a limit that is too high.
-	wideOriginLimit = 24
+	baseMaxOriginLimit = 24
 	// minOriginLimit is the lower bound of the limit, in fills. With less, no trial fills would be sent.
 	minOriginLimit = 1
 	// originFailureInterval is the time within which several failures reduce the limit only once. Their attempts were
 	// in flight together, so their failures have the same cause.
 	originFailureInterval = 100 * ms
-	// sparableWait is the largest share of the usual wait that the admission of a fill may leave out of its prediction.
+	// maxWaitDiscount is the maximum share of the usual wait that is subtracted from the prediction for admitting a fill.
 	// Half of all waits are shorter than the usual wait, so that many such fills end in time. A share of 0.7 has no
 	// advantage.
-	sparableWait = 0.5
+	maxWaitDiscount = 0.5
 	// limitIncrease is the number of fills by which a timely answer raises the limit. scarceLimitIncrease is the
 	// additional number at a scarcity of 1.
 	limitIncrease       = 0.5
 	scarceLimitIncrease = 1.5
-	// limitDecrease is the factor by which a failure multiplies the limit. scarceLimitDecrease is subtracted from the
-	// factor at a scarcity of 1.
-	limitDecrease       = 0.75
+	// limitDecreaseFactor is the factor by which a failure multiplies the limit. scarceLimitDecrease is subtracted from
+	// the factor at a scarcity of 1.
+	limitDecreaseFactor = 0.75
 	scarceLimitDecrease = 0.7
 	// limitHeadroom is the multiple of the fills in flight up to which the limit may rise.
 	limitHeadroom = 2
-	// waitPace is the share of the usual wait by which an observation moves it. The share grows by waitPacePerSecond
-	// with the time since the last observation, up to maxWaitPace.
-	waitPace          = 0.07
-	waitPacePerSecond = 0.15
-	maxWaitPace       = 0.4
-	// originLimiterCaches is the number of caches for which a router has a full limit. A router that shares few caches
+	// waitStepShare is the share of the usual wait by which an observation moves the usual wait. The share grows by
+	// waitStepSharePerSecond with the time since the last observation, up to maxWaitStepShare.
+	waitStepShare          = 0.07
+	waitStepSharePerSecond = 0.15
+	maxWaitStepShare       = 0.4
+	// fullOriginLimitCaches is the number of caches for which a router has a full limit. A router that shares few caches
 	// with many other routers has a smaller limit. A limit below one fill admits fills only part of the time.
-	originLimiterCaches = 4
+	fullOriginLimitCaches = 4
 	// originTrialInterval is the mean interval between trials of a router with a full limit while the limiter is closed.
 	// Failures may reach all routers at the same time, and without the interval all would send a trial at once. Parents
 	// and caches also retry the origin on their own.
@@ -48,16 +48,16 @@
 // many caches are empty. Its drawback: if a few slow answers close the limiter, requests are rejected that the origin
 // could have served.
 type originLimiter struct {
-	limit       float64
-	share       float64       // this router's share of a full limit
-	inFlight    concurrency   // fills that wait for the origin
-	wait        time.Duration // usual time to the first byte of a fill through the origin
-	originShare float64       // share of the parents' fills that reached the origin
-	reducedAt   time.Duration
-	goodAt      time.Duration // time of the last timely answer
-	observedAt  time.Duration // time of the last observation of the wait
-	nextTrial   time.Duration // earliest time of the next trial while the limiter is closed
-	closed      bool          // whether the limiter was last logged as closed
+	limit        float64
+	share        float64       // this router's share of a full limit
+	inFlight     concurrency   // fills that wait for the origin
+	wait         time.Duration // usual time to the first byte of a fill through the origin
+	originShare  float64       // share of the parents' fills that reached the origin
+	reducedAt    time.Duration
+	lastTimelyAt time.Duration // time of the last timely answer
+	observedAt   time.Duration // time of the last observation of the wait
+	nextTrial    time.Duration // earliest time of the next trial while the limiter is closed
+	closed       bool          // whether the limiter was last logged as closed
 }
 
 // observe takes the wait of a fill through the origin, and whether its request is late.
@@ -67,16 +67,16 @@
 		o.recordFailure(now)
 		return
 	}
-	o.goodAt = now
-	widest := max(wideOriginLimit, limitHeadroom*o.inFlight.current/o.share)
-	o.limit = min(widest, o.limit+limitIncrease+scarceLimitIncrease*o.scarcity())
+	o.lastTimelyAt = now
+	maxLimit := max(baseMaxOriginLimit, limitHeadroom*o.inFlight.current/o.share)
+	o.limit = min(maxLimit, o.limit+limitIncrease+scarceLimitIncrease*o.scarcity())
 }
 
 // observeWait adjusts the usual wait, which is a running median. Waits are skewed, and a few long waits do not make the
 // next request late. If answers are rare, each moves the median further.
 func (o *originLimiter) observeWait(wait, now time.Duration) {
-	pace := min(maxWaitPace, waitPace+waitPacePerSecond*(now-o.observedAt).Seconds())
-	step := time.Duration(pace * float64(o.wait))
+	share := min(maxWaitStepShare, waitStepShare+waitStepSharePerSecond*(now-o.observedAt).Seconds())
+	step := time.Duration(share * float64(o.wait))
 	o.observedAt = now
 	switch {
 	case o.wait == 0:
@@ -92,7 +92,7 @@
 func (o *originLimiter) recordFailure(now time.Duration) {
 	if now-o.reducedAt >= originFailureInterval {
 		o.reducedAt = now
-		o.limit = max(minOriginLimit, o.limit*(limitDecrease-scarceLimitDecrease*o.scarcity()))
+		o.limit = max(minOriginLimit, o.limit*(limitDecreaseFactor-scarceLimitDecrease*o.scarcity()))
 	}
 }
 
@@ -122,10 +122,10 @@
 // end stops counting a fill that has ended or no longer waits for the origin.
 func (o *originLimiter) end(part float64, now time.Duration) { o.inFlight.add(-part, now) }
 
-// sparedWait returns the part of the usual wait that the admission of a fill leaves out of its prediction. The part
-// grows with the limit.
-func (o *originLimiter) sparedWait() time.Duration {
-	return time.Duration(sparableWait * (1 - o.scarcity()) * min(1, o.limit/wideOriginLimit) * float64(o.wait))
+// waitDiscount returns the part of the usual wait that is subtracted from the prediction for admitting a fill. It grows
+// with the limit.
+func (o *originLimiter) waitDiscount() time.Duration {
+	return time.Duration(maxWaitDiscount * (1 - o.scarcity()) * min(1, o.limit/baseMaxOriginLimit) * float64(o.wait))
 }
 
 // updateClosed reports whether the limiter has closed or opened since the last call. It counts as open again only at
@@ -152,7 +152,7 @@
 }
 
 // mayReachOrigin reports whether a fill that may have to wait for the origin is admitted: the limiter has capacity and
-// the fill is predicted in time, less the spared wait. One fill at a time is admitted whatever its prediction, since
+// the fill is predicted in time, less the wait discount. One fill at a time is admitted whatever its prediction, since
 // otherwise no router would notice that the origin has recovered.
 func (r *Router) mayReachOrigin(req *request, index, source endpointIndex) bool {
 	if source == noEndpoint || r.now >= req.objectiveAt {
@@ -163,7 +163,7 @@
 	if predicted.needsFill && source != r.origin {
 		expected += r.originLimiter.wait
 	}
-	expected -= r.originLimiter.sparedWait()
+	expected -= r.originLimiter.waitDiscount()
 	if r.originLimiter.hasCapacity(minOriginLimit, r.now) {
 		return true
 	}
@@ -172,5 +172,5 @@
 
 // originLimiterShare returns this router's share of a full limit.
 func (r *Router) originLimiterShare() float64 {
-	return min(1, r.trafficShare*float64(max(1, len(r.caches.members)))/originLimiterCaches)
+	return min(1, r.trafficShare*float64(max(1, len(r.caches.members)))/fullOriginLimitCaches)
 }
--- a/policy/routing/outlier.go
+++ b/policy/routing/outlier.go
@@ -5,15 +5,15 @@
 // Weights with which a failure or a success moves the failure rate towards 1 or 0. Silence or a failed connect weighs
 // more than an error answer, a broken connection or a slow fill.
 const (
-	softFailure   = 0.15
-	hardFailure   = 0.3
-	successWeight = 0.15
+	softFailureWeight = 0.15
+	hardFailureWeight = 0.3
+	successWeight     = 0.15
 )
 
 const (
-	// ejectionRate is the failure rate above which an endpoint is ejected: after two failed connects or four error
+	// ejectionThreshold is the failure rate above which an endpoint is ejected: after two failed connects or four error
 	// answers in a row.
-	ejectionRate = 0.45
+	ejectionThreshold = 0.45
 	// firstTrialInterval is the delay from the ejection to the first trial. Each failed trial doubles the interval, up
 	// to maxTrialInterval.
 	firstTrialInterval = time.Second
@@ -21,11 +21,11 @@
 	// trialGapDivisor divides the trial interval to give the delay between a trial and the next, if the first has not
 	// failed.
 	trialGapDivisor = 4
-	// successesToReturn is the number of consecutive successes that end an ejection.
-	successesToReturn = 3
-	// parentRemapAfter is the time after which the arc of an ejected parent moves to the next parent. The design
+	// successesToRecover is the number of consecutive successes that end an ejection.
+	successesToRecover = 3
+	// parentRemapDelay is the time after which the arc of an ejected parent moves to the next parent. The design
 	// specifies 10 s, so that a brief failure moves no arc.
-	parentRemapAfter = 10 * time.Second
+	parentRemapDelay = 10 * time.Second
 )
 
 // outlierDetector tracks the failures of a cache or a parent. An endpoint with a high failure rate is ejected. An
@@ -48,7 +48,7 @@
 // isRemapped reports whether a parent has been ejected for so long that its arc belongs to the next parent, except when
 // a trial is due.
 func (o *outlierDetector) isRemapped(now time.Duration) bool {
-	return o.ejected && now-o.ejectedAt >= parentRemapAfter && now < o.nextTrial
+	return o.ejected && now-o.ejectedAt >= parentRemapDelay && now < o.nextTrial
 }
 
 // beginTrial records that an attempt is sent. If the endpoint is ejected, the attempt is a trial and the next trial is
@@ -60,16 +60,16 @@
 }
 
 // recordFailure counts a failure and reports whether it ejects the endpoint.
-func (o *outlierDetector) recordFailure(severity float64, now time.Duration) (isEjection bool) {
-	o.failureRate += severity * (1 - o.failureRate)
+func (o *outlierDetector) recordFailure(weight float64, now time.Duration) (isEjection bool) {
+	o.failureRate += weight * (1 - o.failureRate)
 	o.successes = 0
-	o.wasSilent = severity == hardFailure
+	o.wasSilent = weight == hardFailureWeight
 	if o.ejected {
 		o.trialInterval = min(maxTrialInterval, 2*o.trialInterval)
 		o.nextTrial = now + o.trialInterval
 		return false
 	}
-	if o.failureRate <= ejectionRate {
+	if o.failureRate <= ejectionThreshold {
 		return false
 	}
 	o.ejected, o.ejectedAt = true, now
@@ -96,7 +96,7 @@
 	}
 	o.wasSilent = o.wasSilent && sentAt >= o.ejectedAt && !fromCache
 	o.successes++
-	if o.successes < successesToReturn {
+	if o.successes < successesToRecover {
 		return recoveryNone
 	}
 	ended := recoveryReturned
@@ -113,8 +113,8 @@
 }
 
 // recordFailure counts a failure of an endpoint, and logs an ejection.
-func (r *Router) recordFailure(index endpointIndex, severity float64) {
-	if r.endpoints[index].outlier.recordFailure(severity, r.now) {
+func (r *Router) recordFailure(index endpointIndex, weight float64) {
+	if r.endpoints[index].outlier.recordFailure(weight, r.now) {
 		r.logEndpoint("ejected", index)
 	}
 }
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -7,16 +7,16 @@
 
 func TestOutlierIsEjectedByFailures(t *testing.T) {
 	for name, test := range map[string]struct {
-		severity float64
-		want     int
+		weight float64
+		want   int
 	}{
-		"lost connections": {hardFailure, 2},
-		"errors":           {softFailure, 4},
+		"lost connections": {hardFailureWeight, 2},
+		"errors":           {softFailureWeight, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var detector outlierDetector
 			failures := 1
-			for ; !detector.recordFailure(test.severity, time.Minute); failures++ {
+			for ; !detector.recordFailure(test.weight, time.Minute); failures++ {
 				if failures > 100 {
 					t.Fatal("not ejected after 100 failures")
 				}
@@ -31,7 +31,7 @@
 func TestSuccessesKeepAnEndpointIn(t *testing.T) {
 	var detector outlierDetector
 	for range 1000 {
-		if detector.recordFailure(softFailure, time.Minute) {
+		if detector.recordFailure(softFailureWeight, time.Minute) {
 			t.Fatal("ejected although most attempts succeed")
 		}
 		for range 3 {
@@ -42,7 +42,7 @@
 
 func ejectedDetector(now time.Duration) outlierDetector {
 	var detector outlierDetector
-	for !detector.recordFailure(hardFailure, now) {
+	for !detector.recordFailure(hardFailureWeight, now) {
 	}
 	return detector
 }
@@ -65,32 +65,32 @@
 		if detector.allowsAttempt(now) {
 			t.Error("a second attempt is allowed at the time of the trial")
 		}
-		detector.recordFailure(hardFailure, now)
+		detector.recordFailure(hardFailureWeight, now)
 	}
 }
 
 func TestThreeSuccessesEndAnEjection(t *testing.T) {
 	ejectedAt := time.Minute
 	for name, test := range map[string]struct {
-		severity  float64
+		weight    float64
 		sentAt    time.Duration
 		fromCache bool
 		want      recovery
 	}{
-		"after errors":                     {softFailure, ejectedAt + time.Second, false, recoveryReturned},
-		"after silence":                    {hardFailure, ejectedAt + time.Second, false, recoveryRestarted},
-		"after silence, from a copy":       {hardFailure, ejectedAt + time.Second, true, recoveryReturned},
-		"after silence, sent before it":    {hardFailure, ejectedAt - time.Second, false, recoveryReturned},
-		"after silence, sent as it began ": {hardFailure, ejectedAt, false, recoveryRestarted},
+		"after errors":                     {softFailureWeight, ejectedAt + time.Second, false, recoveryReturned},
+		"after silence":                    {hardFailureWeight, ejectedAt + time.Second, false, recoveryRestarted},
+		"after silence, from a copy":       {hardFailureWeight, ejectedAt + time.Second, true, recoveryReturned},
+		"after silence, sent before it":    {hardFailureWeight, ejectedAt - time.Second, false, recoveryReturned},
+		"after silence, sent as it began ": {hardFailureWeight, ejectedAt, false, recoveryRestarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var detector outlierDetector
-			for !detector.recordFailure(test.severity, ejectedAt) {
+			for !detector.recordFailure(test.weight, ejectedAt) {
 			}
-			for i := range successesToReturn {
+			for i := range successesToRecover {
 				got := detector.recordSuccess(test.sentAt, test.fromCache)
 				want := recoveryNone
-				if i == successesToReturn-1 {
+				if i == successesToRecover-1 {
 					want = test.want
 				}
 				if got != want {
@@ -111,8 +111,8 @@
 		now  time.Duration
 		want bool
 	}{
-		"brief failure":   {time.Minute + parentRemapAfter - 1, false},
-		"long failure":    {time.Minute + parentRemapAfter, true},
+		"brief failure":   {time.Minute + parentRemapDelay - 1, false},
+		"long failure":    {time.Minute + parentRemapDelay, true},
 		"due for a trial": {2 * time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/policy/routing/relay.go
+++ b/policy/routing/relay.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// relayFor is the time after a list change in which objects of a moved arc are filled from the previous owner. The
-	// design specifies 30 s.
-	relayFor = 30 * time.Second
+	// relayDuration is the time after a list change in which objects of a moved arc are filled from the previous owner.
+	// The design specifies 30 s.
+	relayDuration = 30 * time.Second
 	// maxPreviousRings is the number of previous rings that are kept. A deployment changes the list every few seconds.
 	maxPreviousRings = 3
 )
@@ -39,13 +39,13 @@
 		return index != req.cache && r.isUsable(index) && !r.endpoints[index].outlier.ejected &&
 			r.warmFraction(index) >= 1
 	}
-	for i := len(r.previousRings) - 1; i >= 0 && r.now-r.previousRings[i].replacedAt < relayFor; i-- {
+	for i := len(r.previousRings) - 1; i >= 0 && r.now-r.previousRings[i].replacedAt < relayDuration; i-- {
 		owner := r.previousRings[i].ring.owner(req.hash)
 		if owner != noEndpoint && hasCopies(owner) {
 			return owner
 		}
 	}
-	if r.now-r.endpoints[req.cache].slowStart.startedAt < relayFor {
+	if r.now-r.endpoints[req.cache].slowStart.startedAt < relayDuration {
 		return r.caches.find(req.hash, hasCopies)
 	}
 	return noEndpoint
--- a/policy/routing/request.go
+++ b/policy/routing/request.go
@@ -34,25 +34,25 @@
 
 // request is an open request, or a closed request with attempts that have not ended.
 type request struct {
-	id           RequestID
-	class        ClassID
-	object       ObjectID
-	group        GroupID
-	hash         uint64        // position of the object on the rings
-	deadline     time.Duration // the client gives up at this time
-	objectiveAt  time.Duration // an answer after this time misses the latency objective
-	transferTime time.Duration // on links without congestion
-	retryWriteAt time.Duration // time of the next attempt of a write, 0: none planned
-	sizeTold     bool          // the request includes its size
-	sizeKnown    bool          // the request includes its size, or the object's history has it
-	overQuota    bool          // the tenant has exceeded its quota
-	state        requestState
-	stage        fillStage
-	cache        endpointIndex // the cache that serves the current attempt
-	failedBy     endpointIndex // the endpoint that last answered with an error without a note
-	attempts     [maxAttempts]attempt
-	attemptCount int
-	inFlight     int // attempts that have not ended
+	id            RequestID
+	class         ClassID
+	object        ObjectID
+	group         GroupID
+	hash          uint64        // position of the object on the rings
+	deadline      time.Duration // the client gives up at this time
+	objectiveAt   time.Duration // an answer after this time misses the latency objective
+	transferTime  time.Duration // on links without congestion
+	retryWriteAt  time.Duration // time of the next attempt of a write, 0: none planned
+	sizeInRequest bool          // the request includes its size
+	sizeKnown     bool          // the request includes its size, or the object's history has it
+	overQuota     bool          // the tenant has exceeded its quota
+	state         requestState
+	stage         fillStage
+	cache         endpointIndex // the cache that serves the current attempt
+	lastErrorFrom endpointIndex // the endpoint that last answered with an error without a note
+	attempts      [maxAttempts]attempt
+	attemptCount  int
+	inFlight      int // attempts that have not ended
 }
 
 // isOpen reports whether the client is still waiting for the answer or the end of the answer.
@@ -65,8 +65,8 @@
 	})
 }
 
-// hasAsked reports whether an attempt was sent to the endpoint.
-func (q *request) hasAsked(index endpointIndex) bool {
+// hasTriedEndpoint reports whether an attempt was sent to the endpoint.
+func (q *request) hasTriedEndpoint(index endpointIndex) bool {
 	return slices.ContainsFunc(q.sentAttempts(), func(att attempt) bool { return att.endpoint == index })
 }
 
@@ -77,7 +77,7 @@
 
 // isLinkSample reports whether the request's transfer is suitable for estimating the congestion of a link: its size is
 // known, and it is not short.
-func (q *request) isLinkSample() bool { return q.sizeKnown && q.transferTime >= minLinkSample }
+func (q *request) isLinkSample() bool { return q.sizeKnown && q.transferTime >= minLinkSampleTime }
 
 func (q *request) sentAttempts() []attempt { return q.attempts[:q.attemptCount] }
 
--- a/policy/routing/retry.go
+++ b/policy/routing/retry.go
@@ -17,16 +17,16 @@
 
 func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens} }
 
-// earn adds the tokens of one request.
-func (b *retryBudget) earn() {
+// deposit adds the tokens of one request.
+func (b *retryBudget) deposit() {
 	b.tokens = min(maxRetryTokens, b.tokens+retryTokensPerRequest)
 }
 
-// canSpend reports whether at least one token is left.
-func (b *retryBudget) canSpend() bool { return b.tokens >= 1 }
+// hasToken reports whether at least one token is left.
+func (b *retryBudget) hasToken() bool { return b.tokens >= 1 }
 
-// spend takes a token and reports whether one was left. If less than one token is left, spend drops the remainder.
-func (b *retryBudget) spend() bool {
+// take takes a token and reports whether one was left. If less than one token is left, take drops the remainder.
+func (b *retryBudget) take() bool {
 	b.tokens--
 	if b.tokens < 0 {
 		b.tokens = 0
--- a/policy/routing/retry_test.go
+++ b/policy/routing/retry_test.go
@@ -8,17 +8,17 @@
 func TestRetryBudgetIsLimited(t *testing.T) {
 	budget := newRetryBudget()
 	spent := 0
-	for budget.spend() {
+	for budget.take() {
 		spent++
 	}
 	if spent != maxRetryTokens {
 		t.Errorf("got a burst of %d retries, want %d", spent, maxRetryTokens)
 	}
 	for range 40 {
-		budget.earn()
+		budget.deposit()
 	}
-	for spent = 0; budget.canSpend(); spent++ {
-		budget.spend()
+	for spent = 0; budget.hasToken(); spent++ {
+		budget.take()
 	}
 	if spent != 10 {
 		t.Errorf("got %d retries for 40 requests, want 10", spent)
@@ -28,7 +28,7 @@
 func TestRetryBudgetSavesNoMoreThanABurst(t *testing.T) {
 	budget := newRetryBudget()
 	for range 1000 {
-		budget.earn()
+		budget.deposit()
 	}
 	if budget.tokens != maxRetryTokens {
 		t.Errorf("got %v tokens, want %d", budget.tokens, maxRetryTokens)
--- a/policy/routing/ring_test.go
+++ b/policy/routing/ring_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func evenRing(weights ...float64) ring {
+func ringWithWeights(weights ...float64) ring {
 	var members []ringMember
 	for i, weight := range weights {
 		members = append(members, ringMember{endpointIndex(i), EndpointID(1000 + 7919*i), weight})
@@ -31,7 +31,7 @@
 		"no weights told": {0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			built, total := evenRing(weights...), 0.0
+			built, total := ringWithWeights(weights...), 0.0
 			for _, weight := range weights {
 				total += weight
 			}
@@ -49,7 +49,7 @@
 }
 
 func TestRingMovesOnlyObjectsOfALostMember(t *testing.T) {
-	before, after := evenRing(1, 1, 1, 1), evenRing(1, 1, 1)
+	before, after := ringWithWeights(1, 1, 1, 1), ringWithWeights(1, 1, 1)
 	for object := range uint64(5000) {
 		owner := before.owner(mix(object))
 		if owner < 3 && after.owner(mix(object)) != owner {
@@ -59,7 +59,7 @@
 }
 
 func TestRingFindVisitsEachMemberOnce(t *testing.T) {
-	built := evenRing(1, 1, 1, 1, 1)
+	built := ringWithWeights(1, 1, 1, 1, 1)
 	for range 3 {
 		var visited []endpointIndex
 		found := built.find(42, func(index endpointIndex) bool {
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -17,12 +17,12 @@
 	// tickInterval is the interval at which open requests are checked. It is well below the shortest latency objective,
 	// and a check is cheap.
 	tickInterval = 20 * ms
-	// endpointListRetryWait is the delay before the endpoint list is requested again after a failure. A random delay of
+	// endpointListRetryDelay is the delay before the endpoint list is requested again after a failure. A random delay of
 	// up to the same length is added.
-	endpointListRetryWait = 250 * ms
-	// untoldTransferFactor limits a transfer time that may include the wait for a fill, as a share of the latency
+	endpointListRetryDelay = 250 * ms
+	// maxInferredTransferShare limits a transfer time that may include the wait for a fill, as a share of the latency
 	// objective. A longer time would by itself reject each later request, and no shorter time would ever be observed.
-	untoldTransferFactor = 0.95
+	maxInferredTransferShare = 0.95
 )
 
 // Router makes the routing decisions of one router instance.
@@ -49,11 +49,11 @@
 	retries      retryBudget
 	purges       []purge
 
-	ingress          link // link into the location, observed by this router's fills
-	originLimiter    originLimiter
-	trafficShare     float64 // this router's share of its location's requests
-	nextHealthCheck  time.Duration
-	sinceHealthCheck int // requests since the last health check
+	ingress                  link // link into the location, observed by this router's fills
+	originLimiter            originLimiter
+	trafficShare             float64 // this router's share of its location's requests
+	nextHealthCheck          time.Duration
+	requestsSinceHealthCheck int // requests since the last health check
 }
 
 // New returns a router with the settings and no endpoints. The seed initializes its random number generator.
@@ -160,7 +160,7 @@
 		return
 	}
 	req := r.addRequest(event)
-	r.retries.earn()
+	r.retries.deposit()
 	if r.settings.Classes[req.class].Write {
 		r.sendWrite(req)
 		return
@@ -175,36 +175,36 @@
 // quota.
 func (r *Router) addRequest(event *Event) *request {
 	class := &r.settings.Classes[event.Class]
-	r.sinceHealthCheck++
+	r.requestsSinceHealthCheck++
 	req := r.requests.add(event.Request)
 	req.class, req.object, req.group = event.Class, event.Object, event.Group
 	req.hash = event.objectHash()
 	req.deadline = r.now + event.TimeLeft
-	req.cache, req.failedBy = noEndpoint, noEndpoint
-	r.estimateTransfer(req, event.SizeKB)
+	req.cache, req.lastErrorFrom = noEndpoint, noEndpoint
+	r.estimateTransferTime(req, event.SizeKB)
 	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(req.transferTime))
 	req.objectiveAt = min(req.deadline, r.now+objective)
 	req.overQuota = r.isOverQuota(event.Tenant)
 	return req
 }
 
-// estimateTransfer sets the transfer time of a request from sizeKB, else from the object's history, else from the mean
-// of its class. sizeKB is 0 if the request does not include a size.
-func (r *Router) estimateTransfer(req *request, sizeKB float64) {
+// estimateTransferTime sets the transfer time of a request from sizeKB, else from the object's history, else from the
+// mean of its class. sizeKB is 0 if the request does not include a size.
+func (r *Router) estimateTransferTime(req *request, sizeKB float64) {
 	class, usual := &r.settings.Classes[req.class], &r.classStats[req.class].transferTime
 	record := r.history.find(req.hash)
-	req.sizeTold = sizeKB > 0 && r.settings.FlowKBPerSecond > 0 && !class.Write
-	req.sizeKnown = req.sizeTold || record != nil && record.transferTime > 0
+	req.sizeInRequest = sizeKB > 0 && r.settings.FlowKBPerSecond > 0 && !class.Write
+	req.sizeKnown = req.sizeInRequest || record != nil && record.transferTime > 0
 	req.transferTime = usual.duration()
 	switch {
-	case req.sizeTold:
+	case req.sizeInRequest:
 		req.transferTime = time.Duration(sizeKB / r.settings.FlowKBPerSecond * float64(time.Second))
-		usual.add(req.transferTime, transferTimePace)
+		usual.add(req.transferTime, transferTimeWeight)
 	case req.sizeKnown:
 		req.transferTime = record.transferTime
 	}
-	if r.settings.ResponseDetail == DetailNone && !req.sizeTold && !class.Write {
-		longest := time.Duration(untoldTransferFactor / predictionMargin * float64(class.LatencyObjective))
+	if r.settings.ResponseDetail == DetailNone && !req.sizeInRequest && !class.Write {
+		longest := time.Duration(maxInferredTransferShare / predictionMargin * float64(class.LatencyObjective))
 		req.transferTime = min(req.transferTime, longest)
 	}
 }
@@ -311,7 +311,7 @@
 	}
 	// A retry after a failure, unlike one after a miss, needs a token. Otherwise retries multiply the load of a fault.
 	if following.kind != rejectRequest && failure != failureNotCached {
-		if !r.retries.spend() || r.now >= req.objectiveAt {
+		if !r.retries.take() || r.now >= req.objectiveAt {
 			following.kind = rejectRequest
 		}
 	}
--- a/policy/routing/selection.go
+++ b/policy/routing/selection.go
@@ -1,8 +1,8 @@
 package routing
 
-// maxSpill is the number of caches after the first suitable one that may serve a request instead because it would be
-// late at the first. More would spread copies of all objects over the location.
-const maxSpill = 1
+// maxSpillover is the number of caches after the first suitable one that may serve a request which would be late at the
+// first. More would spread copies of all objects over the location.
+const maxSpillover = 1
 
 // strictness says which conditions a cache has to meet. If no cache meets all conditions, fewer are required.
 type strictness uint8
@@ -22,48 +22,48 @@
 	if isFailing {
 		source = r.origin
 	}
-	for strict := strictAll; strict < strictnessCount; strict++ {
-		first, inTime := r.findCache(req, source, strict)
+	for level := strictAll; level < strictnessCount; level++ {
+		first, inTime := r.findCache(req, source, level)
 		if inTime != noEndpoint {
 			return inTime
 		}
-		if first != noEndpoint || strict == strictHealth && r.settings.AllowDirect {
+		if first != noEndpoint || level == strictHealth && r.settings.AllowDirect {
 			return first
 		}
 	}
 	return noEndpoint
 }
 
-// findCache returns the first cache that meets the conditions, and the first such cache within maxSpill that is
+// findCache returns the first cache that meets the conditions, and the first such cache within maxSpillover that is
 // predicted in time.
-func (r *Router) findCache(req *request, source endpointIndex, strict strictness) (first, inTime endpointIndex) {
+func (r *Router) findCache(req *request, source endpointIndex, level strictness) (first, inTime endpointIndex) {
 	first = noEndpoint
-	left := maxSpill + 1
+	remaining := maxSpillover + 1
 	found := r.caches.find(req.hash, func(index endpointIndex) bool {
-		if !r.mayServe(req, index, strict) {
+		if !r.mayServe(req, index, level) {
 			return false
 		}
 		if first == noEndpoint {
 			first = index
 		}
-		left--
-		return left < 0 || r.isInTime(req, index, source)
+		remaining--
+		return remaining < 0 || r.isInTime(req, index, source)
 	})
-	if left < 0 {
+	if remaining < 0 {
 		return first, noEndpoint
 	}
 	return first, found
 }
 
 // mayServe reports whether a cache meets the conditions.
-func (r *Router) mayServe(req *request, index endpointIndex, strict strictness) bool {
-	if strict < strictHealth && !r.takesObject(index, req.hash) {
+func (r *Router) mayServe(req *request, index endpointIndex, level strictness) bool {
+	if level < strictHealth && !r.takesObject(index, req.hash) {
 		return false
 	}
-	if strict < strictNone && !r.isHealthy(index) {
+	if level < strictNone && !r.isHealthy(index) {
 		return false
 	}
-	return r.hasBudget(req, index) && !req.hasAsked(index)
+	return r.hasBudget(req, index) && !req.hasTriedEndpoint(index)
 }
 
 // pickParent returns the ring's parent for the object, and whether the parent is ejected. The arc of a parent that has
--- a/policy/routing/shedding.go
+++ b/policy/routing/shedding.go
@@ -9,9 +9,9 @@
 	// overQuotaFactor is the factor by which the predicted duration of a request is increased if its tenant is over its
 	// quota.
 	overQuotaFactor = 2
-	// usualRetryAfter is the mean delay before a rejected client may retry, about one latency objective. Delays are
+	// meanRetryAfter is the mean delay before a rejected client may retry, about one latency objective. Delays are
 	// random, so that clients do not return all at once.
-	usualRetryAfter = 300 * ms
+	meanRetryAfter = 300 * ms
 )
 
 // isInTime is the admission test. It reports whether an answer of the endpoint, filled from the source, is predicted
@@ -58,7 +58,7 @@
 // or overloaded for any reason.
 func (r *Router) sendToLocalCache(req *request) bool {
 	class := &r.settings.Classes[req.class]
-	if r.localCache == noEndpoint || class.Idempotency != Idempotent || class.Write || req.hasAsked(r.localCache) {
+	if r.localCache == noEndpoint || class.Idempotency != Idempotent || class.Write || req.hasTriedEndpoint(r.localCache) {
 		return false
 	}
 	return r.isInTime(req, r.localCache, noEndpoint) &&
@@ -77,7 +77,7 @@
 	if !r.settings.RetryAfter {
 		return 0
 	}
-	wait := usualRetryAfter/2 + time.Duration(r.random.float()*float64(usualRetryAfter))
+	wait := meanRetryAfter/2 + time.Duration(r.random.float()*float64(meanRetryAfter))
 	return min(r.settings.MaxRetryAfter, wait)
 }
 
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// budgetSafety is the share of a cold endpoint's budget that all routers together use on average. The rest is left
-	// for random bursts.
-	budgetSafety = 0.6
-	// guessedThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until one has
+	// budgetSafetyFactor is the share of a cold endpoint's budget that all routers together use on average. The rest is
+	// left for random bursts.
+	budgetSafetyFactor = 0.6
+	// defaultThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until one has
 	// been observed.
-	guessedThroughput = 1
+	defaultThroughput = 1
 	// minBudgetRate is the budget rate, in seconds of transfers per second, if a setting is missing. It is almost zero,
 	// since nothing is known about the load that the endpoint can bear, but a rate of zero would be a division by zero.
 	minBudgetRate = 1e-6
@@ -57,14 +57,14 @@
 	return true
 }
 
-// consume counts a number of requests (times), each with a transfer time (weight), and delays the next request to the
-// cold endpoint accordingly. throughput is the throughput of this router's share of the warm endpoint. Unused budget is
+// consume counts a number of requests (count), each with the transfer time, and delays the next request to the cold
+// endpoint accordingly. throughput is this router's share of the throughput of the warm endpoint. Unused budget is
 // saved up to the amount that the endpoint can bear within the overload window in addition to the continuing requests.
-func (s *slowStart) consume(times float64, weight time.Duration, throughput float64, now time.Duration) {
-	rate := max(minBudgetRate, budgetSafety*s.settings.overloadFactor*s.warmFraction(now)*throughput)
-	gap := time.Duration(float64(weight) / rate)
-	saved := time.Duration((1/budgetSafety - 1) * float64(s.settings.overloadWindow))
-	s.nextAllowed = max(s.nextAllowed, now-max(0, saved-gap)) + time.Duration(times*float64(gap))
+func (s *slowStart) consume(count float64, transferTime time.Duration, throughput float64, now time.Duration) {
+	rate := max(minBudgetRate, budgetSafetyFactor*s.settings.overloadFactor*s.warmFraction(now)*throughput)
+	gap := time.Duration(float64(transferTime) / rate)
+	saved := time.Duration((1/budgetSafetyFactor - 1) * float64(s.settings.overloadWindow))
+	s.nextAllowed = max(s.nextAllowed, now-max(0, saved-gap)) + time.Duration(count*float64(gap))
 }
 
 // slowStartOf returns the initial slow start of an endpoint with the role.
@@ -106,21 +106,21 @@
 	return r.now >= ramp.nextAllowed
 }
 
-// consumeBudget counts a number of requests (times) against the budget of a cold endpoint. A router whose share of the
+// consumeBudget counts a number of requests (count) against the budget of a cold endpoint. A router whose share of the
 // budget is less than one request starts with a random delay, so that many routers together keep the budget. This
 // enforces rule 4 under unusual load: a lost location, retries, a failed neighbour.
-func (r *Router) consumeBudget(req *request, index endpointIndex, times float64) {
+func (r *Router) consumeBudget(req *request, index endpointIndex, count float64) {
 	ramp := &r.endpoints[index].slowStart
 	if ramp.warmFraction(r.now) >= 1 {
 		return
 	}
-	ramp.consume(times, r.budgetWeight(req), r.warmThroughput(index), r.now)
+	ramp.consume(count, r.budgetTransferTime(req), r.warmThroughput(index), r.now)
 }
 
-// budgetWeight returns the transfer time with which a request is counted. Until sizes are known, it is the latency
-// objective, which is longer than any usual transfer.
-func (r *Router) budgetWeight(req *request) time.Duration {
-	if stats := &r.classStats[req.class]; stats.hasUsualSize() {
+// budgetTransferTime returns the transfer time with which a request is counted. Until sizes are known, it is the
+// latency objective, which is longer than any usual transfer.
+func (r *Router) budgetTransferTime(req *request) time.Duration {
+	if stats := &r.classStats[req.class]; stats.hasUsualTransferTime() {
 		return stats.usualTransferTime()
 	}
 	return r.settings.Classes[req.class].LatencyObjective
@@ -143,7 +143,7 @@
 			}
 		}
 	}
-	return max(guessedThroughput*r.trafficShareOf(index), sum/max(1, count))
+	return max(defaultThroughput*r.trafficShareOf(index), sum/max(1, count))
 }
 
 // throughputSpan returns the span over which the throughput of an endpoint is measured.
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -14,13 +14,13 @@
 // coldFleet describes a run of many routers with one cold endpoint. The traffic is uneven, and it increases when the
 // endpoint's neighbours are lost.
 type coldFleet struct {
-	routers  int
-	link     float64 // capacity of each warm endpoint's link in transfers
-	isParent bool    // the cold endpoint is a parent, else a cache
-	lostAt   time.Duration
-	quiet    float64 // traffic until lostAt, as a share of the usual traffic
-	failing  bool    // requests to the cold endpoint fail, so that they are retried
-	seed     uint64
+	routers    int
+	link       float64 // capacity of each warm endpoint's link in transfers
+	isParent   bool    // the cold endpoint is a parent, else a cache
+	lostAt     time.Duration
+	quietShare float64 // traffic until lostAt, as a share of the usual traffic
+	failing    bool    // requests to the cold endpoint fail, so that they are retried
+	seed       uint64
 
 	restartAt time.Duration // when some routers are killed and restarted at once, 0: never
 	restarted int           // number of restarted routers out of each ten
@@ -43,7 +43,7 @@
 	fails    bool
 }
 
-const fleetTurn = 10 * ms
+const fleetStep = 10 * ms
 
 // fleetRun is a run of a coldFleet.
 type fleetRun struct {
@@ -65,15 +65,15 @@
 	requests, served float64
 }
 
-// play runs the fleet. It returns the arrivals at the cold endpoint and the share of requests that were served.
-func (f *coldFleet) play(settings Settings, start time.Duration) (arrivals []arrival, served float64) {
+// simulate runs the fleet. It returns the arrivals at the cold endpoint and the share of requests that were served.
+func (f *coldFleet) simulate(settings Settings, start time.Duration) (arrivals []arrival, served float64) {
 	run := newFleetRun(*f, settings, start)
 	length := settings.SlowStartFor
 	if f.isParent {
 		length = settings.ParentSlowStartFor
 	}
-	for run.now = start; run.now < start+length; run.now += fleetTurn {
-		run.turn()
+	for run.now = start; run.now < start+length; run.now += fleetStep {
+		run.step()
 	}
 	return run.arrivals, run.served / run.requests
 }
@@ -127,17 +127,17 @@
 	return started
 }
 
-// isTurnOf reports whether a time after the start of the run lies within the current turn.
-func (f *fleetRun) isTurnOf(moment time.Duration) bool {
+// isStepOf reports whether a time after the start of the run lies within the current step.
+func (f *fleetRun) isStepOf(moment time.Duration) bool {
 	age := f.now - f.start
-	return moment > 0 && age >= moment && age < moment+fleetTurn
+	return moment > 0 && age >= moment && age < moment+fleetStep
 }
 
-func (f *fleetRun) turn() {
-	if f.isTurnOf(f.restartAt) {
+func (f *fleetRun) step() {
+	if f.isStepOf(f.restartAt) {
 		f.restartRouters()
 	}
-	if f.isTurnOf(f.lostAt) {
+	if f.isStepOf(f.lostAt) {
 		f.loseNeighbours()
 	}
 	for i, router := range f.routers {
@@ -177,11 +177,11 @@
 	}
 }
 
-// sendRequests sends a router its requests of the current turn.
+// sendRequests sends a router its requests of the current step.
 func (f *fleetRun) sendRequests(router int) {
-	rate := f.share[router] * 60 * f.link * fleetTurn.Seconds()
+	rate := f.share[router] * 60 * f.link * fleetStep.Seconds()
 	if f.lostAt > f.now-f.start {
-		rate *= f.quiet
+		rate *= f.quietShare
 	}
 	for sent := f.random.float(); sent < rate; sent++ {
 		f.requests++
@@ -235,10 +235,10 @@
 	f.carryOut(p.router)
 }
 
-// worst returns the maximum, over all overload windows, of the ratio of the work that reached the endpoint to the work
-// that it can bear. If the settings allow N requests per window at the end of the window, the endpoint can bear
+// worstRatio returns the maximum, over all overload windows, of the ratio of the work that reached the endpoint to the
+// work that it can bear. If the settings allow N requests per window at the end of the window, the endpoint can bear
 // N + 2*sqrt(N) + 2, which leaves room for random variation.
-func (f *coldFleet) worst(settings Settings, start time.Duration, arrivals []arrival) (worst float64) {
+func (f *coldFleet) worstRatio(settings Settings, start time.Duration, arrivals []arrival) (worstRatio float64) {
 	initial, duration, multiple := settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor
 	if f.isParent {
 		initial, duration = settings.ParentSlowStartShare, settings.ParentSlowStartFor
@@ -254,9 +254,9 @@
 		warm := initial + (1-initial)*float64(last.at-start)/float64(duration)
 		// In requests of mean work, which take a tenth of a second each.
 		bearable := multiple * warm * f.link / 0.1 * settings.OverloadWindow.Seconds()
-		worst = math.Max(worst, sum/(bearable+2*math.Sqrt(bearable)+2))
+		worstRatio = math.Max(worstRatio, sum/(bearable+2*math.Sqrt(bearable)+2))
 	}
-	return worst
+	return worstRatio
 }
 
 // fleetSettings returns settings in which weights are link capacities and requests may not bypass the caches.
@@ -269,8 +269,8 @@
 // run runs the fleet. It returns the worst ratio and a description of the result.
 func (f *coldFleet) run() (ratio float64, text string) {
 	start, settings := time.Minute, fleetSettings()
-	arrivals, served := f.play(settings, start)
-	ratio = f.worst(settings, start, arrivals)
+	arrivals, served := f.simulate(settings, start)
+	ratio = f.worstRatio(settings, start, arrivals)
 	return ratio, fmt.Sprintf("%.2f of the load that the endpoint can bear, %.2f of the requests served", ratio, served)
 }
 
@@ -283,7 +283,7 @@
 			for _, isParent := range []bool{false, true} {
 				for _, failing := range []bool{false, true} {
 					name := fmt.Sprintf("%d routers, link of %g, parent %v, failing %v", routers, link, isParent, failing)
-					fleet := coldFleet{routers: routers, link: link, isParent: isParent, quiet: 0.1, failing: failing}
+					fleet := coldFleet{routers: routers, link: link, isParent: isParent, quietShare: 0.1, failing: failing}
 					t.Run(name, func(t *testing.T) { testLostNeighbours(t, fleet) })
 				}
 			}
@@ -320,16 +320,16 @@
 func testRestartedRouters(t *testing.T, fleet coldFleet) {
 	t.Helper()
 	for seed, restart := range []struct {
-		at        time.Duration
-		restarted int
-		quiet     float64
+		at         time.Duration
+		restarted  int
+		quietShare float64
 	}{
 		{500 * ms, 7, 1},
 		{time.Second, 10, 1},
 		{3 * time.Second, 10, 1},
 		{6 * time.Second, 7, 0.1},
 	} {
-		fleet.lostAt, fleet.quiet, fleet.seed = restart.at+2*time.Second, restart.quiet, uint64(seed+1)
+		fleet.lostAt, fleet.quietShare, fleet.seed = restart.at+2*time.Second, restart.quietShare, uint64(seed+1)
 		fleet.restartAt, fleet.restarted = restart.at, restart.restarted
 		ratio, text := fleet.run()
 		t.Logf("%d of 10 routers restarted at %.1f s: %s", restart.restarted, restart.at.Seconds(), text)
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -59,8 +59,8 @@
 	now := time.Minute
 	ramp := testSlowStart()
 	ramp.beginBudget(now)
-	// The budget is 0.6 (budgetSafety) times 2 (overloadFactor) times 0.2 (initialShare) of one transfer at a time: one
-	// transfer of 100 ms each 417 ms.
+	// The budget is 0.6 (budgetSafetyFactor) times 2 (overloadFactor) times 0.2 (initialShare) of one transfer at a
+	// time: one transfer of 100 ms each 417 ms.
 	const requests = 50
 	for range requests {
 		ramp.consume(1, 100*ms, 1, now)
@@ -123,7 +123,7 @@
 	harness.change(cacheA, Ready, harness.now)
 	sent := 0
 	for object := ObjectID(1); object <= 200; object++ {
-		harness.requestUntoldSize(RequestID(object), object, time.Second)
+		harness.requestWithoutSize(RequestID(object), object, time.Second)
 		if harness.actions[0].Endpoint == cacheA {
 			sent++
 		}
@@ -144,7 +144,7 @@
 		harness.router.random, harness.isMuted = newPCG(uint64(seed)), true
 		harness.change(cacheA, Ready, harness.now)
 		for object := ObjectID(1); object <= 300; object++ {
-			harness.requestUntoldSize(RequestID(object), object, time.Second)
+			harness.requestWithoutSize(RequestID(object), object, time.Second)
 			if harness.actions[0].Endpoint == cacheA {
 				sent++
 			}
