--- a/policy/routing/attribution.go
+++ b/policy/routing/attribution.go
@@ -20,13 +20,13 @@
 		}
 		return
 	}
-	answered := &r.endpoints[att.endpoint]
+	target := &r.endpoints[att.endpoint]
 	switch failure {
 	case failureEndpoint:
 		r.attributeToEndpoint(req, att, event.Outcome)
 		return
 	case failureNoCapacity:
-		answered.noFillsUntil = r.now + noFillsDuration
+		target.noFillsUntil = r.now + noFillsDuration
 	case failureSource:
 		r.attributeToSource(att, event)
 	case failureOrigin:
@@ -37,7 +37,7 @@
 	default: // a timeout or a failure caused by the request: counted against no endpoint
 		return
 	}
-	answered.lastHeardAt = r.now
+	target.lastHeardAt = r.now
 }
 
 // attributeToEndpoint counts a failure without a note against the endpoint. An error answer counts only once another
--- a/policy/routing/drain_test.go
+++ b/policy/routing/drain_test.go
@@ -14,23 +14,23 @@
 			Endpoints: append(endpoints, members(parentP, origin)...),
 		})
 	}
-	for name, tell := range map[string]func(h *harness){
-		"first seen as it drains": func(h *harness) {
+	for name, report := range map[string]func(h *harness){
+		"first listed as draining": func(h *harness) {
 			fullList(h, member(cacheA), drainingMember(cacheB))
 		},
-		"ready, then draining, long ago": func(h *harness) {
+		"ready, then draining for a minute": func(h *harness) {
 			fullList(h, member(cacheA), member(cacheB))
 			h.handle(&Event{Kind: EventEndpoints, Age: time.Minute, Endpoints: []Endpoint{drainingMember(cacheB)}})
 		},
-		"missing in a whole list": func(h *harness) {
+		"missing from a whole list": func(h *harness) {
 			fullList(h, member(cacheA), member(cacheB))
 			fullList(h, member(cacheA))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := &harness{router: New(testSettings(), 1), nextAttempt: map[RequestID]AttemptNumber{}, isMuted: true}
+			h := &harness{router: New(testSettings(), 1), nextAttempt: map[RequestID]AttemptNumber{}, isQuiet: true}
 			h.actions = h.router.Start(0, nil)
-			tell(h)
+			report(h)
 			if index, isKnown := h.router.endpointByID[cacheB]; isKnown && h.router.isUsable(index) {
 				t.Error("the draining endpoint is still usable")
 			}
@@ -55,7 +55,7 @@
 
 func TestDrainToldNowHasItsGrace(t *testing.T) {
 	h := newHarness(testSettings(), cacheA, cacheB)
-	h.isMuted = true
+	h.isQuiet = true
 	h.handle(&Event{Kind: EventEndpoints, Endpoints: []Endpoint{drainingMember(cacheB)}})
 	if !h.router.isUsable(h.router.endpointByID[cacheB]) {
 		t.Error("an endpoint that has just begun to drain is not usable")
@@ -66,7 +66,7 @@
 func Example_drain() {
 	h := newHarness(testSettings(), cacheA, cacheB)
 	object := h.firstObject(cacheA, parentP)
-	h.change(cacheA, Draining, LongAgo)
+	h.changeEndpoint(cacheA, Draining, LongAgo)
 	h.advance(890 * ms)
 	h.request(1, readClass, object)
 	h.result(1, cacheB, 100*ms, Succeeded, NoteFilled)
--- a/policy/routing/event.go
+++ b/policy/routing/event.go
@@ -148,9 +148,9 @@
 	Endpoint      EndpointID
 	Outcome       Outcome
 	Note          Note
-	Final         bool // the client has received its final answer
-	Elapsed       time.Duration
-	FirstByteWait time.Duration
+	Final         bool          // the client has received its final answer
+	Elapsed       time.Duration // since the attempt or the health check was sent
+	FirstByteWait time.Duration // part of Elapsed until the first byte of the answer
 	LoadReport    LoadReport
 
 	Class    ClassID
@@ -160,7 +160,7 @@
 	Part     int
 	SizeKB   float64       // 0 if the request does not include it
 	TimeLeft time.Duration // until the client gives up
-	Repeat   bool
+	Repeat   bool          // the client has sent the request before
 	Write    bool
 
 	EndpointListKind EndpointListKind
--- a/policy/routing/harness_test.go
+++ b/policy/routing/harness_test.go
@@ -11,7 +11,7 @@
 	now         time.Duration
 	actions     []Action // actions after the last event
 	nextAttempt map[RequestID]AttemptNumber
-	isMuted     bool // print nothing
+	isQuiet     bool // print nothing
 }
 
 // Endpoints of the tests: caches of the router's location, parents and the origin.
@@ -62,7 +62,7 @@
 func newHarness(settings Settings, caches ...EndpointID) *harness {
 	h := &harness{router: New(settings, 1), now: time.Minute, nextAttempt: map[RequestID]AttemptNumber{}}
 	h.actions = h.router.Start(h.now, nil)
-	h.list(EndpointListCached, append(caches, parentP, parentQ, origin)...)
+	h.listEndpoints(EndpointListCached, append(caches, parentP, parentQ, origin)...)
 	return h
 }
 
@@ -92,12 +92,12 @@
 	return listed
 }
 
-func (h *harness) list(kind EndpointListKind, ids ...EndpointID) {
+func (h *harness) listEndpoints(kind EndpointListKind, ids ...EndpointID) {
 	h.handle(&Event{Kind: EventEndpoints, EndpointListKind: kind, Endpoints: members(ids...)})
 }
 
-// change reports the state and the start time (LongAgo: unchanged) of one endpoint.
-func (h *harness) change(id EndpointID, state EndpointState, startedAt time.Duration) {
+// changeEndpoint reports the state and the start time (LongAgo: unchanged) of one endpoint.
+func (h *harness) changeEndpoint(id EndpointID, state EndpointState, startedAt time.Duration) {
 	listed := member(id)
 	listed.State, listed.StartedAt = state, startedAt
 	h.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListDelta, Endpoints: []Endpoint{listed}})
@@ -118,7 +118,7 @@
 }
 
 func (h *harness) print(action *Action) {
-	if h.isMuted {
+	if h.isQuiet {
 		return
 	}
 	seconds := (h.now - time.Minute).Seconds()
--- a/policy/routing/invalidation_test.go
+++ b/policy/routing/invalidation_test.go
@@ -10,7 +10,7 @@
 	settings := testSettings()
 	settings.Classes[readClass].FreshFor = 2 * time.Second
 	harness := newHarness(settings, cacheA)
-	harness.isMuted = true
+	harness.isQuiet = true
 	harness.handle(&Event{Kind: EventPurge, Object: 7, Age: 100 * ms})
 	for _, test := range []struct{ later, want time.Duration }{
 		{0, 99 * ms},
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -48,7 +48,7 @@
 		settings, sent := testSettings(), 0
 		settings.WeightIsLinkCapacity = isLinkKnown
 		harness := newHarness(settings, cacheA) // of weight 1
-		harness.isMuted = true
+		harness.isQuiet = true
 		for id := RequestID(1); id <= 20; id++ {
 			harness.request(id, readClass, ObjectID(id))
 			if harness.actions[0].Kind == ActionSend {
--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -15,8 +15,8 @@
 		least, most          float64
 	}{
 		"congested":             {2, 10, 4.5, 5.5},
-		"of less than one":      {5, 1, 0.15, 0.25},
-		"never below the least": {100, 1, 0.1, 0.11},
+		"capacity below one":    {5, 1, 0.15, 0.25},
+		"not below the minimum": {100, 1, 0.1, 0.11},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var learned link
@@ -56,10 +56,10 @@
 		share float64
 		want  float64
 	}{
-		"alone":                     {shared, 1, 2},
-		"as many as each other one": {shared, 0.25, 8},
-		"half way to the report":    {reported, 0.25, 2 + (6+8)/2},
-		"nobody else's link":        {dedicated, 0.25, 2},
+		"alone":                         {shared, 1, 2},
+		"as many for each other router": {shared, 0.25, 8},
+		"mean of estimate and report":   {reported, 0.25, 2 + (6+8)/2},
+		"dedicated link":                {dedicated, 0.25, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := test.link.transfers(test.share, now); !isNear(got, test.want) {
@@ -92,7 +92,7 @@
 		settings.Routers, settings.ZoneRouters = routers, []int{0, 0, routers}
 		settings.ZoneIngressKBPerSecond = []float64{0, 0, 1000}
 		harness := newHarness(settings, cacheA, cacheB)
-		harness.isMuted = true
+		harness.isQuiet = true
 		for id := RequestID(1); id <= 30; id++ {
 			harness.request(id, readClass, ObjectID(id)*1000)
 			if harness.actions[0].Source != harness.actions[0].Endpoint {
@@ -118,7 +118,7 @@
 	settings.ReportChannel, settings.ReportColumns = ReportsWithResponses, []Signal{SignalLinkUtilization}
 	settings.ZoneIngressKBPerSecond = []float64{0, 0, 20000}
 	harness := newHarness(settings, cacheA, cacheB)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(5000); id < 5030; id++ { // the router learns the usual size from hits
 		harness.requestWithoutSize(id, ObjectID(id), time.Second)
 		harness.result(id, harness.ownerOf(ObjectID(id)), 100*ms, Succeeded, NoteHit)
@@ -135,7 +135,7 @@
 			})
 		}
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	harness.requestWithoutSize(2000, harness.firstObject(cacheA, parentP), time.Second)
 	// Output:
 	// 14.00s request 2000: attempt to A, fill from P
--- a/policy/routing/objecthistory_test.go
+++ b/policy/routing/objecthistory_test.go
@@ -27,10 +27,10 @@
 		startedAt, now time.Duration
 		want           bool
 	}{
-		"at its holder":            {3, 0, time.Minute + time.Second, true},
-		"at another endpoint":      {2, 0, time.Minute + time.Second, false},
-		"after too long":           {3, 0, time.Minute + expectedCacheTime, false},
-		"its holder was restarted": {3, time.Minute + 1, time.Minute + time.Second, false},
+		"at the holder":          {3, 0, time.Minute + time.Second, true},
+		"at another endpoint":    {2, 0, time.Minute + time.Second, false},
+		"too long ago":           {3, 0, time.Minute + expectedCacheTime, false},
+		"holder restarted since": {3, time.Minute + 1, time.Minute + time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := record.isCachedAt(test.index, test.startedAt, test.now); got != test.want {
--- a/policy/routing/originlimit_test.go
+++ b/policy/routing/originlimit_test.go
@@ -112,7 +112,7 @@
 // the origin limiter must stay open for fills that replace those of the parent.
 func Example_originLimiterIgnoresCancelledWrites() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(1); id <= 80; id++ {
 		harness.request(id, writeClass, ObjectID(id))
 		harness.advance(20 * ms)
@@ -126,7 +126,7 @@
 			harness.result(id*10+RequestID(i), cache, 60*ms, Succeeded, NoteHit)
 		}
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	for id := RequestID(201); id <= 203; id++ {
 		harness.request(id, readClass, object)
 	}
@@ -140,13 +140,13 @@
 // have to wait for the origin is rejected.
 func Example_slowOrigin() {
 	harness := newHarness(testSettings(), cacheA)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(1); id <= 40; id++ {
 		harness.request(id, readClass, ObjectID(id))
 		harness.result(id, cacheA, 1500*ms, Succeeded, NoteViaOrigin)
 	}
 	harness.advance(10 * time.Second) // until the next trial is due
-	harness.isMuted = false
+	harness.isQuiet = false
 	harness.request(42, readClass, 1000)
 	harness.request(43, readClass, 1001)
 	harness.request(44, readClass, 1002)
--- a/policy/routing/outlier.go
+++ b/policy/routing/outlier.go
@@ -121,15 +121,15 @@
 
 // recordSuccess counts an answer of an endpoint to an attempt sent at sentAt, and logs the end of an ejection.
 func (r *Router) recordSuccess(index endpointIndex, sentAt time.Duration, fromCache bool) {
-	answered := &r.endpoints[index]
-	answered.lastHeardAt = r.now
-	ended := answered.outlier.recordSuccess(sentAt, fromCache)
+	target := &r.endpoints[index]
+	target.lastHeardAt = r.now
+	ended := target.outlier.recordSuccess(sentAt, fromCache)
 	if ended == recoveryNone {
 		return
 	}
 	if ended == recoveryRestarted {
 		// The endpoint is cold and its cache is empty; the endpoint list may report the restart too late.
-		answered.slowStart.startedAt = max(answered.slowStart.startedAt, r.now-firstTrialInterval)
+		target.slowStart.startedAt = max(target.slowStart.startedAt, r.now-firstTrialInterval)
 	}
 	r.logEndpoint("ejection ended", index)
 }
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -10,8 +10,8 @@
 		weight float64
 		want   int
 	}{
-		"lost connections": {hardFailureWeight, 2},
-		"errors":           {softFailureWeight, 4},
+		"failed connects": {hardFailureWeight, 2},
+		"error answers":   {softFailureWeight, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var detector outlierDetector
@@ -77,11 +77,11 @@
 		fromCache bool
 		want      recovery
 	}{
-		"after errors":                     {softFailureWeight, ejectedAt + time.Second, false, recoveryReturned},
-		"after silence":                    {hardFailureWeight, ejectedAt + time.Second, false, recoveryRestarted},
-		"after silence, from a copy":       {hardFailureWeight, ejectedAt + time.Second, true, recoveryReturned},
-		"after silence, sent before it":    {hardFailureWeight, ejectedAt - time.Second, false, recoveryReturned},
-		"after silence, sent as it began ": {hardFailureWeight, ejectedAt, false, recoveryRestarted},
+		"after error answers":                     {softFailureWeight, ejectedAt + time.Second, false, recoveryReturned},
+		"after silence":                           {hardFailureWeight, ejectedAt + time.Second, false, recoveryRestarted},
+		"after silence, from a cached copy":       {hardFailureWeight, ejectedAt + time.Second, true, recoveryReturned},
+		"after silence, sent before the ejection": {hardFailureWeight, ejectedAt - time.Second, false, recoveryReturned},
+		"after silence, sent at the ejection":     {hardFailureWeight, ejectedAt, false, recoveryRestarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var detector outlierDetector
@@ -111,9 +111,9 @@
 		now  time.Duration
 		want bool
 	}{
-		"brief failure":   {time.Minute + parentRemapDelay - 1, false},
-		"long failure":    {time.Minute + parentRemapDelay, true},
-		"due for a trial": {2 * time.Minute, false},
+		"brief failure": {time.Minute + parentRemapDelay - 1, false},
+		"long failure":  {time.Minute + parentRemapDelay, true},
+		"trial due":     {2 * time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := detector.isRemapped(test.now); got != test.want {
@@ -158,17 +158,17 @@
 func Example_requestsOwnFault() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(1); id <= 8; id++ {
 		harness.request(id, readClass, object)
 		harness.result(id, cacheA, ms, Failed, NoteNone)
 		harness.result(id, cacheB, ms, Failed, NoteNone)
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	harness.request(9, readClass, object)
 	harness.result(9, cacheA, ms, Failed, NoteNone)
 	harness.result(9, cacheB, ms, Failed, NoteNone)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(10); id <= 16; id++ {
 		harness.request(id, readClass, object)
 	}
@@ -176,7 +176,7 @@
 		harness.result(id, cacheA, 0, ConnectionBroken, NoteNone)
 		harness.result(id, cacheB, 0, Succeeded, NoteHit)
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	for id := RequestID(17); id <= 21; id++ {
 		harness.request(id, readClass, object)
 		if id < 20 {
@@ -204,14 +204,14 @@
 	settings := testSettings()
 	settings.AllowDirect = false
 	harness := newHarness(settings, cacheA, cacheB)
-	harness.isMuted = true
+	harness.isQuiet = true
 	object := harness.firstObject(cacheA, parentP)
 	for id := RequestID(1); id <= 4; id++ {
 		harness.request(id, readClass, object)
 		harness.result(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
 		harness.result(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	for id := RequestID(5); id <= 8; id++ {
 		harness.request(id, readClass, object)
 		harness.result(id, cacheA, 300*ms, Succeeded, NoteHit)
--- a/policy/routing/relay_test.go
+++ b/policy/routing/relay_test.go
@@ -8,11 +8,11 @@
 func Example_relay() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
-	harness.change(cacheA, Draining, LongAgo)
+	harness.changeEndpoint(cacheA, Draining, LongAgo)
 	harness.request(1, readClass, object)
 	harness.result(1, cacheB, 20*ms, CacheMiss, NoteSourceMiss)
 	harness.result(1, cacheB, 150*ms, Succeeded, NoteFilled)
-	harness.change(cacheA, Ready, LongAgo) // ready again within its drain grace: the arc moves back
+	harness.changeEndpoint(cacheA, Ready, LongAgo) // ready again within its drain grace: the arc moves back
 	harness.request(2, readClass, object)
 	harness.result(2, cacheA, 120*ms, Succeeded, NoteFilled)
 	harness.advance(31 * time.Second)
--- a/policy/routing/retry_test.go
+++ b/policy/routing/retry_test.go
@@ -42,12 +42,12 @@
 		other endpoint
 		want  bool
 	}{
-		"all, another zone":    {ScopeAll, endpoint{zone: 2, cell: 1}, true},
-		"zone, another zone":   {ScopeZone, endpoint{zone: 2, cell: 1}, false},
-		"zone, another cell":   {ScopeZone, endpoint{zone: 1, cell: 2}, true},
-		"cell, another cell":   {ScopeCell, endpoint{zone: 1, cell: 2}, false},
-		"cell, the same":       {ScopeCell, endpoint{zone: 1, cell: 1}, true},
-		"cell, only by number": {ScopeCell, endpoint{zone: 2, cell: 1}, false},
+		"all, another zone":                 {ScopeAll, endpoint{zone: 2, cell: 1}, true},
+		"zone, another zone":                {ScopeZone, endpoint{zone: 2, cell: 1}, false},
+		"zone, another cell":                {ScopeZone, endpoint{zone: 1, cell: 2}, true},
+		"cell, another cell":                {ScopeCell, endpoint{zone: 1, cell: 2}, false},
+		"cell, same cell":                   {ScopeCell, endpoint{zone: 1, cell: 1}, true},
+		"cell, same number in another zone": {ScopeCell, endpoint{zone: 2, cell: 1}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := inDedupScope(test.scope, &here, &test.other); got != test.want {
--- a/policy/routing/ring_test.go
+++ b/policy/routing/ring_test.go
@@ -26,9 +26,9 @@
 
 func TestRingSharesObjectsByWeight(t *testing.T) {
 	for name, weights := range map[string][]float64{
-		"equal weights":   {1, 1, 1, 1},
-		"one is heavier":  {1, 1, 2},
-		"no weights told": {0, 0},
+		"equal weights":      {1, 1, 1, 1},
+		"one heavier member": {1, 1, 2},
+		"no weights":         {0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			built, total := ringWithWeights(weights...), 0.0
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -53,10 +53,10 @@
 	originLimiter            originLimiter
 	trafficShare             float64 // this router's share of its location's requests
 	nextHealthCheck          time.Duration
-	requestsSinceHealthCheck int // requests since the last health check
+	requestsSinceHealthCheck int
 }
 
-// New returns a router with the settings and no endpoints. The seed initializes its random number generator.
+// New returns a router with the settings and an empty endpoint list. The seed initializes its random number generator.
 func New(settings Settings, seed uint64) *Router {
 	r := &Router{
 		settings: settings, random: newPCG(seed), trafficShare: 1,
@@ -149,8 +149,8 @@
 	if index == noEndpoint {
 		return
 	}
-	subject := &r.endpoints[index]
-	r.emit(Action{Kind: ActionLog, Text: fmt.Sprintf("%s %x: %s", subject.role, uint64(subject.id), text)})
+	target := &r.endpoints[index]
+	r.emit(Action{Kind: ActionLog, Text: fmt.Sprintf("%s %x: %s", target.role, uint64(target.id), text)})
 }
 
 // handleRequest sends or rejects a new request.
@@ -191,15 +191,15 @@
 // estimateTransferTime sets the transfer time of a request from sizeKB, else from the object's history, else from the
 // mean of its class. sizeKB is 0 if the request does not include a size.
 func (r *Router) estimateTransferTime(req *request, sizeKB float64) {
-	class, usual := &r.settings.Classes[req.class], &r.classStats[req.class].transferTime
+	class, classMean := &r.settings.Classes[req.class], &r.classStats[req.class].transferTime
 	record := r.history.find(req.hash)
 	req.sizeInRequest = sizeKB > 0 && r.settings.FlowKBPerSecond > 0 && !class.Write
 	req.sizeKnown = req.sizeInRequest || record != nil && record.transferTime > 0
-	req.transferTime = usual.duration()
+	req.transferTime = classMean.duration()
 	switch {
 	case req.sizeInRequest:
 		req.transferTime = time.Duration(sizeKB / r.settings.FlowKBPerSecond * float64(time.Second))
-		usual.add(req.transferTime, transferTimeWeight)
+		classMean.add(req.transferTime, transferTimeWeight)
 	case req.sizeKnown:
 		req.transferTime = record.transferTime
 	}
--- a/policy/routing/router_test.go
+++ b/policy/routing/router_test.go
@@ -68,10 +68,10 @@
 // After many list changes, purges, objects and requests the state is bounded, because slots are reused.
 func Example_boundedState() {
 	harness := newHarness(testSettings(), cacheA)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for i := range 5000 {
 		id := EndpointID(10000 + i)
-		harness.change(id, Ready, LongAgo)
+		harness.changeEndpoint(id, Ready, LongAgo)
 		harness.handle(&Event{Kind: EventPurge, Object: ObjectID(i + 1)})
 		harness.handle(&Event{
 			Kind: EventRequest, Request: RequestID(i + 1), Object: ObjectID(i), SizeKB: 10, TimeLeft: time.Second,
@@ -80,7 +80,7 @@
 			Kind: EventAttemptResult, Request: RequestID(i + 1), Outcome: Succeeded, Note: NoteHit,
 			Elapsed: 10 * ms, Final: true,
 		})
-		harness.change(id, Gone, LongAgo)
+		harness.changeEndpoint(id, Gone, LongAgo)
 		harness.now += 2 * time.Second
 	}
 	r := harness.router
--- a/policy/routing/shedding_test.go
+++ b/policy/routing/shedding_test.go
@@ -16,7 +16,7 @@
 	harness.result(1, LocalCache, 100*ms, Succeeded, NoteNone)
 	harness.request(3, writeClass, 9)
 	harness.result(3, cacheA, 20*ms, Failed, NoteNone)
-	harness.list(EndpointListFull)
+	harness.listEndpoints(EndpointListFull)
 	harness.request(4, readClass, 7)
 	// Output:
 	//   0.00s request 1: attempt to A, fill from P
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -14,13 +14,13 @@
 // coldFleet describes a run of many routers with one cold endpoint. The traffic is uneven, and it increases when the
 // endpoint's neighbours are lost.
 type coldFleet struct {
-	routers    int
-	link       float64 // capacity of each warm endpoint's link in transfers
-	isParent   bool    // the cold endpoint is a parent, else a cache
-	lostAt     time.Duration
-	quietShare float64 // traffic until lostAt, as a share of the usual traffic
-	failing    bool    // requests to the cold endpoint fail, so that they are retried
-	seed       uint64
+	routers      int
+	linkCapacity float64 // capacity of each warm endpoint's link in transfers
+	isParent     bool    // the cold endpoint is a parent, else a cache
+	lostAt       time.Duration
+	quietShare   float64 // traffic until lostAt, as a share of the usual traffic
+	failing      bool    // requests to the cold endpoint fail, so that they are retried
+	seed         uint64
 
 	restartAt time.Duration // when some routers are killed and restarted at once, 0: never
 	restarted int           // number of restarted routers out of each ten
@@ -48,12 +48,12 @@
 // fleetRun is a run of a coldFleet.
 type fleetRun struct {
 	coldFleet
-	settings Settings
-	random   pcg
-	start    time.Duration
-	now      time.Duration
-	cold     EndpointID
-	lost     []EndpointID // the neighbours that are lost
+	settings       Settings
+	random         pcg
+	start          time.Duration
+	now            time.Duration
+	coldEndpoint   EndpointID
+	lostNeighbours []EndpointID // the neighbours that are lost
 
 	routers   []*harness
 	startedAt []time.Duration // start time of each router
@@ -83,11 +83,11 @@
 	settings.ZoneRouters = []int{0, 0, fleet.routers}
 	f := &fleetRun{
 		coldFleet: fleet, settings: settings, random: newPCG(fleet.seed), start: start, now: start,
-		cold: cacheA, lost: []EndpointID{cacheB, cacheC, cacheD},
+		coldEndpoint: cacheA, lostNeighbours: []EndpointID{cacheB, cacheC, cacheD},
 		startedAt: make([]time.Duration, fleet.routers), cached: map[EndpointID]map[ObjectID]bool{},
 	}
 	if fleet.isParent {
-		f.cold, f.lost = parentP, []EndpointID{parentQ}
+		f.coldEndpoint, f.lostNeighbours = parentP, []EndpointID{parentQ}
 	}
 	for _, cache := range []EndpointID{cacheA, cacheB, cacheC, cacheD} {
 		f.cached[cache] = map[ObjectID]bool{}
@@ -111,14 +111,14 @@
 	seed := f.seed*1000 + uint64(number) + uint64(startedAt)
 	started := &harness{
 		router: New(f.settings, seed), now: f.now - startedAt,
-		nextAttempt: map[RequestID]AttemptNumber{}, isMuted: true,
+		nextAttempt: map[RequestID]AttemptNumber{}, isQuiet: true,
 	}
 	started.actions = started.router.Start(started.now, nil)
 	list := Event{Kind: EventEndpoints, EndpointListKind: EndpointListCached, Age: time.Hour}
 	for _, id := range []EndpointID{cacheA, cacheB, cacheC, cacheD, parentP, parentQ, origin} {
 		listed := member(id)
-		listed.Weight = f.link
-		if id == f.cold {
+		listed.Weight = f.linkCapacity
+		if id == f.coldEndpoint {
 			listed.StartedAt = f.start - startedAt
 		}
 		list.Endpoints = append(list.Endpoints, listed)
@@ -171,15 +171,15 @@
 func (f *fleetRun) loseNeighbours() {
 	for i, router := range f.routers {
 		router.now = f.now - f.startedAt[i]
-		for _, id := range f.lost {
-			router.change(id, Gone, LongAgo)
+		for _, id := range f.lostNeighbours {
+			router.changeEndpoint(id, Gone, LongAgo)
 		}
 	}
 }
 
 // sendRequests sends a router its requests of the current step.
 func (f *fleetRun) sendRequests(router int) {
-	rate := f.share[router] * 60 * f.link * fleetStep.Seconds()
+	rate := f.share[router] * 60 * f.linkCapacity * fleetStep.Seconds()
 	if f.lostAt > f.now-f.start {
 		rate *= f.quietShare
 	}
@@ -187,7 +187,7 @@
 		f.requests++
 		f.routers[router].handle(&Event{
 			Kind: EventRequest, Request: RequestID(f.requests), TimeLeft: 3 * time.Second,
-			Object: ObjectID(f.random.float() * 30000 * f.link), SizeKB: 20 + 160*f.random.float(),
+			Object: ObjectID(f.random.float() * 30000 * f.linkCapacity), SizeKB: 20 + 160*f.random.float(),
 		})
 		f.carryOut(router)
 	}
@@ -201,7 +201,7 @@
 		}
 		req := f.routers[router].router.requests.find(action.Request)
 		needsFill := action.Source != action.Endpoint && !f.cached[action.Endpoint][req.object]
-		reachesCold := action.Endpoint == f.cold || action.Source == f.cold && needsFill
+		reachesCold := action.Endpoint == f.coldEndpoint || action.Source == f.coldEndpoint && needsFill
 		if reachesCold {
 			f.arrivals = append(f.arrivals, arrival{f.now, float64(req.transferTime) / float64(100*ms)})
 		}
@@ -253,7 +253,7 @@
 		}
 		warm := initial + (1-initial)*float64(last.at-start)/float64(duration)
 		// In requests of mean work, which take a tenth of a second each.
-		bearable := multiple * warm * f.link / 0.1 * settings.OverloadWindow.Seconds()
+		bearable := multiple * warm * f.linkCapacity / 0.1 * settings.OverloadWindow.Seconds()
 		worstRatio = math.Max(worstRatio, sum/(bearable+2*math.Sqrt(bearable)+2))
 	}
 	return worstRatio
@@ -283,7 +283,7 @@
 			for _, isParent := range []bool{false, true} {
 				for _, failing := range []bool{false, true} {
 					name := fmt.Sprintf("%d routers, link of %g, parent %v, failing %v", routers, link, isParent, failing)
-					fleet := coldFleet{routers: routers, link: link, isParent: isParent, quietShare: 0.1, failing: failing}
+					fleet := coldFleet{routers: routers, linkCapacity: link, isParent: isParent, quietShare: 0.1, failing: failing}
 					t.Run(name, func(t *testing.T) { testLostNeighbours(t, fleet) })
 				}
 			}
@@ -310,7 +310,7 @@
 		for _, link := range []float64{1, 10, 60} {
 			for _, isParent := range []bool{false, true} {
 				name := fmt.Sprintf("%d routers, link of %g, parent %v", routers, link, isParent)
-				fleet := coldFleet{routers: routers, link: link, isParent: isParent}
+				fleet := coldFleet{routers: routers, linkCapacity: link, isParent: isParent}
 				t.Run(name, func(t *testing.T) { testRestartedRouters(t, fleet) })
 			}
 		}
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -22,12 +22,12 @@
 		age  time.Duration
 		want float64
 	}{
-		"before its start":  {-time.Second, 0.2},
-		"at its start":      {0, 0.2},
-		"half way":          {5 * time.Second, 0.6},
-		"warmed up":         {10 * time.Second, 1},
-		"long warmed up":    {time.Hour, 1},
-		"one step too soon": {10*time.Second - 1, 0.99999999992},
+		"before the start":    {-time.Second, 0.2},
+		"at the start":        {0, 0.2},
+		"halfway":             {5 * time.Second, 0.6},
+		"warmed up":           {10 * time.Second, 1},
+		"long after":          {time.Hour, 1},
+		"just before the end": {10*time.Second - 1, 0.99999999992},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := ramp.warmFraction(time.Minute + test.age); !isNear(got, test.want) {
@@ -93,7 +93,7 @@
 // neighbour.
 func Example_coldCache() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
-	harness.change(cacheA, Ready, harness.now)
+	harness.changeEndpoint(cacheA, Ready, harness.now)
 	toA, sent := 0, 0
 	for object := ObjectID(1); sent < 20; object++ {
 		if harness.ownerOf(object) != cacheA {
@@ -119,8 +119,8 @@
 // request counts with its latency objective, so that only few are sent before the sizes are learned.
 func Example_coldCacheAndUnknownSizes() {
 	harness := newHarness(testSettings(), cacheA)
-	harness.isMuted = true
-	harness.change(cacheA, Ready, harness.now)
+	harness.isQuiet = true
+	harness.changeEndpoint(cacheA, Ready, harness.now)
 	sent := 0
 	for object := ObjectID(1); object <= 200; object++ {
 		harness.requestWithoutSize(RequestID(object), object, time.Second)
@@ -141,8 +141,8 @@
 	sent := 0
 	for seed := range 20 {
 		harness := newHarness(settings, cacheA)
-		harness.router.random, harness.isMuted = newPCG(uint64(seed)), true
-		harness.change(cacheA, Ready, harness.now)
+		harness.router.random, harness.isQuiet = newPCG(uint64(seed)), true
+		harness.changeEndpoint(cacheA, Ready, harness.now)
 		for object := ObjectID(1); object <= 300; object++ {
 			harness.requestWithoutSize(RequestID(object), object, time.Second)
 			if harness.actions[0].Endpoint == cacheA {
@@ -161,8 +161,8 @@
 	settings := testSettings()
 	settings.SlowStartShare, settings.OverloadFactor = 0, 0
 	harness := newHarness(settings, cacheA)
-	harness.isMuted = true
-	harness.change(cacheA, Ready, harness.now)
+	harness.isQuiet = true
+	harness.changeEndpoint(cacheA, Ready, harness.now)
 	sent := 0
 	for id := RequestID(1); id <= 50; id++ {
 		harness.request(id, readClass, ObjectID(id))
--- a/policy/routing/tokenbucket_test.go
+++ b/policy/routing/tokenbucket_test.go
@@ -11,9 +11,9 @@
 		interval time.Duration
 		want     int // of 100 takes
 	}{
-		"a burst has one second's tokens": {10, 0, 10},
-		"at its rate all are taken":       {10, 100 * ms, 100},
-		"at twice its rate about half":    {10, 50 * ms, 59},
+		"a burst takes the tokens of one second": {10, 0, 10},
+		"all succeed at the rate":                {10, 100 * ms, 100},
+		"about half succeed at twice the rate":   {10, 50 * ms, 59},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bucket, now, taken := tokenBucket{}, time.Minute, 0
--- a/policy/routing/transitions_test.go
+++ b/policy/routing/transitions_test.go
@@ -65,19 +65,19 @@
 		event Event
 		want  failureKind
 	}{
-		"a note goes before the outcome": {Event{Outcome: Overloaded, Note: NoteSourceRefused}, failureSource},
-		"source not reached":             {Event{Outcome: Failed, Note: NoteSourceUnreachable}, failureSource},
-		"source without the object":      {Event{Outcome: CacheMiss, Note: NoteSourceMiss}, failureNotCached},
-		"origin behind the parent":       {Event{Outcome: Failed, Note: NoteOriginFailed}, failureOrigin},
-		"no capacity for a fill":         {Event{Outcome: Overloaded, Note: NoteNoFillCapacity}, failureNoCapacity},
-		"miss":                           {Event{Outcome: CacheMiss}, failureNotCached},
-		"overloaded":                     {Event{Outcome: Overloaded}, failureNoCapacity},
-		"timed out":                      {Event{Outcome: TimedOut}, failureTimeout},
-		"cancelled":                      {Event{Outcome: Cancelled}, failureTimeout},
-		"not sent":                       {Event{Outcome: NotSent}, failureTimeout},
-		"failed":                         {Event{Outcome: Failed}, failureEndpoint},
-		"connect failed":                 {Event{Outcome: ConnectFailed}, failureEndpoint},
-		"connection broken":              {Event{Outcome: ConnectionBroken}, failureEndpoint},
+		"note takes precedence over outcome": {Event{Outcome: Overloaded, Note: NoteSourceRefused}, failureSource},
+		"source unreachable":                 {Event{Outcome: Failed, Note: NoteSourceUnreachable}, failureSource},
+		"source without the object":          {Event{Outcome: CacheMiss, Note: NoteSourceMiss}, failureNotCached},
+		"origin failed behind the parent":    {Event{Outcome: Failed, Note: NoteOriginFailed}, failureOrigin},
+		"no capacity for a fill":             {Event{Outcome: Overloaded, Note: NoteNoFillCapacity}, failureNoCapacity},
+		"miss":                               {Event{Outcome: CacheMiss}, failureNotCached},
+		"overloaded":                         {Event{Outcome: Overloaded}, failureNoCapacity},
+		"timed out":                          {Event{Outcome: TimedOut}, failureTimeout},
+		"cancelled":                          {Event{Outcome: Cancelled}, failureTimeout},
+		"not sent":                           {Event{Outcome: NotSent}, failureTimeout},
+		"failed":                             {Event{Outcome: Failed}, failureEndpoint},
+		"connect failed":                     {Event{Outcome: ConnectFailed}, failureEndpoint},
+		"connection broken":                  {Event{Outcome: ConnectionBroken}, failureEndpoint},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := classifyFailure(&test.event); got != test.want {
