--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -24,7 +24,7 @@
 	wait := time.Duration(0)
 	// A request that bypasses the caches uses the location's ingress link even if the parent has a copy.
 	bypassesCaches := target.role > roleCache
-	needsFill := bypassesCaches || source != index && source != noEndpoint && !r.isExpectedAt(req, index)
+	needsFill := bypassesCaches || source != index && source != noEndpoint && !r.isExpectedCachedAt(req, index)
 	if needsFill && (bypassesCaches || r.endpoints[source].role != roleCache) {
 		slowdown = max(slowdown, r.slowdown(&r.ingress, 1))
 		wait = r.usualFillWait(source)
--- a/policy/routing/learning.go
+++ b/policy/routing/learning.go
@@ -80,7 +80,7 @@
 		return true
 	}
 	return r.settings.ResponseDetail == DetailNone && !ans.bypassCaches &&
-		(record.transferTime == 0 || r.isExpectedAt(ans.req, ans.att.endpoint))
+		(record.transferTime == 0 || r.isExpectedCachedAt(ans.req, ans.att.endpoint))
 }
 
 // learnFromHit updates the transfer time of the object and its class, and the capacity of the cache's link.
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -102,7 +102,8 @@
 	return l.transfers(r.trafficShare, r.now)
 }
 
-// slowdown returns the factor by which congestion prolongs one more transfer on a link with a part of its capacity.
+// slowdown returns the factor by which congestion prolongs one more transfer on a link of whose capacity only a part is
+// available.
 func (r *Router) slowdown(l *link, part float64) float64 {
 	if l.capacity <= 0 {
 		return 1
--- a/policy/routing/objecthistory.go
+++ b/policy/routing/objecthistory.go
@@ -60,8 +60,8 @@
 	return o.holder == index && now-o.seenAt < expectedCacheTime && o.seenAt >= startedAt
 }
 
-// isExpectedAt reports whether the endpoint is expected to hold the request's object.
-func (r *Router) isExpectedAt(req *request, index endpointIndex) bool {
+// isExpectedCachedAt reports whether the endpoint is expected to hold the request's object.
+func (r *Router) isExpectedCachedAt(req *request, index endpointIndex) bool {
 	record := r.history.find(req.hash)
 	return record != nil && record.isCachedAt(index, r.endpoints[index].slowStart.startedAt, r.now)
 }
@@ -69,14 +69,14 @@
 // The ranks of a cached copy in Action.CacheRank.
 const (
 	rankFirstRequest uint8 = 1
-	rankRequested    uint8 = 2
+	rankLaterRequest uint8 = 2
 )
 
 // cacheRank returns the rank with which a copy is cached: the lowest at the first request for the object, the next
 // higher at later requests.
 func (r *Router) cacheRank(req *request) uint8 {
 	if record := r.history.find(req.hash); record != nil && record.requests > 0 {
-		return rankRequested
+		return rankLaterRequest
 	}
 	return rankFirstRequest
 }
--- a/policy/routing/relay.go
+++ b/policy/routing/relay.go
@@ -28,7 +28,7 @@
 }
 
 // previousOwner returns the cache that owned the request's arc before the arc moved, or noEndpoint. The cache must
-// still have its copies, which a cold cache has not, and its drain grace must not be over. If the request's cache has
+// still have its copies, which a cold cache does not, and its drain grace must not be over. If the request's cache has
 // started recently, it is empty although the arc may not have moved: the next cache of the ring has served the arc
 // meanwhile.
 func (r *Router) previousOwner(req *request) endpointIndex {
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -62,9 +62,9 @@
 // saved up to the amount that the endpoint can bear within the overload window in addition to the continuing requests.
 func (s *slowStart) consume(count float64, transferTime time.Duration, throughput float64, now time.Duration) {
 	rate := max(minBudgetRate, budgetSafetyFactor*s.settings.overloadFactor*s.warmFraction(now)*throughput)
-	gap := time.Duration(float64(transferTime) / rate)
+	interval := time.Duration(float64(transferTime) / rate)
 	saved := time.Duration((1/budgetSafetyFactor - 1) * float64(s.settings.overloadWindow))
-	s.nextAllowed = max(s.nextAllowed, now-max(0, saved-gap)) + time.Duration(count*float64(gap))
+	s.nextAllowed = max(s.nextAllowed, now-max(0, saved-interval)) + time.Duration(count*float64(interval))
 }
 
 // slowStartOf returns the initial slow start of an endpoint with the role.
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -18,7 +18,7 @@
 	linkCapacity float64 // capacity of each warm endpoint's link in transfers
 	isParent     bool    // the cold endpoint is a parent, else a cache
 	lostAt       time.Duration
-	quietShare   float64 // traffic until lostAt, as a share of the usual traffic
+	earlyTraffic float64 // traffic until lostAt as a share of the usual traffic
 	failing      bool    // requests to the cold endpoint fail, so that they are retried
 	seed         uint64
 
@@ -127,17 +127,17 @@
 	return started
 }
 
-// isStepOf reports whether a time after the start of the run lies within the current step.
-func (f *fleetRun) isStepOf(moment time.Duration) bool {
+// isInStep reports whether the current step includes the given time after the start of the run.
+func (f *fleetRun) isInStep(offset time.Duration) bool {
 	age := f.now - f.start
-	return moment > 0 && age >= moment && age < moment+fleetStep
+	return offset > 0 && age >= offset && age < offset+fleetStep
 }
 
 func (f *fleetRun) step() {
-	if f.isStepOf(f.restartAt) {
+	if f.isInStep(f.restartAt) {
 		f.restartRouters()
 	}
-	if f.isStepOf(f.lostAt) {
+	if f.isInStep(f.lostAt) {
 		f.loseNeighbours()
 	}
 	for i, router := range f.routers {
@@ -181,7 +181,7 @@
 func (f *fleetRun) sendRequests(router int) {
 	rate := f.share[router] * 60 * f.linkCapacity * fleetStep.Seconds()
 	if f.lostAt > f.now-f.start {
-		rate *= f.quietShare
+		rate *= f.earlyTraffic
 	}
 	for sent := f.random.float(); sent < rate; sent++ {
 		f.requests++
@@ -283,7 +283,7 @@
 			for _, isParent := range []bool{false, true} {
 				for _, failing := range []bool{false, true} {
 					name := fmt.Sprintf("%d routers, link of %g, parent %v, failing %v", routers, link, isParent, failing)
-					fleet := coldFleet{routers: routers, linkCapacity: link, isParent: isParent, quietShare: 0.1, failing: failing}
+					fleet := coldFleet{routers: routers, linkCapacity: link, isParent: isParent, earlyTraffic: 0.1, failing: failing}
 					t.Run(name, func(t *testing.T) { testLostNeighbours(t, fleet) })
 				}
 			}
@@ -320,16 +320,16 @@
 func testRestartedRouters(t *testing.T, fleet coldFleet) {
 	t.Helper()
 	for seed, restart := range []struct {
-		at         time.Duration
-		restarted  int
-		quietShare float64
+		at           time.Duration
+		restarted    int
+		earlyTraffic float64
 	}{
 		{500 * ms, 7, 1},
 		{time.Second, 10, 1},
 		{3 * time.Second, 10, 1},
 		{6 * time.Second, 7, 0.1},
 	} {
-		fleet.lostAt, fleet.quietShare, fleet.seed = restart.at+2*time.Second, restart.quietShare, uint64(seed+1)
+		fleet.lostAt, fleet.earlyTraffic, fleet.seed = restart.at+2*time.Second, restart.earlyTraffic, uint64(seed+1)
 		fleet.restartAt, fleet.restarted = restart.at, restart.restarted
 		ratio, text := fleet.run()
 		t.Logf("%d of 10 routers restarted at %.1f s: %s", restart.restarted, restart.at.Seconds(), text)
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -65,9 +65,9 @@
 	for range requests {
 		ramp.consume(1, 100*ms, 1, now)
 	}
-	gap := (ramp.nextAllowed - now) / requests
-	if gap < 410*ms || gap > 420*ms {
-		t.Errorf("got one request each %v, want about 417ms", gap)
+	interval := (ramp.nextAllowed - now) / requests
+	if interval < 410*ms || interval > 420*ms {
+		t.Errorf("got one request each %v, want about 417ms", interval)
 	}
 }
 
@@ -76,16 +76,16 @@
 	ramp := testSlowStart()
 	ramp.beginBudget(now)
 	now += 9 * time.Second // no requests in this time
-	atOnce := 0
-	for ; now >= ramp.nextAllowed; atOnce++ {
+	burst := 0
+	for ; now >= ramp.nextAllowed; burst++ {
 		ramp.consume(1, 100*ms, 1, now)
 	}
 	warm := ramp.warmFraction(now)
-	if most := 2 * warm * 3 / 0.1; float64(atOnce) > most {
-		t.Errorf("got %d requests at once, but the endpoint can bear only %.1f per window", atOnce, most)
+	if maxBurst := 2 * warm * 3 / 0.1; float64(burst) > maxBurst {
+		t.Errorf("got %d requests at once, but the endpoint can bear only %.1f per window", burst, maxBurst)
 	}
-	if atOnce < 2 {
-		t.Errorf("got %d requests at once, want at least 2 from the saved budget", atOnce)
+	if burst < 2 {
+		t.Errorf("got %d requests at once, want at least 2 from the saved budget", burst)
 	}
 }
 
@@ -151,9 +151,9 @@
 			harness.now += 20 * ms
 		}
 	}
-	fmt.Printf("%d in 6 s; 3 within 3 s would push it over\n", sent)
+	fmt.Printf("%d in 6 s; 3 within 3 s would overload it\n", sent)
 	// Output:
-	// 4 in 6 s; 3 within 3 s would push it over
+	// 4 in 6 s; 3 within 3 s would overload it
 }
 
 // Without slow start settings it is unknown what load a cold cache can bear, so it gets almost none.
