--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -93,8 +93,8 @@
 	return noEndpoint
 }
 
-// hedge sends a second attempt beside an overdue one: with another source if the source is silent, else to another
-// cache.
+// hedge sends another attempt while the overdue attempt is in flight: with another source if the source is silent, else
+// to another cache.
 func (r *Router) hedge(req *request, att *attempt, silent endpointIndex) {
 	isRepeatable := r.settings.Classes[req.class].Idempotency != NonIdempotent
 	if !isRepeatable || r.now > req.objectiveAt || !r.retries.hasToken() {
--- a/policy/routing/hedging_test.go
+++ b/policy/routing/hedging_test.go
@@ -1,7 +1,7 @@
 package routing
 
 // After a hedged attempt no cache is left while the first attempt is still in flight. The late result of the first
-// attempt must not lead to another attempt.
+// attempt must end the request, although the request has no current cache.
 func Example_noCacheLeft() {
 	settings := testSettings()
 	settings.AllowDirect = false
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -102,8 +102,8 @@
 	return l.transfers(r.trafficShare, r.now)
 }
 
-// slowdown returns the factor by which congestion prolongs one more transfer on a link of whose capacity only a part is
-// available.
+// slowdown returns the factor by which congestion prolongs an additional transfer on a link if only a part of the
+// link's capacity is available.
 func (r *Router) slowdown(l *link, part float64) float64 {
 	if l.capacity <= 0 {
 		return 1
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -103,7 +103,7 @@
 // isClosed reports whether only trials are admitted.
 func (o *originLimiter) isClosed() bool { return o.limit <= minOriginLimit }
 
-// hasCapacity reports whether one of the slots of a full limit is free for this router.
+// hasCapacity reports whether this router may send a fill under a full limit of the given number of slots.
 func (o *originLimiter) hasCapacity(slots float64, now time.Duration) bool {
 	if o.isClosed() {
 		return o.inFlight.current < minOriginLimit && now >= o.nextTrial
--- a/policy/routing/relay.go
+++ b/policy/routing/relay.go
@@ -27,10 +27,10 @@
 	r.previousRings = append(r.previousRings, previousRing{r.caches, r.now})
 }
 
-// previousOwner returns the cache that owned the request's arc before the arc moved, or noEndpoint. The cache must
-// still have its copies, which a cold cache does not, and its drain grace must not be over. If the request's cache has
-// started recently, it is empty although the arc may not have moved: the next cache of the ring has served the arc
-// meanwhile.
+// previousOwner returns the cache that owned the request's arc before the arc moved, or noEndpoint. The previous owner
+// must be warm, since a cold cache has no copies, and its drain grace must not be over. If the request's cache has
+// started recently, the cache is empty although the arc may not have moved. Then the next cache of the ring, which has
+// served the arc in the meantime, is returned.
 func (r *Router) previousOwner(req *request) endpointIndex {
 	if r.settings.PeerFill == PeerFillNone {
 		return noEndpoint
--- a/policy/routing/ring.go
+++ b/policy/routing/ring.go
@@ -61,7 +61,8 @@
 	return built
 }
 
-// find visits each member once, in ring order starting at the hash, and returns the first accepted one, or noEndpoint.
+// find visits the members, each once and in ring order starting at the hash, until accepts returns true. It returns the
+// accepted member, or noEndpoint.
 func (g *ring) find(hash uint64, accepts func(endpointIndex) bool) endpointIndex {
 	next := g.firstPointFrom(hash)
 	g.walks++
@@ -88,7 +89,7 @@
 }
 
 // firstPointFrom returns the index of the first point at or after the hash. The binary search is written out, since the
-// function calls of a generic one take a fifth of the time of a decision.
+// function calls of a generic search take a fifth of the time of a decision.
 func (g *ring) firstPointFrom(hash uint64) int {
 	low, high := 0, len(g.points)
 	for low < high {
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -6,8 +6,8 @@
 	// budgetSafetyFactor is the share of a cold endpoint's budget that all routers together use on average. The rest is
 	// left for random bursts.
 	budgetSafetyFactor = 0.6
-	// defaultThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until one has
-	// been observed.
+	// defaultThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until a
+	// throughput has been observed.
 	defaultThroughput = 1
 	// minBudgetRate is the budget rate, in seconds of transfers per second, if a setting is missing. It is almost zero,
 	// since nothing is known about the load that the endpoint can bear, but a rate of zero would be a division by zero.
