--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -7,18 +7,18 @@
 
 func TestOutlierIsEjectedByFailures(t *testing.T) {
 	for name, test := range map[string]struct {
-		severity float64
-		want     int
+		weight float64
+		want   int
 	}{
-		"lost connections": {hardFailure, 2},
-		"errors":           {softFailure, 4},
+		"failed connects": {hardFailureWeight, 2},
+		"error answers":   {softFailureWeight, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var detector outlierDetector
 			failures := 1
-			for ; !detector.recordFailure(test.severity, time.Minute); failures++ {
+			for ; !detector.recordFailure(test.weight, time.Minute); failures++ {
 				if failures > 100 {
-					t.Fatal("never ejected")
+					t.Fatal("not ejected after 100 failures")
 				}
 			}
 			if failures != test.want {
@@ -31,8 +31,8 @@
 func TestSuccessesKeepAnEndpointIn(t *testing.T) {
 	var detector outlierDetector
 	for range 1000 {
-		if detector.recordFailure(softFailure, time.Minute) {
-			t.Fatal("ejected though most answers are good")
+		if detector.recordFailure(softFailureWeight, time.Minute) {
+			t.Fatal("ejected although most attempts succeed")
 		}
 		for range 3 {
 			detector.recordSuccess(time.Minute, false)
@@ -42,7 +42,7 @@
 
 func ejectedDetector(now time.Duration) outlierDetector {
 	var detector outlierDetector
-	for !detector.recordFailure(hardFailure, now) {
+	for !detector.recordFailure(hardFailureWeight, now) {
 	}
 	return detector
 }
@@ -52,10 +52,10 @@
 	detector := ejectedDetector(now)
 	for _, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 4 * time.Second} {
 		if got := detector.nextTrial - now; got != want {
-			t.Errorf("next trial after %v, want %v", got, want)
+			t.Errorf("got a delay of %v to the next trial, want %v", got, want)
 		}
 		if detector.allowsAttempt(detector.nextTrial - 1) {
-			t.Error("an attempt is allowed before the trial")
+			t.Error("an attempt is allowed before the trial is due")
 		}
 		now = detector.nextTrial
 		if !detector.allowsAttempt(now) {
@@ -63,34 +63,34 @@
 		}
 		detector.beginTrial(now)
 		if detector.allowsAttempt(now) {
-			t.Error("a second attempt is allowed beside the trial")
+			t.Error("a second attempt is allowed at the time of the trial")
 		}
-		detector.recordFailure(hardFailure, now)
+		detector.recordFailure(hardFailureWeight, now)
 	}
 }
 
 func TestThreeSuccessesEndAnEjection(t *testing.T) {
 	ejectedAt := time.Minute
 	for name, test := range map[string]struct {
-		severity  float64
+		weight    float64
 		sentAt    time.Duration
 		fromCache bool
 		want      recovery
 	}{
-		"after errors":                     {softFailure, ejectedAt + time.Second, false, recoveryReturned},
-		"after silence":                    {hardFailure, ejectedAt + time.Second, false, recoveryRestarted},
-		"after silence, from a copy":       {hardFailure, ejectedAt + time.Second, true, recoveryReturned},
-		"after silence, sent before it":    {hardFailure, ejectedAt - time.Second, false, recoveryReturned},
-		"after silence, sent as it began ": {hardFailure, ejectedAt, false, recoveryRestarted},
+		"after error answers":                     {softFailureWeight, ejectedAt + time.Second, false, recoveryReturned},
+		"after silence":                           {hardFailureWeight, ejectedAt + time.Second, false, recoveryRestarted},
+		"after silence, from a cached copy":       {hardFailureWeight, ejectedAt + time.Second, true, recoveryReturned},
+		"after silence, sent before the ejection": {hardFailureWeight, ejectedAt - time.Second, false, recoveryReturned},
+		"after silence, sent at the ejection":     {hardFailureWeight, ejectedAt, false, recoveryRestarted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var detector outlierDetector
-			for !detector.recordFailure(test.severity, ejectedAt) {
+			for !detector.recordFailure(test.weight, ejectedAt) {
 			}
-			for i := range successesToReturn {
+			for i := range successesToRecover {
 				got := detector.recordSuccess(test.sentAt, test.fromCache)
 				want := recoveryNone
-				if i == successesToReturn-1 {
+				if i == successesToRecover-1 {
 					want = test.want
 				}
 				if got != want {
@@ -111,9 +111,9 @@
 		now  time.Duration
 		want bool
 	}{
-		"brief failure":   {time.Minute + parentRemapAfter - 1, false},
-		"long failure":    {time.Minute + parentRemapAfter, true},
-		"due for a trial": {2 * time.Minute, false},
+		"brief failure": {time.Minute + parentRemapDelay - 1, false},
+		"long failure":  {time.Minute + parentRemapDelay, true},
+		"trial due":     {2 * time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := detector.isRemapped(test.now); got != test.want {
@@ -123,8 +123,8 @@
 	}
 }
 
-// A parent that is not reached: origin fills at first, after 10 s its arc is the next parent's, with trials between;
-// once listed gone and back ready it has its arc again.
+// The objects of an unreachable parent are filled from the origin at first. After 10 s the parent's arc belongs to the
+// next parent, except for trials.
 func Example_parentLoss() {
 	harness := newHarness(testSettings(), cacheA)
 	object := harness.firstObject(cacheA, parentP)
@@ -136,7 +136,7 @@
 		harness.result(id, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	}
 	harness.advance(10 * time.Second)
-	harness.request(4, readClass, object) // due for a trial
+	harness.request(4, readClass, object) // a trial is due
 	harness.result(4, cacheA, 20*ms, Overloaded, NoteSourceUnreachable)
 	harness.result(4, cacheA, 150*ms, Succeeded, NoteViaOrigin)
 	harness.request(5, readClass, object)
@@ -152,23 +152,23 @@
 	//  10.66s request 5: attempt to A, fill from Q
 }
 
-// Found on depot-records: clients ask for what no endpoint can do, and all endpoints say so. Each request is rejected
-// once two have, and no endpoint is ejected; one that errs where another does not is ejected, and what ends many
-// attempts at once counts once.
+// Requests that fail at each endpoint are rejected after two error answers, and no endpoint is ejected. An endpoint
+// whose failed requests succeed at another endpoint is ejected. Connections that break at the same moment count as one
+// failure.
 func Example_requestsOwnFault() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(1); id <= 8; id++ {
 		harness.request(id, readClass, object)
 		harness.result(id, cacheA, ms, Failed, NoteNone)
 		harness.result(id, cacheB, ms, Failed, NoteNone)
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	harness.request(9, readClass, object)
 	harness.result(9, cacheA, ms, Failed, NoteNone)
 	harness.result(9, cacheB, ms, Failed, NoteNone)
-	harness.isMuted = true
+	harness.isQuiet = true
 	for id := RequestID(10); id <= 16; id++ {
 		harness.request(id, readClass, object)
 	}
@@ -176,7 +176,7 @@
 		harness.result(id, cacheA, 0, ConnectionBroken, NoteNone)
 		harness.result(id, cacheB, 0, Succeeded, NoteHit)
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	for id := RequestID(17); id <= 21; id++ {
 		harness.request(id, readClass, object)
 		if id < 20 {
@@ -198,20 +198,20 @@
 	//   0.42s request 21: attempt to B, fill from P
 }
 
-// Found on branch-library grown: all caches break some connections, none is lost. They are ejected one by one, and then
-// all are asked all the same; one that answers from a cached copy is not taken for restarted.
+// All caches break some connections, but none is lost. Once all are ejected, they are still tried. A cache that answers
+// from a cached copy is not treated as restarted.
 func Example_brokenEverywhere() {
 	settings := testSettings()
 	settings.AllowDirect = false
 	harness := newHarness(settings, cacheA, cacheB)
-	harness.isMuted = true
+	harness.isQuiet = true
 	object := harness.firstObject(cacheA, parentP)
 	for id := RequestID(1); id <= 4; id++ {
 		harness.request(id, readClass, object)
 		harness.result(id, cacheA, 10*ms, ConnectionBroken, NoteNone)
 		harness.result(id, cacheB, 10*ms, ConnectionBroken, NoteNone)
 	}
-	harness.isMuted = false
+	harness.isQuiet = false
 	for id := RequestID(5); id <= 8; id++ {
 		harness.request(id, readClass, object)
 		harness.result(id, cacheA, 300*ms, Succeeded, NoteHit)
@@ -223,7 +223,7 @@
 	//   0.98s request 8: attempt to A, fill from P
 }
 
-// Found on branch-library: a parent that begins its fills in good time, and then is slow, counts as failing.
+// A parent whose fills begin in time but then are slow counts as failing.
 func Example_draggingParent() {
 	harness := newHarness(testSettings(), cacheA)
 	for id := RequestID(1); id <= 6; id++ {
--- a/policy/routing/ring_test.go
+++ b/policy/routing/ring_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func evenRing(weights ...float64) ring {
+func ringWithWeights(weights ...float64) ring {
 	var members []ringMember
 	for i, weight := range weights {
 		members = append(members, ringMember{endpointIndex(i), EndpointID(1000 + 7919*i), weight})
@@ -14,7 +14,7 @@
 	return newRing(members)
 }
 
-// sharesOf counts which part of many objects each member owns.
+// sharesOf returns the share of objects that each member owns.
 func sharesOf(built *ring) []float64 {
 	const objects = 20000
 	shares := make([]float64, len(built.members))
@@ -26,12 +26,12 @@
 
 func TestRingSharesObjectsByWeight(t *testing.T) {
 	for name, weights := range map[string][]float64{
-		"equal weights":   {1, 1, 1, 1},
-		"one is heavier":  {1, 1, 2},
-		"no weights told": {0, 0},
+		"equal weights":      {1, 1, 1, 1},
+		"one heavier member": {1, 1, 2},
+		"no weights":         {0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			built, total := evenRing(weights...), 0.0
+			built, total := ringWithWeights(weights...), 0.0
 			for _, weight := range weights {
 				total += weight
 			}
@@ -49,17 +49,17 @@
 }
 
 func TestRingMovesOnlyObjectsOfALostMember(t *testing.T) {
-	before, after := evenRing(1, 1, 1, 1), evenRing(1, 1, 1)
+	before, after := ringWithWeights(1, 1, 1, 1), ringWithWeights(1, 1, 1)
 	for object := range uint64(5000) {
 		owner := before.owner(mix(object))
 		if owner < 3 && after.owner(mix(object)) != owner {
-			t.Fatalf("object %d moved from member %d, which is still there", object, owner)
+			t.Fatalf("object %d moved away from member %d, which is still in the ring", object, owner)
 		}
 	}
 }
 
 func TestRingFindVisitsEachMemberOnce(t *testing.T) {
-	built := evenRing(1, 1, 1, 1, 1)
+	built := ringWithWeights(1, 1, 1, 1, 1)
 	for range 3 {
 		var visited []endpointIndex
 		found := built.find(42, func(index endpointIndex) bool {
@@ -67,11 +67,11 @@
 			return false
 		})
 		if found != noEndpoint {
-			t.Errorf("found %d though none was accepted", found)
+			t.Errorf("found member %d although none was accepted", found)
 		}
 		slices.Sort(visited)
 		if !slices.Equal(visited, []endpointIndex{0, 1, 2, 3, 4}) {
-			t.Errorf("visited %v", visited)
+			t.Errorf("visited members %v, want each once", visited)
 		}
 	}
 }
@@ -79,6 +79,6 @@
 func TestRingWithoutMembersOwnsNothing(t *testing.T) {
 	built := newRing(nil)
 	if owner := built.owner(7); owner != noEndpoint {
-		t.Errorf("owner %d", owner)
+		t.Errorf("got owner %d, want none", owner)
 	}
 }
