--- a/internal/fake/redis/commands.go
+++ b/internal/fake/redis/commands.go
@@ -10,16 +10,16 @@
 	"github.com/tidwall/redcon"
 )
 
-// defaultUser is the user where none is named.
+// defaultUser is the user name where none is given.
 const defaultUser = "default"
 
-// silenceCheckInterval is how often a connection that is not answered looks whether the fault is over.
+// silenceCheckInterval is how often an unanswered connection checks whether the Silent fault is over.
 const silenceCheckInterval = 5 * time.Millisecond
 
-// command is what answers a verb.
+// command is the implementation of a verb.
 type command struct {
 	minArgs int
-	answer  func(s *Store, connection redcon.Conn, args [][]byte, now time.Time) // with the lock held
+	answer  func(s *Store, connection redcon.Conn, args [][]byte, now time.Time) // called with the lock held
 }
 
 var commands = map[string]command{
@@ -36,7 +36,7 @@
 	"ZREMRANGEBYSCORE": {3, (*Store).answerZRemRangeByScore},
 }
 
-// handle answers one command. What makes it wait holds up its connection only.
+// handle answers one command. A delay holds up only the connection that the command came on.
 func (s *Store) handle(connection redcon.Conn, request redcon.Command) {
 	verb := strings.ToUpper(string(request.Args[0]))
 	fault, delay := s.count(verb)
@@ -58,22 +58,22 @@
 		connection.WriteError("NOAUTH Authentication required.")
 		return
 	}
-	known, isKnown := commands[verb]
+	implementation, isKnown := commands[verb]
 	if !isKnown {
 		connection.WriteError("ERR unknown command '" + verb + "'")
 		return
 	}
 	args := request.Args[1:]
-	if len(args) < known.minArgs {
+	if len(args) < implementation.minArgs {
 		connection.WriteError("ERR wrong number of arguments for '" + strings.ToLower(verb) + "' command")
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known.answer(s, connection, args, time.Now())
+	implementation.answer(s, connection, args, time.Now())
 }
 
-// count counts a command and returns the fault in force, and for how long the answer is held up.
+// count counts a command. It returns the current fault and the delay of the answer.
 func (s *Store) count(verb string) (fault Fault, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	return s.fault, s.fault.drawDelay(s.random)
 }
 
-// waitWhileSilent holds a connection until the fault is over or the store ends, and closes it then.
+// waitWhileSilent leaves a connection unanswered until the fault is over or the store has crashed, then closes it.
 func (s *Store) waitWhileSilent(connection redcon.Conn) {
 	for {
 		time.Sleep(silenceCheckInterval)
@@ -99,7 +99,7 @@
 	}
 }
 
-// authenticate answers AUTH password, or AUTH user password.
+// authenticate answers "AUTH password" or "AUTH user password".
 func (s *Store) authenticate(connection redcon.Conn, client *session, request [][]byte) {
 	user, password := defaultUser, string(request[len(request)-1])
 	if len(request) == 3 {
@@ -147,8 +147,8 @@
 	expiresAt    time.Time // zero: never
 }
 
-// parseSetOptions reads the options of SET; problem is the error to be answered, empty where there is none.
-func parseSetOptions(args [][]byte, now time.Time) (options setOptions, problem string) {
+// parseSetOptions parses the options of SET. If they are invalid, errorReply is the error to answer with.
+func parseSetOptions(args [][]byte, now time.Time) (options setOptions, errorReply string) {
 	for i := 0; i < len(args); i++ {
 		switch strings.ToUpper(string(args[i])) {
 		case "NX":
@@ -158,11 +158,11 @@
 			if i == len(args) {
 				break
 			}
-			millis, isValid := parseExpireTime(args[i])
+			expiresIn, isValid := parseExpireTime(args[i])
 			if !isValid {
 				return options, "ERR invalid expire time in 'set' command"
 			}
-			options.expiresAt = now.Add(millis)
+			options.expiresAt = now.Add(expiresIn)
 		default:
 			return options, "ERR syntax error"
 		}
@@ -170,7 +170,7 @@
 	return options, ""
 }
 
-// parseExpireTime reads a positive number of milliseconds.
+// parseExpireTime parses a positive number of milliseconds.
 func parseExpireTime(text []byte) (expiresIn time.Duration, isValid bool) {
 	millis, err := strconv.Atoi(string(text))
 	return time.Duration(millis) * time.Millisecond, err == nil && millis > 0
@@ -178,9 +178,9 @@
 
 func (s *Store) answerSet(connection redcon.Conn, args [][]byte, now time.Time) {
 	key := string(args[0])
-	options, problem := parseSetOptions(args[2:], now)
-	if problem != "" {
-		connection.WriteError(problem)
+	options, errorReply := parseSetOptions(args[2:], now)
+	if errorReply != "" {
+		connection.WriteError(errorReply)
 		return
 	}
 	if options.onlyIfAbsent && s.values.get(key, now) != nil {
@@ -263,7 +263,8 @@
 	}
 }
 
-// membersBetween lists the members that the first three arguments name: a key and two bounds.
+// membersBetween returns the members of a set with scores in a range. The first three arguments are the key and the two
+// bounds.
 func (s *Store) membersBetween(args [][]byte) []scoredMember {
 	return s.sets[string(args[0])].between(parseScoreBound(args[1]), parseScoreBound(args[2]))
 }
@@ -310,7 +311,7 @@
 
 func formatScore(score float64) string { return strconv.FormatFloat(score, 'g', 17, 64) }
 
-// parseScoreBound reads one end of a range of scores; one after "(" is exclusive.
+// parseScoreBound parses one end of a range of scores. A leading "(" marks an exclusive bound.
 func parseScoreBound(text []byte) (bound scoreBound) {
 	number, isExclusive := strings.CutPrefix(string(text), "(")
 	bound.isExclusive = isExclusive
--- a/internal/fake/redis/counts.go
+++ b/internal/fake/redis/counts.go
@@ -3,64 +3,64 @@
 import "time"
 
 const (
-	// slotWidth is the width of the slots in which commands are counted.
+	// slotWidth is the duration of the slots in which commands are counted.
 	slotWidth = 100 * time.Millisecond
 
-	// windowSlots is over how many slots a load is measured.
+	// windowSlots is the number of slots over which the load is measured.
 	windowSlots = 10
 )
 
-// counter counts what a store is asked.
+// counter counts the commands that a store receives and their effects.
 type counter struct {
-	startedAt     time.Time // of the process
-	slotsSince    time.Time // of the first slot
-	slots         []int     // commands in each
+	startedAt     time.Time // start of the store
+	slotsStart    time.Time // start of the first slot
+	slots         []int     // commands in each slot
 	commands      int
-	valueCommands int // of them, on plain values
-	valuesGiven   int
+	valueCommands int // commands on plain values
+	valuesServed  int
 	evicted       int
 }
 
-// start begins to count the load of a new process.
+// start starts to measure the load of a store that has been started.
 func (c *counter) start(startedAt time.Time) {
-	c.startedAt, c.slotsSince, c.slots = startedAt, time.Now(), nil
+	c.startedAt, c.slotsStart, c.slots = startedAt, time.Now(), nil
 }
 
 func (c *counter) add(now time.Time) {
 	c.commands++
-	slot := int(now.Sub(c.slotsSince) / slotWidth)
+	slot := int(now.Sub(c.slotsStart) / slotWidth)
 	for len(c.slots) <= slot {
 		c.slots = append(c.slots, 0)
 	}
 	c.slots[slot]++
 }
 
-// ValueCommands is how many commands on plain values it was asked, whatever it answered.
+// ValueCommands returns the number of commands on plain values that the store has received, whatever it answered.
 func (s *Store) ValueCommands() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counter.valueCommands
 }
 
-// Counts is what a store saw.
+// Counts counts what a store has received and done, and what it holds.
 type Counts struct {
 	Commands int
-	Given    int // values handed out
+	Given    int // values returned by GET
 	Evicted  int
 	Keys     int
 	Clients  int
-	// Peak is the most that was asked of it in any second since its last start, as a multiple of its capacity then.
+	// Peak is the highest load in any second since the last start, as a multiple of the capacity in that second.
 	Peak   float64
-	PeakAt time.Duration // since its last start
+	PeakAt time.Duration // start of that second, measured from the last start
 }
 
-// Counts returns what it saw so far.
+// Counts returns the counts so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts := Counts{
 		Commands: s.counter.commands,
-		Given:    s.counter.valuesGiven,
+		Given:    s.counter.valuesServed,
 		Evicted:  s.counter.evicted,
 		Keys:     len(s.values.byKey),
 		Clients:  len(s.connections),
@@ -68,19 +68,19 @@
 	if s.config.CommandsPerSecond <= 0 {
 		return counts
 	}
-	for first := range s.counter.slots {
-		if load := s.loadFrom(first); load > counts.Peak {
-			counts.Peak, counts.PeakAt = load, time.Duration(first)*slotWidth
+	for firstSlot := range s.counter.slots {
+		if load := s.loadFrom(firstSlot); load > counts.Peak {
+			counts.Peak, counts.PeakAt = load, time.Duration(firstSlot)*slotWidth
 		}
 	}
 	return counts
 }
 
-// loadFrom is the load of a window that begins with a slot, as a multiple of the capacity in it.
-func (s *Store) loadFrom(first int) float64 {
-	age := s.counter.slotsSince.Sub(s.counter.startedAt)
+// loadFrom returns the load in the window that starts with the given slot, as a multiple of the capacity in the window.
+func (s *Store) loadFrom(firstSlot int) float64 {
+	age := s.counter.slotsStart.Sub(s.counter.startedAt)
 	commands, capacity := 0.0, 0.0
-	for slot := first; slot < first+windowSlots; slot++ {
+	for slot := firstSlot; slot < firstSlot+windowSlots; slot++ {
 		if slot < len(s.counter.slots) {
 			commands += float64(s.counter.slots[slot])
 		}
@@ -90,7 +90,7 @@
 	return commands / capacity
 }
 
-// capacityShare is the share of its capacity that a process of some age has.
+// capacityShare returns the share of its capacity that a store has at a time since its start.
 func (s *Store) capacityShare(age time.Duration) float64 {
 	if age >= s.config.WarmUpTime {
 		return 1
--- a/internal/fake/redis/faults.go
+++ b/internal/fake/redis/faults.go
@@ -9,48 +9,49 @@
 )
 
 const (
-	// cutDelay is until a connection is reset in the middle of a value: what was written is on its way by then.
-	cutDelay = 2 * time.Millisecond
+	// resetDelay is the time between writing part of a value and resetting the connection. The part has been sent by
+	// then.
+	resetDelay = 2 * time.Millisecond
 
-	// excessBytes is how much longer than a value its announced length may be.
+	// excessBytes is how far the announced length of a value exceeds its length under the WrongLength fault.
 	excessBytes = 1 << 20
 
-	// minCorruptBytes is the length from which on values are corrupted.
+	// minCorruptBytes is the minimum length of values that are corrupted.
 	minCorruptBytes = 8
 
-	// formatVersionIndex is the byte of a value that says which form it has.
+	// formatVersionIndex is the index of the byte of a stored value that holds its format version.
 	formatVersionIndex = 2
 
 	flippedBit   = 0x10
 	foreignValue = `{"somebody":"else"}`
 )
 
-// Fault is what is wrong with a store at the moment; the zero value is nothing.
+// Fault describes how a store misbehaves. The zero value is no fault.
 type Fault struct {
 	Delay            time.Duration // before each answer
-	DelayJitter      time.Duration // up to so much more
-	Verbs            []string      // only these commands are answered with Word; all where there are none
-	Silent           bool          // it accepts and says nothing
-	ErrorReply       string        // an error that is answered instead
+	DelayJitter      time.Duration // upper bound of a uniformly distributed addition to Delay
+	Verbs            []string      // commands that are answered with ErrorReply, empty: all but INFO
+	Silent           bool          // commands are accepted but not answered
+	ErrorReply       string        // error that is returned instead of an answer, "": none
 	ResetDuringValue bool          // the connection is reset in the middle of each value
-	WrongLength      bool          // a value is announced with more bytes than it has
-	TooManyClients   bool          // it has as many clients as it takes: new ones are told so, and those there are gone
-	Corruption       Corruption    // how values are corrupted on their way out
+	WrongLength      bool          // the announced length of each value is too large
+	TooManyClients   bool          // new connections are rejected with an error, existing ones closed
+	Corruption       Corruption    // how values are corrupted when they are returned
 }
 
-// Corruption is a way in which a value is not what was stored.
+// Corruption is a way in which a returned value differs from the stored one.
 type Corruption uint8
 
-// The ways of corruption.
+// Kinds of corruption.
 const (
 	NotCorrupted Corruption = iota // none
-	BitFlipped                     // one bit is another
-	Truncated                      // its second half is missing
-	ForeignValue                   // it is something else
-	NewerFormat                    // it says that it is of a form to come
+	BitFlipped                     // one bit is flipped
+	Truncated                      // the second half is missing
+	ForeignValue                   // another program's value is in its place
+	NewerFormat                    // the format version is one higher than the stored one
 )
 
-// SetFault puts a fault in force.
+// SetFault replaces the current fault.
 func (s *Store) SetFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// drawDelay draws for how long an answer is held up.
+// drawDelay returns a random delay for an answer.
 func (f Fault) drawDelay(random *rand.Rand) time.Duration {
 	delay := f.Delay
 	if f.DelayJitter > 0 {
@@ -72,7 +73,7 @@
 	return delay
 }
 
-// hasErrorFor says whether a command is answered with the fault's error.
+// hasErrorFor reports whether a command is answered with ErrorReply.
 func (f Fault) hasErrorFor(verb string) bool {
 	if f.ErrorReply == "" || verb == "INFO" {
 		return false
@@ -80,30 +81,30 @@
 	return len(f.Verbs) == 0 || slices.Contains(f.Verbs, verb)
 }
 
-// writeValue answers with a value, as the fault has it. The caller holds the lock.
+// writeValue answers with a value, subject to the current fault. The caller holds the lock.
 func (s *Store) writeValue(connection redcon.Conn, data []byte) {
-	s.counter.valuesGiven++
+	s.counter.valuesServed++
 	switch {
 	case s.fault.ResetDuringValue:
 		frame := redcon.AppendBulk(nil, data)
 		connection.WriteRaw(frame[:len(data)/2+1])
 		socket := connection.NetConn()
-		time.AfterFunc(cutDelay, func() { reset(socket) })
+		time.AfterFunc(resetDelay, func() { reset(socket) })
 	case s.fault.WrongLength:
-		tooLong := append(append([]byte(nil), data...), make([]byte, excessBytes)...)
-		connection.WriteRaw(redcon.AppendBulk(nil, tooLong)[:len(data)])
+		padded := append(append([]byte(nil), data...), make([]byte, excessBytes)...)
+		connection.WriteRaw(redcon.AppendBulk(nil, padded)[:len(data)])
 	default:
 		connection.WriteBulk(s.fault.Corruption.apply(data))
 	}
 }
 
-// apply returns a copy of a value that is corrupted.
-func (p Corruption) apply(data []byte) []byte {
+// apply returns a corrupted copy of a value.
+func (c Corruption) apply(data []byte) []byte {
 	corrupted := append([]byte(nil), data...)
 	if len(data) < minCorruptBytes {
 		return corrupted
 	}
-	switch p {
+	switch c {
 	case BitFlipped:
 		corrupted[len(corrupted)/2] ^= flippedBit
 	case Truncated:
--- a/internal/fake/redis/keyspace.go
+++ b/internal/fake/redis/keyspace.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// value is a plain value.
+// value is a plain value, as opposed to a sorted set.
 type value struct {
 	key       string
 	data      []byte
 	expiresAt time.Time     // zero: never
-	recency   *list.Element // in the list of the keyspace
+	recency   *list.Element // in keyspace.recency
 }
 
 // keyspace holds the plain values of a store and evicts the least recently used.
 type keyspace struct {
 	byKey    map[string]*value
-	recency  *list.List // of keys, the most recently used in front
+	recency  *list.List // keys, the most recently used first
 	bytes    int
-	maxBytes int // 0: no bound
+	maxBytes int // 0: no limit
 }
 
-// get returns a value that has not expired, or nil.
+// get returns the value of a key, or nil if there is none or it has expired.
 func (k *keyspace) get(key string, now time.Time) *value {
 	found := k.byKey[key]
 	if found != nil && !found.expiresAt.IsZero() && !now.Before(found.expiresAt) {
@@ -33,10 +33,10 @@
 	return found
 }
 
-// use makes a value the most recently used.
+// use marks a value as the most recently used.
 func (k *keyspace) use(v *value) { k.recency.MoveToFront(v.recency) }
 
-// put stores a value, and says how many others were evicted for it.
+// put stores a value and returns the number of other values evicted for it.
 func (k *keyspace) put(key string, data []byte, expiresAt time.Time) (evicted int) {
 	k.remove(key)
 	k.byKey[key] = &value{
@@ -61,7 +61,7 @@
 	}
 }
 
-// all returns the values, the least recently used first, so that to put them again keeps their order.
+// all returns the values, the least recently used first, so that putting them in this order restores their recency.
 func (k *keyspace) all() []value {
 	values := make([]value, 0, len(k.byKey))
 	for element := k.recency.Back(); element != nil; element = element.Prev() {
@@ -70,7 +70,7 @@
 	return values
 }
 
-// sortedSet holds scores by member.
+// sortedSet maps members to scores.
 type sortedSet map[string]float64
 
 func cloneSets(sets map[string]sortedSet) map[string]sortedSet {
@@ -93,7 +93,7 @@
 	score float64
 }
 
-// between lists the members within two bounds, by score, then by name.
+// between returns the members with scores between two bounds, ordered by score and then by name.
 func (set sortedSet) between(low, high scoreBound) (members []scoredMember) {
 	for name, score := range set {
 		if score < low.score || score > high.score {
--- a/internal/fake/redis/store.go
+++ b/internal/fake/redis/store.go
@@ -1,6 +1,6 @@
-// Package redis is a stand-in for a store that speaks RESP2, for tests and experiments. It is written from the public
-// description of the protocol and of the commands that a router uses, and can be given faults (see Fault). It knows
-// nothing of a router.
+// Package redis provides a fake store that speaks RESP2, for tests and experiments. It implements the commands that a
+// router uses, from the public description of the protocol, and can inject faults (see Fault). It does not depend on a
+// router's code.
 package redis
 
 import (
@@ -18,28 +18,28 @@
 const (
 	anyLoopbackPort = "127.0.0.1:0"
 
-	randomStream = 1 // of the generator that the seed begins
+	randomStream = 1 // stream of the seeded random generator
 
-	// restartTimeout is how long a store that is started again waits for its address to be free.
+	// restartTimeout is how long a restart waits for the store's old address to become free.
 	restartTimeout       = 2 * time.Second
 	restartRetryInterval = 5 * time.Millisecond
 )
 
-// Config is what a store is at its start.
+// Config configures a store.
 type Config struct {
-	Address           string        // "" for any port of loopback
-	MaxValueBytes     int           // bytes of values before the least recently used are evicted, 0: no bound
-	CommandsPerSecond float64       // commands a second when warm, 0: not measured against
-	ColdCapacityShare float64       // of the capacity, just after a start
-	WarmUpTime        time.Duration // until it has all of it
-	InitialAge        time.Duration // for which it has run at its first start
-	User              string        // needed, with the password, where that is set
-	Password          string        // the password
-	MaxClients        int           // connections at most, 0: no bound
+	Address           string        // "": any free port of the loopback address
+	MaxValueBytes     int           // size beyond which the least recently used values are evicted, 0: no limit
+	CommandsPerSecond float64       // capacity when warm, 0: the load is not measured
+	ColdCapacityShare float64       // share of the capacity available right after a start
+	WarmUpTime        time.Duration // from a start to full capacity
+	InitialAge        time.Duration // age of the store at its first start
+	User              string        // user of AUTH, "": the default user
+	Password          string        // "": no authentication
+	MaxClients        int           // maximum number of connections, 0: no limit
 	Seed              uint64
 }
 
-// Store is one store; it lives through restarts.
+// Store is a fake store. It can crash and restart.
 type Store struct {
 	config Config
 
@@ -79,7 +79,7 @@
 	s.sets = map[string]sortedSet{}
 }
 
-// Address is where it listens.
+// Address returns the address that the store listens on.
 func (s *Store) Address() string { return s.config.Address }
 
 func (s *Store) listen() error {
@@ -98,12 +98,12 @@
 	s.startedAt = time.Now().Add(-s.config.InitialAge)
 	s.config.InitialAge = 0
 	s.counter.start(s.startedAt)
-	s.server = redcon.NewServer("", s.handle, s.accept, s.forget)
+	s.server = redcon.NewServer("", s.handle, s.accept, s.removeConnection)
 	go func(server *redcon.Server) { _ = server.Serve(listener) }(s.server)
 	return nil
 }
 
-// session is what belongs to one connection.
+// session is the state of one connection.
 type session struct{ isAuthenticated bool }
 
 func (s *Store) accept(connection redcon.Conn) bool {
@@ -118,13 +118,13 @@
 	return true
 }
 
-func (s *Store) forget(connection redcon.Conn, _ error) {
+func (s *Store) removeConnection(connection redcon.Conn, _ error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.connections, connection.NetConn())
 }
 
-// Crash ends the process: connections are reset, nothing listens, and what was not saved is lost.
+// Crash simulates the end of the store's process: connections are reset, nothing listens, and unsaved data is lost.
 func (s *Store) Crash() {
 	s.mu.Lock()
 	server, connections := s.server, maps.Clone(s.connections)
@@ -143,10 +143,10 @@
 	_ = connection.Close()
 }
 
-// Close ends it for good.
+// Close stops the store for good.
 func (s *Store) Close() { s.Crash() }
 
-// Restart starts it at its old address without data.
+// Restart starts the store at its old address without data.
 func (s *Store) Restart() error {
 	s.mu.Lock()
 	s.clear()
@@ -154,7 +154,7 @@
 	return s.listenAgain()
 }
 
-// RestartFromSnapshot starts it at its old address with the data that was saved last.
+// RestartFromSnapshot starts the store at its old address with the data that was saved last.
 func (s *Store) RestartFromSnapshot() error {
 	s.mu.Lock()
 	s.clear()
@@ -165,7 +165,7 @@
 	return s.listenAgain()
 }
 
-// listenAgain listens once the address is free.
+// listenAgain listens as soon as the address is free.
 func (s *Store) listenAgain() error {
 	for end := time.Now().Add(restartTimeout); ; time.Sleep(restartRetryInterval) {
 		if err := s.listen(); err == nil || time.Now().After(end) {
@@ -174,14 +174,14 @@
 	}
 }
 
-// Save takes a snapshot.
+// Save takes a snapshot of all data.
 func (s *Store) Save() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.snapshot = &snapshot{values: s.values.all(), sets: cloneSets(s.sets)}
 }
 
-// restore puts the data of a snapshot in. The caller holds the lock.
+// restore loads the data of a snapshot. The caller holds the lock.
 func (s *Store) restore(saved *snapshot) {
 	for i := range saved.values {
 		s.put(saved.values[i].key, saved.values[i].data, saved.values[i].expiresAt)
@@ -189,21 +189,21 @@
 	s.sets = cloneSets(saved.sets)
 }
 
-// Flush drops all data; the process goes on.
+// Flush drops all data while the store keeps running.
 func (s *Store) Flush() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.clear()
 }
 
-// DropSets drops what is not a plain value, as a store short of memory may.
+// DropSets drops all sorted sets but no plain values, as a store short of memory may.
 func (s *Store) DropSets() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sets = map[string]sortedSet{}
 }
 
-// put stores a value, and counts what is evicted for it. The caller holds the lock.
+// put stores a value and counts the values evicted for it. The caller holds the lock.
 func (s *Store) put(key string, data []byte, expiresAt time.Time) {
 	s.counter.evicted += s.values.put(key, data, expiresAt)
 }
--- a/internal/fake/redis/store_test.go
+++ b/internal/fake/redis/store_test.go
@@ -32,15 +32,15 @@
 	return socket
 }
 
-// want sends a command and checks its answer byte by byte.
-func want(t *testing.T, socket net.Conn, command, answer string) {
+// expectAnswer sends a command and checks every byte of the answer.
+func expectAnswer(t *testing.T, socket net.Conn, command, answer string) {
 	t.Helper()
 	if _, err := socket.Write(resp.AppendStrings(nil, strings.Fields(command)...)); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, len(answer))
 	if n, err := io.ReadFull(socket, got); err != nil || string(got) != answer {
-		t.Fatalf("%s: %q, %v, not %q", command, got[:n], err, answer)
+		t.Fatalf("%s: answer %q, error %v, want %q", command, got[:n], err, answer)
 	}
 }
 
@@ -73,71 +73,71 @@
 		{"DEL k z x", ":2\r\n"},
 		{"ZMSCORE z b", "*1\r\n$-1\r\n"},
 	} {
-		want(t, socket, step.command, step.answer)
+		expectAnswer(t, socket, step.command, step.answer)
 	}
 }
 
 func TestExpiry(t *testing.T) {
 	socket := connect(t, startStore(t, Config{}))
-	want(t, socket, "SET k v PX 20", "+OK\r\n")
-	want(t, socket, "GET k", "$1\r\nv\r\n")
+	expectAnswer(t, socket, "SET k v PX 20", "+OK\r\n")
+	expectAnswer(t, socket, "GET k", "$1\r\nv\r\n")
 	time.Sleep(30 * time.Millisecond)
-	want(t, socket, "GET k", "$-1\r\n")
-	want(t, socket, "SET k v NX", "+OK\r\n")
+	expectAnswer(t, socket, "GET k", "$-1\r\n")
+	expectAnswer(t, socket, "SET k v NX", "+OK\r\n")
 }
 
 func TestAuthentication(t *testing.T) {
 	store := startStore(t, Config{User: "router", Password: "secret"})
 	socket := connect(t, store)
-	want(t, socket, "GET k", "-NOAUTH Authentication required.\r\n")
-	want(t, socket, "AUTH secret", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
-	want(t, socket, "AUTH router secret", "+OK\r\n")
-	want(t, socket, "GET k", "$-1\r\n")
-	want(t, connect(t, store), "GET k", "-NOAUTH Authentication required.\r\n")
+	expectAnswer(t, socket, "GET k", "-NOAUTH Authentication required.\r\n")
+	expectAnswer(t, socket, "AUTH secret", "-WRONGPASS invalid username-password pair or user is disabled.\r\n")
+	expectAnswer(t, socket, "AUTH router secret", "+OK\r\n")
+	expectAnswer(t, socket, "GET k", "$-1\r\n")
+	expectAnswer(t, connect(t, store), "GET k", "-NOAUTH Authentication required.\r\n")
 }
 
-// The least recently used value goes first where memory is short.
+// The least recently used value is evicted when the memory limit is exceeded.
 func TestEviction(t *testing.T) {
 	store := startStore(t, Config{MaxValueBytes: 6})
 	socket := connect(t, store)
-	want(t, socket, "SET a 12", "+OK\r\n")
-	want(t, socket, "SET b 12", "+OK\r\n")
-	want(t, socket, "GET a", "$2\r\n12\r\n")
-	want(t, socket, "SET c 12", "+OK\r\n")
-	want(t, socket, "GET b", "$-1\r\n")
-	want(t, socket, "GET a", "$2\r\n12\r\n")
+	expectAnswer(t, socket, "SET a 12", "+OK\r\n")
+	expectAnswer(t, socket, "SET b 12", "+OK\r\n")
+	expectAnswer(t, socket, "GET a", "$2\r\n12\r\n")
+	expectAnswer(t, socket, "SET c 12", "+OK\r\n")
+	expectAnswer(t, socket, "GET b", "$-1\r\n")
+	expectAnswer(t, socket, "GET a", "$2\r\n12\r\n")
 	counts := store.Counts()
 	if counts.Evicted != 1 || counts.Keys != 2 || counts.Given != 2 || counts.Commands != 6 || store.ValueCommands() != 6 {
-		t.Errorf("%+v", counts)
+		t.Errorf("unexpected counts: %+v", counts)
 	}
 }
 
-// What was saved comes back, if it is to; what was not is lost.
+// A restart from the snapshot restores the data that was saved. A plain restart loses all data.
 func TestRestart(t *testing.T) {
 	store := startStore(t, Config{})
 	socket := connect(t, store)
-	want(t, socket, "SET k v", "+OK\r\n")
-	want(t, socket, "ZADD z 1 a", ":1\r\n")
+	expectAnswer(t, socket, "SET k v", "+OK\r\n")
+	expectAnswer(t, socket, "ZADD z 1 a", ":1\r\n")
 	store.Save()
-	want(t, socket, "SET k w", "+OK\r\n")
+	expectAnswer(t, socket, "SET k w", "+OK\r\n")
 	address := store.Address()
 	store.Crash()
 	if _, err := socket.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection outlives its process")
+		t.Error("a connection is still open after the crash")
 	}
 	if err := store.RestartFromSnapshot(); err != nil || store.Address() != address {
-		t.Fatalf("%v, at %s", err, store.Address())
+		t.Fatalf("restart: error %v, address %s", err, store.Address())
 	}
 	socket = connect(t, store)
-	want(t, socket, "GET k", "$1\r\nv\r\n")
-	want(t, socket, "ZMSCORE z a", "*1\r\n$1\r\n1\r\n")
+	expectAnswer(t, socket, "GET k", "$1\r\nv\r\n")
+	expectAnswer(t, socket, "ZMSCORE z a", "*1\r\n$1\r\n1\r\n")
 	store.DropSets()
-	want(t, socket, "ZMSCORE z a", "*1\r\n$-1\r\n")
+	expectAnswer(t, socket, "ZMSCORE z a", "*1\r\n$-1\r\n")
 	store.Crash()
 	if err := store.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	want(t, connect(t, store), "GET k", "$-1\r\n")
+	expectAnswer(t, connect(t, store), "GET k", "$-1\r\n")
 }
 
 func TestFaults(t *testing.T) {
@@ -146,39 +146,40 @@
 		fault  Fault
 		answer string
 	}{
-		"none":                  {Fault{}, length + "0123456789\r\n"},
-		"error":                 {Fault{ErrorReply: "BUSY"}, "-BUSY\r\n"},
-		"error of another verb": {Fault{ErrorReply: "BUSY", Verbs: []string{"SET"}}, length + "0123456789\r\n"},
-		"flipped":               {Fault{Corruption: BitFlipped}, length + "01234%6789\r\n"},
-		"halved":                {Fault{Corruption: Truncated}, "$5\r\n01234\r\n"},
-		"foreign":               {Fault{Corruption: ForeignValue}, "$19\r\n{\"somebody\":\"else\"}\r\n"},
-		"newer form":            {Fault{Corruption: NewerFormat}, length + "0133456789\r\n"},
-		"length":                {Fault{WrongLength: true}, "$1048586\r\n"},
+		"none":                   {Fault{}, length + "0123456789\r\n"},
+		"error":                  {Fault{ErrorReply: "BUSY"}, "-BUSY\r\n"},
+		"error of other command": {Fault{ErrorReply: "BUSY", Verbs: []string{"SET"}}, length + "0123456789\r\n"},
+		"bit flipped":            {Fault{Corruption: BitFlipped}, length + "01234%6789\r\n"},
+		"truncated":              {Fault{Corruption: Truncated}, "$5\r\n01234\r\n"},
+		"foreign":                {Fault{Corruption: ForeignValue}, "$19\r\n{\"somebody\":\"else\"}\r\n"},
+		"newer format":           {Fault{Corruption: NewerFormat}, length + "0133456789\r\n"},
+		"wrong length":           {Fault{WrongLength: true}, "$1048586\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := startStore(t, Config{})
 			socket := connect(t, store)
-			want(t, socket, "SET k 0123456789", "+OK\r\n")
+			expectAnswer(t, socket, "SET k 0123456789", "+OK\r\n")
 			store.SetFault(test.fault)
-			want(t, socket, "GET k", test.answer)
+			expectAnswer(t, socket, "GET k", test.answer)
 		})
 	}
 }
 
-// A reset in the middle of a value, a silent store and one that takes no more clients each end the connection.
+// Each of these faults ends the connection: a reset in the middle of a value, a silent store, and a store that has too
+// many clients.
 func TestFaultsThatEndConnections(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault Fault
-		after string // before the end
+		want  string // received before the connection ends
 	}{
-		"cut":    {Fault{ResetDuringValue: true}, "$10\r\n0"},
-		"silent": {Fault{Silent: true}, ""},
-		"crowd":  {Fault{TooManyClients: true}, ""},
+		"reset":            {Fault{ResetDuringValue: true}, "$10\r\n0"},
+		"silent":           {Fault{Silent: true}, ""},
+		"too many clients": {Fault{TooManyClients: true}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			store := startStore(t, Config{})
 			socket := connect(t, store)
-			want(t, socket, "SET k 0123456789", "+OK\r\n")
+			expectAnswer(t, socket, "SET k 0123456789", "+OK\r\n")
 			store.SetFault(test.fault)
 			_, _ = socket.Write(resp.AppendStrings(nil, "GET", "k"))
 			if test.fault.Silent {
@@ -186,24 +187,24 @@
 			}
 			got, err := io.ReadAll(socket)
 			var timeout net.Error
-			if string(got) != test.after || errors.As(err, &timeout) && timeout.Timeout() {
-				t.Errorf("%q, %v", got, err)
+			if string(got) != test.want || errors.As(err, &timeout) && timeout.Timeout() {
+				t.Errorf("received %q, error %v", got, err)
 			}
 			if test.fault.TooManyClients {
-				want(t, connect(t, store), "PING", "-ERR max number of clients reached\r\n")
+				expectAnswer(t, connect(t, store), "PING", "-ERR max number of clients reached\r\n")
 			}
 		})
 	}
 }
 
-// The load is measured against the capacity that a cold process has.
+// The load of a cold store is measured against its capacity at that time.
 func TestPeak(t *testing.T) {
 	store := startStore(t, Config{CommandsPerSecond: 100, ColdCapacityShare: 0.5, WarmUpTime: time.Hour})
 	socket := connect(t, store)
 	for range 25 {
-		want(t, socket, "PING", "+PONG\r\n")
+		expectAnswer(t, socket, "PING", "+PONG\r\n")
 	}
 	if peak := store.Counts().Peak; peak < 0.4 || peak > 0.6 {
-		t.Errorf("25 commands in a second that bears 50 are a load of %v", peak)
+		t.Errorf("25 commands in a second with a capacity of 50 are measured as a load of %v", peak)
 	}
 }
--- a/internal/fake/site/cache_server.go
+++ b/internal/fake/site/cache_server.go
@@ -6,44 +6,44 @@
 	"time"
 )
 
-// Kind is a cache server's level in the hierarchy, in the words of the endpoint list.
+// Kind is a cache server's level in the hierarchy. Its value is the model that the endpoint list gives for the server.
 type Kind string
 
-// The levels.
+// Levels of the hierarchy.
 const (
 	Cache  Kind = "box"
 	Parent Kind = "parent"
 	Origin Kind = "origin"
 )
 
-// ServiceTime is how long a cache server takes to answer.
+// ServiceTime is the time that a cache server takes to answer a request.
 type ServiceTime struct {
 	Base   time.Duration
-	Jitter time.Duration // up to so much more, drawn evenly
+	Jitter time.Duration // upper bound of a uniformly distributed addition to Base
 }
 
-// CacheServerOptions are what a cache server is started with.
+// CacheServerOptions configures a cache server.
 type CacheServerOptions struct {
 	UID         string
 	Kind        Kind
-	Address     string // "": a port of its own on loopback
+	Address     string // "": any free port of the loopback address
 	Weight      float64
 	ServiceTime ServiceTime
 	Seed        uint64
 }
 
-// ReceivedRequest is one attempt that came to a cache server from a router, or one fill that another server requested.
+// ReceivedRequest is an attempt that a cache server received from a router, or a fill requested by another server.
 type ReceivedRequest struct {
 	At        time.Time
 	RequestID string
 	Object    Object
 	Class     string
-	Source    string // named for a fill
-	FilledFor string // the server that requests a fill, "": a router sent it
+	Source    string // server that the router names to fill from
+	FilledFor string // server that requested the fill, "": an attempt from a router
 	IsWrite   bool
 }
 
-// CacheServer is one cache, parent or the origin.
+// CacheServer is a fake cache, parent or origin.
 type CacheServer struct {
 	UID     string
 	Kind    Kind
@@ -60,7 +60,7 @@
 	rng      *rand.Rand
 }
 
-// writeClass is the class whose requests are writes, which run at the origin alone.
+// writeClass is the class of writes, which only the origin runs.
 const writeClass = "signoff"
 
 func newCacheServer(site *Site, options CacheServerOptions) (*CacheServer, error) {
@@ -80,12 +80,12 @@
 	return s, nil
 }
 
-// Endpoint is the server's entry in the endpoint list.
+// Endpoint returns the server's entry in the endpoint list, with the given state.
 func (s *CacheServer) Endpoint(state string) Endpoint {
 	return Endpoint{UID: s.UID, Address: s.Address, Zone: Zone, Kind: s.Kind, State: state, Weight: s.Weight}
 }
 
-// Received is all that came to the server so far.
+// Received returns all requests that the server has received so far.
 func (s *CacheServer) Received() []ReceivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,8 @@
 	time.Sleep(duration)
 }
 
-// find returns the copy that the server has, or fills it from the source that is named.
+// find returns the server's copy of an object. If it has no current copy, it fills one from the source that the request
+// names.
 func (s *CacheServer) find(request *FetchRequest) (Copy, CopySource, error) {
 	object := request.Object
 	if s.Kind == Origin {
@@ -152,10 +153,10 @@
 		return Copy{Body(object, now, s.site.sizeOf(object)), now}, FromLocalCache, nil
 	}
 	s.mu.Lock()
-	cached, has := s.copies[object]
+	cached, isCached := s.copies[object]
 	s.mu.Unlock()
 	isFresh := request.MaxAge == 0 || time.Since(cached.CreatedAt) <= request.MaxAge
-	if has && isFresh && cached.CreatedAt.After(s.site.lastPurge(object.ID)) {
+	if isCached && isFresh && cached.CreatedAt.After(s.site.lastPurge(object.ID)) {
 		return cached, FromLocalCache, nil
 	}
 	source := s.site.server(request.Source)
@@ -172,7 +173,8 @@
 	return filled, from, nil
 }
 
-// fill answers another server's request for a copy; a parent fetches from the origin what it lacks.
+// fill answers another server's request for a copy. A parent without a copy fills from the origin, unless the request
+// forbids that.
 func (s *CacheServer) fill(requesterUID string, request FetchRequest) (Copy, CopySource, error) {
 	s.record(ReceivedRequest{At: time.Now(), Object: request.Object, FilledFor: requesterUID})
 	s.sleep()
--- a/internal/fake/site/discovery_server.go
+++ b/internal/fake/site/discovery_server.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// DiscoveryServer publishes numbered events to whoever polls for those after a number.
+// DiscoveryServer publishes numbered events to clients that poll for the events after a given number.
 type DiscoveryServer struct {
 	Address string
 
 	events  *EventLog
 	server  *http.Server
-	serving sync.WaitGroup // its listeners
+	serving sync.WaitGroup // one goroutine per listener
 
 	mu            sync.Mutex
 	isUnavailable bool
 }
 
-// NewDiscoveryServer starts a discovery server without events, on a port of its own.
+// NewDiscoveryServer starts a discovery server without events on a free loopback port.
 func NewDiscoveryServer() *DiscoveryServer {
 	d := &DiscoveryServer{events: NewEventLog()}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		panic(err) // loopback itself is gone
+		panic(err) // no port of the loopback address is free
 	}
 	d.Address = listener.Addr().String()
 	d.server = &http.Server{Handler: http.HandlerFunc(d.poll), ReadHeaderTimeout: time.Second}
@@ -34,21 +34,21 @@
 	return d
 }
 
-// Serve answers at another address too, until the server is closed.
+// Serve answers polls on an additional listener until the server is closed.
 func (d *DiscoveryServer) Serve(listener net.Listener) {
 	d.serving.Go(func() { _ = d.server.Serve(listener) })
 }
 
-// Close ends the server and all its listeners.
+// Close stops the server and closes all its listeners.
 func (d *DiscoveryServer) Close() {
 	_ = d.server.Close()
 	d.serving.Wait()
 }
 
-// Suspend has every poll fail with 503, also those that wait, until Resume.
+// Suspend makes polls fail with status 503 until Resume. A waiting poll fails when its wait ends.
 func (d *DiscoveryServer) Suspend() { d.setUnavailable(true) }
 
-// Resume has polls answered again.
+// Resume makes polls succeed again.
 func (d *DiscoveryServer) Resume() { d.setUnavailable(false) }
 
 func (d *DiscoveryServer) setUnavailable(isUnavailable bool) {
@@ -57,7 +57,8 @@
 	d.isUnavailable = isUnavailable
 }
 
-// poll answers with the events after a number; where there are none, it waits for one as long as the poll says.
+// poll answers with the events after the number that the request names. If there are none, it waits for one until the
+// request's timeout.
 func (d *DiscoveryServer) poll(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.FormValue("after"))
 	waitMS, _ := strconv.Atoi(r.FormValue("patience"))
@@ -85,31 +86,31 @@
 	}
 }
 
-// Follow has it begin with the first event of another server, as one that takes its place does.
+// Follow copies the first event of another server, as a server that replaces the other one starts with that event.
 func (d *DiscoveryServer) Follow(other *DiscoveryServer) {
 	events, _ := other.events.Events()
 	d.events.appendEvent(events[0])
 }
 
-// First is the first event alone, as a configuration holds it.
+// First returns the first event alone, in the form in which a configuration holds known events.
 func (d *DiscoveryServer) First() string {
 	events, _ := d.events.Events()
 	return Page(events[:1], 0)
 }
 
-// Known is all events so far, as a configuration holds them.
+// Known returns all events so far, in the form in which a configuration holds known events.
 func (d *DiscoveryServer) Known() string {
 	events, _ := d.events.Events()
 	return Page(events, 0)
 }
 
-// Publish publishes an event; the text lacks its number, which is returned.
+// Publish publishes an event, given without its number, and returns the number.
 func (d *DiscoveryServer) Publish(text string) (number int) { return d.events.Append(text) }
 
 // PublishList publishes the whole endpoint list.
 func (d *DiscoveryServer) PublishList(endpoints ...Endpoint) { d.Publish(ListEvent(endpoints...)) }
 
-// PublishChanges publishes changes of the endpoint list.
+// PublishChanges publishes changes to the endpoint list.
 func (d *DiscoveryServer) PublishChanges(endpoints ...Endpoint) {
 	d.Publish(ChangesEvent(endpoints...))
 }
--- a/internal/fake/site/event_log.go
+++ b/internal/fake/site/event_log.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// Event is one event of discovery, as it is sent, with the time at which it was published.
+// Event is a discovery event, as sent to clients, with the time of its publication.
 type Event struct {
 	Text        string
 	PublishedAt time.Time
 }
 
-// EventLog is a numbered log of discovery's events; the first has the number 1.
+// EventLog is a log of discovery events, numbered from 1.
 type EventLog struct {
 	mu      sync.Mutex
 	events  []Event
-	changed chan struct{} // closed at each event
+	changed chan struct{} // closed and replaced when an event is appended
 }
 
 // NewEventLog returns an empty log.
 func NewEventLog() *EventLog { return &EventLog{changed: make(chan struct{})} }
 
-// Append adds an event, whose text lacks the number, and returns its number.
+// Append adds an event, given without its number, and returns the number.
 func (l *EventLog) Append(text string) (number int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,7 +34,7 @@
 	return number
 }
 
-// appendEvent adds an event as another log holds it. Those who wait are not woken: they ask for what comes after it.
+// appendEvent adds an event that another log has numbered. It does not wake waiting polls, which wait for later events.
 func (l *EventLog) appendEvent(event Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +48,7 @@
 	return l.events, l.changed
 }
 
-// Page is the answer to a poll for the events after a number.
+// Page returns the response to a poll for the events after a number.
 func Page(events []Event, after int) string {
 	var texts []string
 	for _, event := range events[min(after, len(events)):] {
@@ -57,7 +57,7 @@
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(events), strings.Join(texts, ","))
 }
 
-// The states of an endpoint in discovery's list.
+// States of an endpoint in the endpoint list.
 const (
 	StateReady    = "ready"
 	StateDraining = "draining"
@@ -67,20 +67,20 @@
 // Zone is the zone of all fake servers.
 const Zone = "west"
 
-// Endpoint is what the endpoint list says of one server.
+// Endpoint is a server's entry in the endpoint list.
 type Endpoint struct {
 	UID, Address, Zone string
 	Kind               Kind
 	State              string
 	Weight             float64
-	Boot               time.Time // zero: long ago
-	Cell               *int      // nil: the list names no cell
+	Boot               time.Time // start of the server, zero: long ago
+	Cell               *int      // nil: the entry names no cell
 }
 
-// ListEvent is the event that replaces the whole endpoint list.
+// ListEvent returns the event that replaces the whole endpoint list.
 func ListEvent(endpoints ...Endpoint) string { return endpointEvent("true", endpoints) }
 
-// ChangesEvent is the event that changes some endpoints of the list.
+// ChangesEvent returns the event that changes some endpoints of the list.
 func ChangesEvent(endpoints ...Endpoint) string { return endpointEvent("false", endpoints) }
 
 func endpointEvent(replacesAll string, endpoints []Endpoint) string {
@@ -103,12 +103,12 @@
 		e.UID, e.Address, e.Zone, e.Kind, cell, e.State, e.Weight, bootMS)
 }
 
-// PurgeObjectEvent is the event that invalidates all copies of an object from before a moment.
+// PurgeObjectEvent returns the event that invalidates all copies of an object created before issuedAt.
 func PurgeObjectEvent(object uint64, issuedAt time.Time) string {
 	return fmt.Sprintf(`"recall":{"item":"%016x","issued":%d}`, object, issuedAt.UnixMilli())
 }
 
-// PurgeGroupEvent is the event that invalidates all copies of a group's objects from before a moment.
+// PurgeGroupEvent returns the event that invalidates all copies of a group's objects created before issuedAt.
 func PurgeGroupEvent(group int, issuedAt time.Time) string {
 	return fmt.Sprintf(`"recall":{"lot":%d,"issued":%d}`, group, issuedAt.UnixMilli())
 }
--- a/internal/fake/site/frame_server.go
+++ b/internal/fake/site/frame_server.go
@@ -7,22 +7,22 @@
 	"github.com/tidwall/redcon"
 )
 
-// Handler answers the words of one frame with a frame, or with nil for none. Requests of one connection are handled
-// side by side.
+// Handler returns the response frame to the words of a request frame, or nil for no response. Requests on the same
+// connection are handled concurrently.
 type Handler func(words []string) []byte
 
-// FrameServer accepts connections and answers the frames on them.
+// FrameServer accepts connections and answers the frames that it receives on them.
 type FrameServer struct {
 	listener net.Listener
 	handle   Handler
-	readers  sync.WaitGroup // the accept loop and one reader a connection
+	readers  sync.WaitGroup // the accept loop and one reader per connection
 
 	mu          sync.Mutex
 	isClosed    bool
 	connections map[net.Conn]struct{}
 }
 
-// ListenFrames starts a server at an address.
+// ListenFrames starts a frame server that listens on an address.
 func ListenFrames(address string, handle Handler) (*FrameServer, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -33,11 +33,11 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the server listens on.
 func (s *FrameServer) Address() string { return s.listener.Addr().String() }
 
-// Close ends the server and waits until nothing is read any more. A request that is being handled may go on, but its
-// response goes nowhere.
+// Close stops the server and waits for its accept loop and readers to end. A handler that is still running may go on,
+// but its response is not delivered.
 func (s *FrameServer) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
@@ -47,7 +47,7 @@
 	s.readers.Wait()
 }
 
-// ResetConnections resets all connections at once, as the end of a process does.
+// ResetConnections closes all connections with a reset, as if the server's process had ended.
 func (s *FrameServer) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// ResetConnection ends a TCP connection with a reset.
+// ResetConnection closes a connection, a TCP connection with a reset.
 func ResetConnection(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -78,7 +78,7 @@
 	}
 }
 
-// add takes note of a connection; it fails once the server is closed.
+// add registers a connection. It returns false if the server is closed.
 func (s *FrameServer) add(connection net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 		delete(s.connections, connection)
 		s.mu.Unlock()
 	}()
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	reader := redcon.NewReader(connection)
 	for {
 		command, err := reader.ReadCommand()
@@ -112,8 +112,8 @@
 			if response == nil {
 				return
 			}
-			writing.Lock()
-			defer writing.Unlock()
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			_, _ = connection.Write(response)
 		}()
 	}
--- a/internal/fake/site/protocol.go
+++ b/internal/fake/site/protocol.go
@@ -10,7 +10,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// Verbs of the cache servers' protocol.
+// Verbs of the server protocol.
 const (
 	verbFetch  = "fetch"
 	verbCancel = "abort"
@@ -18,7 +18,7 @@
 	verbStats  = "stats"
 )
 
-// Statuses of the cache servers' protocol.
+// Statuses of the server protocol.
 const (
 	StatusOK          = "200"
 	StatusNotModified = "304"
@@ -27,35 +27,35 @@
 	StatusOverloaded  = "503"
 )
 
-// CopySource says where the copy that a cache server returns came from.
+// CopySource says where a cache server got a copy from. Its value is the protocol's name for the source.
 type CopySource string
 
-// The protocol's words for it.
+// Sources of a copy.
 const (
 	FromLocalCache CopySource = "local"
 	FromParent     CopySource = "pulled"
 	FromOrigin     CopySource = "pulled_far"
 )
 
-// FillError says why a cache server has no copy to return. Its value is the protocol's word for the reason.
+// FillError says why a cache server has no copy to return. Its value is the protocol's name for the reason.
 type FillError string
 
 func (e FillError) Error() string { return string(e) }
 
-// The reasons.
+// Reasons why a cache server has no copy to return.
 const (
 	ErrNotCached  FillError = "not_there"
 	ErrOverloaded FillError = "turned_away"
 )
 
 var (
-	// ErrNotFetch is a request other than a fetch request.
+	// ErrNotFetch is returned for a request other than a fetch request.
 	ErrNotFetch = errors.New("not a fetch request")
-	// ErrMalformedKey is a fetch request that names no object.
+	// ErrMalformedKey is returned for a fetch request whose key is not an object ID.
 	ErrMalformedKey = errors.New("malformed key")
 )
 
-// Frame encodes words as one frame: an array of bulk strings.
+// Frame encodes words as a frame, an array of bulk strings.
 func Frame(words ...string) []byte {
 	frame := redcon.AppendArray(nil, len(words))
 	for _, word := range words {
@@ -64,7 +64,7 @@
 	return frame
 }
 
-// ParseFields parses a list of the form "name=value,name=value".
+// ParseFields parses a list of fields of the form "name=value,name=value".
 func ParseFields(text string) map[string]string {
 	fields := map[string]string{}
 	for part := range strings.SplitSeq(text, ",") {
@@ -74,21 +74,21 @@
 	return fields
 }
 
-// FetchRequest is one request of a router to a cache server.
+// FetchRequest is a router's request to a cache server.
 type FetchRequest struct {
 	ID             string
 	Class          string
 	Object         Object
 	Source         string        // the server to fill from
-	CachedChecksum string        // of the copy that the client has
+	CachedChecksum string        // of the client's copy, "": the client has none
 	MaxAge         time.Duration // 0: any age
 	Timeout        time.Duration
-	OnlyIfCached   bool // the source must not fill in its turn
+	OnlyIfCached   bool // the source may return only a copy that it holds
 	HasBody        bool
 }
 
-// ParseFetch parses a fetch request. The protocol's names are mapped to ours here alone. Where the key is malformed,
-// the other fields are still returned.
+// ParseFetch parses a fetch request. No other function depends on the protocol's field names for requests. If the key
+// is malformed, the other fields are still returned.
 func ParseFetch(words []string) (FetchRequest, error) {
 	if len(words) < 4 || words[0] != verbFetch {
 		return FetchRequest{}, ErrNotFetch
@@ -111,30 +111,30 @@
 	return request, nil
 }
 
-// IsCancel says whether a request cancels an earlier one; it has no answer.
+// IsCancel reports whether a request cancels an earlier one. A cancellation has no response.
 func IsCancel(words []string) bool { return words[0] == verbCancel }
 
-// IsHealthCheck says whether a request asks for no object, but for a sign of life or a load report.
+// IsHealthCheck reports whether a request is a ping or asks for a load report, rather than for an object.
 func IsHealthCheck(words []string) bool { return words[0] == verbHealth || words[0] == verbStats }
 
-// HealthResponse answers a health check.
+// HealthResponse returns the response to a health check.
 func HealthResponse(id string) []byte { return Frame(id, verbHealth, "-") }
 
-// ErrorResponse answers a request that failed.
+// ErrorResponse returns the response to a request that failed.
 func ErrorResponse(id string) []byte { return Frame(id, StatusError, "-", "") }
 
-// FillErrorResponse answers a request for which there is no copy.
+// FillErrorResponse returns the response to a request for which the cache server has no copy.
 func FillErrorResponse(id, status string, reason FillError) []byte {
 	return Frame(id, status, "how="+string(reason), "")
 }
 
-// CopyResponse answers a request with a copy, or says that the client's own copy is current.
+// CopyResponse returns the response with a copy, or without its body if the client's own copy is current.
 func CopyResponse(request *FetchRequest, found Copy, source CopySource, fillTime time.Duration) []byte {
 	checksum := Checksum(found.CreatedAt)
-	note := fmt.Sprintf("sum=%s,t0=%d,how=%s,slow=%d",
+	fields := fmt.Sprintf("sum=%s,t0=%d,how=%s,slow=%d",
 		checksum, found.CreatedAt.UnixMilli(), source, fillTime.Milliseconds())
 	if request.CachedChecksum == checksum {
-		return Frame(request.ID, StatusNotModified, note, "")
+		return Frame(request.ID, StatusNotModified, fields, "")
 	}
-	return Frame(request.ID, StatusOK, note, found.Body)
+	return Frame(request.ID, StatusOK, fields, found.Body)
 }
--- a/internal/fake/site/site.go
+++ b/internal/fake/site/site.go
@@ -14,13 +14,13 @@
 
 	mu           sync.Mutex
 	servers      map[string]*CacheServer
-	objectPurges map[uint64]time.Time // the last one of each
-	groupPurges  map[int]time.Time
-	writeRuns    map[string]int // by request: how often its write ran
+	objectPurges map[uint64]time.Time // time of each object's last purge
+	groupPurges  map[int]time.Time    // time of each group's last purge
+	writeRuns    map[string]int       // how often the write of each request ran
 }
 
-// New returns a site without cache servers, given the size of each object in bytes and the group that it is purged
-// with.
+// New returns a site without cache servers. sizeOf returns the size of an object in bytes, groupOf the group that an
+// object ID is purged with.
 func New(sizeOf func(Object) int, groupOf func(uint64) int) *Site {
 	return &Site{
 		Discovery: NewDiscoveryServer(), sizeOf: sizeOf, groupOf: groupOf, servers: map[string]*CacheServer{},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Add starts a cache server; the endpoint list does not name it until it is published.
+// Add starts a cache server. The endpoint list includes the server only after its endpoint is published.
 func (s *Site) Add(options CacheServerOptions) (*CacheServer, error) {
 	server, err := newCacheServer(s, options)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return server, nil
 }
 
-// Close ends all servers.
+// Close stops all servers.
 func (s *Site) Close() {
 	s.Discovery.Close()
 	s.mu.Lock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// PurgeObject publishes a purge of an object; the cache servers drop what is older at once.
+// PurgeObject publishes a purge of an object and returns its time. The cache servers stop serving older copies at once.
 func (s *Site) PurgeObject(object uint64) time.Time {
 	now := time.Now()
 	s.mu.Lock()
@@ -60,7 +60,7 @@
 	return now
 }
 
-// PurgeGroup publishes a purge of a group; the cache servers drop what is older at once.
+// PurgeGroup publishes a purge of a group and returns its time. The cache servers stop serving older copies at once.
 func (s *Site) PurgeGroup(group int) time.Time {
 	now := time.Now()
 	s.mu.Lock()
@@ -70,18 +70,18 @@
 	return now
 }
 
-// lastPurge is the last purge of an object or of its group, zero if there was none.
+// lastPurge returns the time of the last purge of an object or of its group, zero if there was none.
 func (s *Site) lastPurge(object uint64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ofObject, ofGroup := s.objectPurges[object], s.groupPurges[s.groupOf(object)]
-	if ofGroup.After(ofObject) {
-		return ofGroup
+	objectPurge, groupPurge := s.objectPurges[object], s.groupPurges[s.groupOf(object)]
+	if groupPurge.After(objectPurge) {
+		return groupPurge
 	}
-	return ofObject
+	return objectPurge
 }
 
-// WriteRuns is how often the write of a request ran.
+// WriteRuns returns how often the write of a request ran.
 func (s *Site) WriteRuns(requestID string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -13,10 +13,10 @@
 	body := Body(object, createdAt, 300)
 	parsed, parsedAt, isIntact := ParseBody(body)
 	if len(body) != 300 || parsed != object || !parsedAt.Equal(createdAt) || !isIntact {
-		t.Errorf("%d bytes of %v from %v, intact %v", len(body), parsed, parsedAt, isIntact)
+		t.Errorf("%d bytes, parsed as %v from %v, intact: %v", len(body), parsed, parsedAt, isIntact)
 	}
 	if _, _, isIntact := ParseBody(body[:299] + "?"); isIntact {
-		t.Error("a wrong byte goes unnoticed")
+		t.Error("a body with a wrong byte is reported as intact")
 	}
 	if at, err := ParseChecksum(Checksum(createdAt)); err != nil || !at.Equal(createdAt) {
 		t.Errorf("checksum of %v parsed as %v, %v", createdAt, at, err)
@@ -28,12 +28,12 @@
 	_, changed := log.Events()
 	log.Append(`"a":{}`)
 	if number := log.Append(`"b":{}`); number != 2 {
-		t.Errorf("the second event has the number %d", number)
+		t.Errorf("the second event has the number %d, want 2", number)
 	}
 	select {
 	case <-changed:
 	default:
-		t.Error("an event does not wake who waits for it")
+		t.Error("the channel was not closed when an event was appended")
 	}
 	events, _ := log.Events()
 	for after, want := range []string{
@@ -41,7 +41,7 @@
 		`{"no":2,"items":[]}`,
 	} {
 		if got := Page(events, after); got != want {
-			t.Errorf("after %d: %s", after, got)
+			t.Errorf("wrong page after event %d: %s", after, got)
 		}
 	}
 }
@@ -63,11 +63,11 @@
 }
 
 func TestFillThroughAParentIsKept(t *testing.T) {
-	fleet := New(func(Object) int { return 200 }, func(uint64) int { return 1 })
-	defer fleet.Close()
+	testSite := New(func(Object) int { return 200 }, func(uint64) int { return 1 })
+	defer testSite.Close()
 	servers := map[Kind]*CacheServer{}
 	for _, kind := range []Kind{Cache, Parent, Origin} {
-		server, err := fleet.Add(CacheServerOptions{UID: "s-" + string(kind), Kind: kind, Weight: 1, Seed: 1})
+		server, err := testSite.Add(CacheServerOptions{UID: "s-" + string(kind), Kind: kind, Weight: 1, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 		}
 		response, err := reader.ReadCommand()
 		if err != nil || len(response.Args) < 2 || string(response.Args[0]) != id {
-			t.Fatalf("%q, %v", response.Raw, err)
+			t.Fatalf("response %q, error %v", response.Raw, err)
 		}
 		return string(response.Args[1])
 	}
@@ -94,19 +94,19 @@
 		name, fields, status string
 		originFills          int
 	}{
-		{"not cached anywhere it may ask", "class=clip,key=7,next=s-parent,ways=held", StatusNotCached, 0},
+		{"neither the cache nor its source has a copy", "class=clip,key=7,next=s-parent,ways=held", StatusNotCached, 0},
 		{"filled from the origin", "class=clip,key=7,next=s-parent", StatusOK, 1},
 		{"cached", "class=clip,key=7", StatusOK, 1},
 	} {
 		if status := fetch("a", step.fields); status != step.status {
-			t.Errorf("%s: status %s", step.name, status)
+			t.Errorf("%s: unexpected status %s", step.name, status)
 		}
 		if fills := len(servers[Origin].Received()); fills != step.originFills {
-			t.Errorf("%s: %d fills at the origin", step.name, fills)
+			t.Errorf("%s: unexpected number of fills at the origin: %d", step.name, fills)
 		}
 	}
-	fleet.PurgeObject(7)
+	testSite.PurgeObject(7)
 	if status := fetch("b", "class=clip,key=7"); status != StatusNotCached {
-		t.Errorf("a purged copy is still given out: %s", status)
+		t.Errorf("fetch of a purged copy has status %s", status)
 	}
 }
