--- a/internal/testbed/admission.go
+++ b/internal/testbed/admission.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// knownAddress is one of the addresses that the operator's file knows, strangerAddress one that it does not.
-	knownAddress    = "127.0.1.7"
-	strangerAddress = "127.0.2.9"
-	// floodWorkers is how many connections a flood opens at once.
+	// knownAddress is an address that the operator's file lists as known, unknownAddress one that it does not.
+	knownAddress   = "127.0.1.7"
+	unknownAddress = "127.0.2.9"
+	// floodWorkers is the number of connections that a flood opens concurrently.
 	floodWorkers = 64
-	// maxRecovery is how long after a flood strangers may have to wait until they are served again.
+	// maxRecovery is how long after a flood unknown clients may have to wait until they are served again.
 	maxRecovery = 5 * time.Second
-	// notRecovered stands in the place of the time until strangers are served again.
+	// notRecovered is recorded as the recovery time if unknown clients are not served again within maxRecovery.
 	notRecovered = -1.0
 )
 
-// admissionRules is the operator's file of the experiments: known clients are known by their address.
+// admissionRules returns the operator's file of the experiments, which lists known clients by address.
 func admissionRules() map[string]any {
 	return map[string]any{"admission": map[string]any{
 		"known": []string{"127.0.1.0/24"}, "reserve": 100, "per_address": 32, "new_per_s": 200, "burst": 64,
@@ -25,32 +25,32 @@
 	}}
 }
 
-// admissionConfig is a cluster with one router and small objects.
+// admissionConfig configures a cluster with one router and small objects.
 func admissionConfig(operator map[string]any) ClusterConfig {
 	config := noStoreConfig(1)
 	config.MedianSizeKB, config.Objects, config.OperatorExtra = 30, 30, operator
 	return config
 }
 
-// floodArm is one arm of an experiment: a known client works while a flood comes.
+// floodArm is an arm of an experiment in which a known client sends requests during a flood of connections.
 type floodArm struct {
-	name        string
-	operator    map[string]any // nil: the router has no admission rules, and only figures are recorded
-	keys        *keyring       // nil: plain connections
-	knownClient string         // of the keys
-	flood       flood
-	pace        floodPace
-	descriptors int            // that the router may open, 0: the system's limit
-	meanwhile   func(*Cluster) // runs beside the flood, if set
+	name            string
+	operator        map[string]any // operator's file, nil: no admission rules, and figures are recorded without assertions
+	keys            *keyring       // nil: plain connections
+	knownClient     string         // name of the client's certificate in keys
+	flood           flood
+	pace            floodPace
+	descriptorLimit int            // of the router, 0: the system's limit
+	duringFlood     func(*Cluster) // if set, runs during the flood
 }
 
-// floodOutcome is what became of the known client before and during the flood.
+// floodOutcome summarises the known client's requests before and during the flood.
 type floodOutcome struct{ before, during clientSummary }
 
-// run plays the arm, and records its figures.
+// run runs the arm and records its figures.
 func (a *floodArm) run(options Options, result *Result) (outcome floodOutcome, err error) {
 	config := admissionConfig(a.operator)
-	config.Descriptors = a.descriptors
+	config.RouterDescriptorLimit = a.descriptorLimit
 	if a.keys != nil {
 		config.ClientTLS = a.keys.anonymousConfig()
 	}
@@ -63,20 +63,20 @@
 	before.run(10*time.Millisecond, time.Now().Add(options.duration(1500*time.Millisecond)))
 	outcome.before = before.summary()
 	a.flood.address = router.Address
-	cluster.inBackground(func() { // other clients that were there before
-		cluster.Play(Load{RequestsPerSecond: 50, Duration: options.duration(3 * time.Second)})
+	cluster.inBackground(func() { // other clients, connected before the flood
+		cluster.ApplyLoad(Load{RequestsPerSecond: 50, Duration: options.duration(3 * time.Second)})
 	})
-	flooded := make(chan struct{})
+	floodDone := make(chan struct{})
 	go func() {
-		defer close(flooded)
+		defer close(floodDone)
 		a.flood.run(a.pace)
 	}()
-	if a.meanwhile != nil {
-		cluster.inBackground(func() { a.meanwhile(cluster) })
+	if a.duringFlood != nil {
+		cluster.inBackground(func() { a.duringFlood(cluster) })
 	}
 	during := a.newKnownClient(router.Address)
 	during.run(10*time.Millisecond, time.Now().Add(options.duration(3*time.Second)))
-	<-flooded
+	<-floodDone
 	time.Sleep(200 * time.Millisecond)
 	usage := router.Usage()
 	a.flood.end()
@@ -104,11 +104,11 @@
 	return a.keys.clientConfig(a.knownClient)
 }
 
-// recoveryTime is how long after the flood a stranger has to wait until it is served, in seconds.
+// recoveryTime returns the time from the end of the flood until an unknown client is served, in seconds.
 func (a *floodArm) recoveryTime(address string) float64 {
 	for endedAt := time.Now(); time.Since(endedAt) < maxRecovery; {
-		stranger := &knownClient{address: address, from: strangerAddress, tls: a.clientTLS()}
-		if stranger.request(1).status == StatusOK {
+		unknownClient := &knownClient{address: address, from: unknownAddress, tls: a.clientTLS()}
+		if unknownClient.request(1).status == StatusOK {
 			return time.Since(endedAt).Seconds()
 		}
 	}
@@ -120,7 +120,7 @@
 	for i := range client.outcomes {
 		outcome := &client.outcomes[i]
 		if outcome.status != StatusOK {
-			options.Logf("%s: at %v of the flood %q after %v", a.name,
+			options.Logf("%s: request %v into the flood has status %q after %v", a.name,
 				outcome.startedAt.Sub(client.outcomes[0].startedAt).Round(time.Millisecond), outcome.status,
 				outcome.responseTime)
 		}
@@ -143,7 +143,7 @@
 	result.Figure(a.name+" files at the peak", float64(usage.Files))
 }
 
-// assertAdmission asserts what known clients must get during a flood, and strangers after it.
+// assertAdmission asserts that known clients are served during a flood, and unknown clients after it.
 func assertAdmission(result *Result, arm string, outcome floodOutcome) {
 	before, during := &outcome.before, &outcome.during
 	result.Assert(during.requests > 0 && float64(during.connected) >= 0.99*float64(during.requests),
@@ -155,7 +155,7 @@
 	result.Assert(recovery >= 0, arm+": strangers are served again after it", "%.2f s", recovery)
 }
 
-// runAsserted plays an arm and asserts what must hold.
+// runAsserted runs the arm and asserts the results of assertAdmission.
 func (a *floodArm) runAsserted(options Options, result *Result) error {
 	outcome, err := a.run(options, result)
 	if err != nil {
--- a/internal/testbed/admission_descriptors.go
+++ b/internal/testbed/admission_descriptors.go
@@ -13,8 +13,8 @@
 	pace := floodPace{connections: options.count(4000), workers: floodWorkers}
 	reached := floodArm{
 		name: "reached", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
-		meanwhile: func(cluster *Cluster) {
-			// The system gives fewer than the router was configured with, which it finds out with the flood.
+		duringFlood: func(cluster *Cluster) {
+			// The limit is below the configured number of sockets. The router notices this only during the flood.
 			limit := unix.Rlimit{Cur: 300, Max: 20_000}
 			cluster.fail(unix.Prlimit(cluster.Routers[0].PID(), unix.RLIMIT_NOFILE, &limit, nil))
 		},
@@ -24,7 +24,7 @@
 	}
 	few := floodArm{
 		name: "few", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
-		descriptors: 200, // fewer from the start than the configuration says
+		descriptorLimit: 200, // below the configured number of sockets from the start
 	}
 	return few.runAsserted(options, result)
 }
--- a/internal/testbed/admission_handshakes.go
+++ b/internal/testbed/admission_handshakes.go
@@ -19,14 +19,14 @@
 	}
 	defer keys.close()
 	operator := admissionRules()
-	operator["tls"] = keys.operatorPart()
+	operator["tls"] = keys.operatorSection()
 	half := floodArm{
 		name: "half", operator: operator, keys: keys, knownClient: knownClient,
 		flood: flood{from: loopbackAddresses(200), mode: floodHalfHandshakes},
 		pace:  floodPace{connections: options.count(4000), connectionsPerSecond: 1500, workers: floodWorkers},
-		meanwhile: func(cluster *Cluster) {
+		duringFlood: func(cluster *Cluster) {
 			time.Sleep(300 * time.Millisecond)
-			cluster.Routers[0].Signal(syscall.SIGHUP) // keys are read again meanwhile
+			cluster.Routers[0].Signal(syscall.SIGHUP) // the router reloads its keys during the flood
 		},
 	}
 	return half.runAsserted(options, result)
--- a/internal/testbed/admission_restart.go
+++ b/internal/testbed/admission_restart.go
@@ -15,22 +15,22 @@
 
 const (
 	returningClients = 60
-	// A client that is rejected tries again, retryInterval later.
+	// A client that is not served tries again after retryInterval, up to returnAttempts times in all.
 	returnAttempts = 5
 	retryInterval  = 150 * time.Millisecond
-	// floodRate is the flood's connections a second.
+	// floodRate is the number of connections per second that the flood opens.
 	floodRate = 2500
 )
 
-// returnCounts is how many known clients connected each time, lost no request, and were served.
+// returnCounts counts the known clients that connected on every attempt, lost no request, and were served.
 type returnCounts struct{ connected, answered, served int }
 
 func runAdmissionRestart(options Options, result *Result) error {
-	calm, err := playReturn(options, result, "calm", 0)
+	calm, err := runReturn(options, result, "calm", 0)
 	if err != nil {
 		return err
 	}
-	counts, err := playReturn(options, result, "flood", options.count(8000))
+	counts, err := runReturn(options, result, "flood", options.count(8000))
 	if err != nil {
 		return err
 	}
@@ -42,44 +42,44 @@
 	return nil
 }
 
-// playReturn restarts the router among a flood, and has all known clients return.
-func playReturn(options Options, result *Result, name string, connections int) (returnCounts, error) {
+// runReturn restarts the router during a flood, after which all known clients reconnect.
+func runReturn(options Options, result *Result, name string, connections int) (returnCounts, error) {
 	cluster, err := startCluster(options.Seed, admissionConfig(admissionRules()), 1)
 	if err != nil {
 		return returnCounts{}, err
 	}
 	address := cluster.Routers[0].Address
-	strangers := &flood{address: address, from: loopbackAddresses(500)}
-	flooded := make(chan struct{})
+	unknownClients := &flood{address: address, from: loopbackAddresses(500)}
+	floodDone := make(chan struct{})
 	go func() {
-		defer close(flooded)
-		strangers.run(floodPace{connections: connections, connectionsPerSecond: floodRate, workers: floodWorkers})
+		defer close(floodDone)
+		unknownClients.run(floodPace{connections: connections, connectionsPerSecond: floodRate, workers: floodWorkers})
 	}()
 	cluster.inBackground(func() {
-		cluster.Play(Load{RequestsPerSecond: 20, Duration: options.duration(3 * time.Second)})
+		cluster.ApplyLoad(Load{RequestsPerSecond: 20, Duration: options.duration(3 * time.Second)})
 	})
 	time.Sleep(500 * time.Millisecond)
 	cluster.Restart(0)
 	restartedAt := time.Now()
 	counts := runReturningClients(address)
 	result.Figure(name+" until the last known client is served s", time.Since(restartedAt).Seconds())
-	<-flooded
-	// A reload and a shutdown while the flood goes on.
+	<-floodDone
+	// Reload and stop the router during a second flood.
 	cluster.Routers[0].Signal(syscall.SIGHUP)
 	time.Sleep(100 * time.Millisecond)
-	floodedAgain := make(chan struct{})
+	secondFloodDone := make(chan struct{})
 	go func() {
-		defer close(floodedAgain)
-		strangers.run(floodPace{connections: connections / 8, connectionsPerSecond: floodRate, workers: 16})
+		defer close(secondFloodDone)
+		unknownClients.run(floodPace{connections: connections / 8, connectionsPerSecond: floodRate, workers: 16})
 	}()
 	seen := cluster.End()
-	<-floodedAgain
-	strangers.end()
+	<-secondFloodDone
+	unknownClients.end()
 	result.assertRules(name, seen)
 	return counts, nil
 }
 
-// runReturningClients has all known clients connect at once, and try again where they are rejected.
+// runReturningClients connects all known clients at once. A client that is not served tries again.
 func runReturningClients(address string) (counts returnCounts) {
 	var clients []*knownClient
 	var returning sync.WaitGroup
--- a/internal/testbed/admission_shared.go
+++ b/internal/testbed/admission_shared.go
@@ -36,17 +36,17 @@
 	}
 	router := cluster.Routers[0]
 	cluster.inBackground(func() {
-		cluster.Play(Load{RequestsPerSecond: 30, Duration: options.duration(6 * time.Second)})
+		cluster.ApplyLoad(Load{RequestsPerSecond: 30, Duration: options.duration(6 * time.Second)})
 	})
 	before := runGoodClients(router.Address, keys, options.duration(2500*time.Millisecond))
 	bad := &flood{address: router.Address, from: []string{sharedAddress}, tls: keys.clientConfig(badClient)}
-	flooded := make(chan struct{})
+	floodDone := make(chan struct{})
 	go func() {
-		defer close(flooded)
+		defer close(floodDone)
 		bad.run(floodPace{connections: options.count(600), connectionsPerSecond: 200, workers: 16})
 	}()
 	during := runGoodClients(router.Address, keys, options.duration(3*time.Second))
-	<-flooded
+	<-floodDone
 	bad.end()
 	seen := cluster.End()
 	result.assertRules("shared", seen)
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// sharedAddressConfig has limits for an address that many clients share.
+// sharedAddressConfig configures a cluster with limits for an address that many clients share.
 func sharedAddressConfig(keys *keyring) ClusterConfig {
 	operator := admissionRules()
-	operator["tls"] = keys.operatorPart()
+	operator["tls"] = keys.operatorSection()
 	limits := operator["admission"].(map[string]any)
 	limits["per_address"], limits["new_per_s"], limits["burst"], limits["handshake_cores"] = 64, 500, 250, 0.6
 	config := admissionConfig(operator)
@@ -68,7 +68,7 @@
 	return config
 }
 
-// runGoodClients has all good clients work for some time, and returns what became of their requests.
+// runGoodClients sends requests from all good clients for a duration, and returns a summary of them.
 func runGoodClients(address string, keys *keyring, duration time.Duration) (total clientSummary) {
 	var clients sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -14,32 +14,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// slack is what the system itself may add to a time.
+// slack is the delay that the operating system may add to a measured time.
 const slack = 50 * time.Millisecond
 
-// Observations is what was seen of a cluster: what became of each request, and the rules that were broken.
+// Observations counts the outcomes of a cluster's requests and the violations of each rule.
 type Observations struct {
-	Requests      int
-	Served        int
-	InTime        int
-	Rejected      int
-	Failed        int
-	Crossed       int // they crossed the close of an idle connection
-	Lost          int
-	LastLoss      string // when the last one was lost
-	AnsweredTwice int
-	Late          int
-	Stale         int
-	WrongBytes    int
-	RanTwice      int
-	AfterDrain    int
-	OriginFills   int
-	ResponseTimes *hdrhistogram.Histogram // in microseconds
-	CPU           time.Duration           // of all routers
-	PeakMB        float64                 // of the one that used most
-	Files         int
-	Store         redis.Counts
-	Errors        []string
+	Requests        int
+	Served          int
+	InTime          int
+	Rejected        int
+	Failed          int
+	SentDuringClose int // sent while the router closed an idle connection
+	Lost            int
+	LastLoss        string // describes the last lost request
+	AnsweredTwice   int
+	Late            int // answered after the deadline
+	Stale           int // copies from before a purge, served after the grace
+	WrongBytes      int
+	RanTwice        int                     // writes that ran twice, or ran although they were rejected
+	AfterDrain      int                     // uses of a draining server after the grace
+	OriginFills     int                     // requests to the origin other than writes
+	ResponseTimes   *hdrhistogram.Histogram // in microseconds
+	CPU             time.Duration           // of all routers
+	PeakMB          float64                 // of the router that used most
+	Files           int                     // of the router with most open files
+	Store           redis.Counts
+	Errors          []string
 }
 
 func newObservations() *Observations {
@@ -47,16 +47,16 @@
 	return &Observations{ResponseTimes: hdrhistogram.New(minMicroseconds, maxMicroseconds, digits)}
 }
 
-// InTimeShare is the share of requests that were served within their latency objective.
+// InTimeShare returns the share of requests that were served within their latency objective.
 func (o *Observations) InTimeShare() float64 { return float64(o.InTime) / float64(max(1, o.Requests)) }
 
-// PercentileMS is a percentile of the response time of served requests, in milliseconds.
+// PercentileMS returns a percentile of the response time of served requests, in milliseconds.
 func (o *Observations) PercentileMS(percent float64) float64 {
 	return float64(o.ResponseTimes.ValueAtQuantile(percent)) / 1000
 }
 
-// End settles the clients, ends the routers and the servers, and returns what was seen. The rules are checked by what
-// clients and servers saw.
+// End waits for the clients, stops the routers and the servers, and checks the rules. The checks use only what clients
+// and servers observed.
 func (c *Cluster) End() *Observations {
 	c.background.Wait()
 	seen := newObservations()
@@ -88,11 +88,11 @@
 }
 
 func (c *Cluster) settleClients() {
-	var all sync.WaitGroup
+	var settling sync.WaitGroup
 	for _, clients := range c.Clients {
-		all.Go(clients.settle)
+		settling.Go(clients.settle)
 	}
-	all.Wait()
+	settling.Wait()
 }
 
 func (c *Cluster) observeUsage(seen *Observations) {
@@ -107,14 +107,14 @@
 }
 
 func (c *Cluster) stopRouters() {
-	var all sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, router := range c.Routers {
-		all.Go(func() { c.fail(router.Stop()) })
+		stopping.Go(func() { c.fail(router.Stop()) })
 	}
-	all.Wait()
+	stopping.Wait()
 }
 
-// writeLogs writes the routers' logs to the folder that FENNELAB_LOGS names, for a look at why an assertion failed.
+// writeLogs writes the routers' logs to the folder that FENNELAB_LOGS names, to find out why an assertion failed.
 func (c *Cluster) writeLogs() {
 	folder := os.Getenv("FENNELAB_LOGS")
 	if folder == "" {
@@ -126,7 +126,7 @@
 	}
 }
 
-// checkRequest counts what became of a request, and the rules that it shows broken.
+// checkRequest counts the outcome of a request and the rules that it violates.
 func (c *Cluster) checkRequest(seen *Observations, request *Request) {
 	seen.Requests++
 	if request.SentAt.IsZero() {
@@ -165,29 +165,30 @@
 }
 
 func (c *Cluster) countUnanswered(seen *Observations, request *Request) {
-	hasEnded := !request.EndedAt.IsZero()
-	endedAfter := request.EndedAt.Sub(request.SentAt)
+	isDisconnected := !request.DisconnectedAt.IsZero()
+	disconnectedAfter := request.DisconnectedAt.Sub(request.SentAt)
 	switch {
-	case hasEnded && endedAfter <= slack: // it crossed the close of an idle connection: a client may send it again
-		seen.Crossed++
+	case isDisconnected && disconnectedAfter <= slack: // sent while an idle connection closed: the client may retry
+		seen.SentDuringClose++
 		seen.Failed++
-	case c.wasKilledUnder(request):
+	case c.wasKilledDuring(request):
 		seen.Failed++
 	default:
 		seen.Lost++
 		seen.LastLoss = fmt.Sprintf("sent %v after the start, ended %v later: %v",
-			request.SentAt.Sub(c.startedAt).Round(time.Millisecond), endedAfter.Round(time.Millisecond), hasEnded)
+			request.SentAt.Sub(c.startedAt).Round(time.Millisecond), disconnectedAfter.Round(time.Millisecond),
+			isDisconnected)
 	}
 }
 
-// wasKilledUnder says whether a request's router was killed while it was in flight.
-func (c *Cluster) wasKilledUnder(request *Request) bool {
-	return slices.ContainsFunc(c.killsOf[request.Router], func(killedAt time.Time) bool {
+// wasKilledDuring reports whether a request's router was killed while the request was in flight.
+func (c *Cluster) wasKilledDuring(request *Request) bool {
+	return slices.ContainsFunc(c.killTimes[request.Router], func(killedAt time.Time) bool {
 		return request.SentAt.Before(killedAt) && killedAt.Sub(request.SentAt) < request.Timeout
 	})
 }
 
-// checkWrite finds writes that ran twice, or that ran though they were rejected.
+// checkWrite counts a write that ran twice, or that ran although it was rejected.
 func (c *Cluster) checkWrite(seen *Observations, request *Request) {
 	runs := c.Site.WriteRuns(request.ID)
 	if runs > 1 || request.Status == StatusBusy && runs > 0 {
@@ -195,7 +196,7 @@
 	}
 }
 
-// checkCopy finds copies with wrong bytes, and those from before a purge past the grace.
+// checkCopy counts a copy with wrong bytes, and a copy from before a purge that was served after the grace.
 func (c *Cluster) checkCopy(seen *Observations, request *Request) {
 	object, createdAt, isIntact := site.ParseBody(request.Response)
 	if !isIntact || object != request.Object {
@@ -212,7 +213,7 @@
 	}
 }
 
-// checkDrains counts the attempts to, and the fills from, a draining server past the grace.
+// checkDrains counts the attempts on, and the fills from, a draining server after the grace.
 func (c *Cluster) checkDrains(seen *Observations) {
 	for uid, publishedAt := range c.drains {
 		graceEnds := publishedAt.Add(c.Settings.Grace + slack)
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/fake/site"
 )
 
-// checkerTests are requests that break one rule each, or none.
+// checkerTests are requests, each of which violates at most one rule.
 var checkerTests = []struct {
 	name   string
 	change func(request *Request)
@@ -24,11 +24,11 @@
 		return seen.Lost == 1
 	}},
 	{"connection ended while in flight", func(r *Request) {
-		r.Answers, r.EndedAt = 0, r.SentAt.Add(80*time.Millisecond)
+		r.Answers, r.DisconnectedAt = 0, r.SentAt.Add(80*time.Millisecond)
 	}, func(seen *Observations) bool { return seen.Lost == 1 }},
-	{"crossed the close of a connection", func(r *Request) {
-		r.Answers, r.EndedAt = 0, r.SentAt.Add(time.Millisecond)
-	}, func(seen *Observations) bool { return seen.Lost == 0 && seen.Crossed == 1 }},
+	{"sent while the connection closed", func(r *Request) {
+		r.Answers, r.DisconnectedAt = 0, r.SentAt.Add(time.Millisecond)
+	}, func(seen *Observations) bool { return seen.Lost == 0 && seen.SentDuringClose == 1 }},
 	{"two answers", func(r *Request) { r.Answers = 2 }, func(seen *Observations) bool {
 		return seen.AnsweredTwice == 1
 	}},
@@ -46,11 +46,11 @@
 	}, func(seen *Observations) bool { return seen.WrongBytes == 1 }},
 }
 
-// The checker sees each kind of breach: an assertion that cannot fail shows nothing.
+// The checker notices each kind of violation. Otherwise an assertion on it could never fail.
 func TestCheckerSeesEachBreach(t *testing.T) {
 	now := time.Now()
 	cluster := &Cluster{
-		ClusterConfig: ClusterConfig{Settings: DefaultSettings(1), Groups: 4}, killsOf: map[int][]time.Time{},
+		ClusterConfig: ClusterConfig{Settings: DefaultSettings(1), Groups: 4}, killTimes: map[int][]time.Time{},
 		sizesKB: []float64{1, 1, 1}, purges: []purge{{object: 1, at: now.Add(-3 * time.Second)}},
 	}
 	cluster.Site = site.New(func(site.Object) int { return 100 }, cluster.group)
@@ -70,7 +70,7 @@
 			seen := newObservations()
 			cluster.checkRequest(seen, request)
 			if !test.want(seen) {
-				t.Errorf("%+v", *seen)
+				t.Errorf("unexpected observations: %+v", *seen)
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 	}
 }
 
-// Every experiment has a name.
+// The list contains every experiment of this package.
 func ExampleExperiments() {
 	for _, experiment := range Experiments() {
 		fmt.Println(experiment.Name)
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -17,51 +17,50 @@
 const (
 	clientDialTimeout  = time.Second
 	clientWriteTimeout = time.Second
-	// maxInFlight is how many requests a connection carries before another one is opened.
+	// maxInFlight is the number of requests in flight on a connection at which another connection is opened.
 	maxInFlight = 16
-	// A connection with more requests than keptRequests forgets those that were answered answeredKept ago.
-	keptRequests = 64
-	answeredKept = 2 * time.Second
-	// settleTimeout is how long clients wait for what is in flight at the end.
+	// A connection that holds more than maxRequestsKept requests drops those answered more than answeredRetention ago.
+	maxRequestsKept   = 64
+	answeredRetention = 2 * time.Second
+	// settleTimeout is how long clients wait for the requests in flight at the end of an arm.
 	settleTimeout = 7 * time.Second
 )
 
-// RequestSpec is what a client is to request, and when.
+// RequestSpec describes a request that a client is to send.
 type RequestSpec struct {
 	ScheduledAt      time.Time
 	Class            string
 	Object           site.Object
-	Group            int // in which the object is purged
+	Group            int // purge group of the object
 	SizeKB           float64
 	Timeout          time.Duration
 	LatencyObjective time.Duration
 	Body             string
 }
 
-// Request is one request and what became of it.
+// Request is a request of a client and its outcome.
 type Request struct {
 	RequestSpec
 	Router int
 	ID     string
 	SentAt time.Time // zero: it could not be sent
 
-	Answers    int
-	AnsweredAt time.Time // the first of them
-	Status     string
-	Response   string
-	EndedAt    time.Time // when the connection ended before the answer, zero: it did not
+	Answers        int
+	AnsweredAt     time.Time // time of the first answer
+	Status         string
+	Response       string
+	DisconnectedAt time.Time // when the connection ended before the answer, zero: it did not
 }
 
-// ResponseTime counts from when the request was scheduled.
+// ResponseTime returns the time from the scheduled sending of the request to its answer.
 func (r *Request) ResponseTime() time.Duration { return r.AnsweredAt.Sub(r.ScheduledAt) }
 
-// IsInTime says whether it was served within its latency objective.
+// IsInTime reports whether the request was served within its latency objective.
 func (r *Request) IsInTime() bool {
 	return r.Status == StatusOK && r.ResponseTime() <= r.LatencyObjective
 }
 
-// Clients are the clients of one router. They send requests when those are scheduled, whatever became of earlier ones,
-// over connections that are kept.
+// Clients sends requests to one router over persistent connections. Requests do not wait for earlier ones.
 type Clients struct {
 	address string
 	router  int
@@ -75,12 +74,12 @@
 	rng         *rand.Rand
 }
 
-// newClients returns clients of a router that have not requested anything.
+// newClients returns the clients of a router, without connections.
 func newClients(router int, address string, seed uint64) *Clients {
 	return &Clients{address: address, router: router, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// Requests are all requests so far; they may still change until the clients have settled.
+// Requests returns all requests so far. Their outcomes may change until settle returns.
 func (c *Clients) Requests() []*Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +102,7 @@
 	}
 }
 
-// pickConnection is a connection with capacity, or a new one; nil if there is none to be had.
+// pickConnection returns a connection with fewer than maxInFlight requests, or a new one, or nil if it cannot connect.
 func (c *Clients) pickConnection() *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,11 +135,10 @@
 	return dialled
 }
 
-// settle waits until every request that was sent has its answer or is long past its deadline, then closes the
-// connections.
+// settle waits until every request that was sent is answered or past its deadline, then closes the connections.
 func (c *Clients) settle() {
 	WaitFor(settleTimeout, func() bool { return c.inFlight() == 0 })
-	time.Sleep(100 * time.Millisecond) // for an answer too many
+	time.Sleep(100 * time.Millisecond) // time for a second answer to arrive
 	c.mu.Lock()
 	for _, connection := range c.connections {
 		_ = connection.stream.Close()
@@ -153,7 +151,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, connection := range c.connections {
-		count += connection.awaited()
+		count += connection.awaitedAnswers()
 	}
 	return count
 }
@@ -164,20 +162,20 @@
 
 	mu       sync.Mutex
 	lastTag  int
-	requests map[string]*Request // by tag; those answered stay for a while: a second answer is seen then
+	requests map[string]*Request // by tag; answered ones stay for a while, so that a second answer is noticed
 	inFlight int
 	isClosed bool
 }
 
-// load is how many requests have no answer.
+// load returns the number of requests without an answer, and whether the connection is closed.
 func (c *connection) load() (inFlight int, isClosed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inFlight, c.isClosed
 }
 
-// awaited is how many requests may still get an answer.
-func (c *connection) awaited() (count int) {
+// awaitedAnswers returns the number of requests that may still be answered.
+func (c *connection) awaitedAnswers() (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.isClosed {
@@ -191,7 +189,7 @@
 	return count
 }
 
-// send writes a request; it fails where the connection has ended.
+// send writes a request. It returns false if the connection has ended.
 func (c *connection) send(request *Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -230,20 +228,20 @@
 	}
 }
 
-// close records that the connection has ended under what is in flight.
+// close records for the requests in flight that the connection has ended.
 func (c *connection) close(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isClosed = true
 	for _, request := range c.requests {
 		if request.Answers == 0 {
-			request.EndedAt = now
+			request.DisconnectedAt = now
 		}
 	}
 	_ = c.stream.Close()
 }
 
-// receive records a response. An answered request is still known for a while, as a second answer would be counted.
+// receive records a response. It keeps answered requests for a while, so that a second answer is counted.
 func (c *connection) receive(words [][]byte, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,11 +252,11 @@
 			request.AnsweredAt, request.Status, request.Response = now, response.Status, response.Body
 		}
 	}
-	if len(c.requests) <= keptRequests {
+	if len(c.requests) <= maxRequestsKept {
 		return
 	}
 	for tag, request := range c.requests {
-		if request.Answers > 0 && now.Sub(request.AnsweredAt) > answeredKept {
+		if request.Answers > 0 && now.Sub(request.AnsweredAt) > answeredRetention {
 			delete(c.requests, tag)
 		}
 	}
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -23,31 +23,32 @@
 	parentCount  = 2
 	serverWeight = 8
 	maxObjectKB  = 1500
-	// socketBytesPerKB is an object's size on the socket: a fifteenth of what it stands for, as on the bench's platform.
+	// socketBytesPerKB is the number of bytes sent for each KB of an object's nominal size: a fifteenth, as on the
+	// bench's platform.
 	socketBytesPerKB = 1024.0 / 15
 	minObjectBytes   = 80
 )
 
-// ClusterConfig says what a cluster is made of.
+// ClusterConfig configures a cluster.
 type ClusterConfig struct {
-	Settings       Settings
-	StoreConfig    *redis.Config  // nil: there is no shared store
-	SharedStore    map[string]any // the operator's file on the shared store
-	IsStoreListed  bool           // the endpoint list names the store
-	OperatorExtra  map[string]any // of the operator's file besides
-	ClientTLS      *tls.Config    // with which clients connect, nil: plain connections
-	CacheCount     int
-	Objects        int
-	Groups         int     // in which objects are purged
-	PopularitySkew float64 // over 1
-	MedianSizeKB   float64
-	FixedBytes     int // of each object, 0: by its size
-	OriginTime     site.ServiceTime
-	ParentTime     site.ServiceTime
-	Descriptors    int // that each router may open, 0: the system's limit
+	Settings              Settings
+	StoreConfig           *redis.Config  // nil: no shared store
+	SharedStore           map[string]any // section "shared" of the operator's file
+	IsStoreListed         bool           // the endpoint list includes the store
+	OperatorExtra         map[string]any // other sections of the operator's file
+	ClientTLS             *tls.Config    // of the clients' connections, nil: plain connections
+	CacheCount            int
+	Objects               int     // number of objects
+	Groups                int     // number of purge groups
+	PopularitySkew        float64 // exponent of the Zipf distribution, above 1
+	MedianSizeKB          float64
+	FixedBytes            int // size of each object's body, 0: by the object's nominal size
+	OriginTime            site.ServiceTime
+	ParentTime            site.ServiceTime
+	RouterDescriptorLimit int // of each router, 0: the system's limit
 }
 
-// Cluster is what one arm of an experiment runs on: cache servers, a store, routers and clients.
+// Cluster consists of the cache servers, the store, the routers and the clients of one arm of an experiment.
 type Cluster struct {
 	ClusterConfig
 	Seed    uint64
@@ -61,27 +62,27 @@
 
 	startedAt  time.Time
 	folder     string
-	sizesKB    []float64 // by object
+	sizesKB    []float64 // nominal sizes by object
 	background sync.WaitGroup
 
-	mu      sync.Mutex
-	purges  []purge
-	drains  map[string]time.Time // by server: when it was published
-	killsOf map[int][]time.Time  // by router
-	errs    []error
+	mu        sync.Mutex
+	purges    []purge
+	drains    map[string]time.Time // publication times by server UID
+	killTimes map[int][]time.Time  // by router
+	errs      []error
 }
 
-// purge is a purge of an object, or of a group where the object is 0.
+// purge is a purge of an object or, if the object is 0, of a group.
 type purge struct {
 	object uint64
 	group  int
 	at     time.Time
 }
 
-// NewCluster starts everything but the routers.
+// NewCluster starts a cluster without routers.
 func NewCluster(seed uint64, config ClusterConfig) (*Cluster, error) {
 	cluster := &Cluster{
-		ClusterConfig: config, Seed: seed, drains: map[string]time.Time{}, killsOf: map[int][]time.Time{},
+		ClusterConfig: config, Seed: seed, drains: map[string]time.Time{}, killTimes: map[int][]time.Time{},
 	}
 	sizes := distuv.LogNormal{Mu: math.Log(max(1, config.MedianSizeKB)), Sigma: 0.6, Src: rand.NewPCG(seed, 4)}
 	for range config.Objects + 1 {
@@ -145,7 +146,7 @@
 	})
 }
 
-// storeEndpoint is the store's entry in the endpoint list.
+// storeEndpoint returns the store's entry in the endpoint list, with the given state.
 func (c *Cluster) storeEndpoint(state string) site.Endpoint {
 	return site.Endpoint{
 		UID: storeUID, Address: c.Store.Address(), Zone: site.Zone, Kind: site.Cache, State: state, Weight: serverWeight,
@@ -163,7 +164,7 @@
 
 func (c *Cluster) group(object uint64) int { return int(object) % max(1, c.Groups) }
 
-// operatorFile is the text of the operator's file, "" where there is none.
+// operatorFile returns the text of the operator's file, "" if the routers need none.
 func (c *Cluster) operatorFile() string {
 	if c.Store == nil && c.OperatorExtra == nil {
 		return ""
@@ -181,7 +182,7 @@
 	return string(text)
 }
 
-// StartRouters starts so many more routers, side by side.
+// StartRouters starts more routers, all at the same time, and returns when they are ready.
 func (c *Cluster) StartRouters(count int) error {
 	program, err := FindProgram()
 	if err != nil {
@@ -192,7 +193,7 @@
 		seed := c.Seed*1000 + uint64(i)
 		router, err := NewRouter(RouterOptions{
 			Program: program, Folder: c.folder, Name: fmt.Sprintf("n%d", i), OperatorFile: c.operatorFile(),
-			SpeaksTLS: c.ClientTLS != nil, DescriptorLimit: c.Descriptors,
+			SpeaksTLS: c.ClientTLS != nil, DescriptorLimit: c.RouterDescriptorLimit,
 		}, c.configuration(seed))
 		if err != nil {
 			return err
@@ -220,7 +221,7 @@
 	}
 }
 
-// startCluster starts a cluster with routers, for a script that ends it; one that cannot start is ended here.
+// startCluster starts a cluster with routers. The caller calls End, unless startCluster returns an error.
 func startCluster(seed uint64, config ClusterConfig, routers int) (*Cluster, error) {
 	cluster, err := NewCluster(seed, config)
 	if err != nil {
@@ -233,10 +234,10 @@
 	return cluster, nil
 }
 
-// inBackground runs part of a script beside the rest; the cluster does not end before it has.
+// inBackground runs part of a script concurrently with the rest. End waits for it.
 func (c *Cluster) inBackground(run func()) { c.background.Go(run) }
 
-// fail takes note of an error that fails the arm, if there is one.
+// fail records an error, which fails the arm. It ignores nil.
 func (c *Cluster) fail(err error) {
 	if err == nil {
 		return
@@ -246,21 +247,21 @@
 	c.errs = append(c.errs, err)
 }
 
-// Kill ends a router at once.
+// Kill kills a router's process.
 func (c *Cluster) Kill(router int) {
 	c.Routers[router].Kill()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.killsOf[router] = append(c.killsOf[router], time.Now())
+	c.killTimes[router] = append(c.killTimes[router], time.Now())
 }
 
-// Restart kills a router and starts it again. Its configuration has only what discovery still lists: the servers.
+// Restart kills a router and starts it again, with the discovery events so far as its known events.
 func (c *Cluster) Restart(router int) {
 	c.Kill(router)
 	c.StartAgain(router)
 }
 
-// StartAgain starts a killed router as a new one under its old address.
+// StartAgain starts a killed router as a new process with the same name and address.
 func (c *Cluster) StartAgain(router int) {
 	successor := c.Routers[router].successor()
 	if err := successor.Configure(c.configuration(c.Seed*1000 + uint64(len(c.Routers)))); err != nil {
@@ -281,10 +282,10 @@
 	c.recordPurge(purge{group: group, at: c.Site.PurgeGroup(group)})
 }
 
-func (c *Cluster) recordPurge(done purge) {
+func (c *Cluster) recordPurge(published purge) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.purges = append(c.purges, done)
+	c.purges = append(c.purges, published)
 }
 
 // DrainStore publishes that the store is draining.
@@ -295,7 +296,7 @@
 	c.drains[storeUID] = time.Now()
 }
 
-// pickObject is a seeded choice among the most popular objects.
+// pickObject returns one of the most popular objects at random.
 func (c *Cluster) pickObject(rng *rand.Rand, mostPopular int) uint64 {
 	return uint64(1 + rng.IntN(max(1, min(mostPopular, c.Objects))))
 }
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,3 +1,3 @@
-// Package testbed starts real routers among fake servers on loopback, plays seeded scripts with faults against them,
-// and checks the rules by what servers and clients saw.
+// Package testbed runs experiments on real routers. It starts them with fake servers on the loopback address, applies
+// seeded loads and faults, and checks the routers' behaviour by what the servers and clients observe.
 package testbed
--- a/internal/testbed/example.go
+++ b/internal/testbed/example.go
@@ -13,7 +13,7 @@
 	"fennelarch/internal/fake/site"
 )
 
-// The addresses that deploy/example.json and deploy/operator.example.json name.
+// Addresses in deploy/example.json and deploy/operator.example.json.
 const (
 	exampleCache  = "127.0.0.1:9101"
 	exampleParent = "127.0.0.1:9102"
@@ -21,8 +21,8 @@
 	exampleStore  = "127.0.0.1:6390"
 )
 
-// ServeExample starts the fake servers of deploy/example.json at the addresses that it names, and runs until it is
-// interrupted. A first request of a new user is served by them.
+// ServeExample runs the fake servers that deploy/example.json configures, until it is interrupted. They serve the first
+// requests of a new user.
 func ServeExample(discoveryAddress string, out io.Writer) error {
 	servers := site.New(func(site.Object) int { return 2000 }, func(uint64) int { return 1 })
 	defer servers.Close()
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// Options are what an experiment is run with.
+// Options configures a run of an experiment.
 type Options struct {
 	Seed    uint64
-	Scale   float64 // of rates and durations; 1 is the scale of the published results
-	Routers int     // 0: the experiment's own number
-	Plan    string  // of an experiment that follows one, as text; "": drawn from the seed
-	Out     string  // the folder for what a failed run is looked into with; "": none
-	Log     io.Writer
+	Scale   float64   // factor for rates and durations; 1 is the scale of the published results
+	Routers int       // 0: the experiment's default
+	Plan    string    // text of the fault plan, for experiments that use one; "": drawn from the seed
+	Out     string    // folder for files that help to analyse a failed run; "": none
+	Log     io.Writer // nil: none
 }
 
-// Logf writes a line on the progress of an experiment, if anybody wants to know.
+// Logf writes a line about the progress of an experiment to Log, if that is set.
 func (o Options) Logf(format string, args ...any) {
 	if o.Log != nil {
 		_, _ = fmt.Fprintf(o.Log, format+"\n", args...)
 	}
 }
 
-// duration scales a duration, though not to less than a quarter.
+// duration scales a duration, but to no less than a quarter of it.
 func (o Options) duration(atFullScale time.Duration) time.Duration {
 	return max(atFullScale/4, time.Duration(float64(atFullScale)*o.Scale))
 }
 
-// count scales a number, though not to less than one.
+// count scales a number, but to no less than one.
 func (o Options) count(atFullScale int) int { return max(1, int(float64(atFullScale)*o.Scale)) }
 
-// routers is the number of routers that is asked for, or an experiment's own.
-func (o Options) routers(usual int) int {
+// routers returns the requested number of routers, or an experiment's default.
+func (o Options) routers(defaultCount int) int {
 	if o.Routers > 0 {
 		return o.Routers
 	}
-	return usual
+	return defaultCount
 }
 
-// Experiment is one scripted, repeatable test.
+// Experiment is a scripted, repeatable test.
 type Experiment struct {
 	Name, Shows string
 	Run         func(options Options, result *Result) error
@@ -50,30 +50,31 @@
 
 var experiments = map[string]Experiment{}
 
-// Register adds an experiment; its package is imported for that.
+// Register adds an experiment to those that Run can run. It returns a value so that
+// a package can call it in a variable declaration.
 func Register(experiment Experiment) bool {
 	experiments[experiment.Name] = experiment
 	return true
 }
 
-// Experiments are all there are, by name.
+// Experiments returns all registered experiments, sorted by name.
 func Experiments() []Experiment {
 	list := slices.Collect(maps.Values(experiments))
 	slices.SortFunc(list, func(a, b Experiment) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
-// UnknownExperimentError is a name that no experiment has.
+// UnknownExperimentError is returned for a name that no experiment has. Its value is the name.
 type UnknownExperimentError string
 
 func (e UnknownExperimentError) Error() string {
 	return fmt.Sprintf("there is no experiment %q", string(e))
 }
 
-// Run runs an experiment.
+// Run runs the experiment with the given name.
 func Run(name string, options Options) (*Result, error) {
-	experiment, known := experiments[name]
-	if !known {
+	experiment, isKnown := experiments[name]
+	if !isKnown {
 		return nil, UnknownExperimentError(name)
 	}
 	if options.Scale <= 0 {
--- a/internal/testbed/flood.go
+++ b/internal/testbed/flood.go
@@ -17,8 +17,8 @@
 
 const (
 	floodDialTimeout = 300 * time.Millisecond
-	// verdictWait is how long a new connection waits for its rejection.
-	verdictWait      = 10 * time.Millisecond
+	// rejectionWait is how long a new connection waits for a rejection.
+	rejectionWait    = 10 * time.Millisecond
 	handshakeTimeout = time.Second
 )
 
@@ -26,16 +26,16 @@
 type floodMode uint8
 
 const (
-	// floodRequests has each connection send one request after the other: it is never idle.
+	// floodRequests sends requests on each connection without a pause, so that no connection is idle.
 	floodRequests floodMode = iota
-	// floodHalfHandshakes begins TLS handshakes and never finishes them.
+	// floodHalfHandshakes starts TLS handshakes but never completes them.
 	floodHalfHandshakes
 )
 
-// flood opens connections, as fast as the machine allows or at a rate, and holds those that are accepted.
+// flood opens connections, as fast as possible or at a rate, and keeps those that are accepted open.
 type flood struct {
 	address string   // of the router
-	from    []string // addresses that it comes from
+	from    []string // local addresses, used in turn
 	tls     *tls.Config
 	mode    floodMode
 
@@ -46,14 +46,14 @@
 	open       []net.Conn
 }
 
-// floodPace says how many connections a flood opens.
+// floodPace says how many connections a flood opens, and how fast.
 type floodPace struct {
 	connections          int
-	connectionsPerSecond float64 // 0: as fast as it can
-	workers              int     // that open connections at once
+	connectionsPerSecond float64 // 0: as fast as possible
+	workers              int     // number of concurrent attempts to connect
 }
 
-// run opens connections, and returns when the last one was tried.
+// run opens connections and returns after the last attempt to connect.
 func (f *flood) run(pace floodPace) {
 	var workers sync.WaitGroup
 	startedAt := time.Now()
@@ -76,7 +76,7 @@
 	workers.Wait()
 }
 
-// connect opens one connection, and counts what became of it.
+// connect opens one connection and counts the outcome.
 func (f *flood) connect(from string) {
 	number := f.tried.Add(1)
 	stream, err := dialFrom(from, f.address, floodDialTimeout)
@@ -86,7 +86,7 @@
 	}
 	switch {
 	case f.mode == floodHalfHandshakes:
-		_, _ = stream.Write([]byte{22, 3, 1, 2}) // the head of a record that never comes
+		_, _ = stream.Write([]byte{22, 3, 1, 2}) // an incomplete header of a TLS record
 	case f.tls != nil:
 		if stream, err = handshake(stream, f.tls); err != nil {
 			f.rejected.Add(1)
@@ -107,9 +107,9 @@
 	}
 }
 
-// isRejected says whether a router rejects a new connection, which it does at once.
+// isRejected reports whether a router rejects a new connection, which it does immediately.
 func isRejected(stream net.Conn) bool {
-	_ = stream.SetReadDeadline(time.Now().Add(verdictWait))
+	_ = stream.SetReadDeadline(time.Now().Add(rejectionWait))
 	buffer := make([]byte, 64)
 	n, err := stream.Read(buffer)
 	if n > 0 && strings.Contains(string(buffer[:n]), StatusBusy) {
@@ -118,7 +118,7 @@
 	return err != nil && !os.IsTimeout(err)
 }
 
-// sendRequests requests one object that nobody has after the other, four each 40 ms, until the connection ends.
+// sendRequests requests objects that no server has cached, four every 40 ms, until the connection ends.
 func (f *flood) sendRequests(stream net.Conn, number uint64) {
 	_ = stream.SetReadDeadline(time.Time{})
 	f.requesters.Go(func() { _, _ = io.Copy(io.Discard, stream) })
@@ -148,13 +148,13 @@
 	f.requesters.Wait()
 }
 
-// dialFrom connects to an address from another one.
+// dialFrom connects to an address from a local address.
 func dialFrom(from, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	return dialer.Dial("tcp", address)
 }
 
-// handshake speaks TLS on a connection, which is closed if that fails.
+// handshake performs a TLS handshake on a connection, and closes the connection if it fails.
 func handshake(stream net.Conn, config *tls.Config) (net.Conn, error) {
 	secure := tls.Client(stream, config)
 	_ = secure.SetDeadline(time.Now().Add(handshakeTimeout))
@@ -165,7 +165,7 @@
 	return secure, nil
 }
 
-// loopbackAddresses are so many addresses that a flood may come from.
+// loopbackAddresses returns loopback addresses from which a flood can connect.
 func loopbackAddresses(count int) (list []string) {
 	for i := range count {
 		list = append(list, fmt.Sprintf("127.%d.%d.%d", 10+i/62500, i/250%250, 1+i%250))
--- a/internal/testbed/known_client.go
+++ b/internal/testbed/known_client.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// connectTimeout is for how long a known client tries to connect.
+	// connectTimeout is how long a known client tries to connect.
 	connectTimeout = time.Second
-	// knownClientTimeout is the timeout of its requests, and responseWait how long it waits for a response.
+	// knownClientTimeout is the timeout of a known client's requests, responseWait how long it waits for a response.
 	knownClientTimeout = 2 * time.Second
 	responseWait       = 2200 * time.Millisecond
-	// secondAnswerWait is how long it waits for an answer too many.
+	// secondAnswerWait is how long a known client waits for an erroneous second answer.
 	secondAnswerWait = 20 * time.Millisecond
-	// inTimeLimit is the time from the first attempt to connect to the response in which a request counts as in time.
+	// inTimeLimit is the maximum time of a request that counts as in time, the time to connect included.
 	inTimeLimit = 410 * time.Millisecond
-	// minResponseBytes is what the shortest response has.
+	// minResponseBytes is the length of the shortest response.
 	minResponseBytes = 20
 )
 
@@ -36,17 +36,17 @@
 	outcomes []requestOutcome
 }
 
-// requestOutcome is what became of one request of a known client.
+// requestOutcome is the outcome of a known client's request.
 type requestOutcome struct {
 	startedAt    time.Time
 	connectTime  time.Duration // 0: it did not connect within connectTimeout
 	isWritten    bool          // the connection was accepted and the request was written completely
 	status       string        // "": no answer
 	responseTime time.Duration
-	loss         string // what came in the place of an answer
+	loss         string // describes what was received instead of an answer
 }
 
-// run sends a request at each interval until the end.
+// run sends requests at an interval until a time, and waits for their outcomes.
 func (c *knownClient) run(interval time.Duration, until time.Time) {
 	var requests sync.WaitGroup
 	for i := uint64(0); time.Now().Before(until); i++ {
@@ -56,7 +56,7 @@
 	requests.Wait()
 }
 
-// send sends one request, and records what became of it.
+// send sends one request and records its outcome.
 func (c *knownClient) send(number uint64) requestOutcome {
 	outcome := c.request(number)
 	c.mu.Lock()
@@ -65,7 +65,7 @@
 	return outcome
 }
 
-// request connects, requests one object and takes what comes.
+// request connects, requests one object and reads the response.
 func (c *knownClient) request(number uint64) (outcome requestOutcome) {
 	outcome.startedAt = time.Now()
 	stream := c.connect()
@@ -88,7 +88,7 @@
 	return outcome
 }
 
-// connect tries to connect until connectTimeout; nil if it cannot.
+// connect tries to connect for connectTimeout. It returns nil if it cannot connect.
 func (c *knownClient) connect() net.Conn {
 	for startedAt := time.Now(); time.Since(startedAt) < connectTimeout; {
 		stream, err := dialFrom(c.from, c.address, connectTimeout-time.Since(startedAt))
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// readResponse reads until the connection ends, and a little longer than the response.
+// readResponse reads until the connection ends, but after a response for secondAnswerWait at most.
 func (o *requestOutcome) readResponse(stream net.Conn, sentAt time.Time) {
 	var received []byte
 	buffer := make([]byte, 8<<10)
@@ -143,7 +143,7 @@
 	}
 }
 
-// clientSummary is what became of all requests of known clients.
+// clientSummary counts the outcomes of known clients' requests.
 type clientSummary struct {
 	requests, connected, served, inTime, rejected, lost int
 	slowestConnect                                      time.Duration
@@ -156,7 +156,7 @@
 
 func (s *clientSummary) share(count int) float64 { return float64(count) / float64(max(1, s.requests)) }
 
-// add adds another client's summary.
+// add adds another summary to this one.
 func (s *clientSummary) add(other clientSummary) {
 	s.requests += other.requests
 	s.connected += other.connected
@@ -170,7 +170,7 @@
 	}
 }
 
-// summary counts what became of the client's requests.
+// summary returns a summary of the client's requests.
 func (c *knownClient) summary() (summary clientSummary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -10,34 +10,35 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// What a write is sent with.
+// Parameters of a write.
 const (
 	writeSizeKB           = 4
 	writeTimeout          = 3 * time.Second
 	writeLatencyObjective = 700 * time.Millisecond
 )
 
-// objectiveStretch is how much time a transfer may take, in units of its time at full rate.
+// objectiveStretch is the time that the latency objective allows for a transfer, as a multiple of its time at the full
+// rate.
 const objectiveStretch = 1.6
 
-// Load is an open loop of requests: they are sent when they are scheduled, whatever became of earlier ones.
+// Load is an open-loop load: requests are sent when they are scheduled and do not wait for earlier ones.
 type Load struct {
 	RequestsPerSecond float64 // at each router
 	Duration          time.Duration
-	WriteShare        float64 // of all requests
-	IsUnique          bool    // each object is requested once
+	WriteShare        float64 // share of writes among all requests
+	UniqueObjects     bool    // each request is for a different object
 }
 
-// Play plays a load on all routers and returns when the last request has been sent.
-func (c *Cluster) Play(load Load) {
+// ApplyLoad applies a load to all routers and returns when the last request has been sent.
+func (c *Cluster) ApplyLoad(load Load) {
 	var routers sync.WaitGroup
 	for router := range c.Clients {
-		routers.Go(func() { c.playOn(router, load) })
+		routers.Go(func() { c.applyLoadTo(router, load) })
 	}
 	routers.Wait()
 }
 
-func (c *Cluster) playOn(router int, load Load) {
+func (c *Cluster) applyLoadTo(router int, load Load) {
 	rng := rand.New(rand.NewPCG(c.Seed*77+uint64(router), uint64(load.RequestsPerSecond*1000)))
 	gaps := distuv.Exponential{Rate: load.RequestsPerSecond, Src: rng}
 	popularity := rand.NewZipf(rng, max(1.01, c.PopularitySkew), 4, uint64(max(1, c.Objects-1)))
@@ -49,7 +50,7 @@
 		}
 		object := popularity.Uint64() + 1
 		count++
-		if load.IsUnique {
+		if load.UniqueObjects {
 			object = uint64(router+1)*1_000_000 + count
 		}
 		isWrite := rng.Float64() < load.WriteShare
@@ -63,7 +64,7 @@
 	}
 }
 
-// Fetch sends a router a request for an object.
+// Fetch sends a request for an object to a router.
 func (c *Cluster) Fetch(router int, scheduledAt time.Time, object uint64) {
 	sizeKB := c.sizeKB(object)
 	transfer := time.Duration(objectiveStretch * sizeKB / c.Settings.TransferKBPerSecond * float64(time.Second))
@@ -73,7 +74,7 @@
 	})
 }
 
-// Write sends a router a write of an object.
+// Write sends a write of an object to a router.
 func (c *Cluster) Write(router int, scheduledAt time.Time, object uint64) {
 	c.Clients[router].Send(RequestSpec{
 		ScheduledAt: scheduledAt, Class: classSignoff, Object: site.Object{ID: object}, Group: c.group(object),
--- a/internal/testbed/protocol.go
+++ b/internal/testbed/protocol.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/fake/site"
 )
 
-// Verbs of the clients' protocol.
+// Verbs of the client protocol.
 const (
 	verbRequest = "DO"
 	verbCancel  = "UNDO"
@@ -22,22 +22,24 @@
 	StatusFailed = "FAILED"
 )
 
-// ConnectionRejected stands in the place of a tag where a router closes a connection of which it has read nothing.
+// ConnectionRejected takes the place of the tag in the message with which a router rejects a connection before reading
+// from it.
 const ConnectionRejected = "-BUSY"
 
-// ClientRequest is what a client asks a router for.
+// ClientRequest is a client's request to a router.
 type ClientRequest struct {
 	ID            string
 	Class         string
 	Object        site.Object
-	Group         int // in which the object is purged
+	Group         int // purge group of the object
 	SizeKB        float64
 	Timeout       time.Duration
-	CachedVersion string // of the copy that the client has, "": it has none
+	CachedVersion string // of the client's copy, "": the client has none
 	Body          string
 }
 
-// Frame encodes the request under a tag of its connection. The protocol's names are mapped to ours here alone.
+// Frame encodes the request with a tag that identifies it on its connection. Only Frame depends on the
+// protocol's field names.
 func (r *ClientRequest) Frame(tag string) []byte {
 	fields := fmt.Sprintf("req=%s,timeout=%d,subject=%016x,piece=%d,lot=%d,need=%.1f", r.ID, r.Timeout.Milliseconds(),
 		r.Object.ID, r.Object.Part, r.Group, r.SizeKB)
@@ -47,10 +49,10 @@
 	return site.Frame(verbRequest, tag, r.Class, fields, r.Body)
 }
 
-// CancelFrame cancels the request of a tag.
+// CancelFrame returns the frame that cancels the request with a tag.
 func CancelFrame(tag string) []byte { return site.Frame(verbCancel, tag) }
 
-// PingFrame asks whether the router is up.
+// PingFrame returns the frame that asks whether the router is up.
 func PingFrame(tag string) []byte { return site.Frame(verbPing, tag) }
 
 // Response is a router's response to a request.
@@ -60,7 +62,7 @@
 	Body          string
 }
 
-// ParseResponse parses a frame that a router sent; it has no tag where it is not a response.
+// ParseResponse parses a frame that a router sent. The tag is empty if the frame is not a response.
 func ParseResponse(words [][]byte) (tag string, response Response) {
 	if len(words) < 2 {
 		return "", Response{}
@@ -75,10 +77,10 @@
 	return string(words[0]), response
 }
 
-// WaitFor waits until something is done, but not longer than a limit.
-func WaitFor(limit time.Duration, isDone func() bool) {
+// WaitFor waits until isDone returns true, but no longer than the timeout.
+func WaitFor(timeout time.Duration, isDone func() bool) {
 	const interval = 10 * time.Millisecond
-	for end := time.Now().Add(limit); time.Now().Before(end) && !isDone(); {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && !isDone(); {
 		time.Sleep(interval)
 	}
 }
--- a/internal/testbed/protocol_test.go
+++ b/internal/testbed/protocol_test.go
@@ -22,7 +22,7 @@
 			request.CachedVersion = test.version
 			want := string(site.Frame("DO", "9", "clip", test.fields, "body"))
 			if got := string(request.Frame("9")); got != want {
-				t.Errorf("%q", got)
+				t.Errorf("unexpected frame %q", got)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 				t.Fatal(err)
 			}
 			if tag, response := ParseResponse(words); tag != test.wantTag || response != test.want {
-				t.Errorf("%q, %+v", tag, response)
+				t.Errorf("tag %q, response %+v", tag, response)
 			}
 		})
 	}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Assertion is one thing that an experiment must show.
+// Assertion is a condition that an experiment checks.
 type Assertion struct {
 	Name   string `json:"name"`
 	Passed bool   `json:"passed"`
 	Detail string `json:"detail"`
 }
 
-// Result is the outcome of an experiment: assertions that passed or failed, and figures.
+// Result is the outcome of an experiment: assertions, which passed or failed, and figures.
 type Result struct {
 	Experiment string             `json:"experiment"`
 	Seed       uint64             `json:"seed"`
@@ -21,7 +21,7 @@
 	Figures    map[string]float64 `json:"figures"`
 }
 
-// Passed says whether every assertion did; an experiment without assertions shows nothing.
+// Passed reports whether every assertion passed. A result without assertions has not passed, since it shows nothing.
 func (r *Result) Passed() bool {
 	hasFailed := slices.ContainsFunc(r.Assertions, func(a Assertion) bool { return !a.Passed })
 	return len(r.Assertions) > 0 && !hasFailed
@@ -35,7 +35,7 @@
 // Figure records a figure.
 func (r *Result) Figure(name string, value float64) { r.Figures[name] = value }
 
-// assertRules asserts what must hold in every arm of an experiment.
+// assertRules asserts the rules that must hold in every arm of an experiment.
 func (r *Result) assertRules(arm string, seen *Observations) {
 	r.Assert(seen.Requests > 0 && seen.Lost == 0 && seen.AnsweredTwice == 0 && seen.Late == 0,
 		arm+": one final answer in time for each request",
@@ -49,7 +49,7 @@
 	r.recordFigures(arm, seen)
 }
 
-// recordFigures records an arm without an assertion: a baseline may break any rule.
+// recordFigures records the figures of an arm. It asserts nothing because a baseline may break any rule.
 func (r *Result) recordFigures(arm string, seen *Observations) {
 	r.Figure(arm+" lost", float64(seen.Lost))
 	r.Figure(arm+" requests", float64(seen.Requests))
--- a/internal/testbed/router.go
+++ b/internal/testbed/router.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	// readyTimeout is how long a router may take to answer after its start, stopTimeout to end after SIGTERM.
+	// readyTimeout is how long a router may take to answer after its start, stopTimeout how long to end after SIGTERM.
 	readyTimeout = 5 * time.Second
 	stopTimeout  = 6 * time.Second
-	// healthTimeout bounds one check whether a router answers.
+	// healthTimeout is the timeout of one health check.
 	healthTimeout = time.Second
-	// logTailBytes is how much of a log an error holds.
+	// logTailBytes is the length of the end of a log that an error includes.
 	logTailBytes = 2000
 )
 
-// RouterOptions are what a router's process is started with.
+// RouterOptions configures a router's process.
 type RouterOptions struct {
 	Program         string
-	Folder          string // of its configuration
+	Folder          string // of the configuration files
 	Name            string
-	OperatorFile    string   // its text; "": none
-	Environment     []string // besides this process's own
-	DescriptorLimit int      // 0: the system's
-	SpeaksTLS       bool
+	OperatorFile    string   // text of the operator's file; "": none
+	Environment     []string // variables in addition to those of this process
+	DescriptorLimit int      // 0: the system's limit
+	SpeaksTLS       bool     // clients connect with TLS
 }
 
-// Configuration is what a router's configuration file says of the deployment.
+// Configuration is the part of a router's configuration that depends on the cluster.
 type Configuration struct {
 	Seed             uint64
 	Settings         Settings
 	DiscoveryAddress string
-	KnownEvents      string // of discovery, so far
+	KnownEvents      string // discovery events so far
 }
 
-// Router is one router's process.
+// Router is the process of a router.
 type Router struct {
 	Name    string
 	Address string
@@ -57,10 +57,11 @@
 	cmd      *exec.Cmd
 	log      bytes.Buffer
 	ended    chan struct{} // closed once the process has ended
-	killedAt time.Time     // zero: it was not
+	killedAt time.Time     // zero: not killed
 }
 
-// FindProgram finds the built router beside this program, or where FENNELARCH says.
+// FindProgram returns the path of the router's program: the value of FENNELARCH or, if that is empty, the program
+// fennelarch in the folder of the running program.
 func FindProgram() (string, error) {
 	if path := os.Getenv("FENNELARCH"); path != "" {
 		return path, nil
@@ -71,14 +72,14 @@
 	}
 	path := filepath.Join(filepath.Dir(self), "fennelarch")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("the router is not built beside this program: %w", err)
+		return "", fmt.Errorf("the router's program is not in the folder of this program: %w", err)
 	}
 	return path, nil
 }
 
-// NewRouter writes a router's files; it is not started yet.
+// NewRouter picks a router's address and writes its configuration files. It does not start the router.
 func NewRouter(options RouterOptions, configuration Configuration) (*Router, error) {
-	listener, err := net.Listen("tcp", ownLoopbackAddress()+":0")
+	listener, err := net.Listen("tcp", uniqueLoopbackAddress()+":0")
 	if err != nil {
 		return nil, err
 	}
@@ -94,21 +95,21 @@
 	return r, r.Configure(configuration)
 }
 
-// successor is a router that takes the place of one that has ended, under its name and address.
+// successor returns a router that replaces one whose process has ended, with the same name and address.
 func (r *Router) successor() *Router {
 	return &Router{Name: r.Name, Address: r.Address, options: r.options, args: r.args}
 }
 
 var routersCreated atomic.Uint32
 
-// ownLoopbackAddress is a loopback address for one router of this process alone: while it is down, nobody else can take
-// its port, and no client can connect to itself there.
-func ownLoopbackAddress() string {
+// uniqueLoopbackAddress returns a loopback address that only one router of this process uses. While the router is down,
+// no other process can take its port, and no client can connect to itself at its address.
+func uniqueLoopbackAddress() string {
 	n := uint32(os.Getpid())<<8 + routersCreated.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 16+n>>16&0x7f, n>>8&0xff, 1+n&0x7f)
 }
 
-// Configure writes the configuration file anew.
+// Configure writes the configuration file and replaces an existing one.
 func (r *Router) Configure(configuration Configuration) error {
 	settings := &configuration.Settings
 	text, err := json.Marshal(map[string]any{
@@ -142,19 +143,19 @@
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-ended:
-			return fmt.Errorf("%s ended at its start: %s", r.Name, r.Log())
+			return fmt.Errorf("%s ended during its start: %s", r.Name, r.Log())
 		default:
 		}
 		if r.checkHealth() == nil {
 			return nil
 		}
 	}
-	return errors.New(r.Name + " does not answer")
+	return errors.New(r.Name + " did not answer within the timeout after its start")
 }
 
 func (r *Router) command() *exec.Cmd {
 	cmd := exec.Command(r.options.Program, r.args...)
-	if limit := r.options.DescriptorLimit; limit > 0 { // the shell sets its own limit and becomes the router
+	if limit := r.options.DescriptorLimit; limit > 0 { // the shell sets its own limit, then executes the router
 		script := fmt.Sprintf(`ulimit -n %d; exec "$0" "$@"`, limit)
 		cmd = exec.Command("/bin/sh", append([]string{"-c", script, r.options.Program}, r.args...)...)
 	}
@@ -164,7 +165,7 @@
 	return cmd
 }
 
-// checkHealth checks that the router answers a ping; of one that speaks TLS, that it accepts a connection.
+// checkHealth checks that the router answers a ping. With TLS, it checks only that the router accepts a connection.
 func (r *Router) checkHealth() error {
 	connection, err := net.DialTimeout("tcp", r.Address, healthTimeout)
 	if err != nil {
@@ -191,7 +192,7 @@
 	return w.router.log.Write(text)
 }
 
-// PID is the id of its process.
+// PID returns the process ID.
 func (r *Router) PID() int { return r.process().Pid }
 
 func (r *Router) process() *os.Process {
@@ -200,24 +201,24 @@
 	return r.cmd.Process
 }
 
-// Ended is closed once its process has ended.
+// Ended returns a channel that is closed once the process has ended.
 func (r *Router) Ended() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ended
 }
 
-// Log is what it has logged so far.
+// Log returns everything that the router has logged so far.
 func (r *Router) Log() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.String()
 }
 
-// Signal sends its process a signal.
+// Signal sends a signal to the process.
 func (r *Router) Signal(signal syscall.Signal) { _ = r.process().Signal(signal) }
 
-// Kill ends it at once.
+// Kill kills the process and waits until it has ended.
 func (r *Router) Kill() {
 	r.mu.Lock()
 	r.killedAt = time.Now()
@@ -226,19 +227,19 @@
 	<-r.Ended()
 }
 
-// WasKilled says whether it was ever killed.
+// WasKilled reports whether the process was killed by Kill.
 func (r *Router) WasKilled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.killedAt.IsZero()
 }
 
-// Stop asks it to end, and waits; an error says that it crashed or did not end.
+// Stop sends SIGTERM and waits until the process has ended. It returns an error if the router crashed or did not end.
 func (r *Router) Stop() error {
 	select {
 	case <-r.Ended():
 		if !r.WasKilled() {
-			return fmt.Errorf("%s ended by itself: %s", r.Name, r.logTail())
+			return fmt.Errorf("%s ended unexpectedly: %s", r.Name, r.logTail())
 		}
 		return nil
 	default:
@@ -249,7 +250,7 @@
 	case <-time.After(stopTimeout):
 		_ = r.process().Kill()
 		<-r.Ended()
-		return errors.New(r.Name + " did not end")
+		return errors.New(r.Name + " did not end within the timeout after SIGTERM")
 	}
 	if log := r.Log(); strings.Contains(log, "panic") || strings.Contains(log, "DATA RACE") {
 		return fmt.Errorf("%s: %s", r.Name, r.logTail())
--- a/internal/testbed/settings.go
+++ b/internal/testbed/settings.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Classes of the experiments' requests.
+// Classes of requests.
 const (
-	classClip    = "clip"    // a fetch of an object
-	classSignoff = "signoff" // a write, which must run once at most
+	classClip    = "clip"    // fetches of objects
+	classSignoff = "signoff" // writes, which must run at most once
 )
 
-// Settings are what the configuration of all routers of a cluster says of their deployment.
+// Settings is the part of the configuration that all routers of a cluster share.
 type Settings struct {
 	Routers             int
-	Grace               time.Duration // of drains and purges
+	Grace               time.Duration // after a drain or a purge
 	TransferKBPerSecond float64
 	MemoryMB            int
 	Sockets             int
 	LatencyObjective    time.Duration
 	Deadline            time.Duration
-	SlowStart           time.Duration // of a server
-	ColdCapacityShare   float64       // of a server's capacity, just after its start
+	SlowStart           time.Duration // duration of a server's slow start
+	ColdCapacityShare   float64       // share of a server's capacity right after its start
 
-	Override func(settings map[string]any) // if set, changes the settings of all routers
+	Override func(settings map[string]any) // if set, changes the encoded settings of all routers
 }
 
-// DefaultSettings are settings of a middling site.
+// DefaultSettings returns the settings of a medium-sized site.
 func DefaultSettings(routers int) Settings {
 	return Settings{
 		Routers: routers, Grace: time.Second, TransferKBPerSecond: 5000, MemoryMB: 192, Sockets: 1024,
@@ -32,7 +32,7 @@
 	}
 }
 
-// encode returns the settings under the keys of the configuration.
+// encode returns the settings by the keys of the configuration file.
 func (s *Settings) encode() map[string]any {
 	settings := map[string]any{
 		"az": 0, "dcs": []string{"west"}, "shapes": []string{"box", "parent", "origin"}, "n_instances": s.Routers,
--- a/internal/testbed/store.go
+++ b/internal/testbed/store.go
@@ -7,7 +7,7 @@
 	"fennelarch/internal/fake/site"
 )
 
-// noStoreConfig is a cluster without a shared store, that the experiments on stores compare with.
+// noStoreConfig configures a cluster without a shared store, the baseline of the store experiments.
 func noStoreConfig(routers int) ClusterConfig {
 	return ClusterConfig{
 		Settings: DefaultSettings(routers), Objects: 400, Groups: 40, PopularitySkew: 1.2, MedianSizeKB: 150,
@@ -16,7 +16,7 @@
 	}
 }
 
-// coldStoreConfig is a cluster whose store, the only cache of its location, has just been started.
+// coldStoreConfig configures a cluster whose store, the only cache of its location, has just started.
 func coldStoreConfig(routers int) ClusterConfig {
 	config := noStoreConfig(routers)
 	config.StoreConfig = &redis.Config{CommandsPerSecond: 4000, ColdCapacityShare: 0.1, WarmUpTime: 6 * time.Second}
@@ -24,14 +24,14 @@
 	return config
 }
 
-// warmStoreConfig is a cluster whose store has run for long: its start is not what is tested.
+// warmStoreConfig configures a cluster whose store has its full capacity from the beginning.
 func warmStoreConfig(routers int) ClusterConfig {
 	config := coldStoreConfig(routers)
 	config.StoreConfig.InitialAge = time.Hour
 	return config
 }
 
-// arm is one arm of an experiment: a load on a cluster, and a script that runs beside it.
+// arm is an arm of an experiment: a load on a cluster and a script that runs during the load.
 type arm struct {
 	name    string
 	seed    uint64
@@ -41,7 +41,7 @@
 	script  func(*Cluster) // nil: none
 }
 
-// run plays the arm, and asserts the rules.
+// run runs the arm and asserts the rules.
 func (a arm) run(result *Result) (*Observations, error) {
 	cluster, err := startCluster(a.seed, a.config, a.routers)
 	if err != nil {
@@ -50,7 +50,7 @@
 	if a.script != nil {
 		cluster.inBackground(func() { a.script(cluster) })
 	}
-	cluster.Play(a.load)
+	cluster.ApplyLoad(a.load)
 	seen := cluster.End()
 	result.assertRules(a.name, seen)
 	return seen, nil
--- a/internal/testbed/store_cold.go
+++ b/internal/testbed/store_cold.go
@@ -13,7 +13,7 @@
 	Run:   runStoreCold,
 })
 
-// coldStoreLoad is what all routers together request a second: more than a cold store can serve.
+// coldStoreLoad is the number of requests per second to all routers together. It exceeds the capacity of a cold store.
 const coldStoreLoad = 1600
 
 func runStoreCold(options Options, result *Result) error {
@@ -23,7 +23,7 @@
 	}
 	for _, routers := range counts {
 		name := fmt.Sprintf("%d routers", routers)
-		peak, err := playColdStore(options, result, name, routers, coldStoreConfig(routers))
+		peak, err := runColdStore(options, result, name, routers, coldStoreConfig(routers))
 		if err != nil {
 			return err
 		}
@@ -32,21 +32,21 @@
 	}
 	listed := coldStoreConfig(4)
 	listed.IsStoreListed = true
-	peak, err := playColdStore(options, result, "4 routers, notified by the list", 4, listed)
+	peak, err := runColdStore(options, result, "4 routers, notified by the list", 4, listed)
 	if err != nil {
 		return err
 	}
 	result.Assert(peak <= 1, "notified by the list: never sent more than its capacity", "at most %.2f", peak)
 	routers := counts[len(counts)-1]
 	unlimited := coldStoreConfig(routers)
-	unlimited.SharedStore["cold_ms"] = 0 // nothing is known of how it starts: the decisions have nothing to go by
-	peak, err = playColdStore(options, result, fmt.Sprintf("%d routers, no budget", routers), routers, unlimited)
+	unlimited.SharedStore["cold_ms"] = 0 // the routers do not know that the store is cold after a start
+	peak, err = runColdStore(options, result, fmt.Sprintf("%d routers, no budget", routers), routers, unlimited)
 	result.Assert(peak > 1, "without a budget the same script overloads it", "%.2f of its capacity", peak)
 	return err
 }
 
-// playColdStore restarts the store empty under load, and returns the highest load as a multiple of its capacity.
-func playColdStore(options Options, result *Result, name string, routers int, config ClusterConfig) (float64, error) {
+// runColdStore restarts the store empty under load. It returns the store's highest load as a multiple of its capacity.
+func runColdStore(options Options, result *Result, name string, routers int, config ClusterConfig) (float64, error) {
 	peak := 0.0
 	seen, err := arm{
 		name: name, seed: options.Seed + uint64(routers), config: config, routers: routers,
--- a/internal/testbed/store_cost.go
+++ b/internal/testbed/store_cost.go
@@ -8,7 +8,7 @@
 	Run:   runStoreCost,
 })
 
-// maxStoreMB is how much more memory a router with a store may use.
+// maxStoreMB is the memory that a router may use in addition when it has a store.
 const maxStoreMB = 16
 
 func runStoreCost(options Options, result *Result) error {
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -13,12 +13,12 @@
 	Run:   runStoreFaults,
 })
 
-// storeFault is a fault of the store, and the one plain line of the router's log that tells of it.
+// storeFault is a fault of the store and a text of the log line with which routers report it.
 type storeFault struct {
 	name    string
 	fault   redis.Fault
 	logLine string
-	bytes   int // of each object, 0: by its size
+	bytes   int // size of each object's body, 0: by the object's nominal size
 }
 
 var (
@@ -26,7 +26,7 @@
 	storeWritesAndDeletes = []string{"SET", "PSETEX", "ZADD", "DEL"}
 )
 
-// storeFaults are all faults that the experiment plays. The words are those of Redis.
+// storeFaults are the faults that the experiment injects. The error replies are those of Redis.
 var storeFaults = []storeFault{
 	errorFault("LOADING", "LOADING Redis is loading the dataset in memory", "store reads its data in"),
 	errorFault("OOM", "OOM command not allowed when used memory > 'maxmemory'.", "store has no memory left",
@@ -45,10 +45,10 @@
 	{name: "newer", fault: redis.Fault{Corruption: redis.NewerFormat}, logLine: "newer format"},
 	{name: "silent", fault: redis.Fault{Silent: true}, logLine: "store not connected"},
 	{name: "crowded", fault: redis.Fault{TooManyClients: true}, logLine: "store not connected"},
-	{name: "240,000 bytes", logLine: "store connected", bytes: 240_000}, // nothing is wrong but the size
+	{name: "240,000 bytes", logLine: "store connected", bytes: 240_000}, // large objects without a fault
 }
 
-// errorFault is a store that answers some commands, all where none are named, with an error.
+// errorFault returns a fault by which the store answers the given commands, or all if none is given, with an error.
 func errorFault(name, answer, logLine string, commands ...string) storeFault {
 	return storeFault{name: name, fault: redis.Fault{ErrorReply: answer, Verbs: commands}, logLine: logLine}
 }
--- a/internal/testbed/store_lease.go
+++ b/internal/testbed/store_lease.go
@@ -16,11 +16,11 @@
 const (
 	// firstLeaseObject is the first of the objects that all routers request at once.
 	firstLeaseObject = 500_000_000
-	// holdersKilled is in how many rounds the lease holder is killed.
-	holdersKilled = 3
+	// roundsWithKill is the number of rounds in which the lease holder is killed.
+	roundsWithKill = 3
 )
 
-// leaseArm is one arm of the experiment: routers that miss the same objects at once.
+// leaseArm is an arm of the experiment, in which all routers miss the same objects at once.
 type leaseArm struct {
 	name         string
 	usesLease    bool
@@ -31,12 +31,12 @@
 
 func runStoreLease(options Options, result *Result) error {
 	routers, rounds := options.routers(16), options.count(10)
-	for _, played := range []leaseArm{
+	for _, variant := range []leaseArm{
 		{name: "lease", usesLease: true, routers: routers, rounds: rounds},
 		{name: "no lease", routers: routers, rounds: rounds},
 		{name: "holders killed", usesLease: true, killsHolders: true, routers: routers, rounds: rounds},
 	} {
-		if err := played.run(options, result); err != nil {
+		if err := variant.run(options, result); err != nil {
 			return err
 		}
 	}
@@ -54,12 +54,12 @@
 	if err != nil {
 		return err
 	}
-	// The routers learn first how long fills take, each by objects of its own.
-	cluster.Play(Load{RequestsPerSecond: 10, Duration: 2 * time.Second, IsUnique: true})
+	// Let the routers learn how long fills take, each from different objects.
+	cluster.ApplyLoad(Load{RequestsPerSecond: 10, Duration: 2 * time.Second, UniqueObjects: true})
 	time.Sleep(300 * time.Millisecond)
 	before := len(cluster.Origin.Received())
 	for round := range a.rounds {
-		a.playRound(cluster, round)
+		a.runRound(cluster, round)
 	}
 	fills := len(cluster.Origin.Received()) - before
 	seen := cluster.End()
@@ -72,23 +72,23 @@
 	return nil
 }
 
-// playRound has all routers miss one object at once.
-func (a leaseArm) playRound(cluster *Cluster, round int) {
+// runRound requests an object that is not cached from all routers at once.
+func (a leaseArm) runRound(cluster *Cluster, round int) {
 	object := uint64(firstLeaseObject + round)
-	at := time.Now()
+	scheduledAt := time.Now()
 	for i, router := range cluster.Routers {
 		if !router.WasKilled() {
-			cluster.inBackground(func() { cluster.Fetch(i, at, object) })
+			cluster.inBackground(func() { cluster.Fetch(i, scheduledAt, object) })
 		}
 	}
-	if a.killsHolders && round < holdersKilled {
+	if a.killsHolders && round < roundsWithKill {
 		time.Sleep(25 * time.Millisecond)
 		cluster.killLeaseHolder(object)
 	}
 	time.Sleep(450 * time.Millisecond)
 }
 
-// leaseCounts is what became of the requests that all routers sent at once.
+// leaseCounts counts the outcomes of the requests for objects that all routers miss at once.
 type leaseCounts struct{ requests, inTime, killed int }
 
 func (c *Cluster) countLeaseRequests() (counts leaseCounts) {
@@ -109,8 +109,8 @@
 	return counts
 }
 
-// killLeaseHolder kills a router that has a fill of an object in flight, as the parents saw it: the first whose request
-// came to one.
+// killLeaseHolder kills the router that has a fill of an object in flight: the first one whose request for the object
+// reached a parent.
 func (c *Cluster) killLeaseHolder(object uint64) {
 	for _, parent := range c.Parents {
 		for _, received := range parent.Received() {
@@ -125,7 +125,7 @@
 	}
 }
 
-// routerOf finds the router that a request was sent to, if it still runs.
+// routerOf returns the router that a request was sent to, if that was not killed.
 func (c *Cluster) routerOf(requestID string) (router int, found bool) {
 	for i, clients := range c.Clients {
 		for _, request := range clients.Requests() {
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -14,9 +14,9 @@
 })
 
 const (
-	// purgeCycle is after how many purges the script of faults begins again.
+	// purgeCycle is the number of purges after which the script of faults starts again.
 	purgeCycle = 130
-	// purgedObjects is how many of the most popular objects are purged.
+	// purgedObjects is the number of popular objects from which purges are drawn.
 	purgedObjects = 60
 )
 
@@ -24,7 +24,7 @@
 	routers := options.routers(3)
 	config := warmStoreConfig(routers)
 	config.Objects, config.MedianSizeKB = 120, 30
-	config.Settings.SlowStart, config.SharedStore["cold_ms"] = 500*time.Millisecond, 500 // it restarts often
+	config.Settings.SlowStart, config.SharedStore["cold_ms"] = 500*time.Millisecond, 500 // restarts are frequent
 	load := Load{RequestsPerSecond: 150, Duration: options.duration(24 * time.Second)}
 	purges := 0
 	seen, err := arm{
@@ -35,7 +35,7 @@
 			for ; time.Now().Before(end); purges++ {
 				cluster.purgeNext(rng)
 				time.Sleep(time.Duration(10+rng.IntN(25)) * time.Millisecond)
-				cluster.playPurgeStep(rng, purges)
+				cluster.runPurgeStep(rng, purges)
 			}
 		},
 	}.run(result)
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// purgeNext purges an object, or now and then a group.
+// purgeNext purges an object or, in one of eight cases, a group.
 func (c *Cluster) purgeNext(rng *rand.Rand) {
 	if rng.IntN(8) == 0 {
 		c.PurgeGroup(rng.IntN(c.Groups))
@@ -58,18 +58,18 @@
 	c.PurgeObject(c.pickObject(rng, purgedObjects))
 }
 
-// playPurgeStep plays what the script has after some number of purges.
-func (c *Cluster) playPurgeStep(rng *rand.Rand, purges int) {
+// runPurgeStep runs the step of the script that follows the given number of purges.
+func (c *Cluster) runPurgeStep(rng *rand.Rand, purges int) {
 	switch purges % purgeCycle {
 	case 15:
 		c.Store.Save()
-	case 30: // the store cannot be reached while purges are published
+	case 30: // the store is unreachable while purges are published
 		c.Store.Crash()
-	case 45: // and comes back with what it held before them
+	case 45: // the store restarts with its data from before those purges
 		c.fail(c.Store.RestartFromSnapshot())
-	case 65: // the invalidation log is gone, the values are not
+	case 65: // the invalidation log is lost, the values remain
 		c.Store.DropSets()
-	case 80: // a router starts that has never heard of earlier purges
+	case 80: // a router restarts without memory of earlier purges
 		c.Restart(purges / purgeCycle % len(c.Routers))
 	case 95:
 		c.Store.SetFault(redis.Fault{Delay: 40 * time.Millisecond, DelayJitter: 40 * time.Millisecond})
@@ -77,7 +77,7 @@
 		c.Store.SetFault(redis.Fault{Corruption: redis.Corruption(1 + rng.IntN(4))})
 	case 112:
 		c.Store.SetFault(redis.Fault{})
-	case 120: // all that know of the purges are gone at once
+	case 120: // all routers are killed, so that none remembers the purges
 		for i := range c.Routers {
 			c.Kill(i)
 		}
--- a/internal/testbed/usage.go
+++ b/internal/testbed/usage.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Usage is what the system says that a process has used.
+// Usage is the resource usage of a process, as reported by the operating system.
 type Usage struct {
 	CPU    time.Duration
-	PeakMB float64
-	Files  int
+	PeakMB float64 // peak resident memory
+	Files  int     // open files
 }
 
-// clockTick is the unit of processor times in /proc.
+// clockTick is the unit of CPU times in /proc.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what the process has used by now; what cannot be read is 0.
+// Usage returns the current resource usage of the process. Values that cannot be read are 0.
 func (r *Router) Usage() Usage {
 	pid := r.PID()
 	return Usage{CPU: cpuTime(pid), PeakMB: peakMB(pid), Files: openFiles(pid)}
@@ -29,7 +29,7 @@
 	if err != nil {
 		return 0
 	}
-	const userField, systemField = 11, 12 // counted after the name of the program
+	const userField, systemField = 11, 12 // indexes of the fields after the program's name
 	_, afterName, _ := strings.Cut(string(stat), ") ")
 	fields := strings.Fields(afterName)
 	if len(fields) <= systemField {
