--- a/internal/fake/redis/counts.go
+++ b/internal/fake/redis/counts.go
@@ -49,9 +49,9 @@
 	Evicted  int
 	Keys     int
 	Clients  int
-	// Peak is the highest load in any second since the last start, as a multiple of the capacity in that second.
-	Peak   float64
-	PeakAt time.Duration // start of that second, measured from the last start
+	// PeakLoad is the highest load in any second since the last start, as a multiple of the capacity in that second.
+	PeakLoad   float64
+	PeakLoadAt time.Duration // start of that second, measured from the last start
 }
 
 // Counts returns the counts so far.
@@ -69,8 +69,8 @@
 		return counts
 	}
 	for firstSlot := range s.counter.slots {
-		if load := s.loadFrom(firstSlot); load > counts.Peak {
-			counts.Peak, counts.PeakAt = load, time.Duration(firstSlot)*slotWidth
+		if load := s.loadFrom(firstSlot); load > counts.PeakLoad {
+			counts.PeakLoad, counts.PeakLoadAt = load, time.Duration(firstSlot)*slotWidth
 		}
 	}
 	return counts
--- a/internal/fake/redis/store_test.go
+++ b/internal/fake/redis/store_test.go
@@ -204,7 +204,7 @@
 	for range 25 {
 		expectAnswer(t, socket, "PING", "+PONG\r\n")
 	}
-	if peak := store.Counts().Peak; peak < 0.4 || peak > 0.6 {
+	if peak := store.Counts().PeakLoad; peak < 0.4 || peak > 0.6 {
 		t.Errorf("25 commands in a second with a capacity of 50 are measured as a load of %v", peak)
 	}
 }
--- a/internal/fake/site/cache_server.go
+++ b/internal/fake/site/cache_server.go
@@ -114,7 +114,7 @@
 		At: time.Now(), RequestID: request.ID, Object: request.Object, Class: request.Class, Source: request.Source,
 		IsWrite: isWrite,
 	})
-	s.sleep()
+	s.waitServiceTime()
 	if isWrite {
 		return s.write(&request)
 	}
@@ -134,7 +134,7 @@
 	return Frame(request.ID, StatusOK, "sum=1,t0=1", "done")
 }
 
-func (s *CacheServer) sleep() {
+func (s *CacheServer) waitServiceTime() {
 	s.mu.Lock()
 	duration := s.serviceTime.Base
 	if s.serviceTime.Jitter > 0 {
@@ -177,7 +177,7 @@
 // forbids that.
 func (s *CacheServer) fill(requesterUID string, request FetchRequest) (Copy, CopySource, error) {
 	s.record(ReceivedRequest{At: time.Now(), Object: request.Object, FilledFor: requesterUID})
-	s.sleep()
+	s.waitServiceTime()
 	request.Source = ""
 	if s.Kind == Parent && !request.OnlyIfCached {
 		request.Source = s.site.originUID()
--- a/internal/fake/site/discovery_server.go
+++ b/internal/fake/site/discovery_server.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// Follow copies the first event of another server, as a server that replaces the other one starts with that event.
+// Follow adds the first event of another server, as if this server replaced it.
 func (d *DiscoveryServer) Follow(other *DiscoveryServer) {
 	events, _ := other.events.Events()
 	d.events.appendEvent(events[0])
--- a/internal/testbed/admission.go
+++ b/internal/testbed/admission.go
@@ -83,18 +83,18 @@
 	recovery := a.recoveryTime(router.Address)
 	outcome.during = during.summary()
 	a.logFailures(options, during)
-	seen := cluster.End()
+	observed := cluster.End()
 	if a.operator == nil {
-		result.recordFigures(a.name, seen)
+		result.recordFigures(a.name, observed)
 	} else {
-		result.assertRules(a.name, seen)
+		result.assertRules(a.name, observed)
 	}
 	a.recordFigures(result, &outcome, recovery, usage)
 	return outcome, nil
 }
 
 func (a *floodArm) newKnownClient(address string) *knownClient {
-	return &knownClient{address: address, from: knownAddress, tls: a.clientTLS()}
+	return &knownClient{address: address, localAddress: knownAddress, tls: a.clientTLS()}
 }
 
 func (a *floodArm) clientTLS() *tls.Config {
@@ -107,7 +107,7 @@
 // recoveryTime returns the time from the end of the flood until an unknown client is served, in seconds.
 func (a *floodArm) recoveryTime(address string) float64 {
 	for endedAt := time.Now(); time.Since(endedAt) < maxRecovery; {
-		unknownClient := &knownClient{address: address, from: unknownAddress, tls: a.clientTLS()}
+		unknownClient := &knownClient{address: address, localAddress: unknownAddress, tls: a.clientTLS()}
 		if unknownClient.request(1).status == StatusOK {
 			return time.Since(endedAt).Seconds()
 		}
--- a/internal/testbed/admission_descriptors.go
+++ b/internal/testbed/admission_descriptors.go
@@ -12,7 +12,7 @@
 	addresses := loopbackAddresses(1000)
 	pace := floodPace{connections: options.count(4000), workers: floodWorkers}
 	reached := floodArm{
-		name: "reached", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
+		name: "reached", operator: admissionRules(), flood: flood{localAddresses: addresses}, pace: pace,
 		duringFlood: func(cluster *Cluster) {
 			// The limit is below the configured number of sockets. The router notices this only during the flood.
 			limit := unix.Rlimit{Cur: 300, Max: 20_000}
@@ -23,7 +23,7 @@
 		return err
 	}
 	few := floodArm{
-		name: "few", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
+		name: "few", operator: admissionRules(), flood: flood{localAddresses: addresses}, pace: pace,
 		descriptorLimit: 200, // below the configured number of sockets from the start
 	}
 	return few.runAsserted(options, result)
--- a/internal/testbed/admission_handshakes.go
+++ b/internal/testbed/admission_handshakes.go
@@ -22,7 +22,7 @@
 	operator["tls"] = keys.operatorSection()
 	half := floodArm{
 		name: "half", operator: operator, keys: keys, knownClient: knownClient,
-		flood: flood{from: loopbackAddresses(200), mode: floodHalfHandshakes},
+		flood: flood{localAddresses: loopbackAddresses(200), mode: floodHalfHandshakes},
 		pace:  floodPace{connections: options.count(4000), connectionsPerSecond: 1500, workers: floodWorkers},
 		duringFlood: func(cluster *Cluster) {
 			time.Sleep(300 * time.Millisecond)
--- a/internal/testbed/admission_restart.go
+++ b/internal/testbed/admission_restart.go
@@ -26,11 +26,11 @@
 type returnCounts struct{ connected, answered, served int }
 
 func runAdmissionRestart(options Options, result *Result) error {
-	calm, err := runReturn(options, result, "calm", 0)
+	calm, err := runRestart(options, result, "calm", 0)
 	if err != nil {
 		return err
 	}
-	counts, err := runReturn(options, result, "flood", options.count(8000))
+	counts, err := runRestart(options, result, "flood", options.count(8000))
 	if err != nil {
 		return err
 	}
@@ -42,14 +42,14 @@
 	return nil
 }
 
-// runReturn restarts the router during a flood, after which all known clients reconnect.
-func runReturn(options Options, result *Result, name string, connections int) (returnCounts, error) {
+// runRestart restarts the router during a flood, after which all known clients reconnect.
+func runRestart(options Options, result *Result, name string, connections int) (returnCounts, error) {
 	cluster, err := startCluster(options.Seed, admissionConfig(admissionRules()), 1)
 	if err != nil {
 		return returnCounts{}, err
 	}
 	address := cluster.Routers[0].Address
-	unknownClients := &flood{address: address, from: loopbackAddresses(500)}
+	unknownClients := &flood{address: address, localAddresses: loopbackAddresses(500)}
 	floodDone := make(chan struct{})
 	go func() {
 		defer close(floodDone)
@@ -72,10 +72,10 @@
 		defer close(secondFloodDone)
 		unknownClients.run(floodPace{connections: connections / 8, connectionsPerSecond: floodRate, workers: 16})
 	}()
-	seen := cluster.End()
+	observed := cluster.End()
 	<-secondFloodDone
 	unknownClients.end()
-	result.assertRules(name, seen)
+	result.assertRules(name, observed)
 	return counts, nil
 }
 
@@ -84,7 +84,7 @@
 	var clients []*knownClient
 	var returning sync.WaitGroup
 	for i := range returningClients {
-		client := &knownClient{address: address, from: fmt.Sprintf("127.0.1.%d", i+1)}
+		client := &knownClient{address: address, localAddress: fmt.Sprintf("127.0.1.%d", i+1)}
 		clients = append(clients, client)
 		returning.Go(func() {
 			for range returnAttempts {
--- a/internal/testbed/admission_shared.go
+++ b/internal/testbed/admission_shared.go
@@ -39,7 +39,7 @@
 		cluster.ApplyLoad(Load{RequestsPerSecond: 30, Duration: options.duration(6 * time.Second)})
 	})
 	before := runGoodClients(router.Address, keys, options.duration(2500*time.Millisecond))
-	bad := &flood{address: router.Address, from: []string{sharedAddress}, tls: keys.clientConfig(badClient)}
+	bad := &flood{address: router.Address, localAddresses: []string{sharedAddress}, tls: keys.clientConfig(badClient)}
 	floodDone := make(chan struct{})
 	go func() {
 		defer close(floodDone)
@@ -48,8 +48,8 @@
 	during := runGoodClients(router.Address, keys, options.duration(3*time.Second))
 	<-floodDone
 	bad.end()
-	seen := cluster.End()
-	result.assertRules("shared", seen)
+	observed := cluster.End()
+	result.assertRules("shared", observed)
 	result.Figure("shared flood accepted", float64(bad.accepted.Load()))
 	result.Figure("shared flood tried", float64(bad.tried.Load()))
 	result.Figure("shared s until recovered", 0)
@@ -68,13 +68,13 @@
 	return config
 }
 
-// runGoodClients sends requests from all good clients for a duration, and returns a summary of them.
+// runGoodClients runs all good clients for a duration and returns the sum of their summaries.
 func runGoodClients(address string, keys *keyring, duration time.Duration) (total clientSummary) {
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	end := time.Now().Add(duration)
 	for i := range goodClients {
-		client := &knownClient{address: address, from: sharedAddress, tls: keys.clientConfig(goodClient(i))}
+		client := &knownClient{address: address, localAddress: sharedAddress, tls: keys.clientConfig(goodClient(i))}
 		clients.Go(func() {
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 			client.run(500*time.Millisecond, end)
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -59,32 +59,32 @@
 // and servers observed.
 func (c *Cluster) End() *Observations {
 	c.background.Wait()
-	seen := newObservations()
+	observed := newObservations()
 	c.settleClients()
-	c.observeUsage(seen)
+	c.observeUsage(observed)
 	c.stopRouters()
 	if c.Store != nil {
-		seen.Store = c.Store.Counts()
+		observed.Store = c.Store.Counts()
 		c.Store.Close()
 	}
 	c.Site.Close()
 	for _, clients := range c.Clients {
 		for _, request := range clients.Requests() {
-			c.checkRequest(seen, request)
+			c.checkRequest(observed, request)
 		}
 	}
 	for _, received := range c.Origin.Received() {
 		if !received.IsWrite {
-			seen.OriginFills++
+			observed.OriginFills++
 		}
 	}
-	c.checkDrains(seen)
+	c.checkDrains(observed)
 	for _, err := range c.errs {
-		seen.Errors = append(seen.Errors, err.Error())
+		observed.Errors = append(observed.Errors, err.Error())
 	}
 	c.writeLogs()
 	_ = os.RemoveAll(c.folder)
-	return seen
+	return observed
 }
 
 func (c *Cluster) settleClients() {
@@ -95,14 +95,14 @@
 	settling.Wait()
 }
 
-func (c *Cluster) observeUsage(seen *Observations) {
+func (c *Cluster) observeUsage(observed *Observations) {
 	for _, router := range c.Routers {
 		if router.WasKilled() {
 			continue
 		}
 		usage := router.Usage()
-		seen.CPU += usage.CPU
-		seen.PeakMB, seen.Files = max(seen.PeakMB, usage.PeakMB), max(seen.Files, usage.Files)
+		observed.CPU += usage.CPU
+		observed.PeakMB, observed.Files = max(observed.PeakMB, usage.PeakMB), max(observed.Files, usage.Files)
 	}
 }
 
@@ -127,55 +127,55 @@
 }
 
 // checkRequest counts the outcome of a request and the rules that it violates.
-func (c *Cluster) checkRequest(seen *Observations, request *Request) {
-	seen.Requests++
+func (c *Cluster) checkRequest(observed *Observations, request *Request) {
+	observed.Requests++
 	if request.SentAt.IsZero() {
-		seen.Failed++
+		observed.Failed++
 		return
 	}
 	if request.Answers == 0 {
-		c.countUnanswered(seen, request)
+		c.countUnanswered(observed, request)
 		return
 	}
 	if request.Answers > 1 {
-		seen.AnsweredTwice++
+		observed.AnsweredTwice++
 	}
 	if request.AnsweredAt.Sub(request.SentAt) > request.Timeout+slack {
-		seen.Late++
+		observed.Late++
 	}
 	switch request.Status {
 	case StatusOK:
-		seen.Served++
-		_ = seen.ResponseTimes.RecordValue(max(1, request.ResponseTime().Microseconds()))
+		observed.Served++
+		_ = observed.ResponseTimes.RecordValue(max(1, request.ResponseTime().Microseconds()))
 		if request.IsInTime() {
-			seen.InTime++
+			observed.InTime++
 		}
 	case StatusBusy:
-		seen.Rejected++
+		observed.Rejected++
 	default:
-		seen.Failed++
+		observed.Failed++
 	}
 	if request.Class != classClip {
-		c.checkWrite(seen, request)
+		c.checkWrite(observed, request)
 		return
 	}
 	if request.Status == StatusOK {
-		c.checkCopy(seen, request)
+		c.checkCopy(observed, request)
 	}
 }
 
-func (c *Cluster) countUnanswered(seen *Observations, request *Request) {
+func (c *Cluster) countUnanswered(observed *Observations, request *Request) {
 	isDisconnected := !request.DisconnectedAt.IsZero()
 	disconnectedAfter := request.DisconnectedAt.Sub(request.SentAt)
 	switch {
 	case isDisconnected && disconnectedAfter <= slack: // sent while an idle connection closed: the client may retry
-		seen.SentDuringClose++
-		seen.Failed++
+		observed.SentDuringClose++
+		observed.Failed++
 	case c.wasKilledDuring(request):
-		seen.Failed++
+		observed.Failed++
 	default:
-		seen.Lost++
-		seen.LastLoss = fmt.Sprintf("sent %v after the start, ended %v later: %v",
+		observed.Lost++
+		observed.LastLoss = fmt.Sprintf("sent %v after the start, ended %v later: %v",
 			request.SentAt.Sub(c.startedAt).Round(time.Millisecond), disconnectedAfter.Round(time.Millisecond),
 			isDisconnected)
 	}
@@ -189,39 +189,39 @@
 }
 
 // checkWrite counts a write that ran twice, or that ran although it was rejected.
-func (c *Cluster) checkWrite(seen *Observations, request *Request) {
+func (c *Cluster) checkWrite(observed *Observations, request *Request) {
 	runs := c.Site.WriteRuns(request.ID)
 	if runs > 1 || request.Status == StatusBusy && runs > 0 {
-		seen.RanTwice++
+		observed.RanTwice++
 	}
 }
 
 // checkCopy counts a copy with wrong bytes, and a copy from before a purge that was served after the grace.
-func (c *Cluster) checkCopy(seen *Observations, request *Request) {
+func (c *Cluster) checkCopy(observed *Observations, request *Request) {
 	object, createdAt, isIntact := site.ParseBody(request.Response)
 	if !isIntact || object != request.Object {
-		seen.WrongBytes++
+		observed.WrongBytes++
 		return
 	}
 	for _, purge := range c.purges {
 		isPurged := purge.object == object.ID || purge.object == 0 && purge.group == c.group(object.ID)
 		isPastGrace := request.SentAt.After(purge.at.Add(c.Settings.Grace + slack))
 		if isPurged && isPastGrace && !createdAt.After(purge.at) {
-			seen.Stale++
+			observed.Stale++
 			return
 		}
 	}
 }
 
-// checkDrains counts the attempts on, and the fills from, a draining server after the grace.
-func (c *Cluster) checkDrains(seen *Observations) {
+// checkDrains counts the attempts sent to a draining server, and the fills from it, after the grace.
+func (c *Cluster) checkDrains(observed *Observations) {
 	for uid, publishedAt := range c.drains {
 		graceEnds := publishedAt.Add(c.Settings.Grace + slack)
 		for _, server := range slices.Concat(c.Parents, c.Caches) {
 			for _, received := range server.Received() {
 				isUse := server.UID == uid && received.FilledFor == "" || received.Source == uid
 				if isUse && received.At.After(graceEnds) {
-					seen.AfterDrain++
+					observed.AfterDrain++
 				}
 			}
 		}
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -12,38 +12,39 @@
 var checkerTests = []struct {
 	name   string
 	change func(request *Request)
-	want   func(seen *Observations) bool
+	want   func(observed *Observations) bool
 }{
-	{"good", func(*Request) {}, func(seen *Observations) bool {
-		return seen.InTime == 1 && seen.Stale+seen.WrongBytes+seen.Lost+seen.AnsweredTwice+seen.Late == 0
+	{"good", func(*Request) {}, func(observed *Observations) bool {
+		return observed.InTime == 1 &&
+			observed.Stale+observed.WrongBytes+observed.Lost+observed.AnsweredTwice+observed.Late == 0
 	}},
 	{"later than its latency objective", func(r *Request) {
 		r.AnsweredAt = r.SentAt.Add(500 * time.Millisecond)
-	}, func(seen *Observations) bool { return seen.Served == 1 && seen.InTime == 0 }},
-	{"no answer", func(r *Request) { r.Answers, r.Status = 0, "" }, func(seen *Observations) bool {
-		return seen.Lost == 1
+	}, func(observed *Observations) bool { return observed.Served == 1 && observed.InTime == 0 }},
+	{"no answer", func(r *Request) { r.Answers, r.Status = 0, "" }, func(observed *Observations) bool {
+		return observed.Lost == 1
 	}},
 	{"connection ended while in flight", func(r *Request) {
 		r.Answers, r.DisconnectedAt = 0, r.SentAt.Add(80*time.Millisecond)
-	}, func(seen *Observations) bool { return seen.Lost == 1 }},
+	}, func(observed *Observations) bool { return observed.Lost == 1 }},
 	{"sent while the connection closed", func(r *Request) {
 		r.Answers, r.DisconnectedAt = 0, r.SentAt.Add(time.Millisecond)
-	}, func(seen *Observations) bool { return seen.Lost == 0 && seen.SentDuringClose == 1 }},
-	{"two answers", func(r *Request) { r.Answers = 2 }, func(seen *Observations) bool {
-		return seen.AnsweredTwice == 1
+	}, func(observed *Observations) bool { return observed.Lost == 0 && observed.SentDuringClose == 1 }},
+	{"two answers", func(r *Request) { r.Answers = 2 }, func(observed *Observations) bool {
+		return observed.AnsweredTwice == 1
 	}},
 	{"after its deadline", func(r *Request) {
 		r.AnsweredAt = r.SentAt.Add(2 * time.Second)
-	}, func(seen *Observations) bool { return seen.Late == 1 }},
+	}, func(observed *Observations) bool { return observed.Late == 1 }},
 	{"from before a purge", func(r *Request) {
 		r.Response = site.Body(r.Object, r.SentAt.Add(-4*time.Second), 100)
-	}, func(seen *Observations) bool { return seen.Stale == 1 }},
-	{"one byte wrong", func(r *Request) { r.Response = r.Response[:99] + "?" }, func(seen *Observations) bool {
-		return seen.WrongBytes == 1
+	}, func(observed *Observations) bool { return observed.Stale == 1 }},
+	{"one byte wrong", func(r *Request) { r.Response = r.Response[:99] + "?" }, func(observed *Observations) bool {
+		return observed.WrongBytes == 1
 	}},
 	{"another object", func(r *Request) {
 		r.Response = site.Body(site.Object{ID: 2}, r.SentAt, 100)
-	}, func(seen *Observations) bool { return seen.WrongBytes == 1 }},
+	}, func(observed *Observations) bool { return observed.WrongBytes == 1 }},
 }
 
 // The checker notices each kind of violation. Otherwise an assertion on it could never fail.
@@ -67,10 +68,10 @@
 				Response: site.Body(object, now.Add(-time.Second), 100),
 			}
 			test.change(request)
-			seen := newObservations()
-			cluster.checkRequest(seen, request)
-			if !test.want(seen) {
-				t.Errorf("unexpected observations: %+v", *seen)
+			observed := newObservations()
+			cluster.checkRequest(observed, request)
+			if !test.want(observed) {
+				t.Errorf("unexpected observations: %+v", *observed)
 			}
 		})
 	}
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -52,7 +52,7 @@
 	DisconnectedAt time.Time // when the connection ended before the answer, zero: it did not
 }
 
-// ResponseTime returns the time from the scheduled sending of the request to its answer.
+// ResponseTime returns the time from the request's scheduled time to its answer.
 func (r *Request) ResponseTime() time.Duration { return r.AnsweredAt.Sub(r.ScheduledAt) }
 
 // IsInTime reports whether the request was served within its latency objective.
@@ -109,7 +109,7 @@
 	open := c.connections[:0]
 	var found *connection
 	for _, candidate := range c.connections {
-		inFlight, isClosed := candidate.load()
+		inFlight, isClosed := candidate.state()
 		if isClosed {
 			continue
 		}
@@ -167,8 +167,8 @@
 	isClosed bool
 }
 
-// load returns the number of requests without an answer, and whether the connection is closed.
-func (c *connection) load() (inFlight int, isClosed bool) {
+// state returns the number of requests without an answer and whether the connection is closed.
+func (c *connection) state() (inFlight int, isClosed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inFlight, c.isClosed
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -45,7 +45,7 @@
 	FixedBytes            int // size of each object's body, 0: by the object's nominal size
 	OriginTime            site.ServiceTime
 	ParentTime            site.ServiceTime
-	RouterDescriptorLimit int // of each router, 0: the system's limit
+	RouterDescriptorLimit int // 0: the system's limit
 }
 
 // Cluster consists of the cache servers, the store, the routers and the clients of one arm of an experiment.
@@ -138,11 +138,11 @@
 	return endpoints, nil
 }
 
-func (c *Cluster) addServer(uid string, kind site.Kind, serviceTime site.ServiceTime, stream uint64) (
+func (c *Cluster) addServer(uid string, kind site.Kind, serviceTime site.ServiceTime, seedOffset uint64) (
 	*site.CacheServer, error,
 ) {
 	return c.Site.Add(site.CacheServerOptions{
-		UID: uid, Kind: kind, Weight: serverWeight, ServiceTime: serviceTime, Seed: c.Seed + stream,
+		UID: uid, Kind: kind, Weight: serverWeight, ServiceTime: serviceTime, Seed: c.Seed + seedOffset,
 	})
 }
 
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -50,8 +50,8 @@
 
 var experiments = map[string]Experiment{}
 
-// Register adds an experiment to those that Run can run. It returns a value so that
-// a package can call it in a variable declaration.
+// Register adds an experiment to those that Run can run. It returns a value so that a package can call it in a variable
+// declaration.
 func Register(experiment Experiment) bool {
 	experiments[experiment.Name] = experiment
 	return true
--- a/internal/testbed/flood.go
+++ b/internal/testbed/flood.go
@@ -26,7 +26,7 @@
 type floodMode uint8
 
 const (
-	// floodRequests sends requests on each connection without a pause, so that no connection is idle.
+	// floodRequests keeps sending requests on each connection, so that no connection becomes idle.
 	floodRequests floodMode = iota
 	// floodHalfHandshakes starts TLS handshakes but never completes them.
 	floodHalfHandshakes
@@ -34,10 +34,10 @@
 
 // flood opens connections, as fast as possible or at a rate, and keeps those that are accepted open.
 type flood struct {
-	address string   // of the router
-	from    []string // local addresses, used in turn
-	tls     *tls.Config
-	mode    floodMode
+	address        string   // of the router
+	localAddresses []string // used in turn
+	tls            *tls.Config
+	mode           floodMode
 
 	tried, accepted, rejected, failed atomic.Int64
 
@@ -69,7 +69,7 @@
 					offset := time.Duration(float64(i) / pace.connectionsPerSecond * float64(time.Second))
 					time.Sleep(time.Until(startedAt.Add(offset)))
 				}
-				f.connect(f.from[i%len(f.from)])
+				f.connect(f.localAddresses[i%len(f.localAddresses)])
 			}
 		})
 	}
@@ -77,9 +77,9 @@
 }
 
 // connect opens one connection and counts the outcome.
-func (f *flood) connect(from string) {
+func (f *flood) connect(localAddress string) {
 	number := f.tried.Add(1)
-	stream, err := dialFrom(from, f.address, floodDialTimeout)
+	stream, err := dialFrom(localAddress, f.address, floodDialTimeout)
 	if err != nil {
 		f.failed.Add(1)
 		return
@@ -149,8 +149,8 @@
 }
 
 // dialFrom connects to an address from a local address.
-func dialFrom(from, address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
+func dialFrom(localAddress, address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(localAddress)}}
 	return dialer.Dial("tcp", address)
 }
 
@@ -165,7 +165,7 @@
 	return secure, nil
 }
 
-// loopbackAddresses returns loopback addresses from which a flood can connect.
+// loopbackAddresses returns the given number of loopback addresses from which a flood can connect.
 func loopbackAddresses(count int) (list []string) {
 	for i := range count {
 		list = append(list, fmt.Sprintf("127.%d.%d.%d", 10+i/62500, i/250%250, 1+i%250))
--- a/internal/testbed/known_client.go
+++ b/internal/testbed/known_client.go
@@ -19,7 +19,7 @@
 	responseWait       = 2200 * time.Millisecond
 	// secondAnswerWait is how long a known client waits for an erroneous second answer.
 	secondAnswerWait = 20 * time.Millisecond
-	// inTimeLimit is the maximum time of a request that counts as in time, the time to connect included.
+	// inTimeLimit is the time from the first attempt to connect to the response, up to which a request is in time.
 	inTimeLimit = 410 * time.Millisecond
 	// minResponseBytes is the length of the shortest response.
 	minResponseBytes = 20
@@ -28,9 +28,9 @@
 // knownClient is a client that routers know by its address or certificate. It opens a new connection for each request,
 // as a device with a poor signal does.
 type knownClient struct {
-	address string // of the router
-	from    string
-	tls     *tls.Config
+	address      string // of the router
+	localAddress string
+	tls          *tls.Config
 
 	mu       sync.Mutex
 	outcomes []requestOutcome
@@ -46,7 +46,7 @@
 	loss         string // describes what was received instead of an answer
 }
 
-// run sends requests at an interval until a time, and waits for their outcomes.
+// run sends a request per interval until the given time, then waits for the outcomes.
 func (c *knownClient) run(interval time.Duration, until time.Time) {
 	var requests sync.WaitGroup
 	for i := uint64(0); time.Now().Before(until); i++ {
@@ -91,7 +91,7 @@
 // connect tries to connect for connectTimeout. It returns nil if it cannot connect.
 func (c *knownClient) connect() net.Conn {
 	for startedAt := time.Now(); time.Since(startedAt) < connectTimeout; {
-		stream, err := dialFrom(c.from, c.address, connectTimeout-time.Since(startedAt))
+		stream, err := dialFrom(c.localAddress, c.address, connectTimeout-time.Since(startedAt))
 		if err != nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
--- a/internal/testbed/protocol.go
+++ b/internal/testbed/protocol.go
@@ -39,7 +39,7 @@
 }
 
 // Frame encodes the request with a tag that identifies it on its connection. Only Frame depends on the
-// protocol's field names.
+// protocol's names of these fields.
 func (r *ClientRequest) Frame(tag string) []byte {
 	fields := fmt.Sprintf("req=%s,timeout=%d,subject=%016x,piece=%d,lot=%d,need=%.1f", r.ID, r.Timeout.Milliseconds(),
 		r.Object.ID, r.Object.Part, r.Group, r.SizeKB)
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -36,29 +36,31 @@
 func (r *Result) Figure(name string, value float64) { r.Figures[name] = value }
 
 // assertRules asserts the rules that must hold in every arm of an experiment.
-func (r *Result) assertRules(arm string, seen *Observations) {
-	r.Assert(seen.Requests > 0 && seen.Lost == 0 && seen.AnsweredTwice == 0 && seen.Late == 0,
+func (r *Result) assertRules(arm string, observed *Observations) {
+	r.Assert(observed.Requests > 0 && observed.Lost == 0 && observed.AnsweredTwice == 0 && observed.Late == 0,
 		arm+": one final answer in time for each request",
-		"%d requests, %d lost, %d answered twice, %d after their deadline %s", seen.Requests, seen.Lost,
-		seen.AnsweredTwice, seen.Late, seen.LastLoss)
-	r.Assert(seen.RanTwice == 0 && seen.WrongBytes == 0, arm+": nothing runs twice, every byte is right",
-		"%d ran twice, %d with wrong bytes", seen.RanTwice, seen.WrongBytes)
-	r.Assert(seen.AfterDrain == 0, arm+": drains are respected", "%d attempts or sources past the grace", seen.AfterDrain)
-	r.Assert(seen.Stale == 0, arm+": purges are respected", "%d answers from before a purge past the grace", seen.Stale)
-	r.Assert(len(seen.Errors) == 0, arm+": no router crashed", "%v", seen.Errors)
-	r.recordFigures(arm, seen)
+		"%d requests, %d lost, %d answered twice, %d after their deadline %s", observed.Requests, observed.Lost,
+		observed.AnsweredTwice, observed.Late, observed.LastLoss)
+	r.Assert(observed.RanTwice == 0 && observed.WrongBytes == 0, arm+": nothing runs twice, every byte is right",
+		"%d ran twice, %d with wrong bytes", observed.RanTwice, observed.WrongBytes)
+	r.Assert(observed.AfterDrain == 0, arm+": drains are respected", "%d attempts or sources past the grace",
+		observed.AfterDrain)
+	r.Assert(observed.Stale == 0, arm+": purges are respected", "%d answers from before a purge past the grace",
+		observed.Stale)
+	r.Assert(len(observed.Errors) == 0, arm+": no router crashed", "%v", observed.Errors)
+	r.recordFigures(arm, observed)
 }
 
 // recordFigures records the figures of an arm. It asserts nothing because a baseline may break any rule.
-func (r *Result) recordFigures(arm string, seen *Observations) {
-	r.Figure(arm+" lost", float64(seen.Lost))
-	r.Figure(arm+" requests", float64(seen.Requests))
-	r.Figure(arm+" in time share", seen.InTimeShare())
-	r.Figure(arm+" rejected", float64(seen.Rejected))
-	r.Figure(arm+" p50 ms", seen.PercentileMS(50))
-	r.Figure(arm+" p99 ms", seen.PercentileMS(99))
-	r.Figure(arm+" origin fills", float64(seen.OriginFills))
-	r.Figure(arm+" cpu us a request", float64(seen.CPU.Microseconds())/float64(max(1, seen.Requests)))
-	r.Figure(arm+" peak MB", seen.PeakMB)
-	r.Figure(arm+" files", float64(seen.Files))
+func (r *Result) recordFigures(arm string, observed *Observations) {
+	r.Figure(arm+" lost", float64(observed.Lost))
+	r.Figure(arm+" requests", float64(observed.Requests))
+	r.Figure(arm+" in time share", observed.InTimeShare())
+	r.Figure(arm+" rejected", float64(observed.Rejected))
+	r.Figure(arm+" p50 ms", observed.PercentileMS(50))
+	r.Figure(arm+" p99 ms", observed.PercentileMS(99))
+	r.Figure(arm+" origin fills", float64(observed.OriginFills))
+	r.Figure(arm+" cpu us a request", float64(observed.CPU.Microseconds())/float64(max(1, observed.Requests)))
+	r.Figure(arm+" peak MB", observed.PeakMB)
+	r.Figure(arm+" files", float64(observed.Files))
 }
--- a/internal/testbed/store.go
+++ b/internal/testbed/store.go
@@ -24,7 +24,8 @@
 	return config
 }
 
-// warmStoreConfig configures a cluster whose store has its full capacity from the beginning.
+// warmStoreConfig configures a cluster whose store has been running long enough to have its full capacity, for
+// experiments that do not test its start.
 func warmStoreConfig(routers int) ClusterConfig {
 	config := coldStoreConfig(routers)
 	config.StoreConfig.InitialAge = time.Hour
@@ -51,7 +52,7 @@
 		cluster.inBackground(func() { a.script(cluster) })
 	}
 	cluster.ApplyLoad(a.load)
-	seen := cluster.End()
-	result.assertRules(a.name, seen)
-	return seen, nil
+	observed := cluster.End()
+	result.assertRules(a.name, observed)
+	return observed, nil
 }
--- a/internal/testbed/store_cold.go
+++ b/internal/testbed/store_cold.go
@@ -48,7 +48,7 @@
 // runColdStore restarts the store empty under load. It returns the store's highest load as a multiple of its capacity.
 func runColdStore(options Options, result *Result, name string, routers int, config ClusterConfig) (float64, error) {
 	peak := 0.0
-	seen, err := arm{
+	observed, err := arm{
 		name: name, seed: options.Seed + uint64(routers), config: config, routers: routers,
 		load: Load{
 			RequestsPerSecond: coldStoreLoad / float64(routers), Duration: options.duration(10 * time.Second),
@@ -56,7 +56,7 @@
 		},
 		script: func(cluster *Cluster) {
 			time.Sleep(options.duration(3 * time.Second))
-			peak = cluster.Store.Counts().Peak
+			peak = cluster.Store.Counts().PeakLoad
 			cluster.Store.Crash()
 			time.Sleep(200 * time.Millisecond)
 			cluster.fail(cluster.Store.Restart())
@@ -70,8 +70,8 @@
 	if err != nil {
 		return 0, err
 	}
-	peak = max(peak, seen.Store.Peak)
+	peak = max(peak, observed.Store.PeakLoad)
 	result.Figure(name+" peak multiple", peak)
-	result.Figure(name+" store hits", float64(seen.Store.Given))
+	result.Figure(name+" store hits", float64(observed.Store.Given))
 	return peak, nil
 }
--- a/internal/testbed/store_cost.go
+++ b/internal/testbed/store_cost.go
@@ -16,22 +16,23 @@
 	load := Load{RequestsPerSecond: 300, Duration: options.duration(6 * time.Second)}
 	cacheConfig := noStoreConfig(routers)
 	cacheConfig.CacheCount = 1
-	base, err := arm{
+	baseline, err := arm{
 		name: "cache", seed: options.Seed, config: cacheConfig, routers: routers, load: load,
 	}.run(result)
 	if err != nil {
 		return err
 	}
-	seen, err := arm{
+	observed, err := arm{
 		name: "store", seed: options.Seed, config: warmStoreConfig(routers), routers: routers, load: load,
 	}.run(result)
 	if err != nil {
 		return err
 	}
-	result.Assert(seen.InTimeShare() >= base.InTimeShare()-0.01, "a store is as good as a cache",
-		"%.4f of requests in time, by a cache %.4f", seen.InTimeShare(), base.InTimeShare())
-	result.Assert(seen.CPU <= 2*base.CPU, "and costs less than twice its processor time", "%v and %v", seen.CPU, base.CPU)
-	result.Assert(seen.PeakMB <= base.PeakMB+maxStoreMB, "and no more than 16 MB besides", "%.0f MB and %.0f MB",
-		seen.PeakMB, base.PeakMB)
+	result.Assert(observed.InTimeShare() >= baseline.InTimeShare()-0.01, "a store is as good as a cache",
+		"%.4f of requests in time, by a cache %.4f", observed.InTimeShare(), baseline.InTimeShare())
+	result.Assert(observed.CPU <= 2*baseline.CPU, "and costs less than twice its processor time", "%v and %v",
+		observed.CPU, baseline.CPU)
+	result.Assert(observed.PeakMB <= baseline.PeakMB+maxStoreMB, "and no more than 16 MB besides", "%.0f MB and %.0f MB",
+		observed.PeakMB, baseline.PeakMB)
 	return nil
 }
--- a/internal/testbed/store_drain.go
+++ b/internal/testbed/store_drain.go
@@ -19,7 +19,7 @@
 	config.IsStoreListed, config.CacheCount = true, 1
 	load := Load{RequestsPerSecond: 120, Duration: options.duration(8 * time.Second), WriteShare: 0.02}
 	commandsAtGrace, commandsLater := 0, 0
-	seen, err := arm{
+	observed, err := arm{
 		name: "drain", seed: options.Seed, config: config, routers: routers, load: load,
 		script: func(cluster *Cluster) {
 			discovery := cluster.Site.Discovery
@@ -34,7 +34,7 @@
 			discovery.PublishChanges(cluster.storeEndpoint(site.StateGone))
 			time.Sleep(500 * time.Millisecond)
 			if cluster.Store.ValueCommands() != commandsLater {
-				commandsLater = -1
+				commandsLater = -1 // the store received commands after it was gone
 			}
 			discovery.PublishChanges(cluster.storeEndpoint(site.StateReady))
 		},
@@ -44,7 +44,7 @@
 	}
 	result.Assert(commandsAtGrace > 0 && commandsLater == commandsAtGrace, "no get, lease or set past the grace",
 		"%d before, %d later", commandsAtGrace, commandsLater)
-	result.Assert(seen.Store.Given > 0 && seen.InTimeShare() >= 0.97, "requests are in time all the same", "%.4f",
-		seen.InTimeShare())
+	result.Assert(observed.Store.Given > 0 && observed.InTimeShare() >= 0.97, "requests are in time all the same", "%.4f",
+		observed.InTimeShare())
 	return nil
 }
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -69,7 +69,7 @@
 	config.Objects, config.FixedBytes = 60, f.bytes
 	hitsBefore, hitsAfter := 0, 0
 	isLogged := false
-	seen, err := arm{
+	observed, err := arm{
 		name: f.name, seed: options.Seed, config: config, routers: routers, load: load,
 		script: func(cluster *Cluster) {
 			quarter := load.Duration / 4
@@ -89,7 +89,8 @@
 	if err != nil {
 		return err
 	}
-	result.Assert(seen.InTimeShare() >= 0.97, f.name+": requests are in time all the same", "%.4f", seen.InTimeShare())
+	result.Assert(observed.InTimeShare() >= 0.97, f.name+": requests are in time all the same", "%.4f",
+		observed.InTimeShare())
 	result.Assert(hitsAfter > hitsBefore+20, f.name+": the store serves again a quarter later", "%d hits",
 		hitsAfter-hitsBefore)
 	result.Assert(isLogged, f.name+": the log says so", "%q", f.logLine)
--- a/internal/testbed/store_lease.go
+++ b/internal/testbed/store_lease.go
@@ -40,9 +40,10 @@
 			return err
 		}
 	}
-	with, without := result.Figures["lease fills an object"], result.Figures["no lease fills an object"]
-	result.Assert(with <= 2, "with the lease an object is filled once or twice", "%.1f fills", with)
-	result.Assert(without >= 2*with, "without it, by many", "%.1f fills", without)
+	fillsWithLease, fillsWithoutLease := result.Figures["lease fills an object"],
+		result.Figures["no lease fills an object"]
+	result.Assert(fillsWithLease <= 2, "with the lease an object is filled once or twice", "%.1f fills", fillsWithLease)
+	result.Assert(fillsWithoutLease >= 2*fillsWithLease, "without it, by many", "%.1f fills", fillsWithoutLease)
 	return nil
 }
 
@@ -62,8 +63,8 @@
 		a.runRound(cluster, round)
 	}
 	fills := len(cluster.Origin.Received()) - before
-	seen := cluster.End()
-	result.assertRules(a.name, seen)
+	observed := cluster.End()
+	result.assertRules(a.name, observed)
 	result.Figure(a.name+" fills an object", float64(fills)/float64(a.rounds))
 	counts := cluster.countLeaseRequests()
 	result.Assert(counts.requests > 0 && counts.inTime == counts.requests,
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -16,7 +16,7 @@
 const (
 	// purgeCycle is the number of purges after which the script of faults starts again.
 	purgeCycle = 130
-	// purgedObjects is the number of popular objects from which purges are drawn.
+	// purgedObjects is the number of the most popular objects among which purges choose.
 	purgedObjects = 60
 )
 
@@ -27,7 +27,7 @@
 	config.Settings.SlowStart, config.SharedStore["cold_ms"] = 500*time.Millisecond, 500 // restarts are frequent
 	load := Load{RequestsPerSecond: 150, Duration: options.duration(24 * time.Second)}
 	purges := 0
-	seen, err := arm{
+	observed, err := arm{
 		name: "purges", seed: options.Seed, config: config, routers: routers, load: load,
 		script: func(cluster *Cluster) {
 			rng := rand.New(rand.NewPCG(options.Seed, 9))
@@ -43,9 +43,9 @@
 		return err
 	}
 	result.Figure("purges", float64(purges))
-	result.Figure("store hits", float64(seen.Store.Given))
-	result.Assert(seen.Store.Given > seen.Requests/20, "the store was of use meanwhile", "%d hits for %d requests",
-		seen.Store.Given, seen.Requests)
+	result.Figure("store hits", float64(observed.Store.Given))
+	result.Assert(observed.Store.Given > observed.Requests/20, "the store was of use meanwhile", "%d hits for %d requests",
+		observed.Store.Given, observed.Requests)
 	return nil
 }
 
--- a/internal/testbed/store_slow.go
+++ b/internal/testbed/store_slow.go
@@ -15,7 +15,7 @@
 func runStoreSlow(options Options, result *Result) error {
 	routers := options.routers(4)
 	load := Load{RequestsPerSecond: 100, Duration: options.duration(12 * time.Second), WriteShare: 0.02}
-	base, err := arm{
+	baseline, err := arm{
 		name: "none", seed: options.Seed, config: noStoreConfig(routers), routers: routers, load: load,
 	}.run(result)
 	if err != nil {
@@ -30,7 +30,7 @@
 		{"300 ms", redis.Fault{Delay: 300 * time.Millisecond, DelayJitter: 20 * time.Millisecond}},
 		{"for ever", redis.Fault{Silent: true}},
 	} {
-		seen, err := arm{
+		observed, err := arm{
 			name: slowness.name, seed: options.Seed, config: warmStoreConfig(routers), routers: routers, load: load,
 			script: func(cluster *Cluster) {
 				time.Sleep(load.Duration / 3)
@@ -42,10 +42,10 @@
 		if err != nil {
 			return err
 		}
-		result.Assert(seen.InTimeShare() >= base.InTimeShare()-0.01,
+		result.Assert(observed.InTimeShare() >= baseline.InTimeShare()-0.01,
 			"a store that answers "+slowness.name+" costs no latency objectives",
-			"%.4f of requests in time, without a store %.4f; p99 %.0f ms and %.0f ms", seen.InTimeShare(),
-			base.InTimeShare(), seen.PercentileMS(99), base.PercentileMS(99))
+			"%.4f of requests in time, without a store %.4f; p99 %.0f ms and %.0f ms", observed.InTimeShare(),
+			baseline.InTimeShare(), observed.PercentileMS(99), baseline.PercentileMS(99))
 	}
 	return nil
 }
