--- a/internal/testbed/admission.go
+++ b/internal/testbed/admission.go
@@ -104,7 +104,7 @@
 	return a.keys.clientConfig(a.knownClient)
 }
 
-// recoveryTime returns the time from the end of the flood until an unknown client is served, in seconds.
+// recoveryTime returns the seconds from the end of the flood until an unknown client is served, or notRecovered.
 func (a *floodArm) recoveryTime(address string) float64 {
 	for endedAt := time.Now(); time.Since(endedAt) < maxRecovery; {
 		unknownClient := &knownClient{address: address, localAddress: unknownAddress, tls: a.clientTLS()}
--- a/internal/testbed/known_client.go
+++ b/internal/testbed/known_client.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// readResponse reads until the connection ends, but after a response for secondAnswerWait at most.
+// readResponse reads until the connection ends or, once a response has arrived, for secondAnswerWait.
 func (o *requestOutcome) readResponse(stream net.Conn, sentAt time.Time) {
 	var received []byte
 	buffer := make([]byte, 8<<10)
--- a/internal/testbed/store_lease.go
+++ b/internal/testbed/store_lease.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// runRound requests an object that is not cached from all routers at once.
+// runRound sends a request for an uncached object to all routers at once.
 func (a leaseArm) runRound(cluster *Cluster, round int) {
 	object := uint64(firstLeaseObject + round)
 	scheduledAt := time.Now()
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -24,7 +24,8 @@
 	routers := options.routers(3)
 	config := warmStoreConfig(routers)
 	config.Objects, config.MedianSizeKB = 120, 30
-	config.Settings.SlowStart, config.SharedStore["cold_ms"] = 500*time.Millisecond, 500 // restarts are frequent
+	// These times are short because the store restarts often.
+	config.Settings.SlowStart, config.SharedStore["cold_ms"] = 500*time.Millisecond, 500
 	load := Load{RequestsPerSecond: 150, Duration: options.duration(24 * time.Second)}
 	purges := 0
 	observed, err := arm{
