--- a/internal/testbed/admission_descriptors.go
+++ b/internal/testbed/admission_descriptors.go
@@ -12,9 +12,9 @@
 	addresses := loopbackAddresses(1000)
 	pace := floodPace{connections: options.count(4000), workers: floodWorkers}
 	reached := floodArm{
-		name: "reached", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
-		meanwhile: func(cluster *Cluster) {
-			// The system gives fewer than the router was configured with, which it finds out with the flood.
+		name: "reached", operator: admissionRules(), flood: flood{localAddresses: addresses}, pace: pace,
+		duringFlood: func(cluster *Cluster) {
+			// The limit is below the configured number of sockets. The router notices this only during the flood.
 			limit := unix.Rlimit{Cur: 300, Max: 20_000}
 			cluster.fail(unix.Prlimit(cluster.Routers[0].PID(), unix.RLIMIT_NOFILE, &limit, nil))
 		},
@@ -23,8 +23,8 @@
 		return err
 	}
 	few := floodArm{
-		name: "few", operator: admissionRules(), flood: flood{from: addresses}, pace: pace,
-		descriptors: 200, // fewer from the start than the configuration says
+		name: "few", operator: admissionRules(), flood: flood{localAddresses: addresses}, pace: pace,
+		descriptorLimit: 200, // below the configured number of sockets from the start
 	}
 	return few.runAsserted(options, result)
 }
--- a/internal/testbed/admission_shared.go
+++ b/internal/testbed/admission_shared.go
@@ -36,20 +36,20 @@
 	}
 	router := cluster.Routers[0]
 	cluster.inBackground(func() {
-		cluster.Play(Load{RequestsPerSecond: 30, Duration: options.duration(6 * time.Second)})
+		cluster.ApplyLoad(Load{RequestsPerSecond: 30, Duration: options.duration(6 * time.Second)})
 	})
 	before := runGoodClients(router.Address, keys, options.duration(2500*time.Millisecond))
-	bad := &flood{address: router.Address, from: []string{sharedAddress}, tls: keys.clientConfig(badClient)}
-	flooded := make(chan struct{})
+	bad := &flood{address: router.Address, localAddresses: []string{sharedAddress}, tls: keys.clientConfig(badClient)}
+	floodDone := make(chan struct{})
 	go func() {
-		defer close(flooded)
+		defer close(floodDone)
 		bad.run(floodPace{connections: options.count(600), connectionsPerSecond: 200, workers: 16})
 	}()
 	during := runGoodClients(router.Address, keys, options.duration(3*time.Second))
-	<-flooded
+	<-floodDone
 	bad.end()
-	seen := cluster.End()
-	result.assertRules("shared", seen)
+	observed := cluster.End()
+	result.assertRules("shared", observed)
 	result.Figure("shared flood accepted", float64(bad.accepted.Load()))
 	result.Figure("shared flood tried", float64(bad.tried.Load()))
 	result.Figure("shared s until recovered", 0)
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// sharedAddressConfig has limits for an address that many clients share.
+// sharedAddressConfig configures a cluster with limits for an address that many clients share.
 func sharedAddressConfig(keys *keyring) ClusterConfig {
 	operator := admissionRules()
-	operator["tls"] = keys.operatorPart()
+	operator["tls"] = keys.operatorSection()
 	limits := operator["admission"].(map[string]any)
 	limits["per_address"], limits["new_per_s"], limits["burst"], limits["handshake_cores"] = 64, 500, 250, 0.6
 	config := admissionConfig(operator)
@@ -68,13 +68,13 @@
 	return config
 }
 
-// runGoodClients has all good clients work for some time, and returns what became of their requests.
+// runGoodClients runs all good clients for a duration and returns the sum of their summaries.
 func runGoodClients(address string, keys *keyring, duration time.Duration) (total clientSummary) {
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	end := time.Now().Add(duration)
 	for i := range goodClients {
-		client := &knownClient{address: address, from: sharedAddress, tls: keys.clientConfig(goodClient(i))}
+		client := &knownClient{address: address, localAddress: sharedAddress, tls: keys.clientConfig(goodClient(i))}
 		clients.Go(func() {
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 			client.run(500*time.Millisecond, end)
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -13,12 +13,12 @@
 	Run:   runStoreFaults,
 })
 
-// storeFault is a fault of the store, and the one plain line of the router's log that tells of it.
+// storeFault is a fault of the store and a text of the log line with which routers report it.
 type storeFault struct {
 	name    string
 	fault   redis.Fault
 	logLine string
-	bytes   int // of each object, 0: by its size
+	bytes   int // size of each object's body, 0: by the object's nominal size
 }
 
 var (
@@ -26,7 +26,7 @@
 	storeWritesAndDeletes = []string{"SET", "PSETEX", "ZADD", "DEL"}
 )
 
-// storeFaults are all faults that the experiment plays. The words are those of Redis.
+// storeFaults are the faults that the experiment injects. The error replies are those of Redis.
 var storeFaults = []storeFault{
 	errorFault("LOADING", "LOADING Redis is loading the dataset in memory", "store reads its data in"),
 	errorFault("OOM", "OOM command not allowed when used memory > 'maxmemory'.", "store has no memory left",
@@ -45,10 +45,10 @@
 	{name: "newer", fault: redis.Fault{Corruption: redis.NewerFormat}, logLine: "newer format"},
 	{name: "silent", fault: redis.Fault{Silent: true}, logLine: "store not connected"},
 	{name: "crowded", fault: redis.Fault{TooManyClients: true}, logLine: "store not connected"},
-	{name: "240,000 bytes", logLine: "store connected", bytes: 240_000}, // nothing is wrong but the size
+	{name: "240,000 bytes", logLine: "store connected", bytes: 240_000}, // large objects without a fault
 }
 
-// errorFault is a store that answers some commands, all where none are named, with an error.
+// errorFault returns a fault by which the store answers the given commands, or all if none is given, with an error.
 func errorFault(name, answer, logLine string, commands ...string) storeFault {
 	return storeFault{name: name, fault: redis.Fault{ErrorReply: answer, Verbs: commands}, logLine: logLine}
 }
@@ -69,7 +69,7 @@
 	config.Objects, config.FixedBytes = 60, f.bytes
 	hitsBefore, hitsAfter := 0, 0
 	isLogged := false
-	seen, err := arm{
+	observed, err := arm{
 		name: f.name, seed: options.Seed, config: config, routers: routers, load: load,
 		script: func(cluster *Cluster) {
 			quarter := load.Duration / 4
@@ -89,7 +89,8 @@
 	if err != nil {
 		return err
 	}
-	result.Assert(seen.InTimeShare() >= 0.97, f.name+": requests are in time all the same", "%.4f", seen.InTimeShare())
+	result.Assert(observed.InTimeShare() >= 0.97, f.name+": requests are in time all the same", "%.4f",
+		observed.InTimeShare())
 	result.Assert(hitsAfter > hitsBefore+20, f.name+": the store serves again a quarter later", "%d hits",
 		hitsAfter-hitsBefore)
 	result.Assert(isLogged, f.name+": the log says so", "%q", f.logLine)
