--- a/internal/testbed/soak/checker.go
+++ b/internal/testbed/soak/checker.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// BreachKind names a rule that is broken.
+// BreachKind is the rule that a breach violates.
 type BreachKind string
 
 // The kinds of breaches.
 const (
-	UnknownRequest       BreachKind = "unknown_request"
-	AttemptAfterCancel   BreachKind = "attempt_after_cancelled"
-	AttemptAfterLeaving  BreachKind = "attempt_after_left"
-	AttemptAfterDeadline BreachKind = "attempt_after_deadline"
-	AttemptAfterDrain    BreachKind = "attempt_after_drain"
-	DeadlineTooLong      BreachKind = "deadline_too_long"
-	RanTwice             BreachKind = "ran_twice"
-	AnsweredTwice        BreachKind = "answered_twice"
-	AnsweredLate         BreachKind = "answered_late"
-	RejectedThoughRan    BreachKind = "refused_though_ran"
-	WrongBytes           BreachKind = "wrong_bytes"
-	StaleCopy            BreachKind = "stale"
-	CopyTooOld           BreachKind = "too_old"
-	LostRequest          BreachKind = "lost"
-	ColdOverload         BreachKind = "cold_overload"
+	UnknownRequest         BreachKind = "unknown_request"
+	AttemptAfterCancel     BreachKind = "attempt_after_cancelled"
+	AttemptAfterDisconnect BreachKind = "attempt_after_left"
+	AttemptAfterDeadline   BreachKind = "attempt_after_deadline"
+	AttemptAfterDrain      BreachKind = "attempt_after_drain"
+	DeadlineTooLong        BreachKind = "deadline_too_long"
+	RanTwice               BreachKind = "ran_twice"
+	AnsweredTwice          BreachKind = "answered_twice"
+	AnsweredLate           BreachKind = "answered_late"
+	RejectedThoughRan      BreachKind = "refused_though_ran"
+	WrongBytes             BreachKind = "wrong_bytes"
+	StaleCopy              BreachKind = "stale"
+	CopyTooOld             BreachKind = "too_old"
+	LostRequest            BreachKind = "lost"
+	ColdOverload           BreachKind = "cold_overload"
 )
 
-// Breach is one broken rule.
+// Breach is one violation of a rule.
 type Breach struct {
 	Kind    BreachKind `json:"kind"`
 	Request string     `json:"request,omitempty"`
-	Router  int        `json:"router"` // -1: of no single router
+	Router  int        `json:"router"` // -1: not tied to a single router
 	Detail  string     `json:"detail"`
 
-	Sent     string   `json:"sent,omitempty"`     // the request; times count from the start of the run
-	Attempts []string `json:"attempts,omitempty"` // the same
+	Sent     string   `json:"sent,omitempty"`     // the request; times are relative to the start of the run
+	Attempts []string `json:"attempts,omitempty"` // the attempts for the request, with times as in Sent
 }
 
-// Excuse says why no router is to blame for a lost or late answer.
+// Excuse is the reason why no router is at fault for a lost or late answer.
 type Excuse string
 
-// The excuses.
+// The reasons that excuse a router.
 const (
 	NoExcuse                Excuse = ""
 	ExcuseRouterKilled      Excuse = "router killed"
@@ -57,46 +57,48 @@
 )
 
 const (
-	// jitter is what this machine itself may add to a time.
+	// jitter is the error that scheduling on this machine may add to a measured time.
 	jitter = 60 * time.Millisecond
-	// cancelSlack is how long after a cancel, or the client's leaving, an attempt may still begin.
+	// cancelSlack is how long after a cancellation or a client's disconnect an attempt may still begin.
 	cancelSlack = 100 * time.Millisecond
-	// deadlineSlack is how far the timeout of an attempt may exceed what its client has left.
+	// deadlineSlack is how far the timeout of an attempt may exceed the time left until the client's deadline.
 	deadlineSlack = 150 * time.Millisecond
-	// answerSlack is how long after its time a final answer may come without being late, lostAfter without being lost.
-	answerSlack = 50 * time.Millisecond
-	lostAfter   = 500 * time.Millisecond
-	// crossingTime is how soon around the end of a connection a request may have been sent that its client sends again.
+	// boundSlack is the allowance on the bounds for drains, purges and ages.
+	boundSlack = 50 * time.Millisecond
+	// maxLateness is how long after the deadline an answer may arrive.
+	maxLateness = 500 * time.Millisecond
+	// crossingTime is the time before a connection closes within which a request counts as sent while the router was
+	// closing the connection. A client sends such a request again.
 	crossingTime = 50 * time.Millisecond
-	// maxEventDelay is when an event of discovery counts as known, whether or not it arrived.
+	// maxEventDelay is the time after which a router counts as knowing a discovery event, whether or not the event
+	// arrived.
 	maxEventDelay = 7 * time.Second
 )
 
-// checker finds in the record of a run what breaks a rule. It knows nothing of the routers but what clients and servers
-// saw.
+// checker finds breaches in the record of a run. It judges the routers only by what clients and servers saw.
 type checker struct {
 	*Record
 	breaches []Breach
 	excused  map[string]int
 }
 
-// check returns all breaches, and how many requests were lost to what no router is to blame for, in all and by router.
+// check returns all breaches, and counts the lost requests that are excused, by reason and by reason and router.
 func (r *Record) check() (breaches []Breach, excused map[string]int) {
-	findings := &checker{Record: r, excused: map[string]int{}}
+	runChecker := &checker{Record: r, excused: map[string]int{}}
 	slices.SortFunc(r.delays, func(a, b interval) int { return a.until.Compare(b.until) })
 	for i := range r.attempts {
-		findings.checkAttempt(&r.attempts[i])
+		runChecker.checkAttempt(&r.attempts[i])
 	}
 	for _, request := range r.requests {
-		findings.addVerdict(request, findings.checkRequest(request))
+		runChecker.addVerdict(request, runChecker.checkRequest(request))
 	}
 	for i := range r.coldStarts {
-		findings.checkColdStart(&r.coldStarts[i])
+		runChecker.checkColdStart(&r.coldStarts[i])
 	}
-	slices.SortFunc(findings.breaches, func(a, b Breach) int {
+	slices.SortFunc(runChecker.breaches, func(a, b Breach) int {
 		return strings.Compare(string(a.Kind)+a.Request, string(b.Kind)+b.Request)
 	})
-	return findings.breaches, findings.excused
+	return runChecker.breaches, runChecker.excused
 }
 
 func (c *checker) addVerdict(request *Request, found verdict) {
@@ -109,7 +111,7 @@
 	}
 }
 
-// addBreach adds a breach; request is nil where none is known.
+// addBreach adds a breach; request is nil if the breach belongs to no known request.
 func (c *checker) addBreach(kind BreachKind, request *Request, format string, args ...any) {
 	breach := Breach{Kind: kind, Detail: fmt.Sprintf(format, args...), Router: -1}
 	if request != nil {
@@ -146,7 +148,7 @@
 	}
 	slack := jitter + c.delayAround(attempt.FirstByteAt) + c.delayAround(attempt.LastByteAt)
 	c.checkAttemptEnd(AttemptAfterCancel, request.CancelledAt, attempt, request, slack)
-	c.checkAttemptEnd(AttemptAfterLeaving, request.DisconnectedAt, attempt, request, slack)
+	c.checkAttemptEnd(AttemptAfterDisconnect, request.DisconnectedAt, attempt, request, slack)
 	if request.SentAt.IsZero() {
 		return
 	}
@@ -163,7 +165,7 @@
 	}
 }
 
-// checkAttemptEnd finds attempts that begin after the client has given the request up.
+// checkAttemptEnd finds attempts that begin after the client has cancelled the request or disconnected.
 func (c *checker) checkAttemptEnd(kind BreachKind, endedAt time.Time, attempt *Attempt, request *Request,
 	slack time.Duration,
 ) {
@@ -176,7 +178,8 @@
 	}
 }
 
-// checkDepartures finds attempts to, or fills from, a server past the grace after it was listed as leaving.
+// checkDepartures finds attempts at a server, and fills from it, that begin after the grace that follows its listing as
+// draining or gone.
 func (c *checker) checkDepartures(uid string, attempt *Attempt, request *Request, slack time.Duration) {
 	startedAt := attempt.FirstByteAt
 	for _, departure := range c.departures {
@@ -185,7 +188,7 @@
 			continue
 		}
 		knownAt := c.eventKnownAt(request.Router, departure.event, departure.at)
-		if late := startedAt.Sub(knownAt); late > drainGrace+answerSlack+slack {
+		if late := startedAt.Sub(knownAt); late > drainGrace+boundSlack+slack {
 			c.addBreach(AttemptAfterDrain, request, "%s was named %v after its departure was known", uid,
 				late.Round(time.Millisecond))
 		}
--- a/internal/testbed/soak/checker_request.go
+++ b/internal/testbed/soak/checker_request.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/testbed"
 )
 
-// verdict is what the checker finds of one request: a breach, an excuse for its loss, or neither.
+// verdict is the result of checking one request: a breach, an excuse for the loss of the request, or neither.
 type verdict struct {
 	breach BreachKind
 	detail string
@@ -19,7 +19,7 @@
 	return verdict{breach: kind, detail: fmt.Sprintf(format, args...)}
 }
 
-// checkRequest says which rule a request shows broken, or why its loss is no router's fault.
+// checkRequest returns the breach that a request shows, or the excuse for its loss.
 func (c *checker) checkRequest(request *Request) verdict {
 	executions := c.executions[request.ID]
 	isAnswered := request.Answers == 1
@@ -41,16 +41,16 @@
 	return c.checkLoss(request)
 }
 
-// checkLateness finds final answers that come long after the client's deadline.
+// checkLateness finds answers that arrive long after the client's deadline.
 func (c *checker) checkLateness(request *Request) verdict {
 	late := request.AnsweredAt.Sub(request.Deadline()) - jitter - c.delayAround(request.AnsweredAt)
-	if late <= lostAfter || request.ReadsPausedMeantime || c.excuse(request) != NoExcuse {
+	if late <= maxLateness || request.ReadsPaused || c.excuse(request) != NoExcuse {
 		return verdict{}
 	}
 	return breach(AnsweredLate, "an answer %v after its deadline", late.Round(time.Millisecond))
 }
 
-// checkLoss finds requests that have no answer and were not given up by their client.
+// checkLoss finds requests without an answer that their client neither cancelled nor abandoned by disconnecting.
 func (c *checker) checkLoss(request *Request) verdict {
 	hasEnded := !request.EndedAt.IsZero()
 	switch {
@@ -59,19 +59,19 @@
 		return verdict{}
 	case request.ConnectionEnd == EndedByReset:
 		return verdict{excuse: ExcuseConnectionReset}
-	case !request.DisconnectedAt.IsZero() && request.ReadsPausedMeantime:
-		return verdict{} // it read nothing before it left
+	case !request.DisconnectedAt.IsZero() && request.ReadsPaused:
+		return verdict{} // the client disconnected without reading
 	}
 	if excuse := c.excuse(request); excuse != NoExcuse {
 		return verdict{excuse: excuse}
 	}
 	closedAfter := request.EndedAt.Sub(request.WriteStartedAt)
 	switch {
-	case hasEnded && request.IsAloneAndUnread && closedAfter <= crossingTime+c.delayAround(request.EndedAt):
+	case hasEnded && request.MayHaveCrossedClose && closedAfter <= crossingTime+c.delayAround(request.EndedAt):
 		return verdict{excuse: ExcuseCrossedClose}
-	case hasEnded && request.ReadsPausedMeantime: // its connection may have ended long before its client noticed
+	case hasEnded && request.ReadsPaused: // the connection may have ended long before the client noticed
 		return verdict{excuse: ExcuseReadsPaused}
-	case request.WasRejectedUnread:
+	case request.WasConnectionRejected:
 		return verdict{excuse: ExcuseRejected}
 	case !hasEnded:
 		return breach(LostRequest, "no answer")
@@ -84,10 +84,10 @@
 	return !at.IsZero() && at.Before(request.Deadline())
 }
 
-// excuse says what happened to a request's router that takes its answer with it, or holds it up.
+// excuse returns the event in the router's process that prevented or delayed the answer to a request, if any.
 func (c *checker) excuse(request *Request) Excuse {
 	process := &c.processes[request.Router]
-	until := request.Deadline().Add(lostAfter)
+	until := request.Deadline().Add(maxLateness)
 	for _, killedAt := range process.killed {
 		if killedAt.After(request.WriteStartedAt.Add(-jitter)) && killedAt.Before(until) {
 			return ExcuseRouterKilled
@@ -112,7 +112,7 @@
 	return NoExcuse
 }
 
-// checkResponse finds bytes that are wrong, and copies that are too old.
+// checkResponse finds wrong bytes, copies from before a purge, and copies that exceed their class's maximum age.
 func (c *checker) checkResponse(request *Request) verdict {
 	if request.Class.Idempotency != Idempotent {
 		if request.Body != executedBody(request.ID) {
@@ -129,20 +129,20 @@
 			continue
 		}
 		late := request.WriteStartedAt.Sub(c.eventKnownAt(request.Router, purge.event, purge.at))
-		if late > purgeGrace+answerSlack {
+		if late > purgeGrace+boundSlack {
 			return breach(StaleCopy, "a copy from before a purge, requested %v after that was known",
 				late.Round(time.Millisecond))
 		}
 	}
 	age, maxAge := request.SentAt.Sub(createdAt), request.Class.MaxAge
-	if maxAge > 0 && age > maxAge+answerSlack+jitter {
+	if maxAge > 0 && age > maxAge+boundSlack+jitter {
 		return breach(CopyTooOld, "a copy of %v", age.Round(time.Millisecond))
 	}
 	return verdict{}
 }
 
-// checkBody checks the bytes of a copy, or that the client has the one that is said to be current. It returns when the
-// origin gave the copy out.
+// checkBody checks the bytes of a copy; if the response is "not modified", it checks that the client has a copy. It
+// returns the time at which the origin created the copy.
 func (c *checker) checkBody(request *Request) (createdAt time.Time, found verdict) {
 	if request.IsNotModified {
 		createdAt, err := site.ParseChecksum(request.CachedVersion)
--- a/internal/testbed/soak/checker_test.go
+++ b/internal/testbed/soak/checker_test.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/testbed"
 )
 
-// cleanRun is a record with one request, one attempt and nothing wrong, to plant one thing in.
+// cleanRun is a record with one request and one attempt that breaks no rule. Tests plant a breach in it.
 type cleanRun struct {
 	*Record
 	request *Request
@@ -37,11 +37,11 @@
 
 func TestCleanRunHasNoBreach(t *testing.T) {
 	if breaches, excused := newCleanRun().check(); len(breaches) > 0 || len(excused) > 0 {
-		t.Errorf("without any fault: %v, %v", breaches, excused)
+		t.Errorf("found breaches %v and excuses %v in a clean run", breaches, excused)
 	}
 }
 
-// plantedBreaches plant one breach of each kind in a clean run.
+// plantedBreaches holds a function for each kind of breach that plants one in a clean run.
 var plantedBreaches = []struct {
 	kind  BreachKind
 	plant func(r *cleanRun)
@@ -49,7 +49,7 @@
 	{AttemptAfterCancel, func(r *cleanRun) {
 		r.request.Answers, r.request.CancelledAt, r.attempt.FirstByteAt = 0, r.at(0), r.at(200*time.Millisecond)
 	}},
-	{AttemptAfterLeaving, func(r *cleanRun) {
+	{AttemptAfterDisconnect, func(r *cleanRun) {
 		r.request.Answers, r.request.DisconnectedAt, r.attempt.FirstByteAt = 0, r.at(0), r.at(200*time.Millisecond)
 	}},
 	{AttemptAfterDeadline, func(r *cleanRun) {
@@ -83,27 +83,27 @@
 			at := r.at(-500*time.Millisecond + time.Duration(i)*time.Millisecond)
 			start.requests = append(start.requests, receivedRequest{r.request.ID, at})
 		}
-		r.polledPast[0][1] = r.at(-3 * time.Second)
+		r.firstPollAfter[0][1] = r.at(-3 * time.Second)
 		r.coldStarts = []coldStart{start}
 	}},
 }
 
-// Each kind of breach is found when it is planted, and nothing else is.
+// The checker finds each kind of breach, and no other kind beside it.
 func TestPlantedBreachIsFound(t *testing.T) {
 	for _, test := range plantedBreaches {
 		t.Run(string(test.kind), func(t *testing.T) {
 			r := newCleanRun()
 			test.plant(r)
 			breaches, _ := r.check()
-			// An attempt may name a server as target and as source: a breach may be found twice.
+			// An attempt names two servers, its target and its source, so that one breach may be found twice.
 			if len(breaches) == 0 || len(breaches) > 2 || breaches[0].Kind != test.kind {
-				t.Errorf("found %v", countKinds(breaches))
+				t.Errorf("found breaches %v", countKinds(breaches))
 			}
 		})
 	}
 }
 
-// What took a request with it excuses its loss, and is no breach.
+// A lost request is excused, and no breach, if a fault explains the loss.
 func TestLossIsExcused(t *testing.T) {
 	for _, test := range []struct {
 		excuse Excuse
@@ -120,8 +120,8 @@
 			r.request.ConnectionEnd, r.request.EndedAt = EndedByReset, r.at(time.Millisecond)
 		}},
 		{ExcuseCrossedClose, func(r *cleanRun) {
-			r.request.IsAloneAndUnread = true
-			r.request.ConnectionEnd, r.request.EndedAt = EndedOrderly, r.at(time.Millisecond)
+			r.request.MayHaveCrossedClose = true
+			r.request.ConnectionEnd, r.request.EndedAt = EndedByClose, r.at(time.Millisecond)
 		}},
 		{ExcuseSentAfterShutdown, func(r *cleanRun) { r.processes[0].stopped = []time.Time{r.at(-time.Second)} }},
 	} {
--- a/internal/testbed/soak/class.go
+++ b/internal/testbed/soak/class.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Idempotency says what a repeat of a request does.
+// Idempotency describes the effect of repeating a request.
 type Idempotency uint8
 
 // The kinds of idempotency.
@@ -12,7 +12,7 @@
 	NonIdempotent
 )
 
-// settingsName is the name that the deployment's settings have for it.
+// settingsName returns the name of the idempotency in the deployment's settings.
 func (i Idempotency) settingsName() string {
 	switch i {
 	case IdempotentWithKey:
@@ -28,19 +28,19 @@
 type Class struct {
 	Name              string
 	Idempotency       Idempotency
-	IsWrite           bool          // it runs at the origin
-	MaxAge            time.Duration // of a copy, 0: until it is purged
-	IdempotencyWindow time.Duration // in which repeats of a keyed request are dropped
+	IsWrite           bool          // executed only at the origin
+	MaxAge            time.Duration // of a copy; 0: valid until purged
+	IdempotencyWindow time.Duration // during which repeats of a keyed request are dropped
 	Timeout           time.Duration
 }
 
-// hasEffect says that requests of the class run something, rather than fetch a copy.
+// hasEffect reports whether servers execute requests of the class, rather than return a copy.
 func (c *Class) hasEffect() bool { return c.Idempotency != Idempotent || c.IsWrite }
 
-// isRepeatable says that a repeat does no harm, at least for a while.
+// isRepeatable reports whether a repeat is harmless, at least within the idempotency window.
 func (c *Class) isRepeatable() bool { return c.Idempotency != NonIdempotent }
 
-// classes are those of the soak's deployment.
+// classes are the request classes of the deployment.
 var classes = []*Class{
 	{Name: "clip", Timeout: 2500 * time.Millisecond},
 	{Name: "page", MaxAge: 2 * time.Second, Timeout: 1500 * time.Millisecond},
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// classForDraw picks a class by an even draw between 0 and 1.
+// classForDraw returns the class for a number drawn uniformly from [0, 1).
 func classForDraw(draw float64) *Class {
 	switch {
 	case draw < 0.2:
@@ -77,8 +77,8 @@
 	}
 }
 
-// transferKBPerSecond is the rate of one transfer; a byte on the socket stands for fifteen.
+// transferKBPerSecond is the rate of one transfer. Bodies on sockets are scaled down: one byte stands for fifteen.
 const transferKBPerSecond, bytesPerKB = 800.0, 1024.0 / 15
 
-// sizeKB is an object's size: most are some tens of KB.
+// sizeKB returns an object's size, between 15 and 135 KB.
 func sizeKB(object uint64) float64 { return 15 + float64(object%7)*20 }
--- a/internal/testbed/soak/client_behaviour.go
+++ b/internal/testbed/soak/client_behaviour.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// clientBehaviour is how all clients behave at the moment.
+// clientBehaviour is the current behaviour of all clients.
 type clientBehaviour struct {
 	mu                    sync.Mutex
-	cancelProbability     float64 // that a request is cancelled early
-	disconnectProbability float64 // that the connection is closed after a request
-	pausesReads           bool    // some connections read nothing
+	cancelProbability     float64 // that a request is cancelled shortly after it is sent
+	disconnectProbability float64 // that the connection is closed shortly after a request is sent
+	pausesReads           bool    // some connections pause reading
 }
 
 func (b *clientBehaviour) set(change func(*clientBehaviour)) {
--- a/internal/testbed/soak/client_connection.go
+++ b/internal/testbed/soak/client_connection.go
@@ -17,16 +17,16 @@
 
 const (
 	writeTimeout = time.Second
-	// answeredKept is how long an answered request stays known: a second answer would be seen.
-	answeredKept = 2 * time.Second
-	// pieces of a request that is written slowly come pieceInterval apart.
-	pieceInterval = 20 * time.Millisecond
-	minPieceBytes = 20
+	// answeredRetention is how long an answered request is kept, so that a second answer is detected.
+	answeredRetention = 2 * time.Second
+	// fragmentInterval is the pause between the fragments of a request that is written slowly.
+	fragmentInterval = 20 * time.Millisecond
+	minFragmentBytes = 20
 )
 
 var errConnectionClosed = errors.New("connection closed")
 
-// connectionState is what has become of a connection.
+// connectionState is the state of a client's connection.
 type connectionState uint8
 
 const (
@@ -36,15 +36,15 @@
 
 // clientConnection is one connection of a client.
 type clientConnection struct {
-	group   *clientGroup
-	stream  net.Conn
-	reading sync.Mutex // held while it reads nothing
+	group  *clientGroup
+	stream net.Conn
+	readMu sync.Mutex // held by pauseReads to stop read
 
 	mu        sync.Mutex
 	state     connectionState
 	lastTag   int
-	requests  map[string]*Request // by tag; those answered lately are kept
-	readPause interval            // when it last read nothing
+	requests  map[string]*Request // by tag, including those answered recently
+	readPause interval            // the latest pause in reading
 }
 
 func newClientConnection(group *clientGroup, stream net.Conn) *clientConnection {
@@ -65,7 +65,7 @@
 	return c.unanswered() < maxInFlight
 }
 
-// unanswered is how many requests are in flight; the caller holds the mutex.
+// unanswered returns the number of requests in flight. The caller must hold c.mu.
 func (c *clientConnection) unanswered() (count int) {
 	for _, request := range c.requests {
 		if request.isInFlight() {
@@ -75,7 +75,7 @@
 	return count
 }
 
-// inFlight is how many requests may still get an answer.
+// inFlight returns the number of requests that may still get an answer.
 func (c *clientConnection) inFlight() (count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,16 +103,16 @@
 	})
 }
 
-// sendInPieces writes a request in pieces, as a slow client does.
-func (c *clientConnection) sendInPieces(request *Request) (tag string, err error) {
+// sendFragmented writes a request in fragments, as a slow client does.
+func (c *clientConnection) sendFragmented(request *Request) (tag string, err error) {
 	return c.sendWith(request, func(frame []byte) error {
-		for len(frame) > minPieceBytes {
+		for len(frame) > minFragmentBytes {
 			n := 1 + len(frame)/4
 			if _, err := c.stream.Write(frame[:n]); err != nil {
 				return err
 			}
 			frame = frame[n:]
-			time.Sleep(pieceInterval)
+			time.Sleep(fragmentInterval)
 		}
 		_, err := c.stream.Write(frame)
 		return err
@@ -129,7 +129,7 @@
 	frame := encodeRequest(request, tag)
 	request.WriteStartedAt = time.Now()
 	c.requests[tag] = request
-	request.IsAloneAndUnread = c.unanswered() == 1
+	request.MayHaveCrossedClose = c.unanswered() == 1
 	c.group.record.update(func() { c.group.record.requests[request.ID] = request })
 	_ = c.stream.SetWriteDeadline(request.WriteStartedAt.Add(writeTimeout))
 	if err := write(frame); err != nil {
@@ -168,7 +168,7 @@
 	request.CancelledAt = time.Now()
 }
 
-// disconnect ends the connection from this side.
+// disconnect closes or resets the connection from the client's side.
 func (c *clientConnection) disconnect(how ConnectionEnd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +179,7 @@
 	for _, request := range c.requests {
 		if request.Answers == 0 {
 			request.DisconnectedAt = now
-			request.ReadsPausedMeantime = c.readPause.overlaps(request.WriteStartedAt, now)
+			request.ReadsPaused = c.readPause.overlaps(request.WriteStartedAt, now)
 		}
 	}
 	c.state = connectionClosed
@@ -190,14 +190,14 @@
 	_ = c.stream.Close()
 }
 
-// pauseReads reads nothing for a while; meanwhile it sends much, and cancels some of it.
+// pauseReads stops reading for a while, and meanwhile sends requests and pings and cancels some of the requests.
 func (c *clientConnection) pauseReads() {
-	c.reading.Lock()
+	c.readMu.Lock()
 	defer func() {
 		c.mu.Lock()
 		c.readPause.until = time.Now()
 		c.mu.Unlock()
-		c.reading.Unlock()
+		c.readMu.Unlock()
 	}()
 	c.mu.Lock()
 	c.readPause = interval{from: time.Now()}
@@ -211,12 +211,12 @@
 			return
 		}
 		if c.group.float64() < 0.6 {
-			time.Sleep(c.group.milliseconds(30))
+			time.Sleep(c.group.randMilliseconds(30))
 			c.cancel(tag, request)
 		}
 		c.sendPings()
 	}
-	time.Sleep(200*time.Millisecond + c.group.milliseconds(600))
+	time.Sleep(200*time.Millisecond + c.group.randMilliseconds(600))
 }
 
 // sendPings sends many pings at once.
@@ -238,8 +238,8 @@
 func (c *clientConnection) read() {
 	reader := redcon.NewReader(c.stream)
 	for {
-		c.reading.Lock()
-		c.reading.Unlock() //nolint:staticcheck // it waits here while it is to read nothing
+		c.readMu.Lock()
+		c.readMu.Unlock() //nolint:staticcheck // waits here while reads are paused
 		command, err := reader.ReadCommand()
 		c.mu.Lock()
 		if err != nil {
@@ -252,12 +252,12 @@
 	}
 }
 
-// receive records a response.
+// receive records a response. The caller must hold c.mu.
 func (c *clientConnection) receive(words [][]byte, now time.Time) {
 	tag, response := testbed.ParseResponse(words)
 	if tag == testbed.ConnectionRejected {
 		for _, request := range c.requests {
-			request.WasRejectedUnread = request.Answers == 0
+			request.WasConnectionRejected = request.Answers == 0
 		}
 	}
 	request := c.requests[tag]
@@ -265,38 +265,38 @@
 		return
 	}
 	for _, other := range c.requests {
-		other.IsAloneAndUnread = false
+		other.MayHaveCrossedClose = false
 	}
 	if request.Answers++; request.Answers > 1 {
 		return
 	}
 	request.AnsweredAt, request.Status = now, response.Status
 	request.IsNotModified, request.Body = response.IsNotModified, response.Body
-	request.ReadsPausedMeantime = c.readPause.overlaps(request.WriteStartedAt, now)
+	request.ReadsPaused = c.readPause.overlaps(request.WriteStartedAt, now)
 	if _, createdAt, isIntact := site.ParseBody(response.Body); isIntact {
 		c.group.cached.Store(request.Object, site.Checksum(createdAt))
 	}
-	time.AfterFunc(answeredKept, func() {
+	time.AfterFunc(answeredRetention, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		delete(c.requests, tag)
 	})
 }
 
-// connectionLost records that the connection has ended; the caller holds the mutex.
+// connectionLost records that the connection has ended. The caller must hold c.mu.
 func (c *clientConnection) connectionLost(err error) {
 	if c.state != connectionOpen {
 		return
 	}
 	c.state = connectionClosed
-	how := EndedOrderly
+	how := EndedByClose
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		how = EndedByReset
 	}
 	now := time.Now()
 	for _, request := range c.requests {
 		if request.Answers == 0 {
-			request.ReadsPausedMeantime = c.readPause.overlaps(request.WriteStartedAt, now)
+			request.ReadsPaused = c.readPause.overlaps(request.WriteStartedAt, now)
 			request.EndedAt, request.ConnectionEnd = now, how
 		}
 	}
--- a/internal/testbed/soak/client_group.go
+++ b/internal/testbed/soak/client_group.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// usualConnections is how many connections a group keeps, maxInFlight how many requests one carries.
-	usualConnections = 4
-	maxInFlight      = 24
-	dialTimeout      = time.Second
-	// extraWait is how long after its deadline a client still waits for a response.
+	// targetConnections is the number of connections that a group keeps open, maxInFlight the number of requests that
+	// may be in flight on one connection.
+	targetConnections = 4
+	maxInFlight       = 24
+	dialTimeout       = time.Second
+	// extraWait is how long after the deadline a client waits before it cancels a request.
 	extraWait = 200 * time.Millisecond
-	// malformedLifetime is how long a client that breaks the protocol stays.
+	// malformedLifetime is how long a client that violates the protocol stays connected.
 	malformedLifetime = 7 * time.Second
 )
 
-// clientGroup is all clients of one router: steady ones, and those that cancel, disconnect, read nothing or write in
-// pieces. What each request met on its connection is recorded.
+// clientGroup is all clients of one router: well-behaved clients, and those that cancel, disconnect, pause reading or
+// write in fragments. It records the outcome of each request.
 type clientGroup struct {
 	router    int
 	address   string
@@ -34,19 +35,19 @@
 	behaviour *clientBehaviour
 	objects   int
 	traffic   atomic.Int32
-	running   sync.WaitGroup // the goroutines of its connections
+	running   sync.WaitGroup // the goroutines of the connections
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	connections []*clientConnection
-	cached      sync.Map // object to the version of the copy that clients have
+	cached      sync.Map // version of the clients' copy, by object
 }
 
 func (g *clientGroup) setTraffic(allowed traffic) { g.traffic.Store(int32(allowed)) }
 
 func (g *clientGroup) allowedTraffic() traffic { return traffic(g.traffic.Load()) }
 
-// pickConnection is a connection with capacity, or a new one; nil if there is none to be had.
+// pickConnection returns an open connection with capacity or a new connection, or nil if neither can be had.
 func (g *clientGroup) pickConnection() *clientConnection {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -57,7 +58,7 @@
 		}
 	}
 	g.connections = open
-	if len(open) >= usualConnections || len(open) > 0 && g.rng.Float64() < 0.95 {
+	if len(open) >= targetConnections || len(open) > 0 && g.rng.Float64() < 0.95 {
 		connection := open[g.rng.IntN(len(open))]
 		if connection.hasCapacity() {
 			return connection
@@ -87,11 +88,11 @@
 	return g.rng.IntN(n)
 }
 
-func (g *clientGroup) milliseconds(limit int) time.Duration {
+func (g *clientGroup) randMilliseconds(limit int) time.Duration {
 	return time.Duration(g.intN(limit)) * time.Millisecond
 }
 
-// newRequest draws a request.
+// newRequest returns a random request.
 func (g *clientGroup) newRequest() *Request {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,7 +102,7 @@
 		ID: fmt.Sprintf("%016x", g.rng.Uint64()|1), Router: g.router, Class: class,
 		Object: 1 + uint64(popularity*popularity*float64(g.objects)), Timeout: class.Timeout,
 	}
-	if g.rng.Float64() < 0.1 { // little time is left for it
+	if g.rng.Float64() < 0.1 { // little time is left until the deadline
 		request.Timeout = time.Duration(20+g.rng.IntN(200)) * time.Millisecond
 	}
 	version, isCached := g.cached.Load(request.Object)
@@ -111,7 +112,7 @@
 	return request
 }
 
-// sendNext sends a request, and does what its client does with it.
+// sendNext sends a request, and schedules its cancellation or the disconnect of its client.
 func (g *clientGroup) sendNext() {
 	connection := g.pickConnection()
 	if connection == nil {
@@ -125,7 +126,7 @@
 	}
 	send := connection.send
 	if g.float64() < 0.05 {
-		send = connection.sendInPieces
+		send = connection.sendFragmented
 	}
 	tag, err := send(request)
 	if err != nil {
@@ -134,21 +135,21 @@
 	cancel := func() { connection.cancel(tag, request) }
 	switch {
 	case g.float64() < disconnectProbability:
-		time.AfterFunc(g.milliseconds(60), func() {
+		time.AfterFunc(g.randMilliseconds(60), func() {
 			if g.float64() < 0.5 {
 				connection.disconnect(EndedByReset)
 				return
 			}
-			connection.disconnect(EndedOrderly)
+			connection.disconnect(EndedByClose)
 		})
 	case g.float64() < cancelProbability+0.03:
-		time.AfterFunc(g.milliseconds(150), cancel)
+		time.AfterFunc(g.randMilliseconds(150), cancel)
 	default:
-		time.AfterFunc(request.Timeout+extraWait, cancel) // it stops waiting
+		time.AfterFunc(request.Timeout+extraWait, cancel) // the client stops waiting
 	}
 }
 
-// run sends requests at a rate until the end.
+// run sends requests at a mean rate until end.
 func (g *clientGroup) run(requestsPerSecond float64, end time.Time) {
 	for next := time.Now(); ; {
 		g.mu.Lock()
@@ -164,7 +165,7 @@
 	}
 }
 
-// sendMalformed connects and sends what breaks the protocol.
+// sendMalformed connects and sends bytes that violate the protocol.
 func (g *clientGroup) sendMalformed() {
 	connection, err := net.DialTimeout("tcp", g.address, dialTimeout)
 	if err != nil {
@@ -181,21 +182,21 @@
 	_, _ = io.Copy(io.Discard, connection)
 }
 
-// settle waits until no request is in flight any more, then closes all connections.
-func (g *clientGroup) settle() {
+// finish waits until no request is in flight, then closes all connections.
+func (g *clientGroup) finish() {
 	testbed.WaitFor(5*time.Second, func() bool { return g.inFlight() == 0 })
-	time.Sleep(100 * time.Millisecond) // for an answer too many
+	time.Sleep(100 * time.Millisecond) // a second answer may still arrive
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, connection := range g.connections {
-		connection.disconnect(EndedOrderly)
+		connection.disconnect(EndedByClose)
 	}
 }
 
-// wait waits until nothing of the connections runs any more.
+// wait waits until the goroutines of all connections have ended.
 func (g *clientGroup) wait() { g.running.Wait() }
 
-// inFlight is how many requests may still get an answer.
+// inFlight returns the number of requests that may still get an answer.
 func (g *clientGroup) inFlight() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/soak/cluster.go
+++ b/internal/testbed/soak/cluster.go
@@ -12,7 +12,7 @@
 	"fennelarch/internal/testbed"
 )
 
-// What the deployment is made of.
+// The size of the deployment and its load.
 const (
 	cacheServers      = 8
 	parents           = 2
@@ -23,10 +23,10 @@
 	requestsPerSecond = 12.0 // at each router
 )
 
-// cluster is all that a run is made of: routers with their clients, servers and discovery.
+// cluster holds everything that takes part in a run: routers with their clients, servers and discovery.
 type cluster struct {
 	options   testbed.Options
-	folder    string // of configurations and flight recorders
+	folder    string // for configurations and flight recorders
 	record    *Record
 	servers   *serverSet
 	link      *linkConditions
@@ -38,14 +38,14 @@
 	watcher          sync.WaitGroup
 	faults           sync.WaitGroup
 	malformedClients sync.WaitGroup
-	proxying         sync.WaitGroup // the goroutines of all proxies
+	proxyGoroutines  sync.WaitGroup // the goroutines of all proxies
 
 	mu   sync.Mutex
 	rng  *rand.Rand
 	errs []error
 }
 
-// newCluster starts everything.
+// newCluster starts the servers, discovery and the routers.
 func newCluster(options testbed.Options, program string, routers int) (*cluster, error) {
 	record := newRecord(routers)
 	created := &cluster{
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// newServer starts a server, which routers reach at an address.
+// newServer starts a server behind a proxy that listens at an address.
 func (c *cluster) newServer(uid string, kind site.Kind, cell int, address string) (*server, error) {
 	seed := uint64(len(uid)) + uint64(c.servers.replacementCount())
 	s := &server{
@@ -102,7 +102,7 @@
 	return s, nil
 }
 
-// startRouters starts all routers side by side.
+// startRouters starts all routers concurrently.
 func (c *cluster) startRouters(program string, count int) error {
 	starts := make(chan error, count)
 	for i := range count {
@@ -120,7 +120,7 @@
 	return err
 }
 
-// fail takes note of an error that fails the run, if there is one.
+// fail records an error that fails the run; nil is ignored.
 func (c *cluster) fail(err error) {
 	if err == nil {
 		return
@@ -151,7 +151,7 @@
 	c.faults.Wait()
 }
 
-// purgeUntil purges an object now and then.
+// purgeUntil purges random objects at random intervals.
 func (c *cluster) purgeUntil(end time.Time) {
 	for time.Now().Before(end) {
 		c.mu.Lock()
@@ -168,11 +168,11 @@
 	}
 }
 
-// shutDown lets what is in flight end, and ends the routers and everything else.
+// shutDown waits for requests in flight, then stops the routers, discovery and the servers.
 func (c *cluster) shutDown() {
 	var all sync.WaitGroup
 	for _, r := range c.routers {
-		all.Go(r.clients.settle)
+		all.Go(r.clients.finish)
 	}
 	all.Wait()
 	for _, r := range c.routers {
@@ -192,7 +192,7 @@
 	}
 	c.discovery.close()
 	c.servers.close()
-	c.proxying.Wait()
+	c.proxyGoroutines.Wait()
 }
 
 func (c *cluster) routerSeed(router int) uint64 { return c.options.Seed*1000 + uint64(router) }
--- a/internal/testbed/soak/discovery.go
+++ b/internal/testbed/soak/discovery.go
@@ -12,7 +12,7 @@
 	"fennelarch/internal/fake/site"
 )
 
-// discoveryState is what is wrong with discovery at the moment.
+// discoveryState is the fault in force at discovery, if any.
 type discoveryState uint8
 
 const (
@@ -21,11 +21,11 @@
 	discoveryBreaksPolls
 )
 
-// oldPortLasts is how long polls that are open at a port that shuts down may go on.
-const oldPortLasts = 1500 * time.Millisecond
+// oldPortLifetime is how long open polls may continue at a port that shuts down.
+const oldPortLifetime = 1500 * time.Millisecond
 
-// discovery is a fake discovery server. Each router reaches it at a port of its own, so that it is known who polled for
-// what, and when: a router that polls for what comes after an event has seen that event.
+// discovery is a fake discovery server. Each router has its own port, so that a poll shows which events the router has
+// received: a router that polls for the events after a given one has received that event.
 type discovery struct {
 	record *Record
 	events *site.EventLog
@@ -34,11 +34,11 @@
 
 	mu        sync.Mutex
 	state     discoveryState
-	recovered chan struct{}    // closed when the state is over
-	ports     []*discoveryPort // by router: the one in force
+	recovered chan struct{}    // closed when the fault ends
+	ports     []*discoveryPort // by router: its current port
 }
 
-// discoveryPort is where one router reaches discovery.
+// discoveryPort is the port at which one router reaches discovery.
 type discoveryPort struct {
 	listener net.Listener
 	server   *http.Server
@@ -49,7 +49,7 @@
 	return &discovery{record: record, events: site.NewEventLog(), ports: make([]*discoveryPort, routers)}
 }
 
-// open makes a port for a router, in the place of the last one.
+// open opens a new port for a router, which replaces the router's previous port.
 func (d *discovery) open(router int) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,11 +66,12 @@
 	return listener.Addr().String(), nil
 }
 
-// shutDown ends a port: it accepts nothing new, sends nothing more, and closes what is open after a while.
+// shutDown stops a port. The port accepts no connections and sends no events from now on, and closes open connections
+// after oldPortLifetime.
 func (p *discoveryPort) shutDown() {
 	close(p.closed)
 	_ = p.listener.Close()
-	time.AfterFunc(oldPortLasts, func() { _ = p.server.Close() })
+	time.AfterFunc(oldPortLifetime, func() { _ = p.server.Close() })
 }
 
 func (d *discovery) port(router int) *discoveryPort {
@@ -79,7 +80,7 @@
 	return d.ports[router]
 }
 
-// close ends all ports at once.
+// close closes all ports immediately.
 func (d *discovery) close() {
 	d.mu.Lock()
 	for _, port := range d.ports {
@@ -89,7 +90,7 @@
 	d.serving.Wait()
 }
 
-// impair puts a state in force until the end is called.
+// impair puts a fault in force until end is called.
 func (d *discovery) impair(state discoveryState) (end func()) {
 	recovered := make(chan struct{})
 	d.mu.Lock()
@@ -113,7 +114,7 @@
 
 func (d *discovery) publish(text string) (event int) { return d.events.Append(text) }
 
-// history is all events, with their times.
+// history returns all events with the times at which they were published, one per line.
 func (d *discovery) history(startedAt time.Time) string {
 	events, _ := d.events.Events()
 	var text strings.Builder
@@ -123,7 +124,7 @@
 	return text.String()
 }
 
-func (d *discovery) known() string {
+func (d *discovery) knownEvents() string {
 	events, _ := d.events.Events()
 	return site.Page(events, 0)
 }
@@ -166,7 +167,7 @@
 	}
 }
 
-// breakPoll fails a poll in one of two ways: with an error, or with a response that breaks off.
+// breakPoll fails a poll, either with an error or with a truncated response.
 func breakPoll(w http.ResponseWriter, after int, page string) {
 	if after%2 == 0 {
 		http.Error(w, "out of order", http.StatusServiceUnavailable)
--- a/internal/testbed/soak/fault.go
+++ b/internal/testbed/soak/fault.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// FaultKind names a kind of fault. Its value is the form that a plan has.
+// FaultKind is a kind of fault. Its value is the word that stands for the kind in a plan.
 type FaultKind string
 
-// The kinds of faults. The comment says what a fault meets.
+// The kinds of faults. Each comment names the target of the fault and its effect.
 const (
-	StopRouter         FaultKind = "stop-router"      // a router: SIGTERM, and a start once it has ended
-	KillRouter         FaultKind = "kill-router"      // a router: SIGKILL, and a start
-	FreezeRouter       FaultKind = "freeze-router"    // a router: SIGSTOP, and SIGCONT at the end
-	ReloadRouters      FaultKind = "reload-routers"   // all routers: discovery moves, SIGHUP
-	ExhaustDescriptors FaultKind = "few-descriptors"  // a router: next to no descriptors are left to it
-	HangServer         FaultKind = "hang-server"      // a server: it takes requests and never responds
-	FailServer         FaultKind = "fail-server"      // a server: errors, after it ran the request or before
-	OverloadServer     FaultKind = "refuse-server"    // a server: it is overloaded
-	RestartServer      FaultKind = "restart-server"   // a server: it resets its connections and starts again, cold
-	DrainServer        FaultKind = "drain-server"     // a server: it is listed as draining, and as ready at the end
-	ReplaceServer      FaultKind = "replace-server"   // a server: it is gone, and another has its address
-	MoveServer         FaultKind = "move-server"      // a server: it is listed at another address
-	ResetConnections   FaultKind = "reset-links"      // all servers: connections are reset at some byte
-	BlockConnections   FaultKind = "silent-links"     // a server: nothing is passed on, either way
-	FragmentResponses  FaultKind = "piece-links"      // all servers: responses come in pieces, some of them twice
-	CorruptResponses   FaultKind = "spoil-links"      // all servers: some responses are corrupt, or break off
-	HoldPolls          FaultKind = "silent-discovery" // all routers: polls of discovery are held without a response
-	BreakPolls         FaultKind = "broken-discovery" // all routers: polls of discovery break off or fail
+	StopRouter         FaultKind = "stop-router"      // a router: SIGTERM, and a start once the process has ended
+	KillRouter         FaultKind = "kill-router"      // a router: SIGKILL, and an immediate start
+	FreezeRouter       FaultKind = "freeze-router"    // a router: SIGSTOP, and SIGCONT when the fault ends
+	ReloadRouters      FaultKind = "reload-routers"   // all routers: discovery changes its address; SIGHUP
+	ExhaustDescriptors FaultKind = "few-descriptors"  // a router: almost no file descriptors are left
+	HangServer         FaultKind = "hang-server"      // a server: accepts requests and never responds
+	FailServer         FaultKind = "fail-server"      // a server: returns errors, before or after executing the request
+	OverloadServer     FaultKind = "refuse-server"    // a server: rejects requests as overloaded
+	RestartServer      FaultKind = "restart-server"   // a server: resets its connections and restarts with an empty cache
+	DrainServer        FaultKind = "drain-server"     // a server: listed as draining, and as ready when the fault ends
+	ReplaceServer      FaultKind = "replace-server"   // a server: listed as gone; a new server takes its address
+	MoveServer         FaultKind = "move-server"      // a server: listed at another address
+	ResetConnections   FaultKind = "reset-links"      // all servers: connections are reset at a random byte
+	BlockConnections   FaultKind = "silent-links"     // a server: no data is forwarded in either direction
+	FragmentResponses  FaultKind = "piece-links"      // all servers: responses arrive in fragments, some of them twice
+	CorruptResponses   FaultKind = "spoil-links"      // all servers: some responses are corrupt or truncated
+	HoldPolls          FaultKind = "silent-discovery" // all routers: polls of discovery get no response
+	BreakPolls         FaultKind = "broken-discovery" // all routers: polls of discovery fail or are truncated
 	CancelBurst        FaultKind = "cancel-burst"     // all clients: half of all requests are cancelled
-	DisconnectBurst    FaultKind = "leave-burst"      // all clients: connections end with requests in flight
-	PauseReads         FaultKind = "held-clients"     // all clients: some read nothing, and send and cancel meanwhile
-	MalformedClients   FaultKind = "rude-clients"     // all routers: garbage, half requests, silent connections
+	DisconnectBurst    FaultKind = "leave-burst"      // all clients: connections are closed with requests in flight
+	PauseReads         FaultKind = "held-clients"     // all clients: some stop reading, but still send and cancel
+	MalformedClients   FaultKind = "rude-clients"     // all routers: garbage, truncated requests, silent connections
 )
 
 // Fault is one fault of a plan.
 type Fault struct {
 	At, Duration time.Duration
 	Kind         FaultKind
-	Target       int // which router or server, taken modulo how many there are
+	Target       int // index of the router or server, modulo their number
 }
 
-// String is the fault as a line of a plan.
+// String returns the fault as a line of a plan.
 func (f Fault) String() string {
 	return fmt.Sprintf("at %v for %v %s %d", f.At, f.Duration, f.Kind, f.Target)
 }
 
-// faultInjectors inject a fault of each kind, and return when it is over.
+// faultInjectors holds the function that injects each kind of fault and returns when the fault has ended.
 var faultInjectors = map[FaultKind]func(*cluster, Fault){
 	StopRouter:         (*cluster).stopRouter,
 	KillRouter:         (*cluster).killRouter,
@@ -79,12 +79,12 @@
 	MalformedClients: (*cluster).sendMalformed,
 }
 
-// inject injects one fault, and returns when it is over.
+// inject injects one fault, and returns when the fault has ended.
 func (c *cluster) inject(fault Fault) { faultInjectors[fault.Kind](c, fault) }
 
 func serverFault(state serverState) func(*cluster, Fault) {
 	return func(c *cluster, fault Fault) {
-		server := c.anyServer(fault.Target)
+		server := c.serverFor(fault.Target)
 		server.setState(state)
 		time.Sleep(fault.Duration)
 		server.setState(serverHealthy)
@@ -115,7 +115,7 @@
 	}
 }
 
-// sendMalformed has clients that break the protocol connect to all routers.
+// sendMalformed connects clients that violate the protocol to random routers.
 func (c *cluster) sendMalformed(fault Fault) {
 	for end := time.Now().Add(fault.Duration); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		c.mu.Lock()
--- a/internal/testbed/soak/fault_router.go
+++ b/internal/testbed/soak/fault_router.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// maxStartTime is how long a router may take to be ready.
+	// maxStartTime is the time within which a router must be ready.
 	maxStartTime = 10 * time.Second
-	// maxShutdownTime is how long after SIGTERM the platform would send SIGKILL, and a second for this machine.
+	// maxShutdownTime is the delay after which the platform follows SIGTERM with SIGKILL, plus a second of allowance
+	// for a busy machine.
 	maxShutdownTime = 3700*time.Millisecond + time.Second
-	// The platform sends no new connections to a router that shuts down, and soon after that nothing at all.
-	noConnectionsAfter = 300 * time.Millisecond
-	noRequestsAfter    = 200 * time.Millisecond
-	// spareDescriptors are left to a router that runs out of descriptors.
+	// The platform first stops opening connections to a router that shuts down, and soon after sends no more requests.
+	newConnectionsEndAfter = 300 * time.Millisecond
+	requestsEndAfter       = 200 * time.Millisecond
+	// spareDescriptors is the number of descriptors left to a router when they are limited.
 	spareDescriptors = 2
 )
 
 func (c *cluster) routerFor(fault Fault) *router { return c.routers[fault.Target%len(c.routers)] }
 
-// withdrawTraffic has a router's clients stop new connections, and then everything, as the platform does around a
+// stopTraffic stops new connections of the router's clients, then all their requests, as the platform does around a
 // planned shutdown.
-func (r *router) withdrawTraffic() {
-	time.Sleep(noConnectionsAfter)
+func (r *router) stopTraffic() {
+	time.Sleep(newConnectionsEndAfter)
 	r.clients.setTraffic(noNewConnections)
-	time.Sleep(noRequestsAfter)
+	time.Sleep(requestsEndAfter)
 	r.clients.setTraffic(noTraffic)
 }
 
-// restart starts a router's process anew, with all that discovery has published by now.
+// restart starts a new process of a router, configured with all events that discovery has published so far.
 func (c *cluster) restart(r *router) {
 	address := c.discovery.port(r.index).listener.Addr().String()
 	seed := c.routerSeed(r.index) + uint64(time.Now().UnixNano()%997)
 	c.fail(r.Configure(c.configuration(r, seed, address)))
-	c.record.update(func() { c.record.polledPast[r.index] = map[int]time.Time{} })
+	c.record.update(func() { c.record.firstPollAfter[r.index] = map[int]time.Time{} })
 	started := time.Now()
 	c.fail(r.Start())
 	if took := time.Since(started); took > maxStartTime {
@@ -52,10 +53,10 @@
 	r.dumpRecorder()
 	c.record.updateProcess(r.index, func(p *processHistory) { p.stopped = append(p.stopped, time.Now()) })
 	r.Signal(syscall.SIGTERM)
-	r.withdrawTraffic()
+	r.stopTraffic()
 	select {
 	case <-r.Ended():
-	case <-time.After(maxShutdownTime - noConnectionsAfter - noRequestsAfter):
+	case <-time.After(maxShutdownTime - newConnectionsEndAfter - requestsEndAfter):
 		c.fail(fmt.Errorf("%s does not end after SIGTERM", r.Name))
 		c.record.updateProcess(r.index, func(p *processHistory) { p.killed = append(p.killed, time.Now()) })
 		r.Kill()
@@ -88,7 +89,7 @@
 	c.record.updateProcess(r.index, func(p *processHistory) { p.frozen = append(p.frozen, interval{from, time.Now()}) })
 }
 
-// exhaustDescriptors leaves a router a few descriptors more than it holds, and fewer as it uses those.
+// exhaustDescriptors limits a router to a few more descriptors than the process has open.
 func (c *cluster) exhaustDescriptors(fault Fault) {
 	r := c.routerFor(fault)
 	r.control.Lock()
@@ -102,7 +103,7 @@
 	c.fail(err)
 }
 
-// reloadRouters moves discovery to other addresses for all routers at once.
+// reloadRouters moves discovery to a new address for every router, and has the routers reload their configuration.
 func (c *cluster) reloadRouters(Fault) {
 	for _, r := range c.routers {
 		old := c.discovery.port(r.index)
@@ -117,13 +118,13 @@
 	}
 }
 
-// dumpRecorder has a router write its flight recorder out, for the case that the run has failed.
+// dumpRecorder makes a router write its flight recorder to a file, which is kept if the run fails.
 func (r *router) dumpRecorder() {
 	r.Signal(syscall.SIGUSR1)
 	time.Sleep(50 * time.Millisecond)
 }
 
-// setSoftLimit bounds the descriptors of a process, and returns the bound that there was.
+// setSoftLimit sets the soft limit on the descriptors of a process, and returns the previous limit.
 func setSoftLimit(pid int, soft uint64) (before uint64, err error) {
 	var limit unix.Rlimit
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &limit); err != nil {
@@ -134,7 +135,7 @@
 	return before, unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil)
 }
 
-// openDescriptors is how many descriptors a process holds.
+// openDescriptors returns the number of descriptors that a process has open.
 func openDescriptors(pid int) int {
 	list, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(list)
--- a/internal/testbed/soak/fault_server.go
+++ b/internal/testbed/soak/fault_server.go
@@ -7,26 +7,26 @@
 	"fennelarch/internal/fake/site"
 )
 
-// oldAddressLasts is how long a server that has moved is still reached at its old address.
-const oldAddressLasts = 3 * time.Second
+// oldAddressLifetime is how long a moved server still accepts connections at its old address.
+const oldAddressLifetime = 3 * time.Second
 
 func cacheUID(i int) string { return fmt.Sprintf("s-cache-%d", i) }
 
 func parentUID(i int) string { return fmt.Sprintf("s-parent-%d", i) }
 
-// cacheFor is the cache server that a fault meets: one of those that are there.
+// cacheFor returns the cache server that a fault targets, among those that have not been replaced.
 func (c *cluster) cacheFor(target int) *server {
 	c.servers.mu.Lock()
 	defer c.servers.mu.Unlock()
-	caches := c.servers.presentCaches()
+	caches := c.servers.currentCaches()
 	return caches[target%len(caches)]
 }
 
-// anyServer is the server that a fault meets, which may be a parent or the origin too.
-func (c *cluster) anyServer(target int) *server {
+// serverFor returns the server that a fault targets: a cache server, a parent or the origin.
+func (c *cluster) serverFor(target int) *server {
 	c.servers.mu.Lock()
 	defer c.servers.mu.Unlock()
-	list := c.servers.presentCaches()
+	list := c.servers.currentCaches()
 	for i := range parents {
 		list = append(list, c.servers.byUID[parentUID(cacheServers+i)])
 	}
@@ -34,13 +34,13 @@
 	return list[target%len(list)]
 }
 
-// restartServer ends a cache server's connections, and has it start again with nothing cached.
+// restartServer resets the connections of a cache server, empties its cache and publishes a new start time.
 func (c *cluster) restartServer(fault Fault) {
 	s := c.cacheFor(fault.Target)
 	s.frames.ResetConnections()
 	s.currentProxy().reset()
 	s.dropCopies()
-	if s.isGone() {
+	if s.isReplaced() {
 		return
 	}
 	boot := time.Now()
@@ -69,12 +69,12 @@
 		c.record.departures = append(c.record.departures, departure{server: s.uid, event: event, at: at, until: until})
 	})
 	s.addDrain(-1)
-	if !s.isGone() {
+	if !s.isReplaced() {
 		c.discovery.publish(site.ChangesEvent(s.endpoint(site.StateReady)))
 	}
 }
 
-// replaceServer has a cache server vanish, and a new one, cold, take its address.
+// replaceServer removes a cache server, and starts a new one with an empty cache at the same address.
 func (c *cluster) replaceServer(fault Fault) {
 	old := c.cacheFor(fault.Target)
 	uid, ok := c.servers.replace(old)
@@ -86,7 +86,8 @@
 	proxy.stopListening()
 	proxy.reset()
 	old.frames.ResetConnections()
-	// A router that has not heard of it yet takes it for the old one: a repeat of what ran there must not run elsewhere.
+	// A router that does not know of the replacement yet takes it for the old server. The replacement is in the same
+	// cell, so that a repeat of a request that ran there is still dropped.
 	replacement, err := c.newServer(uid, site.Cache, old.cell, address)
 	if err != nil {
 		c.fail(err)
@@ -102,7 +103,7 @@
 	c.recordColdStart(replacement, event, boot)
 }
 
-// moveServer has a cache server be reached at another address; the old one goes on for what is in flight there.
+// moveServer moves a cache server to another address. The old address stays open for requests in flight.
 func (c *cluster) moveServer(fault Fault) {
 	s := c.cacheFor(fault.Target)
 	moved, err := c.newProxy(s, "127.0.0.1:0")
@@ -111,16 +112,16 @@
 		return
 	}
 	old := s.swapProxy(moved)
-	if !s.isGone() {
+	if !s.isReplaced() {
 		c.discovery.publish(site.ChangesEvent(s.endpoint(site.StateReady)))
 	}
-	time.Sleep(oldAddressLasts)
+	time.Sleep(oldAddressLifetime)
 	old.stopListening()
 }
 
-// blockConnections has nothing passed on between routers and a server.
+// blockConnections stops forwarding data between routers and a server for the duration of the fault.
 func (c *cluster) blockConnections(fault Fault) {
-	end := c.anyServer(fault.Target).currentProxy().block()
+	end := c.serverFor(fault.Target).currentProxy().block()
 	time.Sleep(fault.Duration)
 	end()
 }
--- a/internal/testbed/soak/link.go
+++ b/internal/testbed/soak/link.go
@@ -5,12 +5,12 @@
 	"sync"
 )
 
-// linkConditions is what is wrong with the connections between routers and servers at the moment.
+// linkConditions holds the faults in force on the connections between routers and servers.
 type linkConditions struct {
 	mu                 sync.Mutex
-	resetProbability   float64 // that a connection is reset after a piece
-	corruptProbability float64 // that a response is corrupt or breaks off
-	fragments          bool    // responses come in pieces, and some of them twice
+	resetProbability   float64 // that a connection is reset at a read or a response
+	corruptProbability float64 // that a response is corrupt or truncated
+	fragments          bool    // responses arrive in fragments, some of them twice
 	rng                *rand.Rand
 }
 
@@ -24,8 +24,8 @@
 	change(l)
 }
 
-// happens draws whether something of a probability happens.
-func (l *linkConditions) happens(probability float64) bool {
+// chance returns true with the given probability.
+func (l *linkConditions) chance(probability float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return probability > 0 && l.rng.Float64() < probability
@@ -43,8 +43,8 @@
 	return l.rng.IntN(n)
 }
 
-// corrupt returns what comes instead of a response: nothing at all, half of it and an end, noise, or a length that does
-// not fit.
+// corrupt returns a replacement for a response: nil to end the connection, half of the response, noise, or a frame
+// with a wrong length.
 func (l *linkConditions) corrupt(frame []byte) []byte {
 	switch l.intN(4) {
 	case 0:
--- a/internal/testbed/soak/plan.go
+++ b/internal/testbed/soak/plan.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// PlanError is a plan that cannot be used.
+// PlanError reports a plan that cannot be parsed.
 type PlanError struct{ Err error }
 
 func (e PlanError) Error() string { return e.Err.Error() }
 
-// Unwrap returns what is wrong with the plan.
+// Unwrap returns the underlying error.
 func (e PlanError) Unwrap() error { return e.Err }
 
 var (
@@ -25,7 +25,7 @@
 	errPlanTarget   = errors.New("not a number")
 )
 
-// faultSpecs are the kinds of faults, with how long one lasts at most and how likely it is drawn.
+// faultSpecs lists the kinds of faults, each with its maximum duration and its weight in the draw.
 var faultSpecs = []struct {
 	kind        FaultKind
 	maxDuration time.Duration
@@ -55,22 +55,22 @@
 	{MalformedClients, 2 * time.Second, 2},
 }
 
-// meanOverlap is how many faults are in force at any time, on average.
+// meanOverlap is the average number of faults in force at any time.
 const meanOverlap = 3
 
-// meanFaultDuration is the mean duration of a fault, with what follows it.
+// meanFaultDuration is the mean duration of a fault, including the recovery that follows.
 const meanFaultDuration = 700 * time.Millisecond
 
-// The streams of random numbers that are drawn from a seed.
+// The streams of the random number generators that share a seed.
 const (
 	planStream         = 21
 	clusterStream      = 31
 	linkStream         = 32
 	clientStream       = 33
-	systemFaultsStream = 100 // and the router's number
+	systemFaultsStream = 100 // plus the router's index
 )
 
-// NewPlan draws the faults of a run of some duration. The same seed and duration give the same plan.
+// NewPlan draws the faults of a run. The same seed and duration give the same plan.
 func NewPlan(seed uint64, duration time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, planStream))
 	totalWeight := 0
@@ -87,17 +87,17 @@
 		}
 		spec := faultSpecs[i]
 		target := rng.IntN(1000)
-		lasts := time.Duration((0.3 + 0.7*rng.Float64()) * float64(spec.maxDuration))
+		faultDuration := time.Duration((0.3 + 0.7*rng.Float64()) * float64(spec.maxDuration))
 		plan = append(plan, Fault{
-			At: at.Round(time.Millisecond), Duration: lasts.Round(time.Millisecond), Kind: spec.kind, Target: target,
+			At: at.Round(time.Millisecond), Duration: faultDuration.Round(time.Millisecond), Kind: spec.kind, Target: target,
 		})
 		at += time.Duration((0.4 + 1.2*rng.Float64()) * float64(meanFaultDuration) / meanOverlap)
 	}
 	return plan
 }
 
-// ParsePlan parses a plan, a fault a line: "at 2.5s for 1s freeze-router 3". Empty lines and those that begin with #
-// are passed over.
+// ParsePlan parses a plan of one fault per line, such as "at 2.5s for 1s freeze-router 3". Empty lines and lines that
+// begin with # are skipped.
 func ParsePlan(text string) ([]Fault, error) {
 	var plan []Fault
 	for i, line := range strings.Split(text, "\n") {
@@ -122,8 +122,8 @@
 	if err != nil || at < 0 {
 		return Fault{}, fmt.Errorf("%q: %w", words[1], errPlanDuration)
 	}
-	lasts, err := time.ParseDuration(words[3])
-	if err != nil || lasts < 0 {
+	faultDuration, err := time.ParseDuration(words[3])
+	if err != nil || faultDuration < 0 {
 		return Fault{}, fmt.Errorf("%q: %w", words[3], errPlanDuration)
 	}
 	kind := FaultKind(words[4])
@@ -134,7 +134,7 @@
 	if err != nil || target < 0 {
 		return Fault{}, fmt.Errorf("%q: %w", words[5], errPlanTarget)
 	}
-	return Fault{At: at, Duration: lasts, Kind: kind, Target: target}, nil
+	return Fault{At: at, Duration: faultDuration, Kind: kind, Target: target}, nil
 }
 
 func (k FaultKind) isKnown() bool {
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A plan is the same for a seed, and what is written of it is read as it was.
+// A seed always gives the same plan, and the written form of a plan parses to the same faults.
 func TestPlanIsReadAsItWasWritten(t *testing.T) {
 	plan := NewPlan(7, 20*time.Second)
 	var text strings.Builder
@@ -28,8 +28,8 @@
 	}
 }
 
-// Plans that were written out by earlier versions can still be played: a seed's draws and the forms of a plan are
-// fixed.
+// The faults drawn from a seed and the format of plans are fixed, so that plans written by earlier versions can still
+// be played.
 func TestPlanOfASeedStaysTheSame(t *testing.T) {
 	var lines []string
 	for _, fault := range NewPlan(1, 6*time.Second)[:4] {
@@ -69,10 +69,10 @@
 func TestEveryKindOfFaultHasAnInjector(t *testing.T) {
 	for _, spec := range faultSpecs {
 		if faultInjectors[spec.kind] == nil {
-			t.Errorf("nothing injects %s", spec.kind)
+			t.Errorf("%s has no injector", spec.kind)
 		}
 	}
 	if len(faultInjectors) != len(faultSpecs) {
-		t.Errorf("%d injectors for %d kinds", len(faultInjectors), len(faultSpecs))
+		t.Errorf("%d injectors for %d kinds of faults", len(faultInjectors), len(faultSpecs))
 	}
 }
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -17,9 +17,9 @@
 	proxyQueueLength    = 1024
 )
 
-// proxy is a TCP proxy before one server. It records each request at the moment at which it arrives from a router, and
-// then passes it on as well as the faults in force let it. It always reads what a router writes, so that the record of
-// when an attempt began does not depend on the faults.
+// proxy is a TCP proxy before one server. It records each request when it arrives from a router, and then forwards the
+// request as far as the faults in force allow. It keeps reading from routers during faults, so that the recorded times
+// of attempts do not depend on the faults.
 type proxy struct {
 	uid       string
 	record    *Record
@@ -30,7 +30,7 @@
 	running   *sync.WaitGroup // the goroutines of all proxies
 
 	mu          sync.Mutex
-	unblocked   chan struct{} // closed when the proxy passes on again; nil: it does
+	unblocked   chan struct{} // closed when the proxy forwards data again; nil: it is not blocked
 	connections map[net.Conn]bool
 }
 
@@ -41,9 +41,9 @@
 	}
 	p := &proxy{
 		uid: s.uid, record: c.record, link: c.link, onRequest: func(id string) { c.servers.recordRequest(s, id) },
-		listener: listener, upstream: s.frames.Address(), running: &c.proxying, connections: map[net.Conn]bool{},
+		listener: listener, upstream: s.frames.Address(), running: &c.proxyGoroutines, connections: map[net.Conn]bool{},
 	}
-	c.proxying.Go(p.accept)
+	c.proxyGoroutines.Go(p.accept)
 	return p, nil
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// block has nothing passed on until it is ended.
+// block stops the forwarding of data until end is called.
 func (p *proxy) block() (end func()) {
 	unblocked := make(chan struct{})
 	p.mu.Lock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// serve carries one connection of a router.
+// serve forwards one connection of a router.
 func (p *proxy) serve(downstream net.Conn) {
 	p.mu.Lock()
 	p.connections[downstream] = true
@@ -113,13 +113,13 @@
 	}
 	defer func() { _ = upstream.Close() }()
 	requests := make(chan []byte, proxyQueueLength)
-	p.running.Go(func() { p.passRequests(upstream, downstream, requests) })
-	p.running.Go(func() { p.passResponses(upstream, downstream) })
+	p.running.Go(func() { p.forwardRequests(upstream, downstream, requests) })
+	p.running.Go(func() { p.forwardResponses(upstream, downstream) })
 	p.readRequests(downstream, requests)
 	close(requests)
 }
 
-func (p *proxy) passRequests(upstream, downstream net.Conn, requests <-chan []byte) {
+func (p *proxy) forwardRequests(upstream, downstream net.Conn, requests <-chan []byte) {
 	defer func() { _ = upstream.Close() }()
 	for request := range requests {
 		p.waitUntilUnblocked()
@@ -129,7 +129,7 @@
 	}
 }
 
-// readRequests reads what a router writes, and records each request with the moments of its first and its last byte.
+// readRequests reads from a router, and records each request with the times of its first and last byte.
 func (p *proxy) readRequests(downstream net.Conn, requests chan<- []byte) {
 	var pending []byte
 	var firstByteAt time.Time
@@ -144,7 +144,7 @@
 			pending = append(pending, buffer[:n]...)
 			pending, firstByteAt = p.recordAttempts(pending, firstByteAt, now)
 			requests <- append([]byte(nil), buffer[:n]...)
-			if resetProbability, _, _ := p.link.current(); p.link.happens(resetProbability) {
+			if resetProbability, _, _ := p.link.current(); p.link.chance(resetProbability) {
 				site.ResetConnection(downstream)
 				return
 			}
@@ -155,7 +155,7 @@
 	}
 }
 
-// recordAttempts records the complete requests at the beginning of what has been read, and returns the rest.
+// recordAttempts records the complete requests at the beginning of pending, and returns the remaining bytes.
 func (p *proxy) recordAttempts(pending []byte, firstByteAt, now time.Time) (rest []byte, restFirstByteAt time.Time) {
 	for len(pending) > 0 {
 		isComplete, args, _, rest, err := redcon.ReadNextCommand(pending, nil)
@@ -185,8 +185,8 @@
 	p.onRequest(attempt.RequestID)
 }
 
-// passResponses passes on what the server responds, frame by frame unless a fault says otherwise.
-func (p *proxy) passResponses(upstream, downstream net.Conn) {
+// forwardResponses forwards the server's responses to a router, frame by frame unless a fault fragments them.
+func (p *proxy) forwardResponses(upstream, downstream net.Conn) {
 	defer func() { _ = downstream.Close() }()
 	reader := redcon.NewReader(upstream)
 	for {
@@ -195,21 +195,21 @@
 			return
 		}
 		p.waitUntilUnblocked()
-		if !p.passResponse(downstream, append([]byte(nil), command.Raw...)) {
+		if !p.forwardResponse(downstream, append([]byte(nil), command.Raw...)) {
 			return
 		}
 	}
 }
 
-// passResponse passes on one response; it returns false where the connection is over.
-func (p *proxy) passResponse(downstream net.Conn, frame []byte) bool {
+// forwardResponse forwards one response. It returns false if the connection has ended.
+func (p *proxy) forwardResponse(downstream net.Conn, frame []byte) bool {
 	resetProbability, corruptProbability, fragments := p.link.current()
-	if p.link.happens(corruptProbability) {
+	if p.link.chance(corruptProbability) {
 		if frame = p.link.corrupt(frame); frame == nil {
 			return false
 		}
 	}
-	if p.link.happens(resetProbability) {
+	if p.link.chance(resetProbability) {
 		_, _ = downstream.Write(frame[:p.link.intN(len(frame))])
 		site.ResetConnection(downstream)
 		return false
@@ -218,18 +218,18 @@
 		_, err := downstream.Write(frame)
 		return err == nil
 	}
-	if !p.passInPieces(downstream, frame) {
+	if !p.forwardFragmented(downstream, frame) {
 		return false
 	}
-	if p.link.happens(0.2) {
+	if p.link.chance(0.2) {
 		time.Sleep(time.Duration(p.link.intN(5)) * time.Millisecond)
-		return p.passInPieces(downstream, frame)
+		return p.forwardFragmented(downstream, frame)
 	}
 	return true
 }
 
-// passInPieces writes a frame in some pieces.
-func (p *proxy) passInPieces(downstream net.Conn, frame []byte) bool {
+// forwardFragmented writes a frame in up to five fragments. It returns false if the connection has ended.
+func (p *proxy) forwardFragmented(downstream net.Conn, frame []byte) bool {
 	const cuts = 4
 	for cutsLeft := cuts; len(frame) > 0; cutsLeft-- {
 		n := len(frame)
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -12,63 +12,63 @@
 // The ways in which a connection ends.
 const (
 	NotEnded ConnectionEnd = iota
-	EndedOrderly
+	EndedByClose
 	EndedByReset
 )
 
-// Request is one request, as its client saw it. All times are of this process's monotonic clock; a zero time says that
-// the moment never came.
+// Request is one request, as its client saw it. All times come from this process's monotonic clock; a zero time means
+// that the event did not happen.
 type Request struct {
 	ID            string
 	Router        int
 	Class         *Class
 	Object        uint64
-	CachedVersion string // of the copy that the client has, if it has one
+	CachedVersion string // of the copy that the client has, if any
 
 	WriteStartedAt time.Time // before its first byte was written
-	SentAt         time.Time // after its last byte was
+	SentAt         time.Time // after its last byte was written
 	Timeout        time.Duration
 
 	CancelledAt    time.Time
-	DisconnectedAt time.Time // when the client began to close its connection
+	DisconnectedAt time.Time // when the client began to close the connection
 
 	Answers       int
-	AnsweredAt    time.Time // the first of them
+	AnsweredAt    time.Time // when the first answer arrived
 	Status        string
-	IsNotModified bool // the client's copy is said to be current
+	IsNotModified bool // the answer says that the client's copy is current
 	Body          string
 
-	EndedAt             time.Time // when the connection ended under it
-	ConnectionEnd       ConnectionEnd
-	IsAloneAndUnread    bool // nothing else was in flight, and nothing came on the connection since it was sent
-	WasRejectedUnread   bool // its connection was rejected before anything was read of it
-	ReadsPausedMeantime bool // its client read nothing for a while meanwhile
+	EndedAt               time.Time // when the connection ended before an answer
+	ConnectionEnd         ConnectionEnd
+	MayHaveCrossedClose   bool // the only request in flight, with nothing received since it was sent
+	WasConnectionRejected bool // the router rejected the connection before answering
+	ReadsPaused           bool // the client paused reading while the request was in flight
 }
 
-// Deadline is when its client stops waiting.
+// Deadline returns the time at which the client stops waiting.
 func (r *Request) Deadline() time.Time { return r.SentAt.Add(r.Timeout) }
 
-// isInFlight says that the request has no answer and has not been cancelled.
+// isInFlight reports whether the request has no answer and has not been cancelled.
 func (r *Request) isInFlight() bool { return r.Answers == 0 && r.CancelledAt.IsZero() }
 
 // Attempt is one attempt that a router wrote to a server.
 type Attempt struct {
 	RequestID   string
 	Server      string
-	Source      string // it names for a fill
+	Source      string // that the attempt names for a fill, if any
 	FirstByteAt time.Time
 	LastByteAt  time.Time
-	Timeout     time.Duration // that the attempt has
+	Timeout     time.Duration // that the attempt states
 }
 
-// interval is a span of time; a zero end says that it goes on.
+// interval is a span of time; a zero until means that it has not ended.
 type interval struct{ from, until time.Time }
 
 func (i interval) overlaps(from, until time.Time) bool {
 	return !i.from.After(until) && (i.until.IsZero() || i.until.After(from))
 }
 
-// processHistory is what happened to one router's processes.
+// processHistory records the faults in one router's processes.
 type processHistory struct {
 	stopped []time.Time // SIGTERM
 	killed  []time.Time
@@ -79,9 +79,9 @@
 // departure is a server that was listed as draining or gone.
 type departure struct {
 	server string
-	event  int // its number
+	event  int // number of the event
 	at     time.Time
-	until  time.Time // when it is ready again; zero: never
+	until  time.Time // when the server was listed as ready again; zero: never
 }
 
 // objectPurge is a purge of one object.
@@ -92,7 +92,7 @@
 	issuedAt time.Time
 }
 
-// coldStart is a start of a server with nothing cached.
+// coldStart is a start of a server with an empty cache.
 type coldStart struct {
 	server         string
 	event          int
@@ -101,40 +101,40 @@
 	capacityWeight float64
 }
 
-// receivedRequest is a request that reached a cold server, by itself or as a fill for another.
+// receivedRequest is a request that reached a cold server, from a router or as a fill for another server.
 type receivedRequest struct {
 	id string
 	at time.Time
 }
 
-// Record is all that is known of a run: every request as its client saw it, every attempt as it left a router, and what
-// else must be known to check them.
+// Record holds everything that is known about a run: each request as its client saw it, each attempt as it left a
+// router, and the events that are needed to check them.
 type Record struct {
-	mu         sync.Mutex
-	startedAt  time.Time // from which the plan's times count
-	requests   map[string]*Request
-	attempts   []Attempt
-	executions map[string]int // by request: how often it had its effect
-	processes  []processHistory
-	departures []departure
-	polledPast []map[int]time.Time // by router and event: when it first polled for what comes after
-	purges     []objectPurge
-	coldStarts []coldStart
-	delays     []interval // in which this process itself was not scheduled
+	mu             sync.Mutex
+	startedAt      time.Time // the times of the plan are relative to this
+	requests       map[string]*Request
+	attempts       []Attempt
+	executions     map[string]int // by request: how often a server executed it
+	processes      []processHistory
+	departures     []departure
+	firstPollAfter []map[int]time.Time // by router and event: the first poll for later events
+	purges         []objectPurge
+	coldStarts     []coldStart
+	delays         []interval // during which this process was not scheduled
 }
 
 func newRecord(routers int) *Record {
 	r := &Record{
 		startedAt: time.Now(), requests: map[string]*Request{}, executions: map[string]int{},
-		processes: make([]processHistory, routers), polledPast: make([]map[int]time.Time, routers),
+		processes: make([]processHistory, routers), firstPollAfter: make([]map[int]time.Time, routers),
 	}
-	for i := range r.polledPast {
-		r.polledPast[i] = map[int]time.Time{}
+	for i := range r.firstPollAfter {
+		r.firstPollAfter[i] = map[int]time.Time{}
 	}
 	return r
 }
 
-// update runs a change of the record under its mutex.
+// update runs change with the record's mutex held.
 func (r *Record) update(change func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,17 +147,17 @@
 	change(&r.processes[router])
 }
 
-// recordPoll records that a router polls for what comes after an event.
+// recordPoll records that a router polls for the events after a given one, which the router has thus received.
 func (r *Record) recordPoll(router, event int) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if polled := r.polledPast[router]; event > 0 && polled[event].IsZero() {
+	if polled := r.firstPollAfter[router]; event > 0 && polled[event].IsZero() {
 		polled[event] = now
 	}
 }
 
-// watchDelays records when this process itself is late, until done.
+// watchDelays records the intervals in which this process is not scheduled, until done is closed.
 func (r *Record) watchDelays(done <-chan struct{}) {
 	const every = 5 * time.Millisecond
 	for last := time.Now(); ; {
@@ -174,7 +174,7 @@
 	}
 }
 
-// longestDelay is the longest time for which this process was not scheduled.
+// longestDelay returns the longest time for which this process was not scheduled.
 func (r *Record) longestDelay() (longest time.Duration) {
 	for _, delay := range r.delays {
 		longest = max(longest, delay.until.Sub(delay.from))
@@ -182,7 +182,7 @@
 	return longest
 }
 
-// delayAround is how late this process may have been about a moment; the delays are in order.
+// delayAround returns the longest delay of this process around a given time. The delays must be sorted.
 func (r *Record) delayAround(at time.Time) (longest time.Duration) {
 	const around = 50 * time.Millisecond
 	endsBefore := func(delay interval, t time.Time) int { return delay.until.Compare(t) }
@@ -193,11 +193,11 @@
 	return longest
 }
 
-// eventKnownAt is when a router counts as knowing an event: when it polled for what comes after it, and at the latest
-// some seconds after it was published.
+// eventKnownAt returns the time from which a router counts as knowing an event: its first poll for later events, or
+// maxEventDelay after the event was published if that is earlier.
 func (r *Record) eventKnownAt(router, event int, publishedAt time.Time) time.Time {
 	knownAt := publishedAt.Add(maxEventDelay)
-	for number, polledAt := range r.polledPast[router] {
+	for number, polledAt := range r.firstPollAfter[router] {
 		if number >= event && polledAt.After(publishedAt) && polledAt.Before(knownAt) {
 			knownAt = polledAt
 		}
@@ -205,7 +205,7 @@
 	return knownAt
 }
 
-// sinceStart is a moment as the time since the run began, 0 where it never came.
+// sinceStart returns the time from the start of the run, or 0 for a zero time.
 func (r *Record) sinceStart(at time.Time) time.Duration {
 	if at.IsZero() {
 		return 0
--- a/internal/testbed/soak/report.go
+++ b/internal/testbed/soak/report.go
@@ -11,10 +11,10 @@
 	"fennelarch/internal/testbed"
 )
 
-// maxBreachesPrinted bounds what is printed of a run that failed; the report holds all.
+// maxBreachesPrinted is the maximum number of breaches printed for a failed run; the report holds all of them.
 const maxBreachesPrinted = 10
 
-// Report is the outcome of a run, as it is written down.
+// Report is the outcome of a run, as written to report.json.
 type Report struct {
 	Seed         uint64            `json:"seed"`
 	Plan         []string          `json:"plan"`
@@ -23,17 +23,17 @@
 	Answered     map[string]int    `json:"answered"` // by status
 	Excused      map[string]int    `json:"excused"`
 	Breaches     []Breach          `json:"breaches"`
-	Violations   map[string]int    `json:"invariant_violations"` // that the routers themselves counted
+	Violations   map[string]int    `json:"invariant_violations"` // that the routers counted, by kind
 	Errors       []string          `json:"errors"`
 	LongestDelay time.Duration     `json:"longest_delay"` // of the testbed's own process
 }
 
-// hasPassed says that neither the checker nor the routers' own invariants found anything.
+// hasPassed reports whether there are no breaches, violations of invariants or errors.
 func (r *Report) hasPassed() bool { return len(r.Breaches)+len(r.Violations)+len(r.Errors) == 0 }
 
-// conclude checks the run, and asserts what must hold. It brings two findings together: the checker's from outside, and
-// what the routers' own invariants counted. Both must be empty.
-func (c *cluster) conclude(result *testbed.Result, plan []Fault) {
+// reportOutcome checks the run, adds assertions and figures to the result and writes the report. Neither the checker
+// nor the routers' own invariants may have found anything.
+func (c *cluster) reportOutcome(result *testbed.Result, plan []Fault) {
 	report := c.newReport(plan)
 	c.printSummary(report)
 	served := report.Answered[testbed.StatusOK]
@@ -99,7 +99,7 @@
 	return kinds
 }
 
-// printSummary prints the run in one line.
+// printSummary prints a summary of the run in one line.
 func (c *cluster) printSummary(report *Report) {
 	outcome := "passed"
 	if !report.hasPassed() {
@@ -111,7 +111,7 @@
 		countKinds(report.Breaches), report.Violations, len(report.Errors), report.LongestDelay.Round(time.Millisecond))
 }
 
-// writeReport writes the report and the plan; of a run that failed, the routers' logs and flight recorders too.
+// writeReport writes the report and the plan; for a failed run, also the routers' logs and flight recorders.
 func (c *cluster) writeReport(report *Report, hasPassed bool) {
 	defer func() { _ = os.RemoveAll(c.folder) }()
 	if c.options.Out == "" {
@@ -126,12 +126,13 @@
 	c.writeFile(filepath.Join(out, "report.json"), text)
 	c.writeFile(filepath.Join(out, "plan.txt"), []byte(strings.Join(report.Plan, "\n")+"\n"))
 	if !hasPassed {
-		c.writeEvidence(report, out)
+		c.writeDiagnostics(report, out)
 	}
 }
 
-// writeEvidence writes what a run that failed is looked into with.
-func (c *cluster) writeEvidence(report *Report, out string) {
+// writeDiagnostics writes the logs, discovery events and flight recorders of a failed run, and prints its first
+// breaches.
+func (c *cluster) writeDiagnostics(report *Report, out string) {
 	for _, r := range c.routers {
 		c.writeFile(filepath.Join(out, r.Name+".log"), []byte(r.Log()))
 	}
--- a/internal/testbed/soak/router.go
+++ b/internal/testbed/soak/router.go
@@ -12,17 +12,17 @@
 	"fennelarch/internal/testbed"
 )
 
-// router is one router with its clients.
+// router is a router process with its clients.
 type router struct {
 	*testbed.Router
 	index    int
 	clients  *clientGroup
-	control  sync.Mutex // one thing is done to its process at a time
+	control  sync.Mutex // serializes faults in the process
 	settings testbed.Settings
 }
 
-// FaultyProgram finds the router that is built with injected faults, beside this program or where FENNELARCH_FAULTY
-// says.
+// FaultyProgram returns the path of the router built with fault injection: FENNELARCH_FAULTY if set, otherwise a file
+// in the folder of this program.
 func FaultyProgram() (string, error) {
 	path := os.Getenv("FENNELARCH_FAULTY")
 	if path == "" {
@@ -48,7 +48,7 @@
 	settings.Grace, settings.TransferKBPerSecond = drainGrace, transferKBPerSecond
 	settings.SlowStart, settings.ColdCapacityShare = coldDuration, coldCapacityShare
 	settings.Sockets, settings.MemoryMB = 512, 96
-	settings.Override = changeSettings
+	settings.Override = overrideSettings
 	r := &router{index: index, settings: settings}
 	r.Router, err = testbed.NewRouter(testbed.RouterOptions{
 		Program: program, Folder: c.folder, Name: routerName(index),
@@ -64,15 +64,15 @@
 	return r, nil
 }
 
-// configuration is what a router's configuration file says at the moment.
+// configuration returns the current configuration of a router.
 func (c *cluster) configuration(r *router, seed uint64, discoveryAddress string) testbed.Configuration {
 	return testbed.Configuration{
-		Seed: seed, Settings: r.settings, DiscoveryAddress: discoveryAddress, KnownEvents: c.discovery.known(),
+		Seed: seed, Settings: r.settings, DiscoveryAddress: discoveryAddress, KnownEvents: c.discovery.knownEvents(),
 	}
 }
 
-// changeSettings has the deployment's settings describe the soak's classes.
-func changeSettings(settings map[string]any) {
+// overrideSettings replaces the classes in the deployment's settings with those of the soak.
+func overrideSettings(settings map[string]any) {
 	var list []map[string]any
 	var writes []bool
 	var maxAgesMS []float64
@@ -91,7 +91,8 @@
 	specifics["gone_everywhere_ms"] = purgeCompletesAfter.Milliseconds()
 }
 
-// systemFaults is the plan, as the router reads it, of the system calls and clocks that fail in one router's process.
+// systemFaults returns the plan of the failing system calls and clock steps in one router's process, as the router
+// reads it from FENNELARCH_FAULTS.
 func (c *cluster) systemFaults(router int) string {
 	rng := rand.New(rand.NewPCG(c.options.Seed, systemFaultsStream+uint64(router)))
 	words := []string{fmt.Sprintf("seed=%d", c.routerSeed(router))}
@@ -114,13 +115,13 @@
 		words = append(words, fmt.Sprintf("listen=%d", 1+rng.IntN(5)))
 	}
 	if rng.Float64() < 0.7 {
-		words = append(words, clockSteps(rng))
+		words = append(words, drawClockSteps(rng))
 	}
 	return strings.Join(words, " ")
 }
 
-// clockSteps draws two steps of a router's clock.
-func clockSteps(rng *rand.Rand) string {
+// drawClockSteps returns two random steps of a router's clock.
+func drawClockSteps(rng *rand.Rand) string {
 	sizes := []string{"1h", "-1h", "3s", "-3s", "40s", "-40s"}
 	firstAt := time.Duration(500+rng.IntN(5000)) * time.Millisecond
 	first := sizes[rng.IntN(len(sizes))]
--- a/internal/testbed/soak/server.go
+++ b/internal/testbed/soak/server.go
@@ -10,7 +10,7 @@
 	"fennelarch/internal/fake/site"
 )
 
-// serverState is what is wrong with a server.
+// serverState is the fault in force at a server, if any.
 type serverState uint8
 
 const (
@@ -20,7 +20,7 @@
 	serverOverloaded
 )
 
-// server is a fake cache server, parent or origin. It holds copies, has effects, and fails as its state says.
+// server is a fake cache server, parent or origin. It holds copies, executes requests, and fails as its state says.
 type server struct {
 	set    *serverSet
 	uid    string
@@ -29,22 +29,23 @@
 	weight float64
 	frames *site.FrameServer
 
-	proxy  *proxy // what routers reach; guarded by the set's mutex
-	isLost bool   // it has been replaced; guarded by the set's mutex
+	proxy    *proxy // the routers connect to this proxy; guarded by set.mu
+	replaced bool   // guarded by set.mu
 
-	mu     sync.Mutex
-	state  serverState
-	copies map[uint64]site.Copy
-	rng    *rand.Rand
-	drains int // the faults that have it drain
+	mu         sync.Mutex
+	state      serverState
+	copies     map[uint64]site.Copy
+	rng        *rand.Rand
+	drainCount int // number of drain-server faults in force
 }
 
-// endpoint is the server's entry in the endpoint list: it drains as long as any fault has it drain.
+// endpoint returns the server's entry in the endpoint list. A ready server is listed as draining while a drain-server
+// fault is in force.
 func (s *server) endpoint(state string) site.Endpoint {
 	address := s.currentProxy().address()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state == site.StateReady && s.drains > 0 {
+	if state == site.StateReady && s.drainCount > 0 {
 		state = site.StateDraining
 	}
 	return site.Endpoint{
@@ -58,7 +59,7 @@
 	return s.proxy
 }
 
-// swapProxy has routers reach the server by another proxy, and returns the old one.
+// swapProxy puts another proxy before the server, and returns the old proxy.
 func (s *server) swapProxy(replacement *proxy) (old *proxy) {
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
@@ -66,10 +67,10 @@
 	return old
 }
 
-func (s *server) isGone() bool {
+func (s *server) isReplaced() bool {
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
-	return s.isLost
+	return s.replaced
 }
 
 func (s *server) setState(state serverState) {
@@ -87,7 +88,7 @@
 func (s *server) addDrain(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drains += n
+	s.drainCount += n
 }
 
 func (s *server) dropCopies() {
@@ -96,7 +97,7 @@
 	s.copies = map[uint64]site.Copy{}
 }
 
-// handle answers one request of a router.
+// handle returns the response to one request of a router, or nil for no response.
 func (s *server) handle(words []string) []byte {
 	s.mu.Lock()
 	state, draw := s.state, s.rng.Float64()
@@ -127,7 +128,7 @@
 	return s.fetch(&request, class, state, deadline)
 }
 
-// execute has an effect, unless the request is a repeat that this server's cell drops.
+// execute records an execution of a request, unless the request is a repeat that this server's cell drops.
 func (s *server) execute(id string, class *Class, state serverState, deadline time.Time) []byte {
 	if class.IsWrite && s.kind != site.Origin {
 		return site.FillErrorResponse(id, site.StatusNotCached, site.ErrNotCached)
@@ -143,7 +144,7 @@
 	return site.Frame(id, site.StatusOK, note, executedBody(id))
 }
 
-// executedBody is the body of a response to a request that ran.
+// executedBody returns the body of the response to an executed request.
 func executedBody(id string) string { return "done " + id }
 
 func (s *server) sleep(deadline time.Time) {
@@ -153,7 +154,7 @@
 	time.Sleep(min(duration, max(0, time.Until(deadline))))
 }
 
-// fetch responds with a copy that is fresh enough, which it fills if it has to.
+// fetch returns the response with a copy that is fresh enough, filling the copy if necessary.
 func (s *server) fetch(request *site.FetchRequest, class *Class, state serverState, deadline time.Time) []byte {
 	if request.MaxAge <= 0 {
 		request.MaxAge = class.MaxAge
@@ -173,7 +174,7 @@
 	return site.CopyResponse(request, found, source, waited)
 }
 
-// find returns the copy that the server holds, or fills it from the source that is named.
+// find returns the copy that the server holds, or fills it from the source that the request names.
 func (s *server) find(request *site.FetchRequest) (site.Copy, site.CopySource, error) {
 	object := request.Object.ID
 	if s.kind == site.Origin {
@@ -193,7 +194,7 @@
 	return s.fill(source, *request)
 }
 
-// fill fetches a copy from another server. What a parent had to fetch from the origin first is not kept here.
+// fill fetches a copy from another server. A copy that the parent had to fetch from the origin first is not kept.
 func (s *server) fill(source *server, request site.FetchRequest) (site.Copy, site.CopySource, error) {
 	s.set.recordRequest(source, request.ID) // a fill counts as a request at its source
 	if source.currentState() != serverHealthy {
@@ -216,7 +217,7 @@
 	return filled, site.FromParent, nil
 }
 
-// newCopy is a copy as the origin gives it out now.
+// newCopy returns a copy that the origin creates now.
 func newCopy(object uint64) site.Copy {
 	createdAt := time.Now().Truncate(time.Millisecond)
 	body := site.Body(site.Object{ID: object}, createdAt, int(sizeKB(object)*bytesPerKB))
--- a/internal/testbed/soak/server_set.go
+++ b/internal/testbed/soak/server_set.go
@@ -7,24 +7,25 @@
 	"fennelarch/internal/fake/site"
 )
 
-// What the deployment's settings say of purges and drains.
+// The deployment's settings for purges and drains.
 const (
-	// purgeCompletesAfter is how long caches may still hold what was purged.
+	// purgeCompletesAfter is how long caches may still hold a purged copy.
 	purgeCompletesAfter = 4 * time.Second
-	// purgeGrace and drainGrace are how long routers may still use a purged copy, or a server that leaves.
+	// purgeGrace is how long routers may still use a purged copy, drainGrace how long they may still use a server that
+	// is draining or gone.
 	purgeGrace = time.Second
 	drainGrace = time.Second
 )
 
-// serverSet is all servers of the deployment.
+// serverSet holds all servers of the deployment.
 type serverSet struct {
 	record *Record
 	origin *server
 
 	mu           sync.Mutex
 	byUID        map[string]*server
-	executedAt   map[string]map[int]time.Time // of a keyed request: when it ran in each cell
-	replacements int                          // servers that were started in the place of others
+	executedAt   map[string]map[int]time.Time // by keyed request and cell: when the request was executed
+	replacements int                          // number of servers that replaced others
 }
 
 func newServerSet(record *Record) *serverSet {
@@ -52,31 +53,31 @@
 	return s.replacements
 }
 
-// presentCaches are the cache servers that have not been replaced; the caller holds the mutex.
-func (s *serverSet) presentCaches() (caches []*server) {
+// currentCaches returns the cache servers that have not been replaced. The caller must hold s.mu.
+func (s *serverSet) currentCaches() (caches []*server) {
 	for i := range s.replacements + cacheServers {
-		if server := s.byUID[cacheUID(i)]; server != nil && !server.isLost {
+		if server := s.byUID[cacheUID(i)]; server != nil && !server.replaced {
 			caches = append(caches, server)
 		}
 	}
 	return caches
 }
 
-// replace marks a server as lost, and returns the name of the one that takes its place; it fails if that was done
-// before.
+// replace marks a server as replaced, and returns the UID for its replacement. It returns false if the server has been
+// replaced already.
 func (s *serverSet) replace(old *server) (uid string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old.isLost {
+	if old.replaced {
 		return "", false
 	}
-	old.isLost = true
+	old.replaced = true
 	uid = cacheUID(cacheServers + s.replacements)
 	s.replacements++
 	return uid, true
 }
 
-// close ends all servers and their proxies.
+// close stops all servers and their proxies.
 func (s *serverSet) close() {
 	s.mu.Lock()
 	var servers []*server
@@ -90,7 +91,8 @@
 	}
 }
 
-// isRepeat says whether a cell has run a keyed request before, and notes that it runs now.
+// isRepeat reports whether a server's cell has executed a keyed request within the idempotency window. If not, isRepeat
+// records that the cell executes the request now.
 func (s *serverSet) isRepeat(at *server, id string, class *Class) bool {
 	if class.Idempotency != IdempotentWithKey {
 		return false
@@ -110,7 +112,7 @@
 	return false
 }
 
-// isPurged says whether caches have dropped a copy by now, because it is from before a purge.
+// isPurged reports whether caches have dropped a copy by now because the copy is older than a purge.
 func (s *serverSet) isPurged(object uint64, createdAt time.Time) bool {
 	isPurged := false
 	s.record.update(func() {
@@ -122,7 +124,7 @@
 	return isPurged
 }
 
-// recordRequest counts a request at a server that started a while ago, cold.
+// recordRequest records a request at a server in every cold start of that server.
 func (s *serverSet) recordRequest(at *server, id string) {
 	now := time.Now()
 	s.record.update(func() {
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -6,7 +6,7 @@
 	"fennelarch/internal/testbed"
 )
 
-// Sizes of a run at scale 1, and the least that they are scaled down to.
+// The size of a run at scale 1, and the minimum to which a smaller scale reduces it.
 const (
 	routersAtFullScale  = 24
 	minRouters          = 4
@@ -19,7 +19,7 @@
 	Shows: "dozens of routers under overlapping faults and failing system calls break no rule",
 })
 
-// run plays one seed.
+// run is the experiment: it plays the plan of one seed, or the plan that the options hold.
 func run(options testbed.Options, result *testbed.Result) error {
 	program, err := FaultyProgram()
 	if err != nil {
@@ -42,6 +42,6 @@
 	}
 	c.play(plan, duration)
 	c.shutDown()
-	c.conclude(result, plan)
+	c.reportOutcome(result, plan)
 	return nil
 }
