--- a/test/conventions/conventions_test.go
+++ b/test/conventions/conventions_test.go
@@ -1,5 +1,5 @@
-// Package conventions_test checks what the project has agreed on and no linter knows: the words that were withdrawn,
-// and that pages name files and tests that exist.
+// Package conventions_test checks conventions of the project that no linter covers: code uses no withdrawn words, and
+// pages name only files and tests that exist.
 package conventions_test
 
 import (
@@ -17,8 +17,8 @@
 // root is the root of the module.
 const root = "../.."
 
-// readWithdrawn reads the words of an earlier vocabulary; docs/glossary.md has the terms to use.
-func readWithdrawn(t *testing.T) *regexp.Regexp {
+// withdrawnPattern returns a pattern that matches the withdrawn words; docs/glossary.md has the terms to use instead.
+func withdrawnPattern(t *testing.T) *regexp.Regexp {
 	t.Helper()
 	text, err := os.ReadFile("testdata/withdrawn.txt")
 	if err != nil {
@@ -27,9 +27,9 @@
 	return regexp.MustCompile(`\b(` + strings.Join(strings.Fields(string(text)), "|") + `)\b`)
 }
 
-// words returns the withdrawn words among the identifiers and comments of a Go file; strings hold wire forms and
-// configuration keys, which stay.
-func words(withdrawn *regexp.Regexp, source []byte) (found []string) {
+// findWithdrawn returns the withdrawn words in the identifiers and comments of a Go file, with their positions. It
+// skips strings, which hold texts of protocols and configuration keys that must not change.
+func findWithdrawn(withdrawn *regexp.Regexp, source []byte) (found []string) {
 	var lexer scanner.Scanner
 	files := token.NewFileSet()
 	lexer.Init(files.AddFile("", files.Base(), len(source)), source, nil, scanner.ScanComments)
@@ -47,14 +47,14 @@
 	}
 }
 
-// isAdapter tells the files that speak a protocol of the platform and keep its words.
+// isAdapter reports whether a file implements a format of the platform, and may use the platform's words.
 func isAdapter(path string) bool {
 	return strings.Contains(path, "simwire") || strings.HasPrefix(filepath.Base(path), "wireformat")
 }
 
 func TestNoWithdrawnWords(t *testing.T) {
-	withdrawn := readWithdrawn(t)
-	looked := 0
+	withdrawn := withdrawnPattern(t)
+	checked := 0
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || isAdapter(path) {
 			return err
@@ -63,8 +63,8 @@
 		if err != nil {
 			return err
 		}
-		looked++
-		for _, word := range words(withdrawn, source) {
+		checked++
+		for _, word := range findWithdrawn(withdrawn, source) {
 			t.Errorf("%s:%s is a withdrawn word, see docs/glossary.md", path, word)
 		}
 		return nil
@@ -72,8 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if looked < 100 {
-		t.Errorf("only %d files were looked at", looked)
+	if checked < 100 {
+		t.Errorf("only %d files were checked", checked)
 	}
 }
 
@@ -82,23 +82,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := words(readWithdrawn(t), source)
+	found := findWithdrawn(withdrawnPattern(t), source)
 	want := []string{"3:1", "3:1", "4:6"} // not the string in line 4
 	for i := range found {
 		found[i], _, _ = strings.Cut(found[i], ": ")
 	}
 	if !slices.Equal(found, want) {
-		t.Errorf("found words at %q, not at %q", found, want)
+		t.Errorf("found withdrawn words at %q, want %q", found, want)
 	}
 }
 
-// named are the files and folders of the project that a page names.
-var named = regexp.MustCompile("`((?:cmd|internal|policy|docs|deploy|test|\\.ci)/[A-Za-z0-9_./-]*[A-Za-z0-9_])`")
+// namedFile matches a file or folder of the project that a page names.
+var namedFile = regexp.MustCompile("`((?:cmd|internal|policy|docs|deploy|test|\\.ci)/[A-Za-z0-9_./-]*[A-Za-z0-9_])`")
 
-// namedTests are the tests and examples that a page names, as a whole or with the subtest after a slash.
-var namedTests = regexp.MustCompile("`((?:Test|Example|Fuzz)[A-Z_][A-Za-z0-9_]*)(?:/[^`]*)?`")
+// namedTest matches a test, example or fuzz test that a page names, with or without a subtest after a slash.
+var namedTest = regexp.MustCompile("`((?:Test|Example|Fuzz)[A-Z_][A-Za-z0-9_]*)(?:/[^`]*)?`")
 
-// pages are the pages of the project, without those that tell of the past (incidents, results, changes).
+// pages returns the paths of the project's pages, without those about the past (incidents, results, changes).
 func pages(t *testing.T) []string {
 	t.Helper()
 	list := []string{filepath.Join(root, "README.md"), filepath.Join(root, "CONTRIBUTING.md")}
@@ -118,7 +118,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, match := range named.FindAllSubmatch(text, -1) {
+		for _, match := range namedFile.FindAllSubmatch(text, -1) {
 			if _, err := os.Stat(filepath.Join(root, string(match[1]))); err != nil {
 				t.Errorf("%s names %s, which does not exist", page, match[1])
 			}
@@ -137,7 +137,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, match := range namedTests.FindAllSubmatch(text, -1) {
+		for _, match := range namedTest.FindAllSubmatch(text, -1) {
 			if name := string(match[1]); !existing[name] {
 				t.Errorf("%s names %s, which does not exist", page, name)
 			}
@@ -145,10 +145,10 @@
 	}
 }
 
-// function is the declaration of a test function.
-var function = regexp.MustCompile(`(?m)^func ((?:Test|Example|Fuzz)[A-Za-z0-9_]*)\(`)
+// testDeclaration matches the declaration of a test function.
+var testDeclaration = regexp.MustCompile(`(?m)^func ((?:Test|Example|Fuzz)[A-Za-z0-9_]*)\(`)
 
-// testFunctions are the names of all test functions of the project.
+// testFunctions returns the names of all test functions of the project.
 func testFunctions(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -157,7 +157,7 @@
 			return err
 		}
 		source, err := os.ReadFile(path)
-		for _, match := range function.FindAllSubmatch(source, -1) {
+		for _, match := range testDeclaration.FindAllSubmatch(source, -1) {
 			names[string(match[1])] = true
 		}
 		return err
--- a/test/golden/configuration_test.go
+++ b/test/golden/configuration_test.go
@@ -1,7 +1,7 @@
 package golden_test
 
-// These tests show for each key of the configuration and of the operator's file that it is read: a value of the wrong
-// JSON type is refused with a message that names it.
+// These tests show that each key of the configuration and of the operator's file is read: a value of the wrong JSON
+// type is rejected with a message that names the key.
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// configurationKeys are all keys of the configuration; a name with / at its end holds other keys, one with [] a list.
+// configurationKeys are all keys of the configuration. The suffix / marks an object, the suffix [] a list.
 const configurationKeys = `name listen seed bulletin limits/ limits.cores limits.memory_mb limits.sockets
  flow_bytes_per_s link_bytes_per_s known settings/
  settings.az settings.dcs[] settings.shapes[] settings.n_instances settings.registry_mode settings.weight_source
@@ -34,7 +34,7 @@
  settings.specifics.says settings.specifics.seats_by_zone[]
  unheard_of settings.unheard_of settings.caps.unheard_of`
 
-// operatorKeys are all keys of the operator's file.
+// operatorKeys are all keys of the operator's file, with the same suffixes.
 const operatorKeys = `stores[] stores.0.uid stores.0.addresses[] stores.0.listed stores.0.weight stores.0.prefix
  stores.0.user stores.0.password_file stores.0.database stores.0.tls/ stores.0.tls.ca_file stores.0.tls.server_name
  stores.0.tls.cert_file stores.0.tls.key_file
@@ -45,20 +45,20 @@
  tls/ tls.cert_file tls.key_file tls.client_ca_file tls.client tls.min_version
  unheard_of stores.0.unheard_of shared.unheard_of admission.unheard_of tls.unheard_of`
 
-// wrongValues are JSON values of the wrong type for a key.
+// wrongValues returns the path of a key, and JSON values of the wrong type for it.
 func wrongValues(key string) (path string, values []any) {
 	object := map[string]any{"wrong": true}
-	if path, holds := strings.CutSuffix(key, "/"); holds {
+	if path, isObject := strings.CutSuffix(key, "/"); isObject {
 		return path, []any{"wrong", 7}
 	}
-	if path, list := strings.CutSuffix(key, "[]"); list {
+	if path, isList := strings.CutSuffix(key, "[]"); isList {
 		return path, []any{object, []any{[]any{}}}
 	}
 	return key, []any{object}
 }
 
-// with is a JSON document with another value at a path; what is missing on the way is made.
-func with(doc any, path []string, value any) any {
+// withValue returns a JSON document with a value set at a path. Missing objects and lists on the path are created.
+func withValue(doc any, path []string, value any) any {
 	if len(path) == 0 {
 		return value
 	}
@@ -67,25 +67,25 @@
 		if len(list) <= i {
 			list = append(list, make([]any, i+1-len(list))...)
 		}
-		list[i] = with(list[i], path[1:], value)
+		list[i] = withValue(list[i], path[1:], value)
 		return list
 	}
 	object, _ := doc.(map[string]any)
 	if object == nil {
 		object = map[string]any{}
 	}
-	object[path[0]] = with(object[path[0]], path[1:], value)
+	object[path[0]] = withValue(object[path[0]], path[1:], value)
 	return object
 }
 
-// changed is the text of a document with another value at a path.
-func changed(t *testing.T, text, path string, value any) string {
+// replaceValue returns the text of a JSON document with a value set at a path.
+func replaceValue(t *testing.T, text, path string, value any) string {
 	t.Helper()
 	var doc any
 	if err := json.Unmarshal([]byte(text), &doc); err != nil {
 		t.Fatal(err)
 	}
-	out, err := json.Marshal(with(doc, strings.Split(path, "."), value))
+	out, err := json.Marshal(withValue(doc, strings.Split(path, "."), value))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	for key := range strings.FieldsSeq(configurationKeys) {
 		path, values := wrongValues(key)
 		for _, value := range values {
-			fmt.Fprintf(&w, "# %s: %v\n%s", path, value, check(t, changed(t, exampleConfiguration(t), path, value), ""))
+			fmt.Fprintf(&w, "# %s: %v\n%s", path, value, check(t, replaceValue(t, exampleConfiguration(t), path, value), ""))
 		}
 	}
 	expectGolden(t, "configuration_keys.txt", []byte(w.String()))
@@ -106,21 +106,21 @@
 
 func TestOperatorKeysAreChecked(t *testing.T) {
 	t.Parallel()
-	pair := map[string]any{"cert_file": "a", "key_file": "b"} // no part of tls is checked before both are there
-	whole := changed(t, changed(t, exampleOperator(t), "tls", pair), "stores.0.tls", pair)
+	pair := map[string]any{"cert_file": "a", "key_file": "b"} // the other keys of tls are checked only if both are set
+	whole := replaceValue(t, replaceValue(t, exampleOperator(t), "tls", pair), "stores.0.tls", pair)
 	var w strings.Builder
 	for key := range strings.FieldsSeq(operatorKeys) {
 		path, values := wrongValues(key)
 		for _, value := range values {
-			text := changed(t, whole, path, value)
+			text := replaceValue(t, whole, path, value)
 			fmt.Fprintf(&w, "# %s: %v\n%s", path, value, check(t, exampleConfiguration(t), text))
 		}
 	}
 	expectGolden(t, "operator_keys_checked.txt", []byte(w.String()))
 }
 
-// numberKeys are the keys of the operator's file that hold numbers, each with one that the schema allows and that a
-// program that reads the key can't hold: no whole number where one belongs, or too large a number.
+// numberKeys are the numeric keys of the operator's file. Each comes with a number that the schema allows but that does
+// not fit the Go type of the key: not written as an integer, or too large.
 var numberKeys = []struct {
 	path   string
 	number json.Number
@@ -145,7 +145,7 @@
 	t.Parallel()
 	var w strings.Builder
 	for _, key := range numberKeys {
-		text := changed(t, exampleOperator(t), key.path, key.number)
+		text := replaceValue(t, exampleOperator(t), key.path, key.number)
 		fmt.Fprintf(&w, "# %s: %s\n%s", key.path, key.number, check(t, exampleConfiguration(t), text))
 	}
 	expectGolden(t, "operator_numbers.txt", []byte(w.String()))
--- a/test/golden/discovery_test.go
+++ b/test/golden/discovery_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// This file holds the fake discovery server, which keeps the bytes of the polls.
+// This file holds the fake discovery server, which records the heads of the polls.
 
 import (
 	"bufio"
@@ -13,63 +13,63 @@
 	"testing"
 )
 
-// discoveryServer is a fake of discovery.
+// discoveryServer is a fake discovery server.
 type discoveryServer struct {
 	address string
 	done    chan struct{}
 
 	mu     sync.Mutex
 	items  []string
-	polls  []string // the heads of the requests; one that is asked again counts once
+	polls  []string // the heads of the polls, without consecutive duplicates
 	change chan struct{}
 }
 
 func newDiscoveryServer(t *testing.T) *discoveryServer {
 	t.Helper()
 	listener := listen(t)
-	b := &discoveryServer{address: listener.Addr().String(), done: make(chan struct{}), change: make(chan struct{})}
-	t.Cleanup(func() { close(b.done) })
-	go acceptEach(listener, b.serve)
-	return b
+	d := &discoveryServer{address: listener.Addr().String(), done: make(chan struct{}), change: make(chan struct{})}
+	t.Cleanup(func() { close(d.done) })
+	go acceptEach(listener, d.serve)
+	return d
 }
 
-// tell adds an event; its text lacks the number.
-func (b *discoveryServer) tell(event string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.items = append(b.items, fmt.Sprintf(`{"no":%d,%s}`, len(b.items)+1, event))
-	close(b.change)
-	b.change = make(chan struct{})
+// publish adds an event, given as JSON without the number and the braces.
+func (d *discoveryServer) publish(event string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.items = append(d.items, fmt.Sprintf(`{"no":%d,%s}`, len(d.items)+1, event))
+	close(d.change)
+	d.change = make(chan struct{})
 }
 
-// page is what a poll brings.
-func (b *discoveryServer) page(after int) string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	items := strings.Join(b.items[min(after, len(b.items)):], ",")
-	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(b.items), items)
+// page returns the response to a poll for the events after a number.
+func (d *discoveryServer) page(after int) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	items := strings.Join(d.items[min(after, len(d.items)):], ",")
+	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, len(d.items), items)
 }
 
-// note keeps the head of a poll.
-func (b *discoveryServer) note(head string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.polls) == 0 || b.polls[len(b.polls)-1] != head {
-		b.polls = append(b.polls, head)
+// recordPoll records the head of a poll.
+func (d *discoveryServer) recordPoll(head string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.polls) == 0 || d.polls[len(d.polls)-1] != head {
+		d.polls = append(d.polls, head)
 	}
 }
 
-// heads are the polls so far.
-func (b *discoveryServer) heads() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string(nil), b.polls...)
+// pollHeads returns the heads of the polls so far.
+func (d *discoveryServer) pollHeads() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return append([]string(nil), d.polls...)
 }
 
 var afterNumber = regexp.MustCompile(`after=(\d+)`)
 
-// serve answers the polls of one connection. A poll without events is held until there are some.
-func (b *discoveryServer) serve(conn net.Conn) {
+// serve answers the polls on one connection. It holds a poll until there are events for it.
+func (d *discoveryServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for in := bufio.NewReader(conn); ; {
 		head, err := readHead(in)
@@ -80,29 +80,29 @@
 		if match := afterNumber.FindStringSubmatch(head); match != nil {
 			after, _ = strconv.Atoi(match[1])
 		}
-		b.note(head)
-		if !b.hold(after) {
+		d.recordPoll(head)
+		if !d.waitForEvents(after) {
 			return
 		}
-		body := b.page(after)
+		body := d.page(after)
 		if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
 			return
 		}
 	}
 }
 
-// hold waits until there are events after a number, and says whether there are.
-func (b *discoveryServer) hold(after int) bool {
+// waitForEvents waits until there are events after a number. It returns false if the test ends first.
+func (d *discoveryServer) waitForEvents(after int) bool {
 	for {
-		b.mu.Lock()
-		told, change := len(b.items) > after, b.change
-		b.mu.Unlock()
-		if told {
+		d.mu.Lock()
+		hasEvents, change := len(d.items) > after, d.change
+		d.mu.Unlock()
+		if hasEvents {
 			return true
 		}
 		select {
 		case <-change:
-		case <-b.done:
+		case <-d.done:
 			return false
 		}
 	}
--- a/test/golden/fleet_test.go
+++ b/test/golden/fleet_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// This file holds the stand-ins round a router under test: cache servers, discovery and clients, on loopback.
+// This file holds the test environment of a router on loopback: fake cache servers, discovery and clients.
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"github.com/tidwall/redcon"
 )
 
-// encode is a RESP array of bulk strings.
+// encode returns words as a RESP array of bulk strings.
 func encode(words ...string) []byte {
 	b := redcon.AppendArray(nil, len(words))
 	for _, w := range words {
@@ -26,7 +26,7 @@
 	return b
 }
 
-// words takes a command apart, and checks that it came in the one canonical form.
+// words returns the words of a command, and checks that the command came as an array of bulk strings.
 func words(t *testing.T, cmd redcon.Command) (list []string) {
 	t.Helper()
 	for _, arg := range cmd.Args {
@@ -60,10 +60,10 @@
 	}
 }
 
-// handler answers a fetch; no words are no answer.
+// handler returns the answer to a fetch, or nil for no answer.
 type handler func(fetch []string) (answer []string)
 
-// respond is a handler that gives the same answer to every fetch.
+// respond returns a handler that gives the same answer to every fetch.
 func respond(rest ...string) handler {
 	return func(fetch []string) []string { return append([]string{fetch[1]}, rest...) }
 }
@@ -71,7 +71,7 @@
 // silent is a handler that never answers.
 func silent([]string) []string { return nil }
 
-// cacheServer is a stand-in of a cache server, a parent or the origin.
+// cacheServer is a fake cache server, parent or origin. It records the commands that it receives.
 type cacheServer struct {
 	t              *testing.T
 	uid, kind      string
@@ -79,7 +79,7 @@
 
 	mu      sync.Mutex
 	handle  handler
-	fetches [][]string // since the last take
+	fetches [][]string // since the last call of take
 	aborts  [][]string
 	checks  [][]string
 }
@@ -92,7 +92,7 @@
 	return s
 }
 
-// serve answers one connection.
+// serve answers the commands on one connection.
 func (s *cacheServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for r := redcon.NewReader(conn); ; {
@@ -108,7 +108,7 @@
 	}
 }
 
-// answer notes a command and says what is answered.
+// answer records a command and returns the answer.
 func (s *cacheServer) answer(command []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +124,7 @@
 	return []string{command[1], "alive", "stats=util:0.1;x1:0.1"}
 }
 
-// set changes how fetches are answered.
+// set replaces the handler of fetches.
 func (s *cacheServer) set(handle handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,27 +140,27 @@
 	return fetches, aborts
 }
 
-// counts is how many fetches and aborts there were since the last take, and health checks at all.
+// counts returns the number of fetches and aborts since the last call of take, and of all health checks.
 func (s *cacheServer) counts() (fetches, aborts, checks int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.fetches), len(s.aborts), len(s.checks)
 }
 
-// firstCheck is the first health check.
+// firstCheck returns the first health check.
 func (s *cacheServer) firstCheck() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.checks[0]
 }
 
-// target is the server's entry in an endpoint list.
+// target returns the server's entry in an endpoint list.
 func (s *cacheServer) target() string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"west","model":%q,"state":%q,"capacity_hint":4,"boot_ms":0}`,
 		s.uid, s.address, s.kind, s.state)
 }
 
-// endpointListEvent is an endpoint list event without its number.
+// endpointListEvent returns an endpoint list event without its number.
 func endpointListEvent(all bool, servers ...*cacheServer) string {
 	var targets []string
 	for _, s := range servers {
@@ -169,22 +169,22 @@
 	return fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, all, strings.Join(targets, ","))
 }
 
-// fleet is a router among its stand-ins.
+// fleet is a router under test with its fake servers and discovery.
 type fleet struct {
-	t       *testing.T
-	board   *discoveryServer
-	parent  *cacheServer
-	origin  *cacheServer
-	caches  []*cacheServer
-	address string // of the router
-	folder  string
-	config  string
-	process *exec.Cmd
-	stderr  bytes.Buffer
-	ended   chan error
+	t         *testing.T
+	discovery *discoveryServer
+	parent    *cacheServer
+	origin    *cacheServer
+	caches    []*cacheServer
+	address   string // of the router
+	folder    string
+	config    string
+	process   *exec.Cmd
+	stderr    bytes.Buffer
+	ended     chan error
 }
 
-// routerSettings are the settings of a router under test; second copies and probes would come by time.
+// routerSettings are the settings of a router under test. Hedged requests are disabled, because they depend on timing.
 const routerSettings = `{"az":0,"dcs":["west"],"shapes":["std","parent","origin"],"n_instances":1,
  "registry_mode":"automatic","weight_source":"rough","report":{"columns":["util","x1"],"via":"probe"},
  "caps":{"cancelling":true,"conn_idle_ms":30000,"connect_timeout_ms":2000,"max_retry_after_ms":1000,"most_tries":6,
@@ -204,22 +204,22 @@
   "root_kind":2,"second_tier_kind":1,"says":"all","seats_by_zone":[1],"origin_limit_factor":2.5,
   "origin_bears_ms":3000}}`
 
-// newFleet makes the stand-ins and the configuration; start starts the router.
+// newFleet creates the fake servers and the configuration; start starts the router.
 func newFleet(t *testing.T, caches ...*cacheServer) *fleet {
 	t.Helper()
-	f := &fleet{t: t, board: newDiscoveryServer(t), caches: caches, folder: t.TempDir(), ended: make(chan error, 1)}
+	f := &fleet{t: t, discovery: newDiscoveryServer(t), caches: caches, folder: t.TempDir(), ended: make(chan error, 1)}
 	f.parent = newCacheServer(t, "s-parent", "parent", respond("404", "how=not_there", ""))
 	f.origin = newCacheServer(t, "s-origin", "origin", respond("200", "sum=0000000000000005,how=local", "of the origin"))
-	f.board.tell(endpointListEvent(true, f.servers()...))
+	f.discovery.publish(endpointListEvent(true, f.servers()...))
 	f.address = freeAddress(t)
 	f.config = filepath.Join(f.folder, "config.json")
 	f.write(f.config, fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},"bulletin":%q,"known":%s,"settings":%s}`,
-		f.address, f.board.address, f.board.page(0), routerSettings))
+		f.address, f.discovery.address, f.discovery.page(0), routerSettings))
 	return f
 }
 
-// servers are all that can be fetched from.
+// servers returns the parent, the origin and the cache servers.
 func (f *fleet) servers() []*cacheServer {
 	return append([]*cacheServer{f.parent, f.origin}, f.caches...)
 }
@@ -231,8 +231,8 @@
 	}
 }
 
-// freeAddress is one at which a router can listen: on a loopback address of this process alone, so that nobody else
-// takes the port between here and there.
+// freeAddress returns an address at which a router can listen. It uses a loopback address that belongs to this process
+// alone, so that no other process takes the port before the router listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -247,7 +247,7 @@
 // start starts the router and waits until it listens.
 func (f *fleet) start(environment ...string) *fleet {
 	f.t.Helper()
-	f.process = exec.Command(service, "serve")
+	f.process = exec.Command(routerProgram, "serve")
 	f.process.Env = append(append(baseEnvironment(), "RELAY_CONFIG="+f.config), environment...)
 	f.process.Stderr = &f.stderr
 	if err := f.process.Start(); err != nil {
@@ -262,7 +262,7 @@
 			f.t.Log(f.stderr.String())
 		}
 	})
-	await(f.t, "the router listens", func() bool {
+	waitFor(f.t, "the router listens", func() bool {
 		conn, err := net.Dial("tcp", f.address)
 		if err == nil {
 			_ = conn.Close()
@@ -300,10 +300,10 @@
 // receive reads the next response.
 func (c *client) receive() []string {
 	c.t.Helper()
-	_ = c.conn.SetReadDeadline(time.Now().Add(limit))
+	_ = c.conn.SetReadDeadline(time.Now().Add(maxWait))
 	cmd, err := c.reader.ReadCommand()
 	if err != nil {
-		c.t.Fatal("in vain: a response: ", err)
+		c.t.Fatal("timed out waiting for a response: ", err)
 	}
 	return words(c.t, cmd)
 }
--- a/test/golden/frames_test.go
+++ b/test/golden/frames_test.go
@@ -1,6 +1,7 @@
 package golden_test
 
-// This file builds the frames that the simulator program reads, by their offsets.
+// This file builds the frames that the simulator program reads. The offsets are defined here again, so that
+// the tests do not depend on the code of the simulator's adapter.
 
 import (
 	"encoding/binary"
@@ -8,33 +9,33 @@
 )
 
 const (
-	frameHeader  = 20 // number, count, bytes to come, time
-	recordSize   = 64
-	actionSize   = 48
-	replyHeader  = 12
-	listEntry    = 25
-	lengthOffset = 8 // of the length of the rest in a frame
+	frameHeader   = 20 // number, count of records, length of the rest, time
+	recordSize    = 64
+	actionSize    = 48
+	replyHeader   = 12
+	listEntrySize = 25
+	lengthOffset  = 8 // offset in a frame of the length of the rest
 )
 
-// Codes of records.
+// Codes of the records in frames.
 const (
-	recordTimer    = 0
-	recordPeers    = 1
-	recordList     = 2
-	recordBirth    = 3
-	recordPurge    = 4
-	recordRequest  = 5
-	recordMessage  = 6
-	recordLegEnd   = 7
-	recordGone     = 8
-	recordStream   = 9
-	recordKill     = 10
-	recordProbeEnd = 11
+	recordTimer         = 0
+	recordEndpoints     = 1
+	recordEndpointList  = 2
+	recordStart         = 3
+	recordPurge         = 4
+	recordRequest       = 5
+	recordGossip        = 6
+	recordAttemptResult = 7
+	recordClientGone    = 8
+	recordStreamStarted = 9
+	recordStop          = 10
+	recordHealthCheck   = 11
 )
 
-var little = binary.LittleEndian
+var byteOrder = binary.LittleEndian
 
-// record is one record of a frame.
+// record is one record of a frame. Its methods write a value at an offset.
 type record [recordSize]byte
 
 func newRecord(code byte, router uint32) *record {
@@ -43,9 +44,9 @@
 }
 
 func (r *record) u8(at int, v byte) *record    { r[at] = v; return r }
-func (r *record) u16(at int, v uint16) *record { little.PutUint16(r[at:], v); return r }
-func (r *record) u32(at int, v uint32) *record { little.PutUint32(r[at:], v); return r }
-func (r *record) u64(at int, v uint64) *record { little.PutUint64(r[at:], v); return r }
+func (r *record) u16(at int, v uint16) *record { byteOrder.PutUint16(r[at:], v); return r }
+func (r *record) u32(at int, v uint32) *record { byteOrder.PutUint32(r[at:], v); return r }
+func (r *record) u64(at int, v uint64) *record { byteOrder.PutUint64(r[at:], v); return r }
 func (r *record) f32(at int, v float32) *record {
 	return r.u32(at, math.Float32bits(v))
 }
@@ -54,13 +55,13 @@
 	return r.u64(at, math.Float64bits(v))
 }
 
-// address is a node's IPv4 address and port.
+// address is the IPv4 address and port of an endpoint.
 type address [6]byte
 
 func newAddress(last byte) address { return address{10, 0, 0, last, 0x1f, 0x90} }
 
-// listed is one line of a list of nodes.
-type listed struct {
+// listEntry is one entry of an endpoint list.
+type listEntry struct {
 	started          float64
 	state            byte
 	kind, zone, cell uint16
@@ -68,61 +69,61 @@
 	weight           float32
 }
 
-func (l listed) encode() []byte {
-	b := make([]byte, listEntry)
-	little.PutUint64(b, math.Float64bits(l.started))
+func (l listEntry) encode() []byte {
+	b := make([]byte, listEntrySize)
+	byteOrder.PutUint64(b, math.Float64bits(l.started))
 	b[8] = l.state
-	little.PutUint16(b[9:], l.kind)
-	little.PutUint16(b[11:], l.zone)
-	little.PutUint16(b[13:], l.cell)
+	byteOrder.PutUint16(b[9:], l.kind)
+	byteOrder.PutUint16(b[11:], l.zone)
+	byteOrder.PutUint16(b[13:], l.cell)
 	copy(b[15:], l.node[:])
-	little.PutUint32(b[21:], math.Float32bits(l.weight))
+	byteOrder.PutUint32(b[21:], math.Float32bits(l.weight))
 	return b
 }
 
-// batch is a frame under construction.
-type batch struct {
+// frameBuilder builds a frame.
+type frameBuilder struct {
 	number  uint32
 	now     float64 // milliseconds
 	records []*record
 	tail    []byte
 }
 
-func (b *batch) add(r ...*record) { b.records = append(b.records, r...) }
+func (b *frameBuilder) add(r ...*record) { b.records = append(b.records, r...) }
 
-// text puts bytes into the tail and returns their place.
-func (b *batch) text(s []byte) (offset uint32) {
+// addToTail appends bytes to the tail and returns their offset in it.
+func (b *frameBuilder) addToTail(s []byte) (offset uint32) {
 	offset = uint32(len(b.tail))
 	b.tail = append(b.tail, s...)
 	return offset
 }
 
-// list gives a list of nodes a number.
-func (b *batch) list(number byte, nodes ...listed) {
+// addList adds a record that defines an endpoint list under a number.
+func (b *frameBuilder) addList(number byte, nodes ...listEntry) {
 	var entries []byte
 	for _, n := range nodes {
 		entries = append(entries, n.encode()...)
 	}
-	r := &record{recordList, number}
-	b.add(r.u32(2, b.text(entries)).u32(6, uint32(len(nodes))))
+	r := &record{recordEndpointList, number}
+	b.add(r.u32(2, b.addToTail(entries)).u32(6, uint32(len(nodes))))
 }
 
-// birth starts a router.
-func (b *batch) birth(router uint32, seed uint64, settings string) {
-	at := b.text([]byte(settings))
-	b.add(newRecord(recordBirth, router).u64(5, seed).u32(13, at).u32(17, uint32(len(settings))))
+// addStart adds a record that starts a router.
+func (b *frameBuilder) addStart(router uint32, seed uint64, settings string) {
+	at := b.addToTail([]byte(settings))
+	b.add(newRecord(recordStart, router).u64(5, seed).u32(13, at).u32(17, uint32(len(settings))))
 }
 
-// peers tells a router the list of a number.
-func (b *batch) peers(router uint32, list, scope byte) {
-	b.add(newRecord(recordPeers, router).u8(5, list).u8(6, scope))
+// addEndpoints adds a record that sends a router the endpoint list with a number.
+func (b *frameBuilder) addEndpoints(router uint32, list, scope byte) {
+	b.add(newRecord(recordEndpoints, router).u8(5, list).u8(6, scope))
 }
 
-func (b *batch) encode() []byte {
-	f := little.AppendUint32(nil, b.number)
-	f = little.AppendUint32(f, uint32(len(b.records)))
-	f = little.AppendUint32(f, uint32(8+len(b.records)*recordSize+len(b.tail)))
-	f = little.AppendUint64(f, math.Float64bits(b.now))
+func (b *frameBuilder) encode() []byte {
+	f := byteOrder.AppendUint32(nil, b.number)
+	f = byteOrder.AppendUint32(f, uint32(len(b.records)))
+	f = byteOrder.AppendUint32(f, uint32(8+len(b.records)*recordSize+len(b.tail)))
+	f = byteOrder.AppendUint64(f, math.Float64bits(b.now))
 	for _, r := range b.records {
 		f = append(f, r[:]...)
 	}
--- a/test/golden/lifecycle_test.go
+++ b/test/golden/lifecycle_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests pin how the router program ends.
+// These tests pin how the router program exits.
 
 import (
 	"fmt"
@@ -18,21 +18,22 @@
 	var w strings.Builder
 	for _, text := range []string{"", "{", `{"listen":"127.0.0.1:1"}`} {
 		f.write(config, text)
-		fmt.Fprintf(&w, "# configuration %q\n%s", text, run(t, service, []string{"RELAY_CONFIG=" + config}, nil, "serve"))
+		fmt.Fprintf(&w, "# configuration %q\n%s", text,
+			run(t, routerProgram, []string{"RELAY_CONFIG=" + config}, nil, "serve"))
 	}
 	f.write(operator, `{"stroes": []}`)
-	out := run(t, service, []string{"RELAY_CONFIG=" + f.config}, nil, "serve", "--operator", operator)
+	out := run(t, routerProgram, []string{"RELAY_CONFIG=" + f.config}, nil, "serve", "--operator", operator)
 	fmt.Fprintf(&w, "# operator's file\n%s", strings.ReplaceAll(out.String(), f.folder, "FOLDER"))
-	fmt.Fprintf(&w, "# no configuration\n%s", run(t, service, nil, nil, "serve"))
+	fmt.Fprintf(&w, "# no configuration\n%s", run(t, routerProgram, nil, nil, "serve"))
 	expectGolden(t, "serve_refuses.txt", []byte(w.String()))
 }
 
-// At SIGTERM what was taken is answered, and the program ends with 0.
+// After SIGTERM the router answers the requests that it has accepted, then exits with code 0.
 func TestServeEndsAtSIGTERM(t *testing.T) {
 	t.Parallel()
-	asked, release := make(chan struct{}), make(chan struct{})
+	fetched, release := make(chan struct{}), make(chan struct{})
 	cache := newCacheServer(t, "s-1", "std", func(fetch []string) []string {
-		close(asked)
+		close(fetched)
 		<-release
 		return []string{fetch[1], "200", "sum=0000000000000005,how=local", "in time"}
 	})
@@ -40,9 +41,9 @@
 	c := f.client()
 	c.send("DO", "1", "clip", requestFields(1, 1))
 	select {
-	case <-asked:
-	case <-time.After(limit):
-		t.Fatal("in vain: a fetch")
+	case <-fetched:
+	case <-time.After(maxWait):
+		t.Fatal("timed out waiting for a fetch")
 	}
 	if err := f.process.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -56,7 +57,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(limit):
-		t.Fatal("in vain: the end of the program")
+	case <-time.After(maxWait):
+		t.Fatal("timed out waiting for the program to exit")
 	}
 }
--- a/test/golden/main_test.go
+++ b/test/golden/main_test.go
@@ -1,7 +1,6 @@
-// Package golden_test pins what the programs read and write, byte for byte. It
-// knows the programs by their published forms only and imports nothing of this
-// module, so that no change inside the module needs a change here. The expected
-// bytes stand in testdata; go test -update writes them anew.
+// Package golden_test compares what the programs read and write with golden files, byte for byte. It uses only the
+// published formats and imports nothing from this module, so that a change inside the module needs no change here.
+// The golden files are in testdata; go test -update rewrites them.
 package golden_test
 
 import (
@@ -19,15 +18,15 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// limit is how long a test waits for what must happen at all.
-const limit = 10 * time.Second
+// maxWait is how long a test waits for a condition before it fails.
+const maxWait = 10 * time.Second
 
 var (
-	moduleRoot string // the folder that holds go.mod
-	service    string // the built router program
-	simulator  string // the built simulator program
+	moduleRoot       string // the folder that holds go.mod
+	routerProgram    string // the built router program
+	simulatorProgram string // the built simulator program
 )
 
 // TestMain builds the programs that the deployment names.
@@ -46,7 +45,7 @@
 	os.Exit(code)
 }
 
-// build finds the module and builds its router and its simulator.
+// build finds the module and builds its router and simulator programs.
 func build(folder string) error {
 	var err error
 	if moduleRoot, err = findModule(); err != nil {
@@ -56,14 +55,14 @@
 	if err != nil {
 		return err
 	}
-	if service, err = buildProgram(folder, deployment, "run"); err != nil {
+	if routerProgram, err = buildProgram(folder, deployment, "run"); err != nil {
 		return err
 	}
-	simulator, err = buildProgram(folder, deployment, "sim")
+	simulatorProgram, err = buildProgram(folder, deployment, "sim")
 	return err
 }
 
-// findModule walks up to the folder of go.mod.
+// findModule returns the closest parent folder that holds go.mod.
 func findModule() (string, error) {
 	folder, err := os.Getwd()
 	if err != nil {
@@ -75,13 +74,13 @@
 		}
 		parent := filepath.Dir(folder)
 		if parent == folder {
-			return "", fmt.Errorf("no go.mod above the test")
+			return "", fmt.Errorf("no go.mod in a parent folder of the test")
 		}
 		folder = parent
 	}
 }
 
-// buildProgram builds the program that a line of the deployment starts.
+// buildProgram builds the program that the line with the given key in the deploy file starts, and returns its path.
 func buildProgram(folder string, deployment []byte, key string) (string, error) {
 	line := regexp.MustCompile(`(?m)^` + key + `\s*=\s*"exec bin/([a-z0-9_-]+)`)
 	match := line.FindSubmatch(deployment)
@@ -98,11 +97,13 @@
 	return path, nil
 }
 
-// goldenPlays is how often a play may differ because the machine paused: a get that is late, as it seems to the router,
-// is answered by a fill. What differs for another reason does so in every play.
+// goldenPlays is the maximum number of plays of a golden test that depends on time. If the machine pauses, the router
+// considers a get from the store late and fills the copy instead, which changes the transcript. A difference with any
+// other cause occurs in every play.
 const goldenPlays = 5
 
-// expectGoldenPlay compares what is played, from a new start each time, with a golden file.
+// expectGoldenPlay compares the result of play with a golden file. If they differ, it calls play again, up to
+// goldenPlays times; play must start from a new state each time.
 func expectGoldenPlay(t *testing.T, name string, play func() []byte) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -111,13 +112,13 @@
 	}
 	got := play()
 	for i := 1; i < goldenPlays && !*update && !bytes.Equal(got, want); i++ {
-		t.Logf("play %d differs, the machine may have paused", i)
+		t.Logf("play %d differs from the golden file; the machine may have paused", i)
 		got = play()
 	}
 	expectGolden(t, name, got)
 }
 
-// expectGolden compares with a golden file, or writes it.
+// expectGolden compares got with a golden file, or writes the file if -update is set.
 func expectGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -143,7 +144,7 @@
 	}
 }
 
-// lineAt is one line, or a word for the end.
+// lineAt returns one line, or a placeholder after the last line.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -151,18 +152,18 @@
 	return "(no such line)"
 }
 
-// runOutput is what a program that ended wrote.
+// runOutput is the exit code and the output of a program.
 type runOutput struct {
 	code           int
 	stdout, stderr string
 }
 
-// String is the form in golden files.
+// String returns the output as it is written to golden files.
 func (r runOutput) String() string {
 	return fmt.Sprintf("exit %d\nstdout: %s\nstderr: %s\n", r.code, r.stdout, r.stderr)
 }
 
-// run runs a program to its end. The name that begins its messages is replaced.
+// run runs a program until it ends. In its messages, the name of the program is replaced by PROGRAM.
 func run(t *testing.T, program string, env []string, input []byte, args ...string) runOutput {
 	t.Helper()
 	var stdout, stderr bytes.Buffer
@@ -176,7 +177,7 @@
 	return runOutput{cmd.ProcessState.ExitCode(), stdout.String(), message}
 }
 
-// baseEnvironment is the test's environment without what the programs read.
+// baseEnvironment returns the test's environment without the variables that the programs read.
 func baseEnvironment() (kept []string) {
 	for _, variable := range os.Environ() {
 		if !strings.HasPrefix(variable, "RELAY_") {
@@ -186,17 +187,17 @@
 	return kept
 }
 
-// await waits until a condition holds.
-func await(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds, and fails the test after maxWait.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(maxWait); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// sortedKeys are the keys of a map in their order.
+// sortedKeys returns the sorted keys of a map.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/test/golden/operator_effects_test.go
+++ b/test/golden/operator_effects_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests show by their effect that keys of the operator's file are read for which no mistake tells it.
+// These tests show by their effect that keys of the operator's file are read, where no error message can show it.
 
 import (
 	"crypto/tls"
@@ -20,8 +20,8 @@
 	return f.start("RELAY_OPERATOR=" + path)
 }
 
-// A store that has just started is asked for next to nothing where its part of the capacity, or the multiple of it that
-// routers may use, is next to nothing.
+// A store that has just started receives almost no requests if its share of the capacity, or the multiple of it that
+// routers may use, is close to zero.
 func TestColdStoreIsSpared(t *testing.T) {
 	for _, test := range []struct {
 		shared string
@@ -38,23 +38,23 @@
 		f := startWithOperator(newFleet(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q], "weight": 4}],
  "shared": {%s}}`, store.address, test.shared))
 		f.parent.set(respond("200", "sum=0000000000000005,how=local", "hit"))
-		await(t, "the ledger is written", func() bool { return len(store.asked("ZADD")) > 0 })
+		waitFor(t, "the invalidation log is written", func() bool { return len(store.received("ZADD")) > 0 })
 		c := f.client()
 		for object := range 20 {
-			ask(c, object+1, "clip", object+1, "")
+			doRequest(c, object+1, "clip", object+1, "")
 		}
-		if gets := len(store.asked("GET")); test.spared && gets > 2 || !test.spared && gets < 10 {
-			t.Errorf("%s: %d of 20 requests asked the store", test.shared, gets)
+		if gets := len(store.received("GET")); test.spared && gets > 2 || !test.spared && gets < 10 {
+			t.Errorf("%s: %d of 20 requests read from the store", test.shared, gets)
 		}
 	}
 }
 
-// The name that a store's certificate must hold is told in the greeting of TLS.
+// The name that a store's certificate must hold is sent in the TLS client hello.
 func TestServerNameOfAStore(t *testing.T) {
 	listener, names := listen(t), make(chan string, 100)
 	config := &tls.Config{GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
 		names <- hello.ServerName
-		return nil, errors.New("no more is wanted")
+		return nil, errors.New("the test needs only the client hello")
 	}}
 	go acceptEach(listener, func(conn net.Conn) {
 		_ = tls.Server(conn, config).Handshake()
@@ -67,21 +67,21 @@
 		if name != "store.example" {
 			t.Error(name)
 		}
-	case <-time.After(limit):
-		t.Error("in vain: a greeting")
+	case <-time.After(maxWait):
+		t.Error("timed out waiting for a client hello")
 	}
 }
 
-// A client that has more requests open than one address may is refused, on whichever connection.
+// A request beyond the limit of one address is rejected, on whichever connection it arrives.
 func TestAdmissionRefusals(t *testing.T) {
 	cache, w := newCacheServer(t, "s-1", "std", silent), &transcript{}
 	f := startWithOperator(newFleet(t, cache), `{"admission": {"views_per_address": 1}}`)
 	first, second := f.client(), f.client()
 	first.send("DO", "1", "clip", requestFields(1, 1))
-	await(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches > 0 })
+	waitFor(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches > 0 })
 	for i, c := range []*client{first, second} {
 		c.send("DO", "2", "clip", requestFields(i+2, i+2))
-		w.line(fmt.Sprintf("client %d", i+1), "<", c.receive())
+		w.addLine(fmt.Sprintf("client %d", i+1), "<", c.receive())
 	}
 	expectGolden(t, "operator_admission.txt", []byte(w.String()))
 }
--- a/test/golden/protocol_test.go
+++ b/test/golden/protocol_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests pin what a router says to clients, cache servers and discovery.
+// These tests pin the bytes that a router sends to clients, cache servers and discovery.
 
 import (
 	"fmt"
@@ -10,54 +10,54 @@
 	"time"
 )
 
-// varying are the parts of messages that differ from run to run by nature, each with what stands for it.
+// varying matches the parts of messages that differ between runs, each with its replacement.
 var varying = []struct {
-	what   *regexp.Regexp
-	stands string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`\bwait=[0-9]+`), "wait=MS"},                // the time left of a request
 	{regexp.MustCompile(`\bagelim=[0-9]+`), "agelim=MS"},            // the time since a purge
-	{regexp.MustCompile(`\bholdoff=[0-9]+`), "holdoff=MS"},          // a wait chosen by chance
+	{regexp.MustCompile(`\bholdoff=[0-9]+`), "holdoff=MS"},          // a random wait
 	{regexp.MustCompile(`Host: 127\.0\.0\.1:[0-9]+`), "Host: HOST"}, // a random port
 }
 
-// normalise replaces the parts that vary.
+// normalise replaces the parts of a message that differ between runs.
 func normalise(text string) string {
 	for _, v := range varying {
-		text = v.what.ReplaceAllString(text, v.stands)
+		text = v.pattern.ReplaceAllString(text, v.replacement)
 	}
 	return text
 }
 
-// transcript is a conversation, line by line.
+// transcript records a conversation, one message per line.
 type transcript struct{ strings.Builder }
 
-func (w *transcript) line(who, direction string, words []string) {
-	w.WriteString(normalise(fmt.Sprintf("%s %s %q\n", who, direction, words)))
+func (w *transcript) addLine(party, direction string, words []string) {
+	w.WriteString(normalise(fmt.Sprintf("%s %s %q\n", party, direction, words)))
 }
 
-// exchange sends a request and notes it, what the servers were asked, and the response.
+// exchange sends a request and records it, the requests that the servers received, and the response.
 func (w *transcript) exchange(name string, f *fleet, c *client, request ...string) {
 	f.t.Helper()
 	_, _ = fmt.Fprintf(w, "# %s\n", name)
 	c.send(request...)
 	response := c.receive()
-	w.line("client", ">", request)
-	w.servers(f)
-	w.line("client", "<", response)
+	w.addLine("client", ">", request)
+	w.addServerRequests(f)
+	w.addLine("client", "<", response)
 }
 
-// servers notes what the servers were asked lately.
-func (w *transcript) servers(f *fleet) {
+// addServerRequests records the fetches and aborts that the servers received since the last call.
+func (w *transcript) addServerRequests(f *fleet) {
 	for _, s := range f.servers() {
 		fetches, aborts := s.take()
 		for _, words := range append(fetches, aborts...) {
-			w.line(s.uid, "<", words)
+			w.addLine(s.uid, "<", words)
 		}
 	}
 }
 
-// requestFields are the fields that each request has.
+// requestFields returns the fields that every request has.
 func requestFields(id, object int) string {
 	return fmt.Sprintf("req=%016x,timeout=5000,subject=%016x,piece=3,lot=17,need=30", id, object)
 }
@@ -116,13 +116,13 @@
 	cache := newCacheServer(t, "s-1", "std", respond("503", "how=turned_away", ""))
 	f := newFleet(t, cache).start()
 	client, w := f.client(), &transcript{}
-	for i, word := range []string{"500", "504", "999"} {
-		f.origin.set(respond(word, "-", ""))
-		w.exchange("fragile write, "+word, f, client, "DO", fmt.Sprint(i+1), "signoff", requestFields(i+1, i+1), "write")
+	for i, status := range []string{"500", "504", "999"} {
+		f.origin.set(respond(status, "-", ""))
+		w.exchange("fragile write, "+status, f, client, "DO", fmt.Sprint(i+1), "signoff", requestFields(i+1, i+1), "write")
 	}
-	busyOnce := 0
+	fetchCount := 0
 	f.origin.set(func(fetch []string) []string {
-		if busyOnce++; busyOnce == 1 {
+		if fetchCount++; fetchCount == 1 {
 			return []string{fetch[1], "503", "how=turned_away", ""}
 		}
 		return []string{fetch[1], "200", "sum=0000000000000005", "done"}
@@ -169,15 +169,15 @@
 
 func TestRubbishEndsTheConnection(t *testing.T) {
 	f := newFleet(t).start()
-	for _, rubbish := range []string{"GET / HTTP/1.0\r\n\r\n", "*3\r\n$99999999999\r\n", "*99999\r\n", "$5\r\n"} {
+	for _, garbage := range []string{"GET / HTTP/1.0\r\n\r\n", "*3\r\n$99999999999\r\n", "*99999\r\n", "$5\r\n"} {
 		c := f.client()
-		if _, err := c.conn.Write([]byte(rubbish)); err != nil {
+		if _, err := c.conn.Write([]byte(garbage)); err != nil {
 			t.Fatal(err)
 		}
-		_ = c.conn.SetReadDeadline(time.Now().Add(limit))
+		_ = c.conn.SetReadDeadline(time.Now().Add(maxWait))
 		n, err := c.conn.Read(make([]byte, 100))
-		if timeout, is := err.(interface{ Timeout() bool }); n > 0 || err == nil || is && timeout.Timeout() {
-			t.Errorf("%q: %d bytes, %v", rubbish, n, err)
+		if netErr, ok := err.(interface{ Timeout() bool }); n > 0 || err == nil || ok && netErr.Timeout() {
+			t.Errorf("%q: %d bytes, %v", garbage, n, err)
 		}
 	}
 }
@@ -190,25 +190,25 @@
 
 	_, _ = fmt.Fprintln(w, "# a request is undone: no response to it, and UP is the next")
 	client.send("DO", "1", "clip", requestFields(1, 1))
-	await(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches == 1 })
+	waitFor(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches == 1 })
 	client.send("UNDO", "1")
-	await(t, "an abort", aborted)
-	w.servers(f)
+	waitFor(t, "an abort", aborted)
+	w.addServerRequests(f)
 	w.exchange("after it", f, client, "PING", "2")
 
 	_, _ = fmt.Fprintln(w, "# a client leaves")
 	other := f.client()
 	other.send("DO", "1", "clip", requestFields(2, 2))
-	await(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches == 1 })
+	waitFor(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches == 1 })
 	_ = other.conn.Close()
-	await(t, "an abort", aborted)
-	w.servers(f)
+	waitFor(t, "an abort", aborted)
+	w.addServerRequests(f)
 
 	_, _ = fmt.Fprintln(w, "# the time of a request is over")
 	client.send("DO", "3", "clip", strings.Replace(requestFields(3, 3), "5000", "1000", 1))
-	w.line("client", "<", client.receive())
-	await(t, "an abort", aborted)
-	w.servers(f)
+	w.addLine("client", "<", client.receive())
+	waitFor(t, "an abort", aborted)
+	w.addServerRequests(f)
 	expectGolden(t, "protocol_abort.txt", []byte(w.String()))
 }
 
@@ -217,14 +217,14 @@
 	f := newFleet(t, cache).start()
 	c, w := f.client(), &transcript{}
 	sent := 0
-	await(t, "a health check", func() bool {
+	waitFor(t, "a health check", func() bool {
 		sent++
 		c.send("DO", fmt.Sprint(sent), "clip", requestFields(sent, sent))
 		_ = c.receive()
 		_, _, checks := cache.counts()
 		return checks > 0
 	})
-	w.line("s-1", "<", cache.firstCheck())
+	w.addLine("s-1", "<", cache.firstCheck())
 	expectGolden(t, "protocol_health_check.txt", []byte(w.String()))
 }
 
@@ -232,26 +232,26 @@
 	cache := newCacheServer(t, "s-1", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
 	f := newFleet(t, cache).start()
 	client, w := f.client(), &transcript{}
-	polled := func(n int) {
+	waitForPolls := func(n int) {
 		t.Helper()
-		await(t, "a poll", func() bool { return len(f.board.heads()) >= n })
+		waitFor(t, "a poll", func() bool { return len(f.discovery.pollHeads()) >= n })
 	}
-	polled(1)
+	waitForPolls(1)
 	added := newCacheServer(t, "s-2", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
 	f.caches = append(f.caches, added)
-	f.board.tell(endpointListEvent(false, added))
-	polled(2)
+	f.discovery.publish(endpointListEvent(false, added))
+	waitForPolls(2)
 	for object := range 12 {
 		w.exchange("an object, with a new cache server", f, client, "DO", fmt.Sprint(object+1), "clip",
 			requestFields(object+1, object+1))
 	}
-	f.board.tell(fmt.Sprintf(`"recall":{"item":"%016x","issued":%d}`, 1, time.Now().UnixMilli()))
-	polled(3)
+	f.discovery.publish(fmt.Sprintf(`"recall":{"item":"%016x","issued":%d}`, 1, time.Now().UnixMilli()))
+	waitForPolls(3)
 	w.exchange("a purged object", f, client, "DO", "100", "clip", requestFields(100, 1))
-	f.board.tell(fmt.Sprintf(`"recall":{"lot":17,"issued":%d}`, time.Now().UnixMilli()))
-	polled(4)
+	f.discovery.publish(fmt.Sprintf(`"recall":{"lot":17,"issued":%d}`, time.Now().UnixMilli()))
+	waitForPolls(4)
 	w.exchange("a purged group", f, client, "DO", "101", "clip", requestFields(101, 2))
-	for i, head := range f.board.heads()[:4] {
+	for i, head := range f.discovery.pollHeads()[:4] {
 		_, _ = fmt.Fprintf(w, "# poll %d\n%s", i+1, normalise(head))
 	}
 	expectGolden(t, "protocol_discovery.txt", []byte(w.String()))
--- a/test/golden/redis_test.go
+++ b/test/golden/redis_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// This file holds the stand-in of a shared store: the few commands of RESP2 that a router uses.
+// This file holds the fake shared store, which implements the few RESP2 commands that a router uses.
 
 import (
 	"fmt"
@@ -14,31 +14,31 @@
 	"github.com/tidwall/redcon"
 )
 
-// redisServer is a stand-in of a shared store. It keeps what it was asked.
+// redisServer is a fake shared store. It records the commands that it receives.
 type redisServer struct {
 	t       *testing.T
 	address string
 
-	mu       sync.Mutex
-	commands [][]string
-	values   map[string]string
-	scores   map[string]float64 // of the one sorted set
-	leased   func(key string)   // if set, leases are refused after it was called
-	uptime   int                // seconds since it started
+	mu           sync.Mutex
+	commands     [][]string
+	storedValues map[string]string
+	scores       map[string]float64 // of the only sorted set, the invalidation log
+	onLease      func(key string)   // if set, it is called for each lease, which is then refused
+	uptime       int                // seconds since it started
 }
 
 func newRedisServer(t *testing.T) *redisServer {
 	t.Helper()
 	listener := listen(t)
 	s := &redisServer{
-		t: t, address: listener.Addr().String(), values: map[string]string{},
+		t: t, address: listener.Addr().String(), storedValues: map[string]string{},
 		scores: map[string]float64{}, uptime: 3600,
 	}
 	go acceptEach(listener, s.serve)
 	return s
 }
 
-// serve answers one connection.
+// serve answers the commands on one connection.
 func (s *redisServer) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	for r := redcon.NewReader(conn); ; {
@@ -52,7 +52,7 @@
 	}
 }
 
-// reply notes a command and obeys it.
+// reply records a command, executes it and returns the reply.
 func (s *redisServer) reply(command []string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,37 +66,37 @@
 		info := fmt.Sprintf("# Server\r\nrun_id:0123456789abcdef\r\nuptime_in_seconds:%d\r\n", s.uptime)
 		return redcon.AppendBulkString(nil, info)
 	case "GET":
-		if value, known := s.values[command[1]]; known {
+		if value, known := s.storedValues[command[1]]; known {
 			return redcon.AppendBulkString(nil, value)
 		}
 		return redcon.AppendNull(nil)
 	case "SET":
 		return s.lease(command[1], command[2])
 	case "PSETEX":
-		s.values[command[1]] = command[3]
+		s.storedValues[command[1]] = command[3]
 		return redcon.AppendString(nil, "OK")
 	case "DEL":
-		delete(s.values, command[1])
+		delete(s.storedValues, command[1])
 		return redcon.AppendInt(nil, 1)
 	}
-	return s.ledgerReply(command)
+	return s.sortedSetReply(command)
 }
 
-// lease sets a key that is not set.
+// lease sets a key unless it is set, and returns the reply.
 func (s *redisServer) lease(key, value string) []byte {
-	if _, taken := s.values[key]; taken {
+	if _, taken := s.storedValues[key]; taken {
 		return redcon.AppendNull(nil)
 	}
-	if s.leased != nil {
-		s.leased(key)
+	if s.onLease != nil {
+		s.onLease(key)
 		return redcon.AppendNull(nil)
 	}
-	s.values[key] = value
+	s.storedValues[key] = value
 	return redcon.AppendString(nil, "OK")
 }
 
-// ledgerReply obeys the commands on the sorted set.
-func (s *redisServer) ledgerReply(command []string) []byte {
+// sortedSetReply executes a command on the sorted set and returns the reply.
+func (s *redisServer) sortedSetReply(command []string) []byte {
 	switch command[0] {
 	case "ZMSCORE":
 		b := redcon.AppendArray(nil, len(command)-2)
@@ -127,8 +127,8 @@
 	return redcon.AppendError(nil, fmt.Sprintf("ERR unknown command '%s'", command[0]))
 }
 
-// asked are the commands so far whose first words are these.
-func (s *redisServer) asked(verbs ...string) (list [][]string) {
+// received returns the recorded commands with one of the given verbs.
+func (s *redisServer) received(verbs ...string) (list [][]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, command := range s.commands {
@@ -139,30 +139,30 @@
 	return list
 }
 
-// first are the first commands.
-func (s *redisServer) first(n int) [][]string {
+// firstCommands returns the first n recorded commands.
+func (s *redisServer) firstCommands(n int) [][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.commands[:n])
 }
 
-// forget empties the list of commands.
-func (s *redisServer) forget() {
+// clearCommands discards the recorded commands.
+func (s *redisServer) clearCommands() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commands = nil
 }
 
-// put sets a value.
-func (s *redisServer) put(key, value string) {
+// setValue stores a value.
+func (s *redisServer) setValue(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.values[key] = value
+	s.storedValues[key] = value
 }
 
-// withMember finds the first ZADD that holds a member.
-func (s *redisServer) withMember(member string) []string {
-	for _, command := range s.asked("ZADD") {
+// firstZAdd returns the first recorded ZADD with a member, or nil.
+func (s *redisServer) firstZAdd(member string) []string {
+	for _, command := range s.received("ZADD") {
 		if slices.Contains(command, member) {
 			return command
 		}
@@ -170,21 +170,22 @@
 	return nil
 }
 
-// stamped shows a command with the times in it normalised: Unix milliseconds, and how long a key lives.
-func stamped(command []string) string {
-	shown := slices.Clone(command)
-	for i, word := range shown {
+// normaliseTimes returns a command as text, with placeholders for Unix times in milliseconds, the lifetimes of keys and
+// stored values.
+func normaliseTimes(command []string) string {
+	normalised := slices.Clone(command)
+	for i, word := range normalised {
 		score := strings.TrimPrefix(word, "(")
 		_, err := strconv.ParseUint(score, 10, 64)
-		lives := i > 0 && shown[i-1] == "PX" || i == 2 && shown[0] == "PSETEX"
+		isLifetime := i > 0 && normalised[i-1] == "PX" || i == 2 && normalised[0] == "PSETEX"
 		switch {
-		case lives && err == nil:
-			shown[i] = "MS"
+		case isLifetime && err == nil:
+			normalised[i] = "MS"
 		case len(score) == len("1764576000123") && err == nil:
-			shown[i] = strings.Replace(word, score, "STAMP", 1)
-		case i == 3 && shown[0] == "PSETEX":
-			shown[i] = "VALUE"
+			normalised[i] = strings.Replace(word, score, "STAMP", 1)
+		case i == 3 && normalised[0] == "PSETEX":
+			normalised[i] = "VALUE"
 		}
 	}
-	return fmt.Sprintf("%q\n", shown)
+	return fmt.Sprintf("%q\n", normalised)
 }
--- a/test/golden/schema_test.go
+++ b/test/golden/schema_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests pin what the commands schema and check say.
+// These tests pin the output of the commands schema and check.
 
 import (
 	"fmt"
@@ -11,28 +11,28 @@
 	"testing"
 )
 
-// goNames are the names of Go types in messages of the JSON decoder, which are free to change.
+// goNames matches the names of Go types in messages of the JSON decoder. They may change, and are replaced.
 var goNames = []struct {
-	what   *regexp.Regexp
-	stands string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`type (\[\])?(?:struct \{.*\}|\*?[a-zA-Z]+\.[a-zA-Z]+) belongs`), "type ${1}STRUCT belongs"},
 	{regexp.MustCompile(`Go struct field [a-zA-Z]+\.`), "Go struct field STRUCT."},
 }
 
-// exampleConfiguration is the published example.
+// exampleConfiguration returns the published example of a configuration.
 func exampleConfiguration(t *testing.T) string {
 	t.Helper()
-	return deployed(t, "example.json")
+	return readDeployFile(t, "example.json")
 }
 
-// exampleOperator is the published example of an operator's file.
+// exampleOperator returns the published example of an operator's file.
 func exampleOperator(t *testing.T) string {
 	t.Helper()
-	return deployed(t, "operator.example.json")
+	return readDeployFile(t, "operator.example.json")
 }
 
-func deployed(t *testing.T, name string) string {
+func readDeployFile(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(moduleRoot, "deploy", name))
 	if err != nil {
@@ -41,7 +41,7 @@
 	return string(text)
 }
 
-// check runs the command check on the texts of both files; an empty operator's file is none.
+// check runs the command check on a configuration and an operator's file, which is left out if its text is empty.
 func check(t *testing.T, configuration, operator string) runOutput {
 	t.Helper()
 	folder := t.TempDir()
@@ -55,16 +55,16 @@
 	if operator != "" {
 		arguments = append(arguments, "--operator", filepath.Join(folder, "operator.json"))
 	}
-	out := run(t, service, []string{"RELAY_CONFIG=" + filepath.Join(folder, "config.json")}, nil, arguments...)
+	out := run(t, routerProgram, []string{"RELAY_CONFIG=" + filepath.Join(folder, "config.json")}, nil, arguments...)
 	out.stderr = strings.ReplaceAll(out.stderr, folder, "FOLDER")
 	for _, name := range goNames {
-		out.stderr = name.what.ReplaceAllString(out.stderr, name.stands)
+		out.stderr = name.pattern.ReplaceAllString(out.stderr, name.replacement)
 	}
 	return out
 }
 
 func TestSchemaOfTheOperatorsFile(t *testing.T) {
-	out := run(t, service, nil, nil, "schema")
+	out := run(t, routerProgram, nil, nil, "schema")
 	if out.code != 0 || out.stderr != "" {
 		t.Error(out)
 	}
@@ -82,11 +82,12 @@
 		"RELAY_OPERATOR=" + filepath.Join(moduleRoot, "deploy", "operator.example.json"),
 	}
 	fmt.Fprintf(&w, "# name, address and operator's file from the environment\n%s",
-		run(t, service, environment, nil, "check"))
-	fmt.Fprintf(&w, "# no configuration\n%s", run(t, service, nil, nil, "check"))
-	fmt.Fprintf(&w, "# no such file\n%s", run(t, service, []string{"RELAY_CONFIG=/nonexistent/c.json"}, nil, "check"))
-	fmt.Fprintf(&w, "# no such operator's file\n%s", run(t, service, []string{"RELAY_CONFIG=" + config}, nil, "check",
-		"--operator", "/nonexistent/o.json"))
+		run(t, routerProgram, environment, nil, "check"))
+	fmt.Fprintf(&w, "# no configuration\n%s", run(t, routerProgram, nil, nil, "check"))
+	fmt.Fprintf(&w, "# no such file\n%s",
+		run(t, routerProgram, []string{"RELAY_CONFIG=/nonexistent/c.json"}, nil, "check"))
+	fmt.Fprintf(&w, "# no such operator's file\n%s",
+		run(t, routerProgram, []string{"RELAY_CONFIG=" + config}, nil, "check", "--operator", "/nonexistent/o.json"))
 	expectGolden(t, "check_examples.txt", []byte(w.String()))
 }
 
@@ -118,14 +119,14 @@
 	} {
 		text := strings.Replace(good, broken[0], broken[1], 1)
 		if text == good {
-			t.Errorf("the example has no %s", broken[0])
+			t.Errorf("the example configuration does not contain %s", broken[0])
 		}
 		fmt.Fprintf(&w, "# %.40q instead of %.40q\n%s", broken[1], broken[0], check(t, text, exampleOperator(t)))
 	}
 	expectGolden(t, "check_configurations.txt", []byte(w.String()))
 }
 
-// brokenOperatorsFiles has one for each kind of mistake.
+// brokenOperatorsFiles holds an operator's file for each kind of error.
 var brokenOperatorsFiles = []string{
 	"{\n \"stores\": [\n  {\"uid\": \"s-1\"}]}",
 	"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true},\n  {\"uid\": \"s-1\", \"listed\": true}]}",
--- a/test/golden/simulator_test.go
+++ b/test/golden/simulator_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests hold a conversation with the simulator program and pin each byte of it.
+// These tests pin each byte of a conversation with the simulator program.
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// firstSettings are those of a router with probes, second copies and tenants.
+// firstSettings are the settings of a router with health checks, hedged requests and tenants.
 const firstSettings = `{"az": 0, "dcs": ["west", "east"], "shapes": ["std", "parent", "origin"], "n_instances": 2,
  "registry_mode": "automatic", "weight_source": "rough",
  "classes": [
@@ -35,7 +35,7 @@
   "origin_limit_factor": 2.5, "parent_floor": 0.1, "parent_ramp_ms": 3000, "upper_fall_multiple": 2,
   "purge_grace_ms": 800, "root_kind": 2, "second_tier_kind": 1, "says": "all", "seats_by_zone": [2, 1]}}`
 
-// secondSettings are those of a router that asks for its list and is told less.
+// secondSettings are the settings of a router that polls for its endpoint list and has fewer capabilities.
 const secondSettings = `{"az": 1, "dcs": ["west", "east"], "shapes": ["std", "parent", "origin"], "n_instances": 2,
  "registry_mode": "subscribe", "weight_source": "nominal", "unheard_of": {"x": [1]},
  "classes": [
@@ -50,13 +50,13 @@
  "specifics": {"flow_kb_per_s": 2000, "class_write": [false, true], "neighbours": "location", "root_kind": 2,
   "says": "hit", "seats_by_zone": [1, 1], "gone_everywhere_ms": 4000, "purge_grace_ms": 500}}`
 
-// Codes of actions to which the conversation answers.
+// Codes of the actions to which the conversation reacts.
 const (
-	actionLog   = 0
-	actionAsk   = 2
-	actionServe = 3
-	actionTimer = 6
-	actionProbe = 9
+	actionLog         = 0
+	actionLookup      = 2
+	actionSend        = 3
+	actionSetTimer    = 6
+	actionCheckHealth = 9
 )
 
 const (
@@ -64,13 +64,13 @@
 	steps      = 150
 )
 
-// dueRecord is a record that a later frame brings.
+// dueRecord is a record to send with the frame of a later step.
 type dueRecord struct {
 	step int
 	rec  *record
 }
 
-// conversation is a scripted fleet: it answers the actions of the routers by fixed rules.
+// conversation simulates the clients and servers of two routers, and reacts to the routers' actions by fixed rules.
 type conversation struct {
 	t              *testing.T
 	in             io.Writer
@@ -78,13 +78,13 @@
 	transcript     bytes.Buffer
 	step           int
 	due            []dueRecord
-	attemptNumbers map[string]uint16 // attempts by router and request
-	attempts       int
-	probes         int
+	attemptNumbers map[string]uint16 // next attempt number, by router and request
+	attemptCount   int
+	healthChecks   int
 }
 
-// exchange sends a frame and reads the reply, and notes both.
-func (c *conversation) exchange(b *batch) {
+// exchange sends a frame and reads the reply, and records both in the transcript.
+func (c *conversation) exchange(b *frameBuilder) {
 	c.t.Helper()
 	frame := b.encode()
 	fmt.Fprintf(&c.transcript, "frame %x\n", frame[:frameHeader])
@@ -99,24 +99,24 @@
 	if _, err := io.ReadFull(c.out, head); err != nil {
 		c.t.Fatal(err)
 	}
-	body := make([]byte, little.Uint32(head[4:])-4)
+	body := make([]byte, byteOrder.Uint32(head[4:])-4)
 	if _, err := io.ReadFull(c.out, body); err != nil {
 		c.t.Fatal(err)
 	}
-	c.note(head, body)
+	c.recordReply(head, body)
 }
 
-// note writes a reply down and answers it. The words of log lines are free: of a log line, only its place is pinned,
-// and that the tail holds exactly the lines one after the other.
-func (c *conversation) note(head, body []byte) {
+// recordReply records a reply and reacts to its actions. The text of log lines may change, so that only their order
+// among the actions is recorded; recordReply checks that the tail holds exactly these lines in order.
+func (c *conversation) recordReply(head, body []byte) {
 	c.t.Helper()
-	count := int(little.Uint32(head[8:]))
+	count := int(byteOrder.Uint32(head[8:]))
 	tail, logged := body[count*actionSize:], 0
 	fmt.Fprintf(&c.transcript, "reply %x count %d\n", head[:4], count)
 	for i := range count {
 		action := body[i*actionSize:][:actionSize]
 		if action[0] == actionLog {
-			offset, length := int(little.Uint32(action[5:])), int(little.Uint32(action[9:]))
+			offset, length := int(byteOrder.Uint32(action[5:])), int(byteOrder.Uint32(action[9:]))
 			if offset != logged || length == 0 {
 				c.t.Errorf("step %d: a log line of %d bytes at %d, not %d", c.step, length, offset, logged)
 			}
@@ -124,39 +124,39 @@
 			copy(action[5:13], "LOGGED..")
 		}
 		fmt.Fprintf(&c.transcript, "< %x\n", action)
-		c.answer(action)
+		c.react(action)
 	}
 	if len(tail) != logged {
 		c.t.Errorf("step %d: a tail of %d bytes for %d of log lines", c.step, len(tail), logged)
 	}
 }
 
-// later has a record told some steps from now.
-func (c *conversation) later(steps int, r *record) {
+// schedule sends a record some steps from now, at least one.
+func (c *conversation) schedule(steps int, r *record) {
 	c.due = append(c.due, dueRecord{c.step + max(1, steps), r})
 }
 
-// answer schedules what follows from an action.
-func (c *conversation) answer(action []byte) {
-	router := little.Uint32(action[1:])
+// react schedules the records that follow from an action.
+func (c *conversation) react(action []byte) {
+	router := byteOrder.Uint32(action[1:])
 	switch action[0] {
-	case actionTimer:
-		wait := math.Float64frombits(little.Uint64(action[5:]))
-		c.later(int(math.Ceil(wait/stepMillis)), newRecord(recordTimer, router).u64(5, little.Uint64(action[13:])))
-	case actionProbe:
-		c.probes++
-		r := newRecord(recordProbeEnd, router).u16(11, uint16(1+c.probes%3/2)).f64(13, 3.5)
+	case actionSetTimer:
+		wait := math.Float64frombits(byteOrder.Uint64(action[5:]))
+		c.schedule(int(math.Ceil(wait/stepMillis)), newRecord(recordTimer, router).u64(5, byteOrder.Uint64(action[13:])))
+	case actionCheckHealth:
+		c.healthChecks++
+		r := newRecord(recordHealthCheck, router).u16(11, uint16(1+c.healthChecks%3/2)).f64(13, 3.5)
 		copy(r[5:], action[5:11])
-		c.later(1+c.probes%2, report(r, 21, c.probes))
-	case actionAsk:
+		c.schedule(1+c.healthChecks%2, putLoadReport(r, 21, c.healthChecks))
+	case actionLookup:
 		c.attempt(router, action[5:13], action[13:19])
-	case actionServe:
+	case actionSend:
 		c.attempt(router, action[5:13], action[21:27])
 	}
 }
 
-// report puts a load report into a record.
-func report(r *record, at, n int) *record {
+// putLoadReport writes a load report into a record at an offset.
+func putLoadReport(r *record, at, n int) *record {
 	r.u8(at, 4)
 	for i := range 4 {
 		r.f32(at+1+4*i, float32((n*7+i*3)%10)/10)
@@ -164,16 +164,16 @@
 	return r
 }
 
-// ending is how an attempt ends.
-type ending struct {
+// attemptResult is the result of an attempt, and the number of steps until it arrives.
+type attemptResult struct {
 	outcome uint16
 	note    byte
 	final   byte
 	steps   int
 }
 
-// endings are the ways in which attempts end, in turn. A success is final.
-var endings = []ending{
+// attemptResults are the results that attempts get, in turn. A successful result, outcome 1, is final.
+var attemptResults = []attemptResult{
 	{1, 1, 1, 2},
 	{1, 2, 1, 6},
 	{9, 7, 0, 1},
@@ -199,34 +199,34 @@
 	{1, 2, 1, 4},
 }
 
-// attempt schedules the end of an attempt, and for some that their first bytes came.
+// attempt schedules the result of an attempt, and for some attempts the arrival of the first bytes.
 func (c *conversation) attempt(router uint32, requestID, node []byte) {
 	key := fmt.Sprintf("%d %x", router, requestID)
 	number := c.attemptNumbers[key]
 	c.attemptNumbers[key]++
-	end := endings[c.attempts%len(endings)]
-	c.attempts++
-	if end.final == 1 && c.attempts%4 == 0 {
-		r := newRecord(recordStream, router).u16(19, number).f64(21, 4.25)
+	result := attemptResults[c.attemptCount%len(attemptResults)]
+	c.attemptCount++
+	if result.final == 1 && c.attemptCount%4 == 0 {
+		r := newRecord(recordStreamStarted, router).u16(19, number).f64(21, 4.25)
 		copy(r[5:], requestID)
 		copy(r[13:], node)
-		c.later(1, r)
+		c.schedule(1, r)
 	}
-	r := newRecord(recordLegEnd, router).u16(13, number).u16(21, end.outcome)
-	r.f64(23, float64(end.steps*stepMillis)).u8(31, end.final).u8(32, end.note).f64(33, float64(end.steps))
+	r := newRecord(recordAttemptResult, router).u16(13, number).u16(21, result.outcome)
+	r.f64(23, float64(result.steps*stepMillis)).u8(31, result.final).u8(32, result.note).f64(33, float64(result.steps))
 	copy(r[5:], requestID)
 	copy(r[15:], node)
-	c.later(end.steps, report(r, 41, c.attempts))
+	c.schedule(result.steps, putLoadReport(r, 41, c.attemptCount))
 }
 
-// nodes are the caches of two zones, a parent and the origin.
-func nodes() []listed {
-	list := []listed{
+// endpointEntries returns a parent, the origin and caches in two zones.
+func endpointEntries() []listEntry {
+	list := []listEntry{
 		{state: 1, kind: 1, node: newAddress(200), weight: 12},
 		{state: 1, kind: 2, node: newAddress(250), weight: 20},
 	}
 	for i := range 6 {
-		list = append(list, listed{
+		list = append(list, listEntry{
 			state: 1, zone: uint16(i % 2), cell: uint16(i / 2), node: newAddress(byte(i + 1)),
 			weight: float32(4 + i%3),
 		})
@@ -235,8 +235,8 @@
 	return list
 }
 
-// request brings a client's request to a router.
-func request(router uint32, count int) *record {
+// newRequestRecord returns the record of a client's request to a router.
+func newRequestRecord(router uint32, count int) *record {
 	class, left := byte(0), float64(3000)
 	switch {
 	case count%11 == 5:
@@ -256,42 +256,42 @@
 	return r
 }
 
-// events adds what the script tells at a step, whatever the routers do.
-func (c *conversation) events(b *batch) {
+// events adds the scripted records of a step, which do not depend on the routers.
+func (c *conversation) events(b *frameBuilder) {
 	switch c.step {
 	case 0:
-		b.birth(1, 0x8c1f30d27a5be964, firstSettings)
-		b.birth(2, 7, secondSettings)
-		b.list(3, nodes()...)
-		b.peers(1, 3, 1)
-		b.peers(2, 3, 3) // the call failed
+		b.addStart(1, 0x8c1f30d27a5be964, firstSettings)
+		b.addStart(2, 7, secondSettings)
+		b.addList(3, endpointEntries()...)
+		b.addEndpoints(1, 3, 1)
+		b.addEndpoints(2, 3, 3) // the call failed
 	case 2:
-		b.peers(2, 3, 2)
+		b.addEndpoints(2, 3, 2)
 	case 30:
-		list := nodes()
+		list := endpointEntries()
 		list[2].state, list[3].state = 2, 0
-		b.list(4, list[2], list[3])
-		b.peers(1, 4, 0)
-		b.peers(2, 4, 0)
+		b.addList(4, list[2], list[3])
+		b.addEndpoints(1, 4, 0)
+		b.addEndpoints(2, 4, 0)
 	case 45:
 		b.add(newRecord(recordPurge, 1).u64(5, 5).f64(13, 250), newRecord(recordPurge, 2).f64(13, 100).u16(21, 2))
 	case 60:
-		b.add(newRecord(recordMessage, 1).u32(7, b.text([]byte("ignored"))).u32(11, 7))
+		b.add(newRecord(recordGossip, 1).u32(7, b.addToTail([]byte("ignored"))).u32(11, 7))
 	case 90:
-		b.list(15, nodes()...)
-		b.peers(1, 15, 1)
-		b.add(newRecord(recordKill, 2))
+		b.addList(15, endpointEntries()...)
+		b.addEndpoints(1, 15, 1)
+		b.add(newRecord(recordStop, 2))
 	case 100:
-		b.birth(2, 9, secondSettings)
-		b.peers(2, 15, 1)
+		b.addStart(2, 9, secondSettings)
+		b.addEndpoints(2, 15, 1)
 	}
 }
 
-// talk holds the whole conversation.
-func (c *conversation) talk() {
-	asked := 0
+// play runs the whole conversation.
+func (c *conversation) play() {
+	requestCount := 0
 	for c.step = range steps {
-		b := &batch{number: uint32(c.step + 1), now: 10_000 + float64(c.step*stepMillis)}
+		b := &frameBuilder{number: uint32(c.step + 1), now: 10_000 + float64(c.step*stepMillis)}
 		c.events(b)
 		for _, d := range c.due {
 			if d.step <= c.step {
@@ -301,21 +301,21 @@
 		c.due = slices.DeleteFunc(c.due, func(d dueRecord) bool { return d.step <= c.step })
 		for range 2 {
 			if c.step > 1 {
-				b.add(request(uint32(1+asked%2), asked))
-				asked++
+				b.add(newRequestRecord(uint32(1+requestCount%2), requestCount))
+				requestCount++
 			}
 		}
 		if c.step%8 == 7 {
-			gone := asked - 4
-			b.add(newRecord(recordGone, uint32(1+gone%2)).u64(5, uint64(gone+1)))
+			abandoned := requestCount - 4
+			b.add(newRecord(recordClientGone, uint32(1+abandoned%2)).u64(5, uint64(abandoned+1)))
 		}
 		c.exchange(b)
 	}
-	c.exchange(&batch{number: math.MaxUint32, now: 60_000})
+	c.exchange(&frameBuilder{number: math.MaxUint32, now: 60_000})
 }
 
 func TestSimulatorConversation(t *testing.T) {
-	cmd := exec.Command(simulator)
+	cmd := exec.Command(simulatorProgram)
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -329,7 +329,7 @@
 	}
 	defer func() { _ = cmd.Process.Kill() }()
 	c := &conversation{t: t, in: in, out: bufio.NewReader(out), attemptNumbers: map[string]uint16{}}
-	c.talk()
+	c.play()
 	_ = in.Close()
 	if rest, err := io.ReadAll(c.out); err != nil || len(rest) > 0 {
 		t.Errorf("%d bytes after the last reply, %v", len(rest), err)
@@ -340,18 +340,18 @@
 	expectGolden(t, "simulator_conversation.txt", c.transcript.Bytes())
 }
 
-// malformedFrames are frames that end the simulator.
+// malformedFrames returns frames that make the simulator exit, by name.
 func malformedFrames() map[string][]byte {
-	one := func(r *record) []byte { return (&batch{number: 1, now: 10_000, records: []*record{r}}).encode() }
-	born := func(settings string) []byte {
-		b := &batch{number: 1, now: 10_000}
-		b.birth(7, 1, settings)
+	encode := func(r *record) []byte { return (&frameBuilder{number: 1, now: 10_000, records: []*record{r}}).encode() }
+	encodeStart := func(settings string) []byte {
+		b := &frameBuilder{number: 1, now: 10_000}
+		b.addStart(7, 1, settings)
 		return b.encode()
 	}
-	good := one(newRecord(recordKill, 7))
+	good := encode(newRecord(recordStop, 7))
 	withLength := func(at int, n uint32) []byte {
 		b := bytes.Clone(good)
-		little.PutUint32(b[at:], n)
+		byteOrder.PutUint32(b[at:], n)
 		return b
 	}
 	return map[string][]byte{
@@ -360,26 +360,26 @@
 		"too long":               withLength(lengthOffset, 0xfffffff0),
 		"too short":              withLength(lengthOffset, 7),
 		"too many records":       withLength(4, 1000),
-		"unknown code":           one(newRecord(99, 7)),
-		"list outside the tail":  one((&record{recordList, 3}).u32(2, 255).u32(6, 2)),
-		"list number":            one(&record{recordList, 16}),
-		"list with odd state":    frameWithList(listed{state: 3, node: newAddress(1)}),
-		"peers list number":      one(newRecord(recordPeers, 7).u8(5, 16)),
-		"peers scope":            one(newRecord(recordPeers, 7).u8(6, 9)),
-		"outcome of an attempt":  one(newRecord(recordLegEnd, 7).u16(21, 10)),
-		"outcome of a probe":     one(newRecord(recordProbeEnd, 7).u16(11, 10)),
-		"message outside tail":   one(newRecord(recordMessage, 7).u32(7, 1).u32(11, 1)),
-		"settings outside tail":  one(newRecord(recordBirth, 7).u32(13, 1).u32(17, 1)),
-		"settings cut short":     born("{"),
-		"settings odd effect":    born(`{"classes": [{"effect": "odd"}]}`),
-		"settings of wrong type": born(`{"az": "x"}`),
-		"settings no deadline":   born(`{"classes": [{"effect": "fragile"}]}`),
+		"unknown code":           encode(newRecord(99, 7)),
+		"list outside the tail":  encode((&record{recordEndpointList, 3}).u32(2, 255).u32(6, 2)),
+		"list number":            encode(&record{recordEndpointList, 16}),
+		"list with odd state":    frameWithList(listEntry{state: 3, node: newAddress(1)}),
+		"peers list number":      encode(newRecord(recordEndpoints, 7).u8(5, 16)),
+		"peers scope":            encode(newRecord(recordEndpoints, 7).u8(6, 9)),
+		"outcome of an attempt":  encode(newRecord(recordAttemptResult, 7).u16(21, 10)),
+		"outcome of a probe":     encode(newRecord(recordHealthCheck, 7).u16(11, 10)),
+		"message outside tail":   encode(newRecord(recordGossip, 7).u32(7, 1).u32(11, 1)),
+		"settings outside tail":  encode(newRecord(recordStart, 7).u32(13, 1).u32(17, 1)),
+		"settings cut short":     encodeStart("{"),
+		"settings odd effect":    encodeStart(`{"classes": [{"effect": "odd"}]}`),
+		"settings of wrong type": encodeStart(`{"az": "x"}`),
+		"settings no deadline":   encodeStart(`{"classes": [{"effect": "fragile"}]}`),
 	}
 }
 
-func frameWithList(nodes ...listed) []byte {
-	b := &batch{number: 1, now: 10_000}
-	b.list(1, nodes...)
+func frameWithList(entries ...listEntry) []byte {
+	b := &frameBuilder{number: 1, now: 10_000}
+	b.addList(1, entries...)
 	return b.encode()
 }
 
@@ -387,10 +387,10 @@
 	var got strings.Builder
 	frames := malformedFrames()
 	for _, name := range sortedKeys(frames) {
-		fmt.Fprintf(&got, "# %s\n%s", name, run(t, simulator, nil, frames[name]))
+		fmt.Fprintf(&got, "# %s\n%s", name, run(t, simulatorProgram, nil, frames[name]))
 	}
-	// What came before a malformed frame is answered.
-	good := (&batch{number: 5, now: 10_000}).encode()
-	fmt.Fprintf(&got, "# after a good frame\n%q\n", run(t, simulator, nil, append(good, "abc"...)).String())
+	// The simulator answers the frames before a malformed one.
+	good := (&frameBuilder{number: 5, now: 10_000}).encode()
+	fmt.Fprintf(&got, "# after a good frame\n%q\n", run(t, simulatorProgram, nil, append(good, "abc"...)).String())
 	expectGolden(t, "simulator_malformed.txt", []byte(got.String()))
 }
--- a/test/golden/store_test.go
+++ b/test/golden/store_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests pin what a router says to a shared store, and the form of the values in it.
+// These tests pin the commands that a router sends to a shared store, and the format of the values in the store.
 
 import (
 	"encoding/binary"
@@ -14,13 +14,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// newStoreFleet is a router whose only cache is a shared store.
+// newStoreFleet starts a router whose only cache is a shared store.
 func newStoreFleet(t *testing.T, store *redisServer) *fleet {
 	t.Helper()
 	return newStoreFleetWith(t, store, `"lease": true, "keep_ms": 600000`)
 }
 
-// newStoreFleetWith is one with other settings for its store.
+// newStoreFleetWith starts a router whose only cache is a shared store, with the given settings of "shared".
 func newStoreFleetWith(t *testing.T, store *redisServer, shared string) *fleet {
 	t.Helper()
 	f := newFleet(t)
@@ -30,45 +30,46 @@
  "user": "router", "password_file": "password", "database": 3}],
  "shared": {%s}}`, store.address, shared))
 	f.start("RELAY_OPERATOR=" + path)
-	await(t, "the ledger is written", func() bool { return len(store.asked("ZADD")) > 0 })
+	waitFor(t, "the invalidation log is written", func() bool { return len(store.received("ZADD")) > 0 })
 	return f
 }
 
-// now is the Unix time in milliseconds.
-func now() int64 { return time.Now().UnixMilli() }
+// nowMillis returns the Unix time in milliseconds.
+func nowMillis() int64 { return time.Now().UnixMilli() }
 
-// storedValue is a value in a store, as it has always been written.
+// storedValue is a value in a store, in the format that all releases share.
 type storedValue struct {
-	magic       string
-	form        byte
-	object      uint64
-	part, group uint32
-	born, valid int64
-	tag, body   string
+	magic                  string
+	format                 byte
+	object                 uint64
+	part, group            uint32
+	generatedAt, validFrom int64
+	etag, body             string
 }
 
-// newStoredValue is a value of the object, part and group that requestFields name.
-func newStoredValue(object uint64, born int64) storedValue {
+// newStoredValue returns a value of an object, with the part and group of requestFields.
+func newStoredValue(object uint64, generatedAt int64) storedValue {
 	return storedValue{
-		magic: "FA", form: 1, object: object, part: 3, group: 17, born: born, valid: born,
-		tag: "0000000000000005", body: "stored",
+		magic: "FA", format: 1, object: object, part: 3, group: 17, generatedAt: generatedAt, validFrom: generatedAt,
+		etag: "0000000000000005", body: "stored",
 	}
 }
 
-// encode lays the value out: magic, form, length of the tag, five big-endian fields, tag, body, and a hash of all.
+// encode returns the stored bytes: magic, format, length of the ETag, five big-endian fields, ETag, body, and a hash of
+// everything before.
 func (v storedValue) encode() string {
-	b := append([]byte(v.magic), v.form, byte(len(v.tag)))
+	b := append([]byte(v.magic), v.format, byte(len(v.etag)))
 	b = binary.BigEndian.AppendUint64(b, v.object)
 	b = binary.BigEndian.AppendUint32(b, v.part)
 	b = binary.BigEndian.AppendUint32(b, v.group)
-	b = binary.BigEndian.AppendUint64(b, uint64(v.born))
-	b = binary.BigEndian.AppendUint64(b, uint64(v.valid))
-	b = append(append(b, v.tag...), v.body...)
+	b = binary.BigEndian.AppendUint64(b, uint64(v.generatedAt))
+	b = binary.BigEndian.AppendUint64(b, uint64(v.validFrom))
+	b = append(append(b, v.etag...), v.body...)
 	return string(binary.BigEndian.AppendUint64(b, xxhash.Sum64(b)))
 }
 
-// ask requests an object from the router and returns the response without its tag.
-func ask(c *client, id int, class string, object int, fields string) string {
+// doRequest requests an object from the router and returns the response without the request's number.
+func doRequest(c *client, id int, class string, object int, fields string) string {
 	c.t.Helper()
 	c.send("DO", fmt.Sprint(id), class, requestFields(id, object)+fields)
 	return fmt.Sprintf("%q", c.receive()[1:])
@@ -78,21 +79,21 @@
 	store := newRedisServer(t)
 	newStoreFleet(t, store)
 	var w strings.Builder
-	for _, command := range store.first(3) {
-		w.WriteString(stamped(command))
+	for _, command := range store.firstCommands(3) {
+		w.WriteString(normaliseTimes(command))
 	}
 	expectGolden(t, "store_greeting.txt", []byte(w.String()))
 }
 
-// newStoreWithLedger is a store in whose ledger another router has kept every purge for long, so that copies of this
-// moment are served.
-func newStoreWithLedger(t *testing.T) (store *redisServer, floor int64) {
+// newStoreWithLog returns a store whose invalidation log another router has kept complete since floor, so that the
+// router under test may serve copies generated after floor.
+func newStoreWithLog(t *testing.T) (store *redisServer, floor int64) {
 	t.Helper()
 	store = newRedisServer(t)
-	floor = now() - 300_000
-	store.scores["floor"], store.scores["seen"] = float64(floor), float64(now()+60_000)
-	store.scores["o:c9"] = float64(now() - 1000) // a purge of one object
-	store.scores["g:18"] = float64(now() - 1000) // and of a group
+	floor = nowMillis() - 300_000
+	store.scores["floor"], store.scores["seen"] = float64(floor), float64(nowMillis()+60_000)
+	store.scores["o:c9"] = float64(nowMillis() - 1000) // a purge of one object
+	store.scores["g:18"] = float64(nowMillis() - 1000) // and of a group
 	return store, floor
 }
 
@@ -102,52 +103,52 @@
 
 func playStoreMiss(t *testing.T) []byte {
 	t.Helper()
-	store, _ := newStoreWithLedger(t)
+	store, _ := newStoreWithLog(t)
 	f := newStoreFleet(t, store)
 	client, w := f.client(), &transcript{}
 	for index, class := range []string{"clip", "news"} {
-		born, object := now(), 0xa1+index
-		f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", born), "stored"))
-		store.forget()
+		generatedAt, object := nowMillis(), 0xa1+index
+		f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", generatedAt), "stored"))
+		store.clearCommands()
 		_, _ = fmt.Fprintf(w, "# a miss of class %s\n", class)
-		_, _ = fmt.Fprintln(w, "client <", ask(client, index+1, class, object, ",ver=00000000000000bc"))
-		await(t, "the value is stored", func() bool { return len(store.asked("PSETEX")) > 0 })
-		w.values(f, store)
-		set := store.asked("PSETEX")[0]
-		if want := newStoredValue(uint64(object), born).encode(); set[3] != want {
+		_, _ = fmt.Fprintln(w, "client <", doRequest(client, index+1, class, object, ",ver=00000000000000bc"))
+		waitFor(t, "the value is stored", func() bool { return len(store.received("PSETEX")) > 0 })
+		w.storedValues(f, store)
+		set := store.received("PSETEX")[0]
+		if want := newStoredValue(uint64(object), generatedAt).encode(); set[3] != want {
 			t.Errorf("stored %q, not %q", set[3], want)
 		}
-		longest := map[string]int{"clip": 600_000, "news": 90_000}[class] // keep_ms; fresh time and grace
-		if lives, _ := strconv.Atoi(set[2]); lives > longest || lives < longest-int(limit.Milliseconds()) {
-			t.Errorf("class %s is stored for %s ms, not %d", class, set[2], longest)
+		maxLifetime := map[string]int{"clip": 600_000, "news": 90_000}[class] // keep_ms; or maximum age plus grace
+		if lifetime, _ := strconv.Atoi(set[2]); lifetime > maxLifetime || lifetime < maxLifetime-int(maxWait.Milliseconds()) {
+			t.Errorf("class %s is stored for %s ms, not %d", class, set[2], maxLifetime)
 		}
-		store.forget()
-		_, _ = fmt.Fprintln(w, "# then it is served from the store\nclient <", ask(client, index+10, class, object, ""))
-		w.values(f, store)
+		store.clearCommands()
+		_, _ = fmt.Fprintln(w, "# then it is served from the store\nclient <", doRequest(client, index+10, class, object, ""))
+		w.storedValues(f, store)
 	}
 	return []byte(w.String())
 }
 
-// values notes the commands on values and leases, and the fetches behind them. DEL is not among them: whether a lease
-// is given back or runs out is a matter of time.
-func (w *transcript) values(f *fleet, store *redisServer) {
-	for _, command := range store.asked("GET", "SET", "PSETEX") {
-		w.WriteString("store < " + stamped(command))
+// storedValues records the commands on values and leases, and the requests that the servers received. It leaves out
+// DEL, because a lease may either be given back or expire, depending on timing.
+func (w *transcript) storedValues(f *fleet, store *redisServer) {
+	for _, command := range store.received("GET", "SET", "PSETEX") {
+		w.WriteString("store < " + normaliseTimes(command))
 	}
-	w.servers(f)
+	w.addServerRequests(f)
 }
 
 func TestStoreLeaseIsGivenBack(t *testing.T) {
 	store := newRedisServer(t)
 	f := newStoreFleet(t, store)
 	c, object := f.client(), 0
-	await(t, "a lease is given back", func() bool {
+	waitFor(t, "a lease is given back", func() bool {
 		object++
-		f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", now()), "stored"))
-		ask(c, object, "clip", object, "")
-		return len(store.asked("DEL")) > 0
+		f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", nowMillis()), "stored"))
+		doRequest(c, object, "clip", object, "")
+		return len(store.received("DEL")) > 0
 	})
-	for _, command := range store.asked("DEL") {
+	for _, command := range store.received("DEL") {
 		key, isLease := strings.CutPrefix(command[1], "fa:l:")
 		if len(command) != 2 || !isLease || !strings.HasSuffix(key, ":3") {
 			t.Errorf("%q", command)
@@ -161,32 +162,32 @@
 
 func playLeaseOfAnotherRouter(t *testing.T) []byte {
 	t.Helper()
-	store, _ := newStoreWithLedger(t)
+	store, _ := newStoreWithLog(t)
 	f := newStoreFleet(t, store)
 	store.mu.Lock()
-	store.leased = func(string) { // the other router stores its copy just then
-		store.values["fa:v:b1:3"] = newStoredValue(0xb1, now()).encode()
+	store.onLease = func(string) { // the other router stores its copy now
+		store.storedValues["fa:v:b1:3"] = newStoredValue(0xb1, nowMillis()).encode()
 	}
 	store.mu.Unlock()
-	store.forget()
+	store.clearCommands()
 	w := &transcript{}
-	_, _ = fmt.Fprintln(w, "client <", ask(f.client(), 1, "clip", 0xb1, ""))
-	w.values(f, store)
+	_, _ = fmt.Fprintln(w, "client <", doRequest(f.client(), 1, "clip", 0xb1, ""))
+	w.storedValues(f, store)
 	return []byte(w.String())
 }
 
 func TestStoreWithoutLeases(t *testing.T) {
-	store, _ := newStoreWithLedger(t)
+	store, _ := newStoreWithLog(t)
 	f := newStoreFleetWith(t, store, `"lease": false, "keep_ms": 5000`)
-	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", now()), "stored"))
-	store.forget()
-	ask(f.client(), 1, "clip", 0xa1, "")
-	await(t, "the value is stored", func() bool { return len(store.asked("PSETEX")) > 0 })
-	if leases := store.asked("SET"); len(leases) > 0 {
+	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", nowMillis()), "stored"))
+	store.clearCommands()
+	doRequest(f.client(), 1, "clip", 0xa1, "")
+	waitFor(t, "the value is stored", func() bool { return len(store.received("PSETEX")) > 0 })
+	if leases := store.received("SET"); len(leases) > 0 {
 		t.Errorf("leases: %q", leases)
 	}
-	if lives, _ := strconv.Atoi(store.asked("PSETEX")[0][2]); lives <= 0 || lives > 5000 {
-		t.Errorf("stored for %d ms", lives)
+	if lifetime, _ := strconv.Atoi(store.received("PSETEX")[0][2]); lifetime <= 0 || lifetime > 5000 {
+		t.Errorf("stored for %d ms", lifetime)
 	}
 }
 
@@ -195,12 +196,12 @@
 	f := newStoreFleet(t, store)
 	f.parent.set(respond("200", "sum=0000000000000005,how=local", "hit"))
 	c, object := f.client(), 0
-	await(t, "a health check", func() bool {
+	waitFor(t, "a health check", func() bool {
 		object++
-		ask(c, object, "clip", object, "")
-		return len(store.asked("PING")) > 0
+		doRequest(c, object, "clip", object, "")
+		return len(store.received("PING")) > 0
 	})
-	if command := store.asked("PING")[0]; len(command) != 1 {
+	if command := store.received("PING")[0]; len(command) != 1 {
 		t.Errorf("%q", command)
 	}
 }
@@ -211,12 +212,12 @@
 
 func playStoredValues(t *testing.T) []byte {
 	t.Helper()
-	store, floor := newStoreWithLedger(t)
+	store, floor := newStoreWithLog(t)
 	f := newStoreFleet(t, store)
-	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000006,t0=%d,how=local", now()), "from the parent"))
-	born, client, w := floor+100_000, f.client(), &transcript{}
-	await(t, "the ledger is read", func() bool { return len(store.asked("ZRANGEBYSCORE")) > 0 })
-	w.WriteString("store < " + stamped(store.asked("ZRANGEBYSCORE")[0]))
+	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000006,t0=%d,how=local", nowMillis()), "from the parent"))
+	generatedAt, client, w := floor+100_000, f.client(), &transcript{}
+	waitFor(t, "the invalidation log is read", func() bool { return len(store.received("ZRANGEBYSCORE")) > 0 })
+	w.WriteString("store < " + normaliseTimes(store.received("ZRANGEBYSCORE")[0]))
 	for index, change := range []struct {
 		name   string
 		fields string
@@ -226,53 +227,54 @@
 		{"its tag is the client's", ",ver=0000000000000005", func(*storedValue) {}},
 		{"no body", "", func(v *storedValue) { v.body = "" }},
 		{"bytes of all kinds", "", func(v *storedValue) { v.body = "\r\n\x00\xff$5\r\n" }},
-		{"a short tag", "", func(v *storedValue) { v.tag = "x" }},
-		{"no tag", "", func(v *storedValue) { v.tag = "" }},
-		{"another form", "", func(v *storedValue) { v.form = 2 }},
+		{"a short tag", "", func(v *storedValue) { v.etag = "x" }},
+		{"no tag", "", func(v *storedValue) { v.etag = "" }},
+		{"another form", "", func(v *storedValue) { v.format = 2 }},
 		{"another magic", "", func(v *storedValue) { v.magic = "FB" }},
 		{"another object", "", func(v *storedValue) { v.object++ }},
 		{"another part", "", func(v *storedValue) { v.part++ }},
-		{"older than the ledger", "", func(v *storedValue) { v.born, v.valid = floor-5000, floor-5000 }},
-		{"old but valid", "", func(v *storedValue) { v.born = floor - 5000 }},
+		{"older than the ledger", "", func(v *storedValue) { v.generatedAt, v.validFrom = floor-5000, floor-5000 }},
+		{"old but valid", "", func(v *storedValue) { v.generatedAt = floor - 5000 }},
 		{"purged", "", func(v *storedValue) { v.object = 0xc9 }},
 	} {
 		object := uint64(0xc1 + index)
 		if change.name == "purged" {
 			object = 0xc9
 		}
-		v := newStoredValue(object, born)
+		v := newStoredValue(object, generatedAt)
 		change.change(&v)
-		store.put(fmt.Sprintf("fa:v:%x:3", object), v.encode())
-		_, _ = fmt.Fprintf(w, "# %s\nclient < %s\n", change.name, ask(client, index+1, "clip", int(object), change.fields))
+		store.setValue(fmt.Sprintf("fa:v:%x:3", object), v.encode())
+		_, _ = fmt.Fprintf(w, "# %s\nclient < %s\n", change.name,
+			doRequest(client, index+1, "clip", int(object), change.fields))
 	}
-	corrupt := []byte(newStoredValue(0xd1, born).encode())
+	corrupt := []byte(newStoredValue(0xd1, generatedAt).encode())
 	corrupt[40] ^= 1
-	store.put("fa:v:d1:3", string(corrupt))
-	_, _ = fmt.Fprintf(w, "# a bit is wrong\nclient < %s\n", ask(client, 50, "clip", 0xd1, ""))
+	store.setValue("fa:v:d1:3", string(corrupt))
+	_, _ = fmt.Fprintf(w, "# a bit is wrong\nclient < %s\n", doRequest(client, 50, "clip", 0xd1, ""))
 	return []byte(w.String())
 }
 
 func TestStoreLedger(t *testing.T) {
-	t.Parallel() // it waits some seconds for what is dropped
+	t.Parallel() // waits some seconds until old purges are dropped
 	store := newRedisServer(t)
 	f := newStoreFleet(t, store)
 	w := &transcript{}
-	w.WriteString("the ledger is read: " + stamped(store.asked("ZMSCORE")[0]))
-	w.WriteString("it is begun: " + stamped(store.asked("ZADD")[0]))
+	w.WriteString("the ledger is read: " + normaliseTimes(store.received("ZMSCORE")[0]))
+	w.WriteString("it is begun: " + normaliseTimes(store.received("ZADD")[0]))
 	for _, purge := range []struct{ event, member string }{
 		{`"recall":{"item":"00000000000000e1","issued":%d}`, "o:e1"},
 		{`"recall":{"lot":17,"issued":%d}`, "g:17"},
 	} {
-		issued := now()
-		f.board.tell(fmt.Sprintf(purge.event, issued))
-		await(t, "a purge is written", func() bool { return store.withMember(purge.member) != nil })
-		command := store.withMember(purge.member)
-		w.WriteString("a purge: " + stamped(command))
+		issued := nowMillis()
+		f.discovery.publish(fmt.Sprintf(purge.event, issued))
+		waitFor(t, "a purge is written", func() bool { return store.firstZAdd(purge.member) != nil })
+		command := store.firstZAdd(purge.member)
+		w.WriteString("a purge: " + normaliseTimes(command))
 		if command[3] != fmt.Sprint(issued) {
-			t.Errorf("a purge of %d: %q", issued, command)
+			t.Errorf("a purge issued at %d: %q", issued, command)
 		}
 	}
-	await(t, "old purges are dropped", func() bool { return len(store.asked("ZREMRANGEBYSCORE")) > 0 })
-	w.WriteString("old purges are dropped: " + stamped(store.asked("ZREMRANGEBYSCORE")[0]))
+	waitFor(t, "old purges are dropped", func() bool { return len(store.received("ZREMRANGEBYSCORE")) > 0 })
+	w.WriteString("old purges are dropped: " + normaliseTimes(store.received("ZREMRANGEBYSCORE")[0]))
 	expectGolden(t, "store_ledger.txt", []byte(w.String()))
 }
