--- a/internal/testbed/soak/checker_request.go
+++ b/internal/testbed/soak/checker_request.go
@@ -50,7 +50,7 @@
 	return breach(AnsweredLate, "an answer %v after its deadline", late.Round(time.Millisecond))
 }
 
-// checkLoss finds requests without an answer that their client neither cancelled nor abandoned by disconnecting.
+// checkLoss finds requests without an answer that their client did not give up before the deadline.
 func (c *checker) checkLoss(request *Request) verdict {
 	hasEnded := !request.EndedAt.IsZero()
 	switch {
--- a/internal/testbed/soak/checker_test.go
+++ b/internal/testbed/soak/checker_test.go
@@ -8,7 +8,7 @@
 	"fennelarch/internal/testbed"
 )
 
-// cleanRun is a record with one request and one attempt that breaks no rule. Tests plant a breach in it.
+// cleanRun is a record of one request and one attempt without any breach. Tests plant a breach in the record.
 type cleanRun struct {
 	*Record
 	request *Request
--- a/internal/testbed/soak/client_connection.go
+++ b/internal/testbed/soak/client_connection.go
@@ -38,7 +38,7 @@
 type clientConnection struct {
 	group  *clientGroup
 	stream net.Conn
-	readMu sync.Mutex // held by pauseReads to stop read
+	readMu sync.Mutex // held by pauseReads while read must wait
 
 	mu        sync.Mutex
 	state     connectionState
--- a/test/golden/fleet_test.go
+++ b/test/golden/fleet_test.go
@@ -77,11 +77,11 @@
 	uid, kind      string
 	address, state string
 
-	mu      sync.Mutex
-	handle  handler
-	fetches [][]string // since the last call of take
-	aborts  [][]string
-	checks  [][]string
+	mu           sync.Mutex
+	handle       handler
+	fetches      [][]string // since the last call of take
+	aborts       [][]string
+	healthChecks [][]string
 }
 
 func newCacheServer(t *testing.T, uid, kind string, handle handler) *cacheServer {
@@ -120,7 +120,7 @@
 		s.aborts = append(s.aborts, command)
 		return nil
 	}
-	s.checks = append(s.checks, command)
+	s.healthChecks = append(s.healthChecks, command)
 	return []string{command[1], "alive", "stats=util:0.1;x1:0.1"}
 }
 
@@ -141,21 +141,21 @@
 }
 
 // counts returns the number of fetches and aborts since the last call of take, and of all health checks.
-func (s *cacheServer) counts() (fetches, aborts, checks int) {
+func (s *cacheServer) counts() (fetches, aborts, healthChecks int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.fetches), len(s.aborts), len(s.checks)
+	return len(s.fetches), len(s.aborts), len(s.healthChecks)
 }
 
-// firstCheck returns the first health check.
-func (s *cacheServer) firstCheck() []string {
+// firstHealthCheck returns the first health check.
+func (s *cacheServer) firstHealthCheck() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.checks[0]
+	return s.healthChecks[0]
 }
 
-// target returns the server's entry in an endpoint list.
-func (s *cacheServer) target() string {
+// entry returns the server's entry in an endpoint list.
+func (s *cacheServer) entry() string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"west","model":%q,"state":%q,"capacity_hint":4,"boot_ms":0}`,
 		s.uid, s.address, s.kind, s.state)
 }
@@ -164,7 +164,7 @@
 func endpointListEvent(all bool, servers ...*cacheServer) string {
 	var targets []string
 	for _, s := range servers {
-		targets = append(targets, s.target())
+		targets = append(targets, s.entry())
 	}
 	return fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, all, strings.Join(targets, ","))
 }
--- a/test/golden/frames_test.go
+++ b/test/golden/frames_test.go
@@ -1,7 +1,7 @@
 package golden_test
 
-// This file builds the frames that the simulator program reads. The offsets are defined here again, so that
-// the tests do not depend on the code of the simulator's adapter.
+// This file builds the frames that the simulator program reads. The offsets are defined here again, so that the
+// tests do not depend on the code of the simulator's adapter.
 
 import (
 	"encoding/binary"
@@ -9,12 +9,12 @@
 )
 
 const (
-	frameHeader   = 20 // number, count of records, length of the rest, time
-	recordSize    = 64
-	actionSize    = 48
-	replyHeader   = 12
-	listEntrySize = 25
-	lengthOffset  = 8 // offset in a frame of the length of the rest
+	frameHeaderSize = 20 // number, count of records, length of the rest, time
+	recordSize      = 64
+	actionSize      = 48
+	replyHeaderSize = 12
+	listEntrySize   = 25
+	lengthOffset    = 8 // offset in a frame of the length of the rest
 )
 
 // Codes of the records in frames.
@@ -65,7 +65,7 @@
 	started          float64
 	state            byte
 	kind, zone, cell uint16
-	node             address
+	endpoint         address
 	weight           float32
 }
 
@@ -76,7 +76,7 @@
 	byteOrder.PutUint16(b[9:], l.kind)
 	byteOrder.PutUint16(b[11:], l.zone)
 	byteOrder.PutUint16(b[13:], l.cell)
-	copy(b[15:], l.node[:])
+	copy(b[15:], l.endpoint[:])
 	byteOrder.PutUint32(b[21:], math.Float32bits(l.weight))
 	return b
 }
@@ -99,13 +99,13 @@
 }
 
 // addList adds a record that defines an endpoint list under a number.
-func (b *frameBuilder) addList(number byte, nodes ...listEntry) {
+func (b *frameBuilder) addList(number byte, list ...listEntry) {
 	var entries []byte
-	for _, n := range nodes {
+	for _, n := range list {
 		entries = append(entries, n.encode()...)
 	}
 	r := &record{recordEndpointList, number}
-	b.add(r.u32(2, b.addToTail(entries)).u32(6, uint32(len(nodes))))
+	b.add(r.u32(2, b.addToTail(entries)).u32(6, uint32(len(list))))
 }
 
 // addStart adds a record that starts a router.
--- a/test/golden/protocol_test.go
+++ b/test/golden/protocol_test.go
@@ -224,7 +224,7 @@
 		_, _, checks := cache.counts()
 		return checks > 0
 	})
-	w.addLine("s-1", "<", cache.firstCheck())
+	w.addLine("s-1", "<", cache.firstHealthCheck())
 	expectGolden(t, "protocol_health_check.txt", []byte(w.String()))
 }
 
--- a/test/golden/simulator_test.go
+++ b/test/golden/simulator_test.go
@@ -35,7 +35,7 @@
   "origin_limit_factor": 2.5, "parent_floor": 0.1, "parent_ramp_ms": 3000, "upper_fall_multiple": 2,
   "purge_grace_ms": 800, "root_kind": 2, "second_tier_kind": 1, "says": "all", "seats_by_zone": [2, 1]}}`
 
-// secondSettings are the settings of a router that polls for its endpoint list and has fewer capabilities.
+// secondSettings are the settings of a router that subscribes to its endpoint list and receives less information.
 const secondSettings = `{"az": 1, "dcs": ["west", "east"], "shapes": ["std", "parent", "origin"], "n_instances": 2,
  "registry_mode": "subscribe", "weight_source": "nominal", "unheard_of": {"x": [1]},
  "classes": [
@@ -87,7 +87,7 @@
 func (c *conversation) exchange(b *frameBuilder) {
 	c.t.Helper()
 	frame := b.encode()
-	fmt.Fprintf(&c.transcript, "frame %x\n", frame[:frameHeader])
+	fmt.Fprintf(&c.transcript, "frame %x\n", frame[:frameHeaderSize])
 	for _, r := range b.records {
 		fmt.Fprintf(&c.transcript, "> %x\n", r[:])
 	}
@@ -95,7 +95,7 @@
 	if _, err := c.in.Write(frame); err != nil {
 		c.t.Fatal(err)
 	}
-	head := make([]byte, replyHeader)
+	head := make([]byte, replyHeaderSize)
 	if _, err := io.ReadFull(c.out, head); err != nil {
 		c.t.Fatal(err)
 	}
@@ -149,9 +149,9 @@
 		copy(r[5:], action[5:11])
 		c.schedule(1+c.healthChecks%2, putLoadReport(r, 21, c.healthChecks))
 	case actionLookup:
-		c.attempt(router, action[5:13], action[13:19])
+		c.scheduleAttempt(router, action[5:13], action[13:19])
 	case actionSend:
-		c.attempt(router, action[5:13], action[21:27])
+		c.scheduleAttempt(router, action[5:13], action[21:27])
 	}
 }
 
@@ -199,8 +199,8 @@
 	{1, 2, 1, 4},
 }
 
-// attempt schedules the result of an attempt, and for some attempts the arrival of the first bytes.
-func (c *conversation) attempt(router uint32, requestID, node []byte) {
+// scheduleAttempt schedules the result of an attempt, and for some attempts the arrival of the first bytes.
+func (c *conversation) scheduleAttempt(router uint32, requestID, endpoint []byte) {
 	key := fmt.Sprintf("%d %x", router, requestID)
 	number := c.attemptNumbers[key]
 	c.attemptNumbers[key]++
@@ -209,25 +209,25 @@
 	if result.final == 1 && c.attemptCount%4 == 0 {
 		r := newRecord(recordStreamStarted, router).u16(19, number).f64(21, 4.25)
 		copy(r[5:], requestID)
-		copy(r[13:], node)
+		copy(r[13:], endpoint)
 		c.schedule(1, r)
 	}
 	r := newRecord(recordAttemptResult, router).u16(13, number).u16(21, result.outcome)
 	r.f64(23, float64(result.steps*stepMillis)).u8(31, result.final).u8(32, result.note).f64(33, float64(result.steps))
 	copy(r[5:], requestID)
-	copy(r[15:], node)
+	copy(r[15:], endpoint)
 	c.schedule(result.steps, putLoadReport(r, 41, c.attemptCount))
 }
 
 // endpointEntries returns a parent, the origin and caches in two zones.
 func endpointEntries() []listEntry {
 	list := []listEntry{
-		{state: 1, kind: 1, node: newAddress(200), weight: 12},
-		{state: 1, kind: 2, node: newAddress(250), weight: 20},
+		{state: 1, kind: 1, endpoint: newAddress(200), weight: 12},
+		{state: 1, kind: 2, endpoint: newAddress(250), weight: 20},
 	}
 	for i := range 6 {
 		list = append(list, listEntry{
-			state: 1, zone: uint16(i % 2), cell: uint16(i / 2), node: newAddress(byte(i + 1)),
+			state: 1, zone: uint16(i % 2), cell: uint16(i / 2), endpoint: newAddress(byte(i + 1)),
 			weight: float32(4 + i%3),
 		})
 	}
@@ -256,15 +256,15 @@
 	return r
 }
 
-// events adds the scripted records of a step, which do not depend on the routers.
-func (c *conversation) events(b *frameBuilder) {
+// addScripted adds the scripted records of a step, which do not depend on the routers.
+func (c *conversation) addScripted(b *frameBuilder) {
 	switch c.step {
 	case 0:
 		b.addStart(1, 0x8c1f30d27a5be964, firstSettings)
 		b.addStart(2, 7, secondSettings)
 		b.addList(3, endpointEntries()...)
 		b.addEndpoints(1, 3, 1)
-		b.addEndpoints(2, 3, 3) // the call failed
+		b.addEndpoints(2, 3, 3) // the list was not available
 	case 2:
 		b.addEndpoints(2, 3, 2)
 	case 30:
@@ -292,7 +292,7 @@
 	requestCount := 0
 	for c.step = range steps {
 		b := &frameBuilder{number: uint32(c.step + 1), now: 10_000 + float64(c.step*stepMillis)}
-		c.events(b)
+		c.addScripted(b)
 		for _, d := range c.due {
 			if d.step <= c.step {
 				b.add(d.rec)
@@ -363,7 +363,7 @@
 		"unknown code":           encode(newRecord(99, 7)),
 		"list outside the tail":  encode((&record{recordEndpointList, 3}).u32(2, 255).u32(6, 2)),
 		"list number":            encode(&record{recordEndpointList, 16}),
-		"list with odd state":    frameWithList(listEntry{state: 3, node: newAddress(1)}),
+		"list with odd state":    frameWithList(listEntry{state: 3, endpoint: newAddress(1)}),
 		"peers list number":      encode(newRecord(recordEndpoints, 7).u8(5, 16)),
 		"peers scope":            encode(newRecord(recordEndpoints, 7).u8(6, 9)),
 		"outcome of an attempt":  encode(newRecord(recordAttemptResult, 7).u16(21, 10)),
