--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads the configuration that the platform gives to a router: its environment, the file that it names,
-// and the settings in it, which the simulator gives alike. It checks that all of it can be used, and decides nothing.
+// Package config reads the configuration that the platform gives to a router: environment variables, the file that they
+// name, and the settings in that file. The simulator gives settings of the same form. The package validates the
+// configuration but makes no decisions based on it.
 package config
 
 import (
@@ -13,20 +14,20 @@
 	"fennelarch/policy/routing"
 )
 
-// Environment variables of the platform.
+// Environment variables that the platform sets.
 const (
 	configVariable = "RELAY_CONFIG"
 	nameVariable   = "RELAY_NAME"
 	listenVariable = "RELAY_LISTEN"
 )
 
-// The least that a router can work with.
+// Minimum limits that a router can run with.
 const (
 	minMemoryMB = 16
 	minSockets  = 32
 )
 
-// mutableKeys are the keys that may change while a router runs.
+// mutableKeys are the configuration keys whose values may change while a router runs.
 var mutableKeys = []string{"bulletin", "known", "seed"}
 
 // Config is the configuration of a router.
@@ -38,15 +39,15 @@
 	Cores              float64
 	MemoryMB           int
 	Sockets            int
-	FlowBytesPerSecond float64         // of one response from the local cache
-	LinkBytesPerSecond float64         // of all responses from the local cache together
-	KnownEvents        json.RawMessage // the discovery events so far
+	FlowBytesPerSecond float64         // rate of one response from the local cache
+	LinkBytesPerSecond float64         // rate of all responses from the local cache together
+	KnownEvents        json.RawMessage // discovery events published so far
 	Routing            routing.Settings
 	Names              Names
-	Immutable          string // all that has no effect before the next start, as text
+	Immutable          string // JSON text of the keys whose changes take effect only at the next start
 }
 
-// Load reads the environment and the file that it names.
+// Load reads the environment variables and the configuration file that they name.
 func Load(env func(string) string) (*Config, error) {
 	path := env(configVariable)
 	if path == "" {
@@ -59,8 +60,8 @@
 	return Read(text, env(nameVariable), env(listenVariable))
 }
 
-// Read takes the text of a configuration. A name and an address from the environment, if any, replace those of the
-// text.
+// Read parses and validates the text of a configuration. A name or listen address that is not empty replaces the one in
+// the text.
 func Read(text []byte, name, listen string) (*Config, error) {
 	var keys configurationKeys
 	if err := json.Unmarshal(text, &keys); err != nil {
@@ -84,7 +85,7 @@
 		config.Listen = listen
 	}
 	var err error
-	if config.Immutable, err = immutablePart(text); err != nil {
+	if config.Immutable, err = immutableText(text); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if config.Seed, err = strconv.ParseUint(keys.Seed, 16, 64); err != nil {
@@ -99,8 +100,8 @@
 	return config, nil
 }
 
-// immutablePart returns the text of the keys that have no effect before the next start.
-func immutablePart(text []byte) (string, error) {
+// immutableText returns the JSON text of the keys whose changes take effect only at the next start.
+func immutableText(text []byte) (string, error) {
 	var values map[string]json.RawMessage
 	if err := json.Unmarshal(text, &values); err != nil {
 		return "", err
@@ -112,7 +113,7 @@
 	return string(immutable), err
 }
 
-// check finds addresses and limits that no router can work with.
+// check returns an error if an address has no port or a limit is below its minimum.
 func (c *Config) check() error {
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// decodeSettings reads the settings, which must have a request class.
+// decodeSettings decodes the settings, which must have at least one request class.
 func (c *Config) decodeSettings(text json.RawMessage) (err error) {
 	if len(text) == 0 {
 		return errors.New("configuration: settings are missing")
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,8 +7,9 @@
 	"fmt"
 )
 
-// describeJSONError says what is wrong with a JSON text, and where: its line and column, or the path of the value.
-func describeJSONError(what string, text []byte, err error) error {
+// describeJSONError adds to a JSON error the location of the fault: line and column, or the path of the value below
+// root.
+func describeJSONError(root string, text []byte, err error) error {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
 	switch {
@@ -16,10 +17,10 @@
 		before := text[:max(0, min(int(syntaxError.Offset)-1, len(text)))]
 		line := 1 + bytes.Count(before, []byte{'\n'})
 		column := len(before) - bytes.LastIndexByte(before, '\n')
-		return fmt.Errorf("%s: line %d, column %d: %w", what, line, column, err)
+		return fmt.Errorf("%s: line %d, column %d: %w", root, line, column, err)
 	case errors.As(err, &typeError):
 		return fmt.Errorf("%s.%s: a %s where a value of type %s belongs",
-			what, typeError.Field, typeError.Value, typeError.Type)
+			root, typeError.Field, typeError.Value, typeError.Type)
 	}
-	return fmt.Errorf("%s: %w", what, err)
+	return fmt.Errorf("%s: %w", root, err)
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,22 +10,23 @@
 	"fennelarch/policy/routing"
 )
 
-// noKind is a kind that no endpoint has.
+// noKind is the ID of a kind that no endpoint has.
 const noKind routing.KindID = -1
 
-// maxMilliseconds bounds times in milliseconds to what a time.Duration can hold.
+// maxMilliseconds bounds durations in milliseconds to the range of time.Duration.
 const maxMilliseconds = 1e12
 
-// Names are what the settings call classes, tenants, zones, kinds and report columns, by index, and the figures that
-// only connections need.
+// Names holds the names that the settings give to classes, tenants, zones, kinds and report columns, by index. It also
+// holds the settings that only connections need.
 type Names struct {
 	Classes, Tenants, Zones, Kinds, Columns []string
 
-	IdleTimeout          time.Duration // idle connections are closed after this
+	IdleTimeout          time.Duration // time after which an idle connection is closed
 	StreamsPerConnection int           // attempts that one connection carries at a time
 }
 
-// Milliseconds is a time in milliseconds. One that is not a number or far below zero is 0.
+// Milliseconds converts milliseconds to a duration, rounded to microseconds. Values above maxMilliseconds are reduced
+// to it; a value that is NaN, or -maxMilliseconds or less, gives 0.
 func Milliseconds(ms float64) time.Duration {
 	if !(ms > -maxMilliseconds) {
 		return 0
@@ -33,7 +34,7 @@
 	return time.Duration(math.Round(min(ms, maxMilliseconds)*1000)) * time.Microsecond
 }
 
-// Decode reads the JSON text of a router's settings. It has no defaults, and decides nothing.
+// Decode parses the JSON text of a router's settings. It applies no defaults.
 func Decode(text []byte) (routing.Settings, Names, error) {
 	var keys conf
 	if err := json.Unmarshal(text, &keys); err != nil {
@@ -59,7 +60,7 @@
 	return settings, names, nil
 }
 
-// setTopology sets where the router is, and what the endpoint list tells it.
+// setTopology sets the router's zone, the number of routers, and how endpoint lists are obtained and weights are read.
 func setTopology(settings *routing.Settings, keys *conf) {
 	settings.Routers = keys.Instances
 	settings.Zone = routing.ZoneID(keys.Zone)
@@ -68,7 +69,7 @@
 	settings.WeightIsLinkCapacity = hasLinkWeights && keys.Own.Flow > 0
 }
 
-// setCapabilities sets what the transport can do.
+// setCapabilities sets what the platform's transport supports.
 func setCapabilities(settings *routing.Settings, keys *capabilityKeys) {
 	settings.HealthChecks = keys.Probes
 	settings.Cancel = keys.Cancel
@@ -116,7 +117,7 @@
 	}
 }
 
-// addClasses adds the request classes up to the first that is not valid.
+// addClasses adds the request classes. It stops with an error at the first class that is not valid.
 func addClasses(settings *routing.Settings, names *Names, keys *conf) error {
 	for i := range keys.Classes {
 		class, err := decodeClass(&keys.Classes[i], names.Classes)
@@ -139,7 +140,7 @@
 	}
 	dedupScope, isKnown := dedupScopes[keys.Group]
 	if idempotency == routing.IdempotentWithKey && !isKnown {
-		idempotency = routing.NonIdempotent // a retry must not go where the first attempt is not remembered
+		idempotency = routing.NonIdempotent // an endpoint outside the scope would not recognize a retry
 	}
 	if slices.Contains(earlierNames, keys.Name) {
 		return routing.Class{}, fmt.Errorf("there is a class %q before it", keys.Name)
@@ -167,7 +168,7 @@
 	}
 }
 
-// atOrZero returns an element of a list, zero where the list is too short.
+// atOrZero returns the element at an index, or the zero value if the list is too short.
 func atOrZero[T any](list []T, index int) (element T) {
 	if index < len(list) {
 		element = list[index]
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -10,13 +10,13 @@
 	"go.uber.org/zap"
 )
 
-// Apply delivers the events of a page that are new, in order, each once.
+// Apply delivers the new events of a page, each once and in order. Age is how long ago they may have been published.
 //
-// Where a number is missing, what follows waits for the next page; a number that is missing there too is lost. A page
-// that ends before the last event comes from a server that has not caught up, whose events are out of date; where that
-// lasts, it comes from a new server, whose first event is a complete list. An event that can't be read is skipped, and
-// returned in the error. The events may be as old as age.
-func (w *Watcher) Apply(page *Page, age time.Duration, deliver func(message engine.Message)) (unread error) {
+// If an event number is missing, the events after the gap wait for the next page; a number that is missing there too is
+// lost. A page whose last number is below that of the last event received comes from a server that has not caught up,
+// whose events are out of date. If that state persists, the server is a new one, whose first event is a complete
+// endpoint list. An event that cannot be decoded is skipped and reported in the returned error.
+func (w *Watcher) Apply(page *Page, age time.Duration, deliver func(message engine.Message)) (decodeErr error) {
 	if err := w.checkRewind(page.lastEvent, time.Now()); err != nil {
 		return err
 	}
@@ -27,51 +27,51 @@
 		}
 		if w.isGapBefore(event.Number) {
 			w.log.Warn("discovery events missing", zap.Int64("after", w.lastEvent), zap.Int64("next", event.Number))
-			w.afterGap = event.Number
-			return unread
+			w.firstAfterGap = event.Number
+			return decodeErr
 		}
-		if event.Number == w.afterGap {
+		if event.Number == w.firstAfterGap {
 			w.onGap()
 		}
 		message, err := w.message(event)
 		w.lastEvent = event.Number
 		switch {
-		case err != nil: // reading it once more would not help
+		case err != nil: // a retry would fail in the same way
 			w.onGap()
-			unread = errors.Join(unread, fmt.Errorf("event %d: %w", event.Number, err))
+			decodeErr = errors.Join(decodeErr, fmt.Errorf("event %d: %w", event.Number, err))
 		case message != nil:
 			deliver(withAge(message, age))
 		}
 	}
-	return unread
+	return decodeErr
 }
 
-// checkRewind compares the last number of a page with that of the last event. It returns an error while the server may
-// still catch up, and starts over once it has been behind for long.
-func (w *Watcher) checkRewind(pageNumber int64, now time.Time) error {
-	if pageNumber <= 0 || pageNumber >= w.lastEvent {
+// checkRewind compares the server's last event number with that of the last event received. While a server that is
+// behind may still catch up, checkRewind returns an error; after DiscoveryRewindAfter it accepts the server's numbers.
+func (w *Watcher) checkRewind(serverLastEvent int64, now time.Time) error {
+	if serverLastEvent <= 0 || serverLastEvent >= w.lastEvent {
 		w.behindSince = time.Time{}
 		return nil
 	}
-	isFirst := w.behindSince.IsZero() && w.limits.DiscoveryRewindAfter > 0
-	if isFirst {
+	isFirstTime := w.behindSince.IsZero() && w.limits.DiscoveryRewindAfter > 0
+	if isFirstTime {
 		w.behindSince = now
 	}
-	if isFirst || now.Sub(w.behindSince) < w.limits.DiscoveryRewindAfter {
-		return fmt.Errorf("%w: at %d, not %d", errBehind, pageNumber, w.lastEvent)
+	if isFirstTime || now.Sub(w.behindSince) < w.limits.DiscoveryRewindAfter {
+		return fmt.Errorf("%w: %d < %d", errBehind, serverLastEvent, w.lastEvent)
 	}
-	w.log.Warn("discovery event numbers restarted", zap.Int64("from", w.lastEvent), zap.Int64("to", pageNumber))
+	w.log.Warn("discovery event numbers restarted", zap.Int64("from", w.lastEvent), zap.Int64("to", serverLastEvent))
 	w.lastEvent, w.behindSince = 0, time.Time{}
 	w.onGap()
 	return nil
 }
 
-// isGapBefore reports whether a number between the last event and this one has not been missed before.
+// isGapBefore reports whether an event between the last one and the given one is missing for the first time.
 func (w *Watcher) isGapBefore(number int64) bool {
-	return w.lastEvent > 0 && number != w.lastEvent+1 && number != w.afterGap
+	return w.lastEvent > 0 && number != w.lastEvent+1 && number != w.firstAfterGap
 }
 
-// withAge adds to an endpoint list how long ago it may have been published. Purges hold their time themselves.
+// withAge sets the age of an endpoint list. Purges carry the time at which they were issued and need no age.
 func withAge(message engine.Message, age time.Duration) engine.Message {
 	if list, isList := message.(engine.EndpointList); isList {
 		list.Age = age
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// backoff is a pause between retries that doubles each time, with jitter.
+// backoff computes pauses between retries. Each pause doubles the previous one, up to the longest, and has jitter.
 type backoff struct {
 	shortest, longest time.Duration
 	next              time.Duration
@@ -16,10 +16,10 @@
 	return &backoff{shortest: shortest, longest: longest, next: shortest}
 }
 
-// reset makes the next pause the shortest again.
+// reset returns the next pause to the shortest.
 func (b *backoff) reset() { b.next = b.shortest }
 
-// wait pauses, unless the context ends before, and doubles the next pause.
+// wait pauses until the delay has passed or ctx is done, and doubles the next pause.
 func (b *backoff) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -4,5 +4,5 @@
 
 var (
 	errNotPage = errors.New("not a page of events")
-	errBehind  = errors.New("the discovery server is behind the last event")
+	errBehind  = errors.New("the discovery server's last event number is lower than one already received")
 )
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -11,18 +11,18 @@
 	"fennelarch/internal/engine"
 )
 
-// maxUnreadBytes is how much behind a page is read so that its connection can be used again.
-const maxUnreadBytes = 1 << 10
+// maxTrailingBytes bounds the bytes that are read and discarded after a page so that its connection can be reused.
+const maxTrailingBytes = 1 << 10
 
-// poll sends one long poll and applies what comes. A response that is late, or stalls, is given up; the complete events
-// before its end are applied all the same.
+// poll sends one long-poll request and applies the events of its response. A response that is late or stalls is
+// abandoned, but the events that were received completely are still applied.
 func (w *Watcher) poll(
 	ctx context.Context, client *http.Client, address string, deliver func(engine.Message),
 ) error {
-	begun := time.Now()
-	ctx, giveUp := context.WithCancel(ctx)
-	defer giveUp()
-	watchdog := time.AfterFunc(w.limits.PollTimeout, giveUp)
+	start := time.Now()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	watchdog := time.AfterFunc(w.limits.PollTimeout, cancel)
 	defer watchdog.Stop()
 	response, err := w.get(ctx, client, address)
 	if err != nil {
@@ -31,18 +31,18 @@
 	defer func() { _ = response.Body.Close() }()
 	page, readErr := w.readResponse(response, watchdog)
 	now := time.Now()
-	applyErr := w.Apply(&page, w.maxEventAge(begun, now), deliver)
+	applyErr := w.Apply(&page, w.maxEventAge(start, now), deliver)
 	if err := cmp.Or(applyErr, readErr); err != nil {
 		return err
 	}
 	w.lastResponse = now
 	if w.lastEvent >= page.lastEvent {
-		w.onCurrent(begun)
+		w.onCurrent(start)
 	}
 	return nil
 }
 
-// get asks for the events after the last one; the server may hold the request until there is one.
+// get requests the events after the last one received. The server may hold the request until there is a new event.
 func (w *Watcher) get(ctx context.Context, client *http.Client, address string) (*http.Response, error) {
 	url := fmt.Sprintf("http://%s/bulletins?after=%d&patience=%d",
 		address, w.lastEvent, w.limits.PollHold.Milliseconds())
@@ -56,12 +56,12 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		_ = response.Body.Close()
-		return nil, fmt.Errorf("status %s", response.Status)
+		return nil, fmt.Errorf("the discovery server returned status %s", response.Status)
 	}
 	return response, nil
 }
 
-// readResponse reads a page under the watchdog, which ends the request where the page stalls or goes on for too long.
+// readResponse reads the page in a response. The watchdog cancels the request if the page stalls or takes too long.
 func (w *Watcher) readResponse(response *http.Response, watchdog *time.Timer) (Page, error) {
 	watchdog.Reset(w.limits.PollStallTimeout)
 	page, err := readPage(&watchedReader{
@@ -71,25 +71,26 @@
 		deadline:     time.Now().Add(w.limits.PollPageTimeout),
 	})
 	if err == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxUnreadBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxTrailingBytes))
 	}
 	return page, err
 }
 
-// maxEventAge is how long ago the events of a poll may have been published. With a prompt response they were there
-// already, and may be as old as the previous response; else they were published while the poll waited.
-func (w *Watcher) maxEventAge(begun, now time.Time) time.Duration {
+// maxEventAge returns how long ago the events of a poll may have been published. The events of a prompt response
+// existed before the poll and may be as old as the previous response; others were published while the server held the
+// poll.
+func (w *Watcher) maxEventAge(start, now time.Time) time.Duration {
 	switch {
 	case w.lastResponse.IsZero():
 		return engine.AgeBeforeStart
-	case now.Sub(begun) < w.limits.PollPromptWithin || w.stalls.StalledSince(begun, now):
+	case now.Sub(start) < w.limits.PollPromptWithin || w.stalls.StalledSince(start, now):
 		return now.Sub(w.lastResponse)
 	}
 	return 0
 }
 
-// watchedReader restarts a watchdog at each read: the watchdog fires where nothing comes for too long, or at the
-// deadline.
+// watchedReader restarts its watchdog after each read. The watchdog fires when no data arrives within stallTimeout, or
+// at the deadline.
 type watchedReader struct {
 	reader       io.Reader
 	watchdog     *time.Timer
@@ -97,6 +98,7 @@
 	deadline     time.Time
 }
 
+// Read implements io.Reader.
 func (r *watchedReader) Read(buffer []byte) (int, error) {
 	count, err := r.reader.Read(buffer)
 	r.watchdog.Reset(max(0, min(r.stallTimeout, time.Until(r.deadline))))
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,6 +1,5 @@
-// Package discovery watches the discovery server, which publishes endpoint lists and purges as numbered events. It
-// polls the server and translates the events for the engine, each once and in order; what follows from them is decided
-// elsewhere.
+// Package discovery polls the discovery server, which publishes endpoint lists and purges as numbered events. It
+// translates each event for the engine and delivers it once, in order. Other packages decide how to act on events.
 package discovery
 
 import (
@@ -19,24 +18,24 @@
 	"go.uber.org/zap"
 )
 
-// Options are what a Watcher needs. The functions and Stalls may be nil.
+// Options configures a Watcher. The functions and Stalls may be nil.
 type Options struct {
 	Limits  limits.Limits
-	Names   config.Names // the kinds and zones that an endpoint may have
-	Address string       // of the discovery server
+	Names   config.Names // kinds and zones that an endpoint may have
+	Address string       // address of the discovery server
 	Log     *zap.Logger
 
-	// OnCurrent is called when all events that were published before a moment have been delivered.
+	// OnCurrent is called when all events published before asOf have been delivered.
 	OnCurrent func(asOf time.Time)
-	// OnGap is called when an event was published that will never be delivered.
+	// OnGap is called when a published event will never be delivered.
 	OnGap func()
-	// Stalls tells whether the process was stopped while a poll waited.
+	// Stalls reports whether the process was stopped during a poll.
 	Stalls *stalldetect.Watch
-	// Dial opens connections to the discovery server in place of the system's dialer.
+	// Dial opens connections to the discovery server; nil means the system's dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Watcher watches a discovery server. Its methods but SetAddress must not be called at the same time.
+// Watcher polls a discovery server. Only SetAddress may be called concurrently with other methods.
 type Watcher struct {
 	limits    limits.Limits
 	names     config.Names
@@ -46,18 +45,18 @@
 	stalls    *stalldetect.Watch
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 
-	lastEvent    int64     // number of the last event that was delivered or skipped
-	afterGap     int64     // number before which one was missing in an earlier page
-	behindSince  time.Time // since when pages end before the last event; zero: they do not
-	lastResponse time.Time // when a complete page last came; zero: never
-	isFailing    bool      // the last poll failed, and that is logged
+	lastEvent     int64     // number of the last event that was delivered or skipped
+	firstAfterGap int64     // number of the first event after a gap in an earlier page
+	behindSince   time.Time // when the server first reported a number below lastEvent; zero if the server is not behind
+	lastResponse  time.Time // when the last complete page was received; zero if none was
+	isFailing     bool      // the last poll failed, and the failure is logged
 
-	mu      sync.Mutex
-	address string
-	endStay context.CancelFunc // ends the poll at the address, or the pause after it
+	mu         sync.Mutex
+	address    string
+	cancelPoll context.CancelFunc // cancels the current poll, or the pause after it
 }
 
-// New returns a watcher that has seen no event.
+// New returns a Watcher that has not received any event.
 func New(options Options) *Watcher {
 	watcher := &Watcher{
 		limits: options.Limits, names: options.Names, address: options.Address, log: options.Log,
@@ -75,7 +74,8 @@
 	return watcher
 }
 
-// SetAddress makes it watch another discovery server, from the last event on: the numbers continue.
+// SetAddress makes the watcher poll another discovery server, for the events after the last one received: the event
+// numbers continue.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,52 +84,54 @@
 	}
 	w.log.Info("discovery address changed", zap.String("address", address))
 	w.address = address
-	if w.endStay != nil {
-		w.endStay()
+	if w.cancelPoll != nil {
+		w.cancelPoll()
 	}
 }
 
-// stayAtAddress returns the address and a context that ends when it changes.
-func (w *Watcher) stayAtAddress(ctx context.Context) (stay context.Context, address string, end context.CancelFunc) {
+// pollContext returns the server's address and a context that is cancelled when the address changes.
+func (w *Watcher) pollContext(
+	ctx context.Context,
+) (pollCtx context.Context, address string, cancel context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	stay, w.endStay = context.WithCancel(ctx)
-	return stay, w.address, w.endStay
+	pollCtx, w.cancelPoll = context.WithCancel(ctx)
+	return pollCtx, w.address, w.cancelPoll
 }
 
-// Run polls until the context ends.
+// Run polls the discovery server and posts its events until ctx is done.
 func (w *Watcher) Run(ctx context.Context, post func(at time.Time, message engine.Message)) {
 	client := w.newHTTPClient()
 	deliver := func(message engine.Message) { post(time.Now(), message) }
 	pause := newBackoff(w.limits.BackoffMin, w.limits.BackoffMax)
 	previousAddress := ""
 	for ctx.Err() == nil {
-		stay, address, end := w.stayAtAddress(ctx)
+		pollCtx, address, cancel := w.pollContext(ctx)
 		if address != previousAddress {
 			previousAddress = address
 			pause.reset()
 			client.CloseIdleConnections()
 		}
-		begun, before := time.Now(), w.lastEvent
-		err := w.poll(stay, client, address, deliver)
-		w.logPoll(stay, err)
-		hasEvents := w.lastEvent > before
-		hasWaited := err == nil && time.Since(begun) > w.limits.BackoffMin
-		if hasEvents || hasWaited {
+		start, previousEvent := time.Now(), w.lastEvent
+		err := w.poll(pollCtx, client, address, deliver)
+		w.logPoll(pollCtx, err)
+		hasNewEvents := w.lastEvent > previousEvent
+		wasHeld := err == nil && time.Since(start) > w.limits.BackoffMin
+		if hasNewEvents || wasHeld {
 			pause.reset()
-		} else { // polling again at once would bring as little
-			pause.wait(stay)
+		} else { // an immediate poll would have the same result
+			pause.wait(pollCtx)
 		}
-		end()
+		cancel()
 	}
 }
 
-// newHTTPClient returns a client whose dials end soon: the system's own retries may come further and further apart, and
-// outlast an outage by seconds.
+// newHTTPClient returns a client with a dial timeout. The operating system retries a connection attempt at growing
+// intervals, so an attempt made during an outage may still be waiting seconds after the outage has ended.
 func (w *Watcher) newHTTPClient() *http.Client {
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, end := context.WithTimeout(ctx, w.limits.DiscoveryDialTimeout)
-		defer end()
+		ctx, cancel := context.WithTimeout(ctx, w.limits.DiscoveryDialTimeout)
+		defer cancel()
 		return w.dial(ctx, network, address)
 	}
 	return &http.Client{Transport: &http.Transport{
@@ -137,13 +139,14 @@
 	}}
 }
 
-// logPoll logs the first of several failures and the end of them. A poll that ended with its stay did not fail.
-func (w *Watcher) logPoll(stay context.Context, err error) {
+// logPoll logs the first of consecutive failures, and the recovery. A poll whose context was cancelled does not count
+// as failed.
+func (w *Watcher) logPoll(pollCtx context.Context, err error) {
 	switch {
 	case err == nil && w.isFailing:
 		w.log.Info("discovery recovered", zap.Int64("last_event", w.lastEvent))
 		w.isFailing = false
-	case err != nil && !w.isFailing && stay.Err() == nil:
+	case err != nil && !w.isFailing && pollCtx.Err() == nil:
 		w.log.Warn("discovery poll failed", zap.Error(err))
 		w.isFailing = true
 	}
--- a/internal/discovery/wireformat.go
+++ b/internal/discovery/wireformat.go
@@ -15,21 +15,22 @@
 	"go.uber.org/zap"
 )
 
-// The types of this file are the wire form of discovery events. The keys are those of the discovery server's protocol:
+// The types in this file define the JSON form of discovery events. The keys are those of the discovery server's
+// protocol:
 //
-//	no             the number of an event; of a page: the number of the last event there is
-//	items          the events of a page
-//	roster         an endpoint list: complete (all), or only the endpoints that have changed
-//	targets        its endpoints
-//	endpoint       an endpoint's address
-//	az             its zone
-//	model          its kind
-//	pod_group      its cell
-//	capacity_hint  its weight
-//	boot_ms        when it started, in Unix milliseconds; 0: not known
-//	recall         a purge of an object (item, hexadecimal) or a group (lot) at a time (issued, in Unix milliseconds)
-
-// Page is what a poll returns, and what the configuration holds of earlier events.
+//	no             number of an event; in a page, number of the last event published
+//	items          events of a page
+//	roster         endpoint list: complete (all), or only the endpoints that have changed
+//	targets        endpoints of a list
+//	endpoint       address of an endpoint
+//	az             zone of an endpoint
+//	model          kind of an endpoint
+//	pod_group      cell of an endpoint
+//	capacity_hint  weight of an endpoint
+//	boot_ms        start time of an endpoint, in Unix milliseconds; 0: unknown
+//	recall         purge of an object (item, hexadecimal) or a group (lot) at a time (issued, in Unix milliseconds)
+
+// Page is a sequence of events, as returned by a poll or stored in the configuration.
 type Page struct {
 	lastEvent int64
 	events    []event
@@ -40,7 +41,7 @@
 	List   *endpointList `json:"roster"`
 	Purge  *purge        `json:"recall"`
 
-	err error // why it can't be decoded, apart from its number
+	err error // why the event cannot be decoded; only Number is valid then
 }
 
 type endpointList struct {
@@ -58,7 +59,7 @@
 	Weight   float64 `json:"capacity_hint"`
 	BootTime float64 `json:"boot_ms"`
 
-	err error // why it can't be decoded; the others of its event can
+	err error // why the endpoint cannot be decoded
 }
 
 type purge struct {
@@ -67,27 +68,28 @@
 	Issued int64  `json:"issued"`
 }
 
-// endpointStates are the values of an endpoint's state.
+// endpointStates maps the protocol's names of endpoint states.
 var endpointStates = map[string]routing.EndpointState{
 	"gone":     routing.Gone,
 	"ready":    routing.Ready,
 	"draining": routing.Draining,
 }
 
-// UnmarshalJSON decodes one endpoint of a list. A failure is kept, and costs this endpoint, not the event.
+// UnmarshalJSON decodes an endpoint of a list. It stores a failure in the endpoint instead of returning the error, so
+// that the other endpoints of the event are still decoded.
 func (e *endpoint) UnmarshalJSON(text []byte) error {
-	type plain endpoint // without this method
-	var decoded plain
+	type plainEndpoint endpoint // has no UnmarshalJSON, which would recurse
+	var decoded plainEndpoint
 	err := json.Unmarshal(text, &decoded)
 	*e = endpoint(decoded)
 	e.err = err
 	return nil
 }
 
-// ParseKnown reads the events that a configuration holds. What can't be read of them comes from the discovery server.
+// ParseKnown parses the events stored in a configuration. The discovery server provides those that cannot be parsed.
 func ParseKnown(text []byte) (Page, error) { return readPage(bytes.NewReader(text)) }
 
-// readPage reads a page event by event. Of one that breaks off it returns the complete events, and no last number.
+// readPage reads a page event by event. From a truncated page it returns the complete events, but no last event number.
 func readPage(r io.Reader) (page Page, err error) {
 	decoder := json.NewDecoder(r)
 	lastEvent := int64(0)
@@ -142,8 +144,8 @@
 	return err
 }
 
-// parseEvent decodes an event. One of which only the number can be read is returned with the failure in it: it must not
-// hide the events after it.
+// parseEvent decodes an event. If only the number can be decoded, the returned event holds the error, so that the
+// events after it are still read.
 func parseEvent(text []byte) (event, error) {
 	var parsed event
 	err := json.Unmarshal(text, &parsed)
@@ -159,7 +161,7 @@
 	return event{Number: numbered.Number, err: err}, nil
 }
 
-// message returns what the engine gets for an event, nil for an event of an unknown type.
+// message translates an event into a message for the engine. The message is nil for an event of an unknown type.
 func (w *Watcher) message(e *event) (engine.Message, error) {
 	switch {
 	case e.err != nil:
@@ -172,7 +174,8 @@
 	return nil, nil
 }
 
-// listMessage returns the endpoints of a list. Those that can't be read or used are logged and left out.
+// listMessage translates an endpoint list into a message for the engine. Endpoints that cannot be decoded or used are
+// logged and left out.
 func (w *Watcher) listMessage(list *endpointList) engine.EndpointList {
 	message := engine.EndpointList{Complete: list.IsComplete}
 	for i := range list.Endpoints {
@@ -192,7 +195,7 @@
 	return message
 }
 
-// endpoint translates an endpoint. It is not usable with a state, kind or zone that the settings lack.
+// endpoint translates an endpoint. An endpoint without a UID, or of an unknown state, kind or zone, is not usable.
 func (w *Watcher) endpoint(listed *endpoint) (translated engine.Endpoint, isUsable bool) {
 	state, isKnown := endpointStates[listed.State]
 	kind, zone := slices.Index(w.names.Kinds, listed.Kind), slices.Index(w.names.Zones, listed.Zone)
