--- a/internal/operatorconfig/check.go
+++ b/internal/operatorconfig/check.go
@@ -14,14 +14,14 @@
 	"golang.org/x/text/message"
 )
 
-// Schema is the JSON schema of the file.
+// Schema is the JSON schema of the operator's file.
 //
 //go:embed schema.json
 var Schema []byte
 
 const schemaName = "operator.json"
 
-// checkSchema returns the first place in which a document violates the schema.
+// checkSchema returns an error that locates the first violation of the schema.
 func checkSchema(text []byte, document any) error {
 	err := validate(document)
 	var violation *jsonschema.ValidationError
@@ -47,7 +47,7 @@
 	return schema.Validate(document)
 }
 
-// describeViolation says what the first violation of the schema is, and where.
+// describeViolation returns an error with the location and description of the first violation in the text.
 func describeViolation(text []byte, violation *jsonschema.ValidationError) error {
 	for len(violation.Causes) > 0 {
 		violation = slices.MinFunc(violation.Causes, func(first, second *jsonschema.ValidationError) int {
@@ -63,7 +63,7 @@
 	return fmt.Errorf("%s: %s", locate(text, path...), description)
 }
 
-// checkAdmission finds limits that contradict each other.
+// checkAdmission returns an error if admission limits contradict each other.
 func (f *File) checkAdmission(text []byte) error {
 	limits := f.Admission
 	if limits == nil {
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,5 +1,6 @@
-// Package operatorconfig reads the operator's own file: what an installation has beyond the platform. It checks the
-// file and says where a mistake is; defaults for what is absent are up to the packages that use it.
+// Package operatorconfig reads the operator's file, which configures what an installation adds to the platform: shared
+// stores, admission limits and TLS. It validates the file and reports the location of a mistake. The packages that use
+// the file provide the defaults of absent settings.
 package operatorconfig
 
 import (
@@ -9,9 +10,9 @@
 	"time"
 )
 
-// The keys of the operator's file are in the tags of these types. A comment has our term where a key has another.
+// The struct tags of these types define the keys of the operator's file.
 
-// File is what the operator's file says.
+// File holds the settings of the operator's file.
 type File struct {
 	Stores    []Store      `json:"stores"`
 	Shared    Shared       `json:"shared"`
@@ -19,21 +20,22 @@
 	TLS       *FrontendTLS `json:"tls"`       // nil: clients connect without TLS
 }
 
-// Admission is the limits on clients' connections and requests. What is absent is not limited, or has a default.
+// Admission holds the limits on the connections and requests of clients. An absent limit has a default or does not
+// apply.
 type Admission struct {
-	Known              []string `json:"known"`   // addresses and networks of known clients
-	Reserve            int      `json:"reserve"` // connections for known clients alone
-	PerAddress         int      `json:"per_address"`
-	NewPerSecond       float64  `json:"new_per_s"`
-	Burst              int      `json:"burst"`             // of new connections
+	Known              []string `json:"known"`             // addresses and networks of known clients
+	Reserve            int      `json:"reserve"`           // connections reserved for known clients
+	PerAddress         int      `json:"per_address"`       // connections of one address
+	NewPerSecond       float64  `json:"new_per_s"`         // new connections of one address per second
+	Burst              int      `json:"burst"`             // new connections of one address at once
 	RequestsPerAddress int      `json:"views_per_address"` // requests in flight of one address
 	Requests           int      `json:"views"`             // requests in flight of all addresses
-	Handshakes         int      `json:"handshakes"`
-	HandshakeCPU       float64  `json:"handshake_cores"`
-	Remember           int      `json:"remember"` // addresses that are remembered without a connection
+	Handshakes         int      `json:"handshakes"`        // concurrent TLS handshakes
+	HandshakeCPU       float64  `json:"handshake_cores"`   // part of a core that TLS handshakes may use
+	Remember           int      `json:"remember"`          // addresses without a connection that are remembered
 }
 
-// FrontendTLS is the TLS of clients' connections.
+// FrontendTLS configures TLS for client connections.
 type FrontendTLS struct {
 	CertFile     string `json:"cert_file"`
 	KeyFile      string `json:"key_file"`
@@ -42,23 +44,23 @@
 	MinVersion   string `json:"min_version"`
 }
 
-// Store is one shared store.
+// Store configures one shared store.
 type Store struct {
 	UID          string   `json:"uid"`
 	Addresses    []string `json:"addresses"`
-	Listed       bool     `json:"listed"` // the endpoint list has it
+	Listed       bool     `json:"listed"` // the endpoint list contains the store
 	Weight       float64  `json:"weight"`
-	Prefix       string   `json:"prefix"` // of its keys
+	Prefix       string   `json:"prefix"` // prefix of all keys in the store
 	User         string   `json:"user"`
 	PasswordFile string   `json:"password_file"`
 	Database     int      `json:"database"`
-	TLS          *TLS     `json:"tls"` // nil: connections are plain
+	TLS          *TLS     `json:"tls"` // nil: connections without TLS
 
 	Password string      `json:"-"` // the content of the password file
-	Secure   *tls.Config `json:"-"` // what TLS says, with the files read
+	Secure   *tls.Config `json:"-"` // the configuration that TLS describes, with its files loaded
 }
 
-// TLS is how connections to a store are secured.
+// TLS configures TLS for connections to a store.
 type TLS struct {
 	CAFile     string `json:"ca_file"`
 	ServerName string `json:"server_name"`
@@ -66,22 +68,23 @@
 	KeyFile    string `json:"key_file"`
 }
 
-// Shared is what holds for all stores.
+// Shared holds the settings that apply to all stores.
 type Shared struct {
-	Capacity       float64 `json:"capacity_per_s"` // commands
-	SlowStartShare float64 `json:"cold_share"`
-	SlowStartMS    float64 `json:"cold_ms"`
-	OverloadFactor float64 `json:"multiple"`
-	Routers        int     `json:"routers"`
-	MaxInFlight    int     `json:"most_out"`
-	KeepMS         float64 `json:"keep_ms"` // longest TTL
-	Lease          *bool   `json:"lease"`   // nil: true
+	Capacity       float64 `json:"capacity_per_s"` // commands per second that a warm store can handle; 0: unknown
+	SlowStartShare float64 `json:"cold_share"`     // share of the capacity that a store has at its start
+	SlowStartMS    float64 `json:"cold_ms"`        // time until a store has its full capacity
+	OverloadFactor float64 `json:"multiple"`       // load on a cold store, as a multiple of its current capacity
+	Routers        int     `json:"routers"`        // routers that share the stores; 0: those of this location
+	MaxInFlight    int     `json:"most_out"`       // commands in flight from one router
+	KeepMS         float64 `json:"keep_ms"`        // longest TTL of a copy
+	Lease          *bool   `json:"lease"`          // concurrent misses of an object become one fill; nil: true
 }
 
-// Milliseconds is a number of milliseconds as a duration.
+// Milliseconds converts milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// ImmutableChange names the part in which two files differ that cannot change while the router runs, or nothing.
+// ImmutableChange returns the name of a setting that differs between the two files and cannot change while the router
+// runs, or "" if there is none.
 func (f *File) ImmutableChange(changed *File) string {
 	switch {
 	case !slices.EqualFunc(f.Stores, changed.Stores, isSameStore):
@@ -94,7 +97,7 @@
 	return ""
 }
 
-// isSameStore compares what two files say of a store, but not the content of its TLS files.
+// isSameStore reports whether two stores have the same settings. It ignores the content of their TLS files.
 func isSameStore(first, second Store) bool {
 	first.Secure, second.Secure = nil, nil
 	return reflect.DeepEqual(first, second)
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -15,10 +15,10 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// clientRequired is the value of tls.client that has every client show a certificate.
+// clientRequired is the value of tls.client that requires a certificate of every client.
 const clientRequired = "required"
 
-// Load reads the file at a path. An empty path is an empty file.
+// Load reads the operator's file at a path. An empty path stands for an empty file.
 func Load(path string) (*File, error) {
 	if path == "" {
 		return &File{}, nil
@@ -34,8 +34,9 @@
 	return file, nil
 }
 
-// Read takes the text of a file, and reads the files that it names relative to a folder. The first mistake is returned
-// as one line that begins with its line in the text.
+// Read parses and validates the text of an operator's file. It resolves the paths in the text relative to folder and
+// loads the password and TLS files of the stores. The error describes the first mistake on a single line, with the
+// mistake's line number.
 func Read(text []byte, folder string) (*File, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -57,7 +58,7 @@
 	return file, file.checkAdmission(text)
 }
 
-// loadStores checks the stores, and reads the files that they name.
+// loadStores validates the stores and loads the files that they name.
 func (f *File) loadStores(text []byte, folder string) error {
 	seen := map[string]bool{}
 	for i := range f.Stores {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// load reads the files of a store's TLS.
+// load loads the files that the TLS settings of a store name.
 func (t *TLS) load(folder string) (*tls.Config, error) {
 	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
 	if t.CAFile != "" {
@@ -113,8 +114,8 @@
 	return config, nil
 }
 
-// resolveTLS checks the frontend's TLS, and makes the paths of its files independent of the working directory. The
-// frontend reads them.
+// resolveTLS validates the frontend's TLS settings and makes the paths of its files independent of the working
+// directory. The frontend loads the files.
 func (f *File) resolveTLS(text []byte, folder string) error {
 	if f.TLS == nil {
 		return nil
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// resolve returns a path relative to a folder.
+// resolve joins a relative path to a folder. It returns an absolute path unchanged.
 func resolve(folder, path string) string {
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/operatorconfig/location.go
+++ b/internal/operatorconfig/location.go
@@ -12,7 +12,7 @@
 // separators are the bytes between two elements of a JSON array.
 const separators = " \t\r\n,"
 
-// locate names a part of a JSON text by its line and its path.
+// locate describes a part of a JSON text by its line and its path.
 func locate(text []byte, path ...string) string {
 	name := strings.Join(path, ".")
 	if name == "" {
@@ -21,12 +21,13 @@
 	return fmt.Sprintf("line %d: %s", lineOf(text, offsetOf(text, path)), name)
 }
 
-// lineOf is the number of the line that an offset is in.
+// lineOf returns the number of the line that contains an offset.
 func lineOf(text []byte, offset int) int {
 	return 1 + bytes.Count(text[:min(offset, len(text))], []byte{'\n'})
 }
 
-// syntaxErrorOffset is where a JSON text has its syntax error, its end where the error does not say.
+// syntaxErrorOffset returns the offset of a syntax error in a JSON text, or the length of the text if the error has no
+// offset.
 func syntaxErrorOffset(text []byte, err error) int {
 	var syntaxError *json.SyntaxError
 	if errors.As(err, &syntaxError) {
@@ -35,8 +36,8 @@
 	return len(text)
 }
 
-// offsetOf is where the value at a path begins. Where the text has only the first steps of the path, it is the offset
-// of the last of these.
+// offsetOf returns the offset of the value at a path. If the text lacks the path, the result is the offset of the
+// longest part of the path that exists.
 func offsetOf(text []byte, path []string) int {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	offset := 0
@@ -63,7 +64,7 @@
 	return offset
 }
 
-// skipToKey reads an object up to the value of a key.
+// skipToKey advances the decoder within an object to the value of a key.
 func skipToKey(decoder *json.Decoder, key string) (isFound bool) {
 	for decoder.More() {
 		name, err := decoder.Token()
@@ -80,7 +81,7 @@
 	return false
 }
 
-// skipToIndex reads an array up to an element, or to its end.
+// skipToIndex advances the decoder within an array to an element, or to the end of the array if it is too short.
 func skipToIndex(decoder *json.Decoder, index string) (isFound bool) {
 	count, _ := strconv.Atoi(index)
 	for ; count > 0 && decoder.More(); count-- {
@@ -91,6 +92,7 @@
 	return true
 }
 
+// skipSeparators returns the offset of the first byte that is not a separator, starting at offset.
 func skipSeparators(text []byte, offset int) int {
 	for offset < len(text) && strings.IndexByte(separators, text[offset]) >= 0 {
 		offset++
