--- a/internal/simwire/action.go
+++ b/internal/simwire/action.go
@@ -2,11 +2,11 @@
 
 import "fennelarch/policy/routing"
 
-// Codes of action records. Beside each stands the simulator's word for it. Codes that are missing are not used.
+// Codes of action records, each with the simulator's name for it. The missing codes are not used.
 const (
 	codeLog            = 0  // print
-	codeLookup         = 2  // submit: an attempt that the endpoint serves only from what it holds
-	codeSend           = 3  // serve: an attempt with a source to fill from
+	codeLookup         = 2  // submit: an attempt that the endpoint serves only from its own copies
+	codeSend           = 3  // serve: an attempt that names a source for a fill
 	codeReject         = 4  // decline
 	codeWatchEndpoints = 5  // subscribe
 	codeSetTimer       = 6  // notify
@@ -16,7 +16,7 @@
 	codeCancel         = 12 // cancel
 )
 
-// Offsets in action records behind the common ones, one group a kind.
+// Offsets of the fields after the common ones in action records, grouped by record code.
 const (
 	lookupEndpointOffset = 13
 	lookupTimeoutOffset  = 19
@@ -42,13 +42,13 @@
 	logTailOffset = 5
 )
 
-// watchAll asks for the whole list and its changes.
+// watchAll requests the complete endpoint list and its changes.
 const watchAll = 1
 
-// addActions adds the actions of one router to the reply.
+// addActions appends the actions of one router to the reply.
 func (r *reply) addActions(router routerNumber, actions []routing.Action) error {
 	for i := range actions {
-		action, rec := &actions[i], r.add()
+		action, rec := &actions[i], r.addRecord()
 		rec.putUint32(routerOffset, uint32(router))
 		switch action.Kind {
 		case routing.ActionLookup:
@@ -56,12 +56,12 @@
 		case routing.ActionSend:
 			encodeSend(rec, action)
 		case routing.ActionReject:
-			encodeOnRequest(rec, codeReject, action)
+			encodeRequestAction(rec, codeReject, action)
 			rec.putMilliseconds(rejectRetryAfterOffset, action.Wait)
 		case routing.ActionFail:
-			encodeOnRequest(rec, codeFail, action)
+			encodeRequestAction(rec, codeFail, action)
 		case routing.ActionCancel:
-			encodeOnRequest(rec, codeCancel, action)
+			encodeRequestAction(rec, codeCancel, action)
 			rec.putUint16(cancelAttemptOffset, uint16(action.Attempt))
 		case routing.ActionHealthCheck:
 			rec[codeOffset] = codeCheckHealth
@@ -77,25 +77,26 @@
 		case routing.ActionLog:
 			r.encodeLog(rec, action)
 		default:
-			return &UnknownCodeError{Field: "action of unknown kind", Code: int(action.Kind)}
+			return &UnknownCodeError{Description: "action of unknown kind", Code: int(action.Kind)}
 		}
 	}
 	return nil
 }
 
-func encodeOnRequest(rec record, code byte, action *routing.Action) {
+// encodeRequestAction encodes the code and the request of an action.
+func encodeRequestAction(rec record, code byte, action *routing.Action) {
 	rec[codeOffset] = code
 	rec.putRequest(action.Request)
 }
 
 func encodeLookup(rec record, action *routing.Action) {
-	encodeOnRequest(rec, codeLookup, action)
+	encodeRequestAction(rec, codeLookup, action)
 	rec.putEndpoint(lookupEndpointOffset, action.Endpoint)
 	rec.putMilliseconds(lookupTimeoutOffset, action.Timeout)
 }
 
 func encodeSend(rec record, action *routing.Action) {
-	encodeOnRequest(rec, codeSend, action)
+	encodeRequestAction(rec, codeSend, action)
 	rec.putMilliseconds(sendMaxAgeOffset, action.MaxAge)
 	rec.putEndpoint(sendEndpointOffset, action.Endpoint)
 	rec[sendCacheRankOffset] = action.CacheRank
@@ -104,7 +105,7 @@
 	rec[sendFillOptionsOffset] = byte(action.FillOptions)
 }
 
-// encodeLog puts the text of a line into the tail of the reply.
+// encodeLog encodes a log line, whose text goes to the tail of the reply.
 func (r *reply) encodeLog(rec record, action *routing.Action) {
 	rec[codeOffset] = codeLog
 	rec.putUint32(logTailOffset+tailOffsetOffset, uint32(len(r.texts)))
--- a/internal/simwire/action_test.go
+++ b/internal/simwire/action_test.go
@@ -35,8 +35,8 @@
 			t.Fatal(err)
 		}
 		want = strings.ReplaceAll(want, " ", "")
-		want += strings.Repeat("0", 2*actionSize-len(want))
-		if got := hex.EncodeToString(r.records[actionSize:]); got != want || r.count != 2 {
+		want += strings.Repeat("0", 2*actionRecordSize-len(want))
+		if got := hex.EncodeToString(r.records[actionRecordSize:]); got != want || r.count != 2 {
 			t.Errorf("kind %d: %s, not %s", kind, got, want)
 		}
 		wantTexts := "before"
--- a/internal/simwire/endpointlist.go
+++ b/internal/simwire/endpointlist.go
@@ -2,12 +2,12 @@
 
 import "fennelarch/policy/routing"
 
-// The record that defines an endpoint list, and the entries of the list in the tail.
+// Offsets in the record that defines an endpoint list, and in the list's entries in the tail.
 const (
 	listNumberOffset = 1
 	listTailOffset   = 2
 
-	entryStartedAtOffset = 0 // 0: long ago
+	entryStartedAtOffset = 0 // 0: started long ago
 	entryStateOffset     = 8
 	entryKindOffset      = 9
 	entryZoneOffset      = 11
@@ -17,10 +17,10 @@
 	entrySize            = 25
 )
 
-// defineEndpointList defines the list that later events name by its number.
+// defineEndpointList stores a list that later events refer to by its number.
 func (h *Host) defineEndpointList(rec record, tail []byte) error {
 	number := int(rec[listNumberOffset])
-	if number >= len(h.lists) {
+	if number >= len(h.endpointLists) {
 		return &ListNumberError{number}
 	}
 	entries, err := rec.tailPart(tail, listTailOffset, entrySize)
@@ -35,7 +35,7 @@
 		}
 		list = append(list, endpoint)
 	}
-	h.lists[number] = list
+	h.endpointLists[number] = list
 	return nil
 }
 
@@ -50,7 +50,7 @@
 		StartedAt: entry.milliseconds(entryStartedAtOffset),
 	}
 	if endpoint.State > routing.Draining {
-		return endpoint, &UnknownCodeError{Field: "unknown state", Code: int(entry[entryStateOffset])}
+		return endpoint, &UnknownCodeError{Description: "unknown state", Code: int(entry[entryStateOffset])}
 	}
 	if endpoint.StartedAt == 0 {
 		endpoint.StartedAt = routing.LongAgo
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -11,7 +11,7 @@
 // Error implements error.
 func (e *TruncatedError) Error() string { return fmt.Sprintf("%s cut short: %v", e.Part, e.Err) }
 
-// Unwrap returns what reading reported.
+// Unwrap returns the error of the read.
 func (e *TruncatedError) Unwrap() error { return e.Err }
 
 // SizeError reports a frame whose sizes are out of bounds or contradict each other.
@@ -20,7 +20,7 @@
 // Error implements error.
 func (e *SizeError) Error() string { return e.Problem }
 
-// RecordError reports the record of a frame that could not be handled.
+// RecordError reports a record of a frame that could not be handled.
 type RecordError struct {
 	Index int
 	Err   error
@@ -29,17 +29,17 @@
 // Error implements error.
 func (e *RecordError) Error() string { return fmt.Sprintf("record %d: %v", e.Index, e.Err) }
 
-// Unwrap returns what is wrong with the record.
+// Unwrap returns the reason why the record could not be handled.
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// UnknownCodeError reports a field with a code that has no meaning.
+// UnknownCodeError reports a code that is not defined for its field.
 type UnknownCodeError struct {
-	Field string
-	Code  int
+	Description string
+	Code        int
 }
 
 // Error implements error.
-func (e *UnknownCodeError) Error() string { return fmt.Sprintf("%s %d", e.Field, e.Code) }
+func (e *UnknownCodeError) Error() string { return fmt.Sprintf("%s %d", e.Description, e.Code) }
 
 // ListNumberError reports an endpoint list whose number is out of bounds.
 type ListNumberError struct{ Number int }
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("list number %d is out of bounds", e.Number)
 }
 
-// TailError reports a reference beyond the tail of its frame.
+// TailError reports a reference to data outside the tail of its frame.
 type TailError struct {
 	Offset, Length uint64
 	TailSize       int
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -2,26 +2,26 @@
 
 import "fennelarch/policy/routing"
 
-// Codes of event records. Beside each stands the simulator's word for it.
+// Codes of event records, each with the simulator's name for it.
 const (
-	codeTimer         = 0  // ring: a timer of the router is due
-	codeEndpoints     = 1  // peers: an endpoint list, or a change of it, reached the router
-	codeEndpointList  = 2  // ledger: defines an endpoint list that events name by its number
+	codeTimer         = 0  // ring: a timer of a router expired
+	codeEndpoints     = 1  // peers: an endpoint list, or a change of one, reached a router
+	codeEndpointList  = 2  // ledger: defines an endpoint list that later events refer to by its number
 	codeStart         = 3  // born: a router starts
 	codePurge         = 4  // withdrawn: an object or a group was purged
 	codeRequest       = 5  // knock: a client sent a request
-	codeGossip        = 6  // whisper: a message of another router
+	codeGossip        = 6  // whisper: a message from another router
 	codeAttemptResult = 7  // end: how an attempt ended
-	codeClientGone    = 8  // abandoned: a client no longer waits
+	codeClientGone    = 8  // abandoned: a client stopped waiting for a response
 	codeStreamStarted = 9  // headers: the first bytes of a response arrived
 	codeStop          = 10 // exit: a router stops
 	codeHealthCheck   = 11 // pong: the result of a health check
 )
 
-// Offsets in event records behind the common ones, one group a kind.
+// Offsets of the fields after the common ones in event records, grouped by record code.
 const (
-	startSeedOffset   = 5
-	startConfigOffset = 13
+	startSeedOffset     = 5
+	startSettingsOffset = 13
 
 	timerOffset = 5
 
@@ -62,13 +62,13 @@
 	healthCheckLoadReportOffset = 21
 )
 
-// Bits of the flags of a request.
+// Bits of the flags field of a request record.
 const (
 	requestFlagRepeat = 2
 	requestFlagWrite  = 4
 )
 
-// decodeEvent decodes the event of a record into the host's event.
+// decodeEvent decodes a record into h.event.
 func (h *Host) decodeEvent(rec record, tail []byte) error {
 	event := &h.event
 	*event = routing.Event{}
@@ -94,7 +94,7 @@
 	case codeHealthCheck:
 		return decodeHealthCheck(rec, event)
 	default:
-		return &UnknownCodeError{Field: "unknown code", Code: int(rec[codeOffset])}
+		return &UnknownCodeError{Description: "unknown code", Code: int(rec[codeOffset])}
 	}
 	return nil
 }
@@ -103,16 +103,16 @@
 	event.Kind = routing.EventEndpoints
 	event.EndpointListKind = routing.EndpointListKind(rec[endpointsKindOffset])
 	if event.EndpointListKind > routing.EndpointListFailed {
-		return &UnknownCodeError{Field: "list of unknown scope", Code: int(rec[endpointsKindOffset])}
+		return &UnknownCodeError{Description: "list of unknown scope", Code: int(rec[endpointsKindOffset])}
 	}
 	if event.EndpointListKind == routing.EndpointListFailed {
 		return nil
 	}
 	number := int(rec[endpointsListOffset])
-	if number >= len(h.lists) {
+	if number >= len(h.endpointLists) {
 		return &ListNumberError{number}
 	}
-	event.Endpoints = h.lists[number]
+	event.Endpoints = h.endpointLists[number]
 	return nil
 }
 
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -8,41 +8,41 @@
 	"io"
 )
 
-// A frame is its number, the count of its records, the size of what follows, the simulator's time, the records, and a
-// tail with what the records refer to. All integers are little-endian.
+// A frame consists of its number, the count of its records, the size of the rest, the simulator's time, the records,
+// and a tail with the data that the records refer to. All integers are little-endian.
 const (
 	frameNumberOffset = 0
 	frameCountOffset  = 4
-	frameSizeOffset   = 8 // counts the bytes behind it
+	frameSizeOffset   = 8 // number of bytes after this field
 	frameTimeOffset   = 12
 	frameHeaderSize   = 20
-	eventSize         = 64
+	eventRecordSize   = 64
 
-	framePrefixSize = frameTimeOffset // what is read before the size is known
+	framePrefixSize = frameTimeOffset // bytes that are read before the frame's size is known
 	minFrameSize    = frameHeaderSize - framePrefixSize
-	maxFrameSize    = 1 << 28 // a larger frame is taken for garbage
-	readStep        = 1 << 20 // memory grows by this much at most before the bytes have arrived
+	maxFrameSize    = 1 << 28 // a larger size means corrupt input
+	readStep        = 1 << 20 // maximum memory allocated ahead of the bytes received
 )
 
-// A reply is the number of its frame, the size of what follows, the count of its records, the records, and the texts
-// that they refer to.
+// A reply consists of the number of its frame, the size of the rest, the count of its records, the records, and the
+// texts that the records refer to.
 const (
 	replyNumberOffset = 0
-	replySizeOffset   = 4 // counts the bytes behind it
+	replySizeOffset   = 4 // number of bytes after this field
 	replyCountOffset  = 8
 	replyHeaderSize   = 12
 	replyCountSize    = 4
-	actionSize        = 48
+	actionRecordSize  = 48
 )
 
 var byteOrder = binary.LittleEndian
 
 func frameNumber(frame []byte) uint32 { return byteOrder.Uint32(frame[frameNumberOffset:]) }
 
-// errEndOfInput reports that the input ended between two frames.
+// errEndOfInput is returned when the input ends between two frames.
 var errEndOfInput = errors.New("end of input")
 
-// readFrame reads the next frame; its memory grows only with what really arrives.
+// readFrame reads the next frame into h.frame, which grows only as data arrives.
 func (h *Host) readFrame(in io.Reader) error {
 	var prefix [framePrefixSize]byte
 	if _, err := io.ReadFull(in, prefix[:]); err != nil {
@@ -58,9 +58,9 @@
 	h.frame = append(h.frame[:0], prefix[:]...)
 	for size > 0 {
 		step := min(size, readStep)
-		from := len(h.frame)
+		start := len(h.frame)
 		h.frame = append(h.frame, make([]byte, step)...)
-		if _, err := io.ReadFull(in, h.frame[from:]); err != nil {
+		if _, err := io.ReadFull(in, h.frame[start:]); err != nil {
 			return &TruncatedError{Part: "frame", Err: err}
 		}
 		size -= step
@@ -68,17 +68,17 @@
 	return nil
 }
 
-// checkFrame checks the header of a frame and returns the count of its records.
+// checkFrame validates the header of a frame and returns the count of its records.
 func checkFrame(frame []byte) (count int, err error) {
 	if len(frame) < frameHeaderSize {
-		return 0, &SizeError{fmt.Sprintf("frame of %d bytes has no header", len(frame))}
+		return 0, &SizeError{fmt.Sprintf("frame of %d bytes is shorter than its header", len(frame))}
 	}
-	size, follow := int(byteOrder.Uint32(frame[frameSizeOffset:])), len(frame)-framePrefixSize
-	if size != follow {
-		return 0, &SizeError{fmt.Sprintf("frame says %d bytes follow, %d do", size, follow)}
+	size, following := int(byteOrder.Uint32(frame[frameSizeOffset:])), len(frame)-framePrefixSize
+	if size != following {
+		return 0, &SizeError{fmt.Sprintf("frame header announces %d more bytes, but %d follow", size, following)}
 	}
 	count = int(byteOrder.Uint32(frame[frameCountOffset:]))
-	if count > (len(frame)-frameHeaderSize)/eventSize {
+	if count > (len(frame)-frameHeaderSize)/eventRecordSize {
 		return 0, &SizeError{fmt.Sprintf("frame of %d bytes cannot hold %d records", len(frame), count)}
 	}
 	return count, nil
@@ -93,12 +93,12 @@
 
 func (r *reply) reset() { r.records, r.texts, r.count = r.records[:0], r.texts[:0], 0 }
 
-// add appends an empty record and returns it.
-func (r *reply) add() record {
-	from := len(r.records)
-	r.records = append(r.records, make([]byte, actionSize)...)
+// addRecord appends an empty record and returns it.
+func (r *reply) addRecord() record {
+	start := len(r.records)
+	r.records = append(r.records, make([]byte, actionRecordSize)...)
 	r.count++
-	return record(r.records[from:])
+	return record(r.records[start:])
 }
 
 func (r *reply) writeTo(out *bufio.Writer, number uint32) error {
--- a/internal/simwire/helper_test.go
+++ b/internal/simwire/helper_test.go
@@ -44,7 +44,7 @@
 		if err != nil {
 			panic(err)
 		}
-		body = append(body, append(fields, make([]byte, eventSize-len(fields))...)...)
+		body = append(body, append(fields, make([]byte, eventRecordSize-len(fields))...)...)
 	}
 	body = append(body, tail...)
 	frame := byteOrder.AppendUint32(nil, number)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,5 +1,5 @@
-// Package simwire is the adapter for the simulator's wire: it turns frames of event records into the events of package
-// routing, and its actions into reply frames. The names and codes of that wire end here.
+// Package simwire implements the simulator's binary protocol. It decodes frames of event records into events of package
+// routing, and encodes that package's actions into reply frames. The protocol's names and codes stay in this package.
 package simwire
 
 import (
@@ -12,25 +12,25 @@
 	"fennelarch/policy/routing"
 )
 
-// bufferBytes is the size of the buffers before the input and the output.
+// bufferBytes is the size of the input buffer and of the output buffer.
 const bufferBytes = 1 << 16
 
-// maxLists is how many endpoint lists the simulator may define; events name them by number.
-const maxLists = 16
+// maxEndpointLists is the number of endpoint lists that the simulator may define. Events refer to them by number.
+const maxEndpointLists = 16
 
-// Host hosts the routers of one process.
+// Host runs the routers of one process and exchanges frames with the simulator.
 type Host struct {
-	routers map[routerNumber]*routing.Router
-	lists   [maxLists][]routing.Endpoint
+	routers       map[routerNumber]*routing.Router
+	endpointLists [maxEndpointLists][]routing.Endpoint
 
-	// Memory that is used again for each frame or record.
+	// Buffers that are reused for each frame or record.
 	frame   []byte
 	event   routing.Event
 	actions []routing.Action
 	reply   reply
 }
 
-// routerNumber is the simulator's number of a router.
+// routerNumber is the number by which the simulator identifies a router.
 type routerNumber uint32
 
 // NewHost returns a host without routers.
@@ -38,7 +38,7 @@
 	return &Host{routers: map[routerNumber]*routing.Router{}}
 }
 
-// Serve answers frames until the input ends.
+// Serve reads frames from r and writes a reply to each to w, until the input ends.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, bufferBytes)
 	out := bufio.NewWriterSize(w, bufferBytes)
@@ -50,7 +50,7 @@
 		if err != nil {
 			return err
 		}
-		if err := h.Batch(h.frame); err != nil {
+		if err := h.HandleFrame(h.frame); err != nil {
 			return err
 		}
 		if err := h.reply.writeTo(out, frameNumber(h.frame)); err != nil {
@@ -59,24 +59,24 @@
 	}
 }
 
-// Batch hands the events of one frame to their routers and collects the reply.
-func (h *Host) Batch(frame []byte) error {
+// HandleFrame passes the events of one frame to their routers and collects their actions in the reply.
+func (h *Host) HandleFrame(frame []byte) error {
 	h.reply.reset()
 	count, err := checkFrame(frame)
 	if err != nil {
 		return err
 	}
 	now := record(frame).milliseconds(frameTimeOffset)
-	records, tail := frame[frameHeaderSize:], frame[frameHeaderSize+count*eventSize:]
+	records, tail := frame[frameHeaderSize:], frame[frameHeaderSize+count*eventRecordSize:]
 	for i := range count {
-		if err := h.handleRecord(now, record(records[i*eventSize:][:eventSize]), tail); err != nil {
+		if err := h.handleRecord(now, record(records[i*eventRecordSize:][:eventRecordSize]), tail); err != nil {
 			return &RecordError{Index: i, Err: err}
 		}
 	}
 	return nil
 }
 
-// handleRecord handles one event record; the tail holds what it refers to.
+// handleRecord handles one event record. The tail holds the data that the record refers to.
 func (h *Host) handleRecord(now time.Duration, rec record, tail []byte) error {
 	number := routerNumber(rec.uint32(routerOffset))
 	switch rec[codeOffset] {
@@ -93,14 +93,15 @@
 	}
 	router := h.routers[number]
 	if router == nil {
-		return nil // the router is not running: nobody waits for its actions
+		return nil // the router is not running, so nothing waits for its actions
 	}
 	h.actions = router.Handle(now, &h.event, h.actions[:0])
 	return h.reply.addActions(number, h.actions)
 }
 
+// startRouter starts a router with the settings in the tail.
 func (h *Host) startRouter(now time.Duration, number routerNumber, rec record, tail []byte) error {
-	text, err := rec.tailPart(tail, startConfigOffset, 1)
+	text, err := rec.tailPart(tail, startSettingsOffset, 1)
 	if err != nil {
 		return err
 	}
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -18,8 +18,8 @@
 	fmt.Println(NewHost().Serve(bytes.NewReader(in), &out))
 	reply := out.Bytes()
 	fmt.Printf("%x\n", reply[:replyHeaderSize])
-	for reply = reply[replyHeaderSize:]; len(reply) >= actionSize; reply = reply[actionSize:] {
-		fmt.Printf("%x\n", reply[:actionSize])
+	for reply = reply[replyHeaderSize:]; len(reply) >= actionRecordSize; reply = reply[actionRecordSize:] {
+		fmt.Printf("%x\n", reply[:actionRecordSize])
 	}
 	fmt.Printf("%x\n", reply)
 	// Output:
@@ -108,8 +108,8 @@
 	f.Add(newFrame(2, "", "07 07000000 0900000000000000 0000 0a124a07 8b13 0900"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		host := NewHost()
-		_ = host.Batch(newRequestFrame())
-		if err := host.Batch(in); err == nil && len(host.reply.records) != int(host.reply.count)*actionSize {
+		_ = host.HandleFrame(newRequestFrame())
+		if err := host.HandleFrame(in); err == nil && len(host.reply.records) != int(host.reply.count)*actionRecordSize {
 			t.Errorf("%d records in %d bytes", host.reply.count, len(host.reply.records))
 		}
 	})
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -8,15 +8,15 @@
 	"fennelarch/policy/routing"
 )
 
-// Every record begins with its code; all but an endpoint list have the number of their router next, and those about a
-// request its id.
+// Offsets of the fields that records have in common. Every record begins with its code. In all records but endpoint
+// lists, the number of the router follows, and in records about a request, then the ID of the request.
 const (
 	codeOffset    = 0
 	routerOffset  = 1
 	requestOffset = 5
 )
 
-// An endpoint is an IPv4 address and a port, packed into an EndpointID; the id of a server is never 0. A load report is
+// An endpoint is an IPv4 address and a port, packed into an EndpointID; the ID of a server is never 0. A load report is
 // a count and up to four values.
 const (
 	endpointPortOffset  = 4
@@ -25,13 +25,13 @@
 	loadReportValueSize = 4
 )
 
-// A reference to the tail of a frame is an offset and a length.
+// A reference to the tail of a frame consists of an offset and a length.
 const (
 	tailOffsetOffset = 0
 	tailLengthOffset = 4
 )
 
-// record is one record of a frame. Its methods read and write the field at an offset.
+// record is one record of a frame or reply. Its methods read and write the field at an offset.
 type record []byte
 
 func (r record) uint16(offset int) uint16 { return byteOrder.Uint16(r[offset:]) }
@@ -42,7 +42,7 @@
 func (r record) putUint32(offset int, v uint32) { byteOrder.PutUint32(r[offset:], v) }
 func (r record) putUint64(offset int, v uint64) { byteOrder.PutUint64(r[offset:], v) }
 
-// float32 is the number at an offset, 0 where it is not finite.
+// float32 returns the 32-bit number at an offset, or 0 if it is not finite.
 func (r record) float32(offset int) float64 {
 	v := float64(math.Float32frombits(r.uint32(offset)))
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -79,7 +79,7 @@
 	code := r.uint16(offset)
 	outcome := routing.Outcome(code)
 	if outcome > routing.CacheMiss {
-		return 0, &UnknownCodeError{Field: "unknown outcome", Code: int(code)}
+		return 0, &UnknownCodeError{Description: "unknown outcome", Code: int(code)}
 	}
 	return outcome, nil
 }
@@ -92,12 +92,13 @@
 	return report
 }
 
-// tailPart is the part of a tail that the reference at an offset names, with its length counted in units.
+// tailPart returns the part of a tail that the reference at an offset names. The length in the reference counts units
+// of unitSize bytes.
 func (r record) tailPart(tail []byte, offset, unitSize int) ([]byte, error) {
-	from, length := uint64(r.uint32(offset+tailOffsetOffset)), uint64(r.uint32(offset+tailLengthOffset))
-	end := from + length*uint64(unitSize)
+	start, length := uint64(r.uint32(offset+tailOffsetOffset)), uint64(r.uint32(offset+tailLengthOffset))
+	end := start + length*uint64(unitSize)
 	if end > uint64(len(tail)) {
-		return nil, &TailError{Offset: from, Length: length, TailSize: len(tail)}
+		return nil, &TailError{Offset: start, Length: length, TailSize: len(tail)}
 	}
-	return tail[from:end], nil
+	return tail[start:end], nil
 }
