--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,14 +28,14 @@
 		Columns: []string{"util", "x1"}, IdleTimeout: 30 * time.Second, StreamsPerConnection: 100,
 	}
 	if !reflect.DeepEqual(got.Names, names) {
-		t.Errorf("names %+v, not %+v", got.Names, names)
+		t.Errorf("names %+v, want %+v", got.Names, names)
 	}
 	const seed = 10096842570142050660
 	if got.Name != "n4" || got.Listen != "127.0.0.1:9090" || got.Seed != seed {
-		t.Errorf("name %q, listen %q, seed %d", got.Name, got.Listen, got.Seed)
+		t.Errorf("unexpected name %q, listen address %q or seed %d", got.Name, got.Listen, got.Seed)
 	}
 	if got.Cores != 1 || got.MemoryMB != 192 || got.Sockets != 1024 {
-		t.Errorf("%g cores, %d MB, %d sockets", got.Cores, got.MemoryMB, got.Sockets)
+		t.Errorf("limits of %g cores, %d MB, %d sockets, want 1, 192, 1024", got.Cores, got.MemoryMB, got.Sockets)
 	}
 }
 
@@ -57,15 +57,15 @@
 		},
 		"effect":   {"retryable", "odd", `settings.classes.0: the unknown effect "odd"`},
 		"deadline": {`"deadline_ms":5000`, `"deadline_ms":0`, "settings.classes.0: a deadline of 0 ms"},
-		"class twice": {
+		"duplicate class": {
 			clipClass, clipClass + `,{"name":"clip","effect":"fragile","deadline_ms":1}`,
 			`settings.classes.1: there is a class "clip" before it`,
 		},
-		"comma at an end": {
+		"trailing comma": {
 			`"via":"probe"`, `"via":"probe",`,
 			"configuration: line 5, column 119: invalid character '}' looking for beginning of object key string",
 		},
-		"text for a number": {
+		"string for a number": {
 			`"sockets":1024`, `"sockets":"many"`,
 			"configuration.limits.sockets: a string where a value of type int belongs",
 		},
@@ -76,10 +76,10 @@
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(configText, test.old, test.replacement, 1)
 			if text == configText {
-				t.Fatalf("the configuration has no %s", test.old)
+				t.Fatalf("the configuration does not contain %s", test.old)
 			}
 			if _, err := Read([]byte(text), "", ""); err == nil || err.Error() != test.want {
-				t.Errorf("%v, not %s", err, test.want)
+				t.Errorf("error %v, want %s", err, test.want)
 			}
 		})
 	}
@@ -92,7 +92,8 @@
 	}
 }
 
-// A class whose servers drop repeats by a key needs to say where they do: a retry must not go elsewhere.
+// A class with idempotency keys must name its dedup scope, as a retry is safe only within the scope. Without a known
+// scope, the class is not idempotent.
 func TestDedupNeedsScope(t *testing.T) {
 	for group, want := range map[string]routing.Idempotency{
 		"zone": routing.IdempotentWithKey, "": routing.NonIdempotent, "odd": routing.NonIdempotent,
@@ -100,7 +101,7 @@
 		text := `{"classes":[{"name":"clip","effect":"dedup","deadline_ms":5000,"group":"` + group + `"}]}`
 		settings, _, err := Decode([]byte(text))
 		if err != nil || settings.Classes[0].Idempotency != want {
-			t.Errorf("group %q: %+v, %v", group, settings.Classes, err)
+			t.Errorf("group %q: unexpected classes %+v or error %v", group, settings.Classes, err)
 		}
 	}
 }
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -12,26 +12,26 @@
 	"fennelarch/policy/routing"
 )
 
-// issued is the time of the purges that purgeEvent describes.
+// issued is the time at which the purges of purgeEvent were issued.
 var issued = time.UnixMilli(1764576000480).UTC()
 
-// purgeOf is the message of a purgeEvent.
+// purgeOf returns the message that corresponds to purgeEvent(number).
 func purgeOf(number int) engine.Message {
 	return engine.Purge{Group: routing.GroupID(number), Issued: issued}
 }
 
-// applyStep is a page, and what a watcher that got the pages before does with it.
+// applyStep is a page and the expected behaviour of a watcher that has applied the pages of the previous steps.
 type applyStep struct {
 	name      string
 	page      string
 	delivered []engine.Message
-	err       string // "": none
+	err       string // "" if no error is expected
 	lastEvent int64
 }
 
 var applySteps = []applyStep{
 	{
-		name: "a list and a purge of an object",
+		name: "an endpoint list and a purge of an object",
 		page: pageText(2, `{"no":1,"roster":{"rev":7,"all":true,"targets":[{"uid":"s-1","endpoint":"10.1.0.9:9090",
 			  "az":"east","model":"std","pod_group":2,"state":"draining","capacity_hint":4,"boot_ms":0}]}}`,
 			`{"no":2,"recall":{"item":"7f3a9c21e0b4d655","lot":5,"issued":1764576000123}}`),
@@ -82,14 +82,14 @@
 		page: pageText(13, purgeEvent(12), purgeEvent(13))[:90], delivered: []engine.Message{purgeOf(12)},
 		err: "unexpected EOF", lastEvent: 12,
 	},
-	{name: "no number: not that of a new server", page: `{"items":[]}`, lastEvent: 12},
-	{name: "no page", page: `[1`, err: "not a page of events", lastEvent: 12},
+	{name: "a page without a number does not mean a new server", page: `{"items":[]}`, lastEvent: 12},
+	{name: "not a page", page: `[1`, err: "not a page of events", lastEvent: 12},
 	{
-		name: "a new server, whose numbers start over",
+		name: "a new server whose numbers restart",
 		page: pageText(1, purgeEvent(1)), delivered: []engine.Message{purgeOf(1)}, lastEvent: 1,
 	},
 	{
-		name:      "an unreadable event hides none after it",
+		name:      "events after an unreadable event are delivered",
 		page:      pageText(4, `{"no":2,"roster":{"targets":"all of them"}}`, purgeEvent(3), purgeEvent(4)),
 		delivered: []engine.Message{purgeOf(3), purgeOf(4)},
 		err: "event 2: json: cannot unmarshal string into Go struct field " +
@@ -111,18 +111,19 @@
 			var delivered []engine.Message
 			applyErr := watcher.Apply(&page, 0, func(message engine.Message) { delivered = append(delivered, message) })
 			if !reflect.DeepEqual(delivered, step.delivered) {
-				t.Errorf("delivered %+v, not %+v", delivered, step.delivered)
+				t.Errorf("delivered %+v, want %+v", delivered, step.delivered)
 			}
 			if err := cmp.Or(applyErr, readErr); errorText(err) != step.err {
-				t.Errorf("error %q, not %q", errorText(err), step.err)
+				t.Errorf("error %q, want %q", errorText(err), step.err)
 			}
 			if watcher.lastEvent != step.lastEvent {
-				t.Errorf("last event %d, not %d", watcher.lastEvent, step.lastEvent)
+				t.Errorf("last event %d, want %d", watcher.lastEvent, step.lastEvent)
 			}
 		})
 	}
 }
 
+// errorText returns the text of an error, or "" if err is nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
@@ -130,7 +131,8 @@
 	return err.Error()
 }
 
-// A server that has not caught up publishes what is out of date: it is skipped. One that stays behind is a new one.
+// A server that has not caught up publishes outdated events, which are skipped. A server that stays behind counts as a
+// new one.
 func TestServerBehindLastEvent(t *testing.T) {
 	watcher := newTestWatcher(func(options *Options) { options.Limits.DiscoveryRewindAfter = 100 * time.Millisecond })
 	delivered := 0
@@ -139,26 +141,26 @@
 	}
 	err := apply(pageText(3, purgeEvent(1), purgeEvent(2), purgeEvent(3)))
 	if err != nil || delivered != 3 {
-		t.Fatalf("%d events, %v", delivered, err)
+		t.Fatalf("%d events delivered, want 3; error %v", delivered, err)
 	}
 	for range 2 {
 		err := apply(pageText(2, purgeEvent(1), purgeEvent(2)))
 		if !errors.Is(err, errBehind) || delivered != 3 || watcher.lastEvent != 3 {
-			t.Errorf("%d events up to %d, %v", delivered, watcher.lastEvent, err)
+			t.Errorf("%d events delivered up to number %d, want 3 up to 3; error %v", delivered, watcher.lastEvent, err)
 		}
 	}
-	if err := apply(pageText(4, purgeEvent(4))); err != nil || delivered != 4 { // it has caught up
-		t.Errorf("%d events, %v", delivered, err)
+	if err := apply(pageText(4, purgeEvent(4))); err != nil || delivered != 4 { // the server has caught up
+		t.Errorf("%d events delivered, want 4; error %v", delivered, err)
 	}
 	_ = apply(pageText(2, purgeEvent(1), purgeEvent(2)))
 	time.Sleep(120 * time.Millisecond)
 	err = apply(pageText(2, purgeEvent(1), purgeEvent(2)))
 	if err != nil || delivered != 6 || watcher.lastEvent != 2 {
-		t.Errorf("a new server: %d events up to %d, %v", delivered, watcher.lastEvent, err)
+		t.Errorf("new server: %d events up to number %d, want 6 up to 2; error %v", delivered, watcher.lastEvent, err)
 	}
 }
 
-// Endpoints of a list that can't be read are left out: the others of the event, and the events after it, are delivered.
+// Unreadable endpoints of a list are left out. The other endpoints of the event and the later events are delivered.
 func TestUnreadableEndpointIsLeftOut(t *testing.T) {
 	watcher := newTestWatcher()
 	page := mustReadPage(t, pageText(2, `{"no":1,"roster":{"all":true,"targets":[{"uid":7},
@@ -168,14 +170,15 @@
 	var delivered []engine.Message
 	err := watcher.Apply(page, 0, func(message engine.Message) { delivered = append(delivered, message) })
 	if err != nil || len(delivered) != 2 {
-		t.Fatalf("%v, %v", delivered, err)
+		t.Fatalf("delivered %v, want 2 messages; error %v", delivered, err)
 	}
 	if list := delivered[0].(engine.EndpointList); len(list.Endpoints) != 1 || list.Endpoints[0].UID != "s-2" {
-		t.Errorf("%+v", list)
+		t.Errorf("endpoint list %+v, want s-2 only", list)
 	}
 }
 
-// OnGap is called for each event that will never be delivered, and at a new server, which may not tell them all.
+// OnGap is called for each event that will never be delivered, and when a new server takes over, as that server may not
+// publish all earlier events.
 func TestOnGapForEachLostEvent(t *testing.T) {
 	gaps := 0
 	watcher := newTestWatcher(func(options *Options) { options.OnGap = func() { gaps++ } })
@@ -194,7 +197,7 @@
 		gaps = 0
 		_ = watcher.Apply(mustReadPage(t, step.page), 0, func(engine.Message) {})
 		if gaps != step.gaps {
-			t.Errorf("%s: %d gaps, not %d", step.name, gaps, step.gaps)
+			t.Errorf("%s: OnGap was called %d times, want %d", step.name, gaps, step.gaps)
 		}
 	}
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -16,8 +16,8 @@
 	"go.uber.org/zap"
 )
 
-// newTestWatcher returns a watcher with short timeouts, that takes lower numbers for those of a new server at once. Its
-// options may be changed before.
+// newTestWatcher returns a watcher with short timeouts that treats a lower last event number as that of a new server at
+// once. The change functions modify its options.
 func newTestWatcher(change ...func(options *Options)) *Watcher {
 	lim := limits.From(limits.Inputs{MemoryMB: 64, Sockets: 256})
 	lim.PollHold, lim.PollTimeout, lim.BackoffMin = 50*time.Millisecond, 200*time.Millisecond, time.Millisecond
@@ -32,16 +32,17 @@
 	return New(options)
 }
 
-// purgeEvent is the text of an event that purges the group of its number.
+// purgeEvent returns the JSON text of an event that purges the group with the event's number.
 func purgeEvent(number int) string {
 	return fmt.Sprintf(`{"no":%d,"recall":{"lot":%d,"issued":1764576000480}}`, number, number)
 }
 
+// pageText returns the JSON text of a page with the given last event number.
 func pageText(number int, events ...string) string {
 	return fmt.Sprintf(`{"no":%d,"items":[%s]}`, number, strings.Join(events, ","))
 }
 
-// mustReadPage parses a page that is valid.
+// mustReadPage parses a page and fails the test if the page is not valid.
 func mustReadPage(t *testing.T, text string) *Page {
 	t.Helper()
 	page, err := readPage(strings.NewReader(text))
@@ -51,7 +52,8 @@
 	return &page
 }
 
-// runWatcher runs a watcher of a server at an address, and returns the groups of the purges that it delivers.
+// runWatcher runs a watcher on the server at an address. The returned channel receives the groups of the purges that
+// the watcher delivers.
 func runWatcher(t *testing.T, watcher *Watcher, address string) <-chan int {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,46 +68,46 @@
 	return groups
 }
 
-// expectGroup waits for the next purge, which must be of a group.
+// expectGroup waits for the next purge and fails the test unless its group is want.
 func expectGroup(t *testing.T, groups <-chan int, want int) {
 	t.Helper()
 	select {
 	case got := <-groups:
 		if got != want {
-			t.Fatalf("event %d came, not %d", got, want)
+			t.Fatalf("received the purge of group %d, want %d", got, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatalf("event %d did not come", want)
+		t.Fatalf("no purge of group %d was received", want)
 	}
 }
 
-// startServer serves polls with a handler, whose requests end with the test, and returns the address.
+// startServer starts a server for polls and returns its address. Requests are cancelled when the test ends.
 func startServer(t *testing.T, handle http.HandlerFunc) string {
 	t.Helper()
-	end := make(chan struct{})
+	testEnded := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		go func() {
 			select {
-			case <-end:
+			case <-testEnded:
 				cancel()
 			case <-ctx.Done():
 			}
 		}()
 		handle(w, r.WithContext(ctx))
 	}))
-	t.Cleanup(func() { close(end); server.Close() })
+	t.Cleanup(func() { close(testEnded); server.Close() })
 	return server.Listener.Addr().String()
 }
 
-// afterParameter is the number of the last event that a poll tells.
+// afterParameter returns the number of the last event that the poller has received.
 func afterParameter(r *http.Request) (number int) {
 	_, _ = fmt.Sscan(r.FormValue("after"), &number)
 	return number
 }
 
-// writeSlowly writes a text in parts with a pause after each, and reports whether the client is still there.
+// writeSlowly writes a text in parts with a pause after each, and reports whether the client is still connected.
 func writeSlowly(w http.ResponseWriter, r *http.Request, text string, partBytes int, pause time.Duration) bool {
 	for len(text) > 0 && r.Context().Err() == nil {
 		count := min(partBytes, len(text))
--- a/internal/discovery/main_test.go
+++ b/internal/discovery/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// No test may leave a goroutine behind.
+// TestMain fails if a test leaves a goroutine running.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -14,34 +14,34 @@
 	"fennelarch/internal/stalldetect"
 )
 
-// Every kind of failed poll is retried, also at another address, and each event comes once and in order.
+// Polls that fail in any way are retried, also at a new address, and each event is delivered once and in order.
 func TestFailedPollsAreRetried(t *testing.T) {
 	watcher := newTestWatcher()
 	var polls atomic.Int64
 	var secondAddress string
 	serve := func(w http.ResponseWriter, r *http.Request) {
-		after, end := afterParameter(r), r.Context().Done()
+		after, cancelled := afterParameter(r), r.Context().Done()
 		switch number := polls.Add(1); {
 		case r.URL.Path != "/bulletins" || r.FormValue("patience") != "50":
-			t.Errorf("asked for %s", r.URL)
+			t.Errorf("poll of unexpected URL %s", r.URL)
 		case number == 2:
 			http.Error(w, "no", http.StatusInternalServerError)
-		case number == 3: // breaks off
+		case number == 3: // the response is truncated
 			_, _ = fmt.Fprint(w, `{"no":9,"ite`)
 		case number == 4:
 			panic(http.ErrAbortHandler)
-		case number == 5: // never responds
-			<-end
-		case number == 6: // begins, and stalls
+		case number == 5: // there is no response
+			<-cancelled
+		case number == 6: // the response stalls in its second event
 			_, _ = fmt.Fprint(w, pageText(after+2, purgeEvent(after+1), purgeEvent(after+2))[:90])
 			_ = http.NewResponseController(w).Flush()
-			<-end
+			<-cancelled
 		case number == 7: // the address changes during the poll
 			watcher.SetAddress(secondAddress)
-			<-end
+			<-cancelled
 		default:
 			if number > 7 && r.Host != secondAddress {
-				t.Errorf("asked %s", r.Host)
+				t.Errorf("poll sent to %s, want the second address", r.Host)
 			}
 			_, _ = fmt.Fprint(w, pageText(after+1, purgeEvent(after+1)))
 		}
@@ -54,8 +54,7 @@
 	}
 }
 
-// An event that takes longer than the stall timeout, but keeps coming, is waited for: it would take as long the next
-// time.
+// An event that takes longer than the stall timeout but keeps arriving is read to its end: a retry would take as long.
 func TestEventInPieces(t *testing.T) {
 	long := strings.Replace(pageText(1, purgeEvent(1)), `"recall"`, `"odd":"`+strings.Repeat("x", 600)+`","recall"`, 1)
 	groups := runWatcher(t, newTestWatcher(), startServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +63,7 @@
 	expectGroup(t, groups, 1)
 }
 
-// A page that never ends is cut off and its events are delivered; the next one continues from there.
+// A page that never ends is cut off and its events are delivered. The next poll continues after them.
 func TestEndlessPage(t *testing.T) {
 	watcher := newTestWatcher(func(options *Options) { options.Limits.PollPageTimeout = 300 * time.Millisecond })
 	groups := runWatcher(t, watcher, startServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -79,11 +78,11 @@
 	}
 }
 
-// While the server can't be reached, a dial gets no answer. It is given up soon, and another one reaches the server.
+// While the server is unreachable, a dial gets no answer. The dial times out early, and a later one reaches the server.
 func TestDialIsGivenUpSoon(t *testing.T) {
 	var dials atomic.Int64
 	watcher := newTestWatcher(func(options *Options) {
-		options.Limits.PollTimeout = time.Hour // the timeout of the dial has to do it
+		options.Limits.PollTimeout = time.Hour // so that only the dial timeout can end the dial
 		options.Limits.DiscoveryDialTimeout = 50 * time.Millisecond
 		options.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if dials.Add(1) <= 3 {
@@ -99,8 +98,8 @@
 	expectGroup(t, groups, 1)
 }
 
-// Events of a prompt response may be as old as the previous response, those of a poll that waited are new, and the
-// first ones of a process may be of any age.
+// Events of a prompt response may be as old as the previous response, those of a poll that the server held are new, and
+// those of the first response of a process may be of any age.
 func TestMaxEventAge(t *testing.T) {
 	watcher := newTestWatcher(func(options *Options) { options.Stalls = stalldetect.New() })
 	stalls := watcher.stalls
@@ -108,33 +107,33 @@
 	now := time.Now()
 	before := func(ago time.Duration) time.Time { return now.Add(-ago) }
 	if got := watcher.maxEventAge(before(time.Second), now); got != engine.AgeBeforeStart {
-		t.Errorf("at first: %v", got)
+		t.Errorf("first response: max age %v, want AgeBeforeStart", got)
 	}
 	watcher.lastResponse = before(5 * time.Second)
 	if got := watcher.maxEventAge(before(10*time.Millisecond), now); got != 5*time.Second {
-		t.Errorf("after an outage: %v", got)
+		t.Errorf("after an outage: max age %v, want 5s", got)
 	}
 	if got := watcher.maxEventAge(before(time.Second), now); got != 0 {
-		t.Errorf("while it waited: %v", got)
+		t.Errorf("poll that was held: max age %v, want 0", got)
 	}
 	watcher.stalls = stalls
-	time.Sleep(70 * time.Millisecond) // the detector is not run, as in a process that is stopped
+	time.Sleep(70 * time.Millisecond) // without a beat, as in a stopped process
 	if got := watcher.maxEventAge(time.Now().Add(-time.Second), time.Now()); got < 5*time.Second {
-		t.Errorf("while the process was stopped: %v", got)
+		t.Errorf("poll during a stall: max age %v, want at least 5s", got)
 	}
 }
 
-// OnCurrent is called with the start of a poll whose page ends with the last event, not where a number is missing.
+// OnCurrent is called with the start time of a poll after which no event is missing.
 func TestOnCurrentOnceCaughtUp(t *testing.T) {
 	current := make(chan time.Time, 100)
 	watcher := newTestWatcher(func(options *Options) {
 		options.OnCurrent = func(asOf time.Time) { current <- asOf }
 	})
 	var polls atomic.Int64
-	polledAt := make(chan time.Time, 2) // the first two polls
+	polledAt := make(chan time.Time, 2) // times of the first two polls
 	groups := runWatcher(t, watcher, startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		switch polls.Add(1) {
-		case 1: // not current: 2 to 4 are missing
+		case 1: // not current, as events 2 to 4 are missing
 			polledAt <- time.Now()
 			_, _ = fmt.Fprint(w, pageText(5, purgeEvent(1), purgeEvent(5)))
 		case 2:
@@ -149,9 +148,9 @@
 	select {
 	case asOf := <-current:
 		if first, second := <-polledAt, <-polledAt; !asOf.After(first) || asOf.After(second) {
-			t.Errorf("it is current as of %v, polls came at %v and %v", asOf, first, second)
+			t.Errorf("current as of %v, want a time between the polls at %v and %v", asOf, first, second)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it never counts as current")
+		t.Error("OnCurrent was not called")
 	}
 }
--- a/internal/operatorconfig/load_test.go
+++ b/internal/operatorconfig/load_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// readCases are texts and the error of each, "" for none, by what they show.
+// readCases maps test names to the text of a file and the expected error, "" for none.
 var readCases = map[string]struct{ text, want string }{
 	"valid": {`{"stores": [{"uid": "s-1", "addresses": ["127.0.0.1:6379"]}]}`, ""},
 	"store without address": {
 		"{\n \"stores\": [\n  {\"uid\": \"s-1\"}]}",
 		"line 3: stores.0: a store that is not listed needs addresses",
 	},
-	"store twice": {
+	"duplicate store": {
 		"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true},\n  {\"uid\": \"s-1\", \"listed\": true}]}",
 		`line 4: stores.1.uid: "s-1" is there twice`,
 	},
@@ -22,7 +22,7 @@
 		"{\n \"stores\": [\n  {\"uid\": \"s-1\",\n   \"addresses\": [\"nowhere\"]}]}",
 		"line 4: stores.0.addresses.0: 'nowhere' does not match pattern '^[^ ]+:[0-9]{1,5}$'",
 	},
-	"no weight": {
+	"weight of zero": {
 		"{\n \"stores\": [\n  {\"uid\": \"s-1\", \"listed\": true,\n   \"weight\": 0}]}",
 		"line 4: stores.0.weight: exclusiveMinimum: got 0, want 0",
 	},
@@ -31,11 +31,11 @@
 		"{\n \"stores\": [\n  {\"addresses\": []}]}",
 		"line 3: stores.0: missing property 'uid'",
 	},
-	"text for a boolean": {
+	"string for a boolean": {
 		"{\n \"shared\": {\n  \"lease\": \"yes\"}}",
 		"line 3: shared.lease: got string, want boolean",
 	},
-	"too small a number": {
+	"number too small": {
 		"{\n \"shared\": {\n  \"keep_ms\": 1}}",
 		"line 3: shared.keep_ms: minimum: got 1, want 1,000",
 	},
@@ -62,7 +62,7 @@
 				got = err.Error()
 			}
 			if got != test.want {
-				t.Errorf("%q, not %q", got, test.want)
+				t.Errorf("error %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -70,11 +70,11 @@
 
 func TestReadRejectsContradictoryAdmission(t *testing.T) {
 	for name, test := range map[string]struct{ admission, want string }{
-		"known client twice": {
+		"duplicate known client": {
 			`"known": ["10.0.0.1", "10.0.0.1"]`,
 			`line 1: admission.known.1: "10.0.0.1" is there twice, at 0 too`,
 		},
-		"reserve for nobody": {
+		"reserve without known clients": {
 			`"reserve": 3, "remember": 1`,
 			"line 1: admission.reserve: a reserve for known clients, but nobody can be known",
 		},
@@ -82,7 +82,7 @@
 			`"burst": 3`,
 			"line 1: admission.burst: a burst of new connections has no meaning without new_per_s",
 		},
-		"one address has more than all": {
+		"limit of one address above the total": {
 			`"views_per_address": 4, "views": 3`,
 			"line 1: admission.views_per_address: one address may have more open views than all together",
 		},
@@ -90,7 +90,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Read([]byte(`{"admission": {`+test.admission+`}}`), "")
 			if err == nil || err.Error() != test.want {
-				t.Errorf("%v, not %s", err, test.want)
+				t.Errorf("error %v, want %s", err, test.want)
 			}
 		})
 	}
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if store := file.Stores[0]; store.Password != "secret" || store.Secure == nil {
-		t.Errorf("%+v", store)
+		t.Errorf("unexpected password or TLS configuration: %+v", store)
 	}
 }
 
@@ -132,15 +132,15 @@
 	}
 	file := read(`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 2}}`)
 	for name, test := range map[string]struct{ changed, want string }{
-		"nothing":        {`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 2}}`, ""},
-		"what is free":   {`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 3}}`, ""},
-		"another store":  {`{"stores": [{"uid": "s-2", "listed": true}]}`, "stores"},
-		"time to live":   {`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"keep_ms": 5000}}`, "shared.keep_ms"},
-		"TLS of clients": {`{"stores": [{"uid": "s-1", "listed": true}], "tls": {"cert_file": "a", "key_file": "b"}}`, "tls"},
+		"no change":     {`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 2}}`, ""},
+		"mutable key":   {`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 3}}`, ""},
+		"another store": {`{"stores": [{"uid": "s-2", "listed": true}]}`, "stores"},
+		"TTL":           {`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"keep_ms": 5000}}`, "shared.keep_ms"},
+		"client TLS":    {`{"stores": [{"uid": "s-1", "listed": true}], "tls": {"cert_file": "a", "key_file": "b"}}`, "tls"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := file.ImmutableChange(read(test.changed)); got != test.want {
-				t.Errorf("%q, not %q", got, test.want)
+				t.Errorf("immutable change %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -150,7 +150,7 @@
 	f.Add(`{"stores": [{"uid": "s-1", "listed": true}], "shared": {"multiple": 2}}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if _, err := Read([]byte(text), "/nonexistent"); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("more than a line: %v", err)
+			t.Errorf("error has more than one line: %v", err)
 		}
 	})
 }
--- a/internal/simwire/action_test.go
+++ b/internal/simwire/action_test.go
@@ -9,7 +9,7 @@
 	"fennelarch/policy/routing"
 )
 
-// The bytes of each action record; they are the simulator's and must not change.
+// The simulator defines the bytes of each action record, so they must not change.
 func TestActionRecords(t *testing.T) {
 	for kind, want := range map[routing.ActionKind]string{
 		routing.ActionLookup: "02 07000000 0807060504030201 0a124a078b13 0000000000709740",
@@ -37,14 +37,14 @@
 		want = strings.ReplaceAll(want, " ", "")
 		want += strings.Repeat("0", 2*actionRecordSize-len(want))
 		if got := hex.EncodeToString(r.records[actionRecordSize:]); got != want || r.count != 2 {
-			t.Errorf("kind %d: %s, not %s", kind, got, want)
+			t.Errorf("kind %d: record %s, want %s", kind, got, want)
 		}
 		wantTexts := "before"
 		if kind == routing.ActionLog {
 			wantTexts += action.Text
 		}
 		if string(r.texts) != wantTexts {
-			t.Errorf("kind %d: texts %q", kind, r.texts)
+			t.Errorf("kind %d: unexpected texts %q", kind, r.texts)
 		}
 	}
 }
@@ -52,6 +52,6 @@
 func TestUnknownActionIsAnError(t *testing.T) {
 	var r reply
 	if err := r.addActions(7, []routing.Action{{Kind: routing.ActionLog + 1}}); !asError[*UnknownCodeError](err) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want an UnknownCodeError", err)
 	}
 }
--- a/internal/simwire/host_test.go
+++ b/internal/simwire/host_test.go
@@ -11,7 +11,7 @@
 	"fennelarch/policy/routing"
 )
 
-// One frame starts a router, gives it an endpoint list and sends it a request; the next stops it.
+// The first frame starts a router, gives it an endpoint list and sends it a request. The second frame stops the router.
 func Example_frames() {
 	in := append(newRequestFrame(), newFrame(2, "", stopRecord, requestRecord)...)
 	var out bytes.Buffer
@@ -30,32 +30,32 @@
 	// 020000000400000000000000
 }
 
-// asError reports whether an error is of a type.
+// asError reports whether an error in the chain of err is of type T.
 func asError[T error](err error) bool {
 	var target T
 	return errors.As(err, &target)
 }
 
-// A malformed input ends the adapter with a typed error.
+// Malformed input makes Serve return a typed error.
 func TestMalformedInput(t *testing.T) {
-	good := newFrame(1, "", stopRecord)
-	huge := append([]byte{}, good...)
-	byteOrder.PutUint32(huge[frameSizeOffset:], 0xfffffff0)
-	tooMany := append([]byte{}, good...)
-	byteOrder.PutUint32(tooMany[frameCountOffset:], 1000)
+	valid := newFrame(1, "", stopRecord)
+	tooLarge := append([]byte{}, valid...)
+	byteOrder.PutUint32(tooLarge[frameSizeOffset:], 0xfffffff0)
+	tooManyRecords := append([]byte{}, valid...)
+	byteOrder.PutUint32(tooManyRecords[frameCountOffset:], 1000)
 	for _, testCase := range []struct {
 		name    string
 		in      []byte
 		text    string
 		hasType func(error) bool
 	}{
-		{"header cut short", good[:5], "frame header cut short: unexpected EOF", asError[*TruncatedError]},
-		{"frame cut short", good[:40], "frame cut short: unexpected EOF", asError[*TruncatedError]},
-		{"frame cut short behind its size", good[:12], "frame cut short: EOF", asError[*TruncatedError]},
-		{"frame too large", huge, "frame of 4294967280 bytes is out of bounds", asError[*SizeError]},
-		{"too many records", tooMany, "frame of 84 bytes cannot hold 1000 records", asError[*SizeError]},
+		{"header cut short", valid[:5], "frame header cut short: unexpected EOF", asError[*TruncatedError]},
+		{"frame cut short", valid[:40], "frame cut short: unexpected EOF", asError[*TruncatedError]},
+		{"frame cut short after its size", valid[:12], "frame cut short: EOF", asError[*TruncatedError]},
+		{"frame too large", tooLarge, "frame of 4294967280 bytes is out of bounds", asError[*SizeError]},
+		{"too many records", tooManyRecords, "frame of 84 bytes cannot hold 1000 records", asError[*SizeError]},
 		{
-			"unknown record", newFrame(1, "", "63 07000000"),
+			"unknown record code", newFrame(1, "", "63 07000000"),
 			"record 0: unknown code 99", asError[*UnknownCodeError],
 		},
 		{
@@ -63,33 +63,33 @@
 			"record 0: offset 255 and length 2 leave the tail of 0 bytes", asError[*TailError],
 		},
 		{
-			"list number", newFrame(1, "", "02 10"),
+			"list number out of bounds", newFrame(1, "", "02 10"),
 			"record 0: list number 16 is out of bounds", asError[*ListNumberError],
 		},
 		{
-			"scope of a list", newFrame(1, "", "01 07000000 03 09"),
+			"unknown list scope", newFrame(1, "", "01 07000000 03 09"),
 			"record 0: list of unknown scope 9", asError[*UnknownCodeError],
 		},
 		{
-			"outcome", newFrame(1, "", "07 07000000 0000000000000000 0000 000000000000 6300"),
+			"unknown outcome", newFrame(1, "", "07 07000000 0000000000000000 0000 000000000000 6300"),
 			"record 0: unknown outcome 99", asError[*UnknownCodeError],
 		},
 		{
-			"configuration", newFrame(1, "{", "03 07000000 0100000000000000 00000000 01000000"),
+			"invalid settings", newFrame(1, "{", "03 07000000 0100000000000000 00000000 01000000"),
 			"record 0: settings: line 1, column 1: unexpected end of JSON input", asError[*RecordError],
 		},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			err := NewHost().Serve(bytes.NewReader(testCase.in), io.Discard)
 			if err == nil || err.Error() != testCase.text || !testCase.hasType(err) {
-				t.Errorf("%T: %v, not %s", err, err, testCase.text)
+				t.Errorf("%T: error %v, want %s", err, err, testCase.text)
 			}
 		})
 	}
 }
 
 func Example_settings() {
-	settings, _, err := config.Decode([]byte(configText))
+	settings, _, err := config.Decode([]byte(settingsText))
 	fmt.Println(err, settings.Zone, settings.Routers, settings.MaxAttempts, settings.ParentKind, settings.OriginKind,
 		settings.FlowKBPerSecond, settings.ResponseDetail == routing.DetailFull)
 	class := settings.Classes[0]
@@ -102,7 +102,7 @@
 	// settings.classes.0: the unknown effect "odd"
 }
 
-// FuzzBatch: no frame may crash the host, and a reply's size must be that of its records and texts.
+// FuzzBatch checks that no frame crashes the host, and that the reply holds as many records as it counts.
 func FuzzBatch(f *testing.F) {
 	f.Add(newRequestFrame())
 	f.Add(newFrame(2, "", "07 07000000 0900000000000000 0000 0a124a07 8b13 0900"))
@@ -110,7 +110,7 @@
 		host := NewHost()
 		_ = host.HandleFrame(newRequestFrame())
 		if err := host.HandleFrame(in); err == nil && len(host.reply.records) != int(host.reply.count)*actionRecordSize {
-			t.Errorf("%d records in %d bytes", host.reply.count, len(host.reply.records))
+			t.Errorf("reply counts %d records but holds %d bytes of records", host.reply.count, len(host.reply.records))
 		}
 	})
 }
