--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the configuration that the platform gives to a router: environment variables, the file that they
 // name, and the settings in that file. The simulator gives settings of the same form. The package validates the
-// configuration but makes no decisions based on it.
+// configuration; other packages act on it.
 package config
 
 import (
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// describeJSONError adds to a JSON error the location of the fault: line and column, or the path of the value below
-// root.
+// describeJSONError returns an error that locates a JSON error in text: by line and column, or by the path of the value
+// below root.
 func describeJSONError(root string, text []byte, err error) error {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// Apply delivers the new events of a page, each once and in order. Age is how long ago they may have been published.
+// Apply delivers the new events of a page, each once and in order. They may have been published up to age ago.
 //
 // If an event number is missing, the events after the gap wait for the next page; a number that is missing there too is
 // lost. A page whose last number is below that of the last event received comes from a server that has not caught up,
@@ -58,7 +58,7 @@
 		w.behindSince = now
 	}
 	if isFirstTime || now.Sub(w.behindSince) < w.limits.DiscoveryRewindAfter {
-		return fmt.Errorf("%w: %d < %d", errBehind, serverLastEvent, w.lastEvent)
+		return fmt.Errorf("%w: %d < %d", errServerBehind, serverLastEvent, w.lastEvent)
 	}
 	w.log.Warn("discovery event numbers restarted", zap.Int64("from", w.lastEvent), zap.Int64("to", serverLastEvent))
 	w.lastEvent, w.behindSince = 0, time.Time{}
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -145,7 +145,7 @@
 	}
 	for range 2 {
 		err := apply(pageText(2, purgeEvent(1), purgeEvent(2)))
-		if !errors.Is(err, errBehind) || delivered != 3 || watcher.lastEvent != 3 {
+		if !errors.Is(err, errServerBehind) || delivered != 3 || watcher.lastEvent != 3 {
 			t.Errorf("%d events delivered up to number %d, want 3 up to 3; error %v", delivered, watcher.lastEvent, err)
 		}
 	}
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -3,6 +3,6 @@
 import "errors"
 
 var (
-	errNotPage = errors.New("not a page of events")
-	errBehind  = errors.New("the discovery server's last event number is lower than one already received")
+	errNotPage      = errors.New("not a page of events")
+	errServerBehind = errors.New("the discovery server's last event number is lower than one already received")
 )
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -76,9 +76,9 @@
 	return page, err
 }
 
-// maxEventAge returns how long ago the events of a poll may have been published. The events of a prompt response
-// existed before the poll and may be as old as the previous response; others were published while the server held the
-// poll.
+// maxEventAge returns how long ago the events of a poll may have been published. The events of a prompt response, or of
+// a poll during which the process stalled, may be as old as the previous response. Others were published while the
+// server held the poll.
 func (w *Watcher) maxEventAge(start, now time.Time) time.Duration {
 	switch {
 	case w.lastResponse.IsZero():
--- a/internal/discovery/wireformat.go
+++ b/internal/discovery/wireformat.go
@@ -68,7 +68,7 @@
 	Issued int64  `json:"issued"`
 }
 
-// endpointStates maps the protocol's names of endpoint states.
+// endpointStates maps the protocol's endpoint states to those of package routing.
 var endpointStates = map[string]routing.EndpointState{
 	"gone":     routing.Gone,
 	"ready":    routing.Ready,
@@ -89,7 +89,7 @@
 // ParseKnown parses the events stored in a configuration. The discovery server provides those that cannot be parsed.
 func ParseKnown(text []byte) (Page, error) { return readPage(bytes.NewReader(text)) }
 
-// readPage reads a page event by event. From a truncated page it returns the complete events, but no last event number.
+// readPage reads a page event by event. It returns the complete events of a truncated page, but no last event number.
 func readPage(r io.Reader) (page Page, err error) {
 	decoder := json.NewDecoder(r)
 	lastEvent := int64(0)
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -56,8 +56,8 @@
 	Database     int      `json:"database"`
 	TLS          *TLS     `json:"tls"` // nil: connections without TLS
 
-	Password string      `json:"-"` // the content of the password file
-	Secure   *tls.Config `json:"-"` // the configuration that TLS describes, with its files loaded
+	Password string      `json:"-"` // content of the password file, without surrounding white space
+	Secure   *tls.Config `json:"-"` // configuration that TLS describes, with its files loaded
 }
 
 // TLS configures TLS for connections to a store.
@@ -73,7 +73,7 @@
 	Capacity       float64 `json:"capacity_per_s"` // commands per second that a warm store can handle; 0: unknown
 	SlowStartShare float64 `json:"cold_share"`     // share of the capacity that a store has at its start
 	SlowStartMS    float64 `json:"cold_ms"`        // time until a store has its full capacity
-	OverloadFactor float64 `json:"multiple"`       // load on a cold store, as a multiple of its current capacity
+	OverloadFactor float64 `json:"multiple"`       // load limit of a cold store, as a multiple of its current capacity
 	Routers        int     `json:"routers"`        // routers that share the stores; 0: those of this location
 	MaxInFlight    int     `json:"most_out"`       // commands in flight from one router
 	KeepMS         float64 `json:"keep_ms"`        // longest TTL of a copy
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -74,7 +74,7 @@
 			return fmt.Errorf("%s: a store that is not listed needs addresses", locate())
 		}
 		if store.PasswordFile != "" {
-			password, err := system.ReadFile(resolve(folder, store.PasswordFile))
+			password, err := system.ReadFile(resolvePath(folder, store.PasswordFile))
 			if err != nil {
 				return fmt.Errorf("%s: %w", locate("password_file"), err)
 			}
@@ -95,7 +95,7 @@
 func (t *TLS) load(folder string) (*tls.Config, error) {
 	config := &tls.Config{MinVersion: tls.VersionTLS12, ServerName: t.ServerName}
 	if t.CAFile != "" {
-		pem, err := system.ReadFile(resolve(folder, t.CAFile))
+		pem, err := system.ReadFile(resolvePath(folder, t.CAFile))
 		if err != nil {
 			return nil, err
 		}
@@ -105,7 +105,7 @@
 		}
 	}
 	if t.CertFile != "" {
-		pair, err := system.LoadKeyPair(resolve(folder, t.CertFile), resolve(folder, t.KeyFile))
+		pair, err := system.LoadKeyPair(resolvePath(folder, t.CertFile), resolvePath(folder, t.KeyFile))
 		if err != nil {
 			return nil, err
 		}
@@ -122,7 +122,7 @@
 	}
 	for _, path := range []*string{&f.TLS.CertFile, &f.TLS.KeyFile, &f.TLS.ClientCAFile} {
 		if *path != "" {
-			*path = resolve(folder, *path)
+			*path = resolvePath(folder, *path)
 		}
 	}
 	if f.TLS.Client == clientRequired && f.TLS.ClientCAFile == "" {
@@ -132,8 +132,8 @@
 	return nil
 }
 
-// resolve joins a relative path to a folder. It returns an absolute path unchanged.
-func resolve(folder, path string) string {
+// resolvePath joins a relative path to a folder. It returns an absolute path unchanged.
+func resolvePath(folder, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -84,7 +84,7 @@
 	return count, nil
 }
 
-// reply collects the records of one reply.
+// reply accumulates the records and texts of one reply.
 type reply struct {
 	records []byte
 	texts   []byte
