--- a/internal/flightrecorder/event.go
+++ b/internal/flightrecorder/event.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Event says what happened. The comment at each names the fields of its Entry.
+// Event is the kind of a recorded event. The comment at each value lists the fields that its entries set besides At.
 type Event uint8
 
-// Events, in the order in which a request meets them.
+// The events, roughly in the order in which they occur to a request.
 const (
 	ConnectionAccepted   Event = iota // ID: the connection
-	ConnectionClosed                  // ID: the connection, Reason: an invariant.CloseReason, Value: requests open on it
+	ConnectionClosed                  // ID: the connection, Reason: an invariant.CloseReason, Value: open requests
 	RequestArrived                    // ID: the request, Value: ms until the client's deadline
-	AttemptDenied                     // Endpoint, Attempt, Reason: an invariant.SendDenial
-	AttemptSent                       // Endpoint, Attempt, Value: the deadline sent, in ms
-	AttemptWritten                    // Endpoint, Attempt, Value: ms that its bytes took
-	AttemptEnded                      // Endpoint, Attempt, Reason: a routing.Outcome
-	AttemptAborted                    // Endpoint, Attempt, Value: 1 if it may have run
-	RequestEnded                      // Reason: an invariant.EndReason, Value: ms until the client's deadline
-	ServerDialled                     // Endpoint, Reason: a system.Fault, Value: ms that it took
-	ServerClosed                      // Endpoint, Reason: an invariant.CloseReason, Value: attempts in flight on it
-	EndpointListReceived              // Value: endpoints in it
+	AttemptDenied                     // ID: the request, Endpoint, Attempt, Reason: an invariant.SendDenial
+	AttemptSent                       // ID: the request, Endpoint, Attempt, Value: time limit sent to the server, in ms
+	AttemptWritten                    // ID: the request, Endpoint, Attempt, Value: duration of the write, in ms
+	AttemptEnded                      // ID: the request, Endpoint, Attempt, Reason: a routing.Outcome
+	AttemptAborted                    // ID: the request, Endpoint, Attempt, Value: 1 if the attempt may have run
+	RequestEnded                      // ID: the request, Reason: an invariant.EndReason, Value: ms until the deadline
+	ServerDialled                     // Endpoint, Reason: a system.Fault, Value: duration of the dial, in ms
+	ServerClosed                      // Endpoint, Reason: an invariant.CloseReason, Value: attempts in flight
+	EndpointListReceived              // Value: number of endpoints in the list
 	PurgeReceived                     // ID: the object, Value: the group
 	ServerState                       // Endpoint, Reason: a routing.EndpointState
-	Stalled                           // Value: ms
-	ClockStepped                      // Value: ms, negative for a step back
-	Violation                         // ID: the request or connection, Reason: an invariant.Violation
-	events
+	Stalled                           // Value: duration of the stall, in ms
+	ClockStepped                      // Value: size of the step in ms, negative for a step back
+	Violation                         // ID: the request, connection or endpoint, Reason: an invariant.Violation
+	eventCount
 )
 
-var eventNames = [events]string{
+var eventNames = [eventCount]string{
 	ConnectionAccepted:   "connection accepted",
 	ConnectionClosed:     "connection closed",
 	RequestArrived:       "request arrived",
@@ -47,10 +47,10 @@
 	Violation:            "VIOLATION",
 }
 
-// String is the name under which an event is written out.
+// String returns the name under which an event is written out.
 func (e Event) String() string { return eventNames[e] }
 
-// Entry is one recorded event.
+// Entry is one recorded event. Event determines which of the other fields are set.
 type Entry struct {
 	At       time.Duration // since the start of the recorder
 	Event    Event
--- a/internal/flightrecorder/event_test.go
+++ b/internal/flightrecorder/event_test.go
@@ -4,9 +4,9 @@
 
 func TestEventNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
-	for event := range events {
+	for event := range eventCount {
 		if event.String() == "" || seen[event.String()] {
-			t.Errorf("event %d: %q", event, event)
+			t.Errorf("event %d has an empty or repeated name: %q", event, event)
 		}
 		seen[event.String()] = true
 	}
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -1,6 +1,6 @@
-// Package flightrecorder keeps the last few thousand events of the process in a ring of fixed size. Recording an event
-// allocates nothing and holds a lock for some nanoseconds. The ring is written out when an invariant is violated, at
-// SIGUSR1, and by the soak test when a seed fails.
+// Package flightrecorder keeps the last few thousand events of the process in a ring buffer of fixed size. Recording an
+// event allocates nothing and holds a lock for a few nanoseconds. The buffer is written out when an invariant is
+// violated, on SIGUSR1, and by the soak test when a seed fails.
 package flightrecorder
 
 import (
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// Recorder holds the last events. All methods work on nil, where nothing is recorded.
+// Recorder holds the last events. A nil Recorder records nothing; Add, Entries and WriteTo accept it.
 type Recorder struct {
 	start      time.Time
 	reasonName func(Event, uint8) string
 
-	mu       sync.Mutex
-	ring     []Entry
-	recorded uint64 // how many events were recorded so far
+	mu            sync.Mutex
+	ring          []Entry
+	recordedCount uint64 // number of events recorded so far
 }
 
-// New returns a recorder that holds so many events. The function names the reason of an event, or returns nothing where
-// the event has none.
+// New returns a recorder that holds the last size events. The function reasonName returns the name of an event's
+// reason, or "" if the event has none.
 func New(size int, reasonName func(Event, uint8) string) *Recorder {
 	return &Recorder{start: time.Now(), reasonName: reasonName, ring: make([]Entry, size)}
 }
 
-// Add records an event.
+// Add records an event, overwriting the oldest if the recorder is full. Add sets the time of the entry.
 func (r *Recorder) Add(entry Entry) {
 	if r == nil {
 		return
 	}
 	entry.At = time.Since(r.start)
 	r.mu.Lock()
-	r.ring[r.recorded%uint64(len(r.ring))] = entry
-	r.recorded++
+	r.ring[r.recordedCount%uint64(len(r.ring))] = entry
+	r.recordedCount++
 	r.mu.Unlock()
 }
 
-// Entries are the events that are held, the oldest first.
+// Entries returns the recorded events, oldest first.
 func (r *Recorder) Entries() []Entry {
 	if r == nil {
 		return nil
@@ -47,14 +47,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	size := uint64(len(r.ring))
-	if r.recorded <= size {
-		return append([]Entry(nil), r.ring[:r.recorded]...)
+	if r.recordedCount <= size {
+		return append([]Entry(nil), r.ring[:r.recordedCount]...)
 	}
-	oldest := r.recorded % size
+	oldest := r.recordedCount % size
 	return append(append([]Entry(nil), r.ring[oldest:]...), r.ring[:oldest]...)
 }
 
-// WriteTo writes the events that are held as text, one a line, the oldest first.
+// WriteTo writes the recorded events as text, one per line, oldest first.
 func (r *Recorder) WriteTo(out io.Writer) (int64, error) {
 	if r == nil {
 		return 0, nil
@@ -71,7 +71,7 @@
 	return written, buffered.Flush()
 }
 
-// Text is one event as a line.
+// Text returns an event as one line of text, without the line break.
 func (r *Recorder) Text(entry Entry) string {
 	at := r.start.Add(entry.At).Format("15:04:05.000000")
 	line := fmt.Sprintf("%s +%.6f %-22s id=%016x", at, entry.At.Seconds(), entry.Event, entry.ID)
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -8,7 +8,7 @@
 
 func noReason(Event, uint8) string { return "" }
 
-// The ring holds the last events in their order.
+// The recorder holds the last events in the order in which they were recorded.
 func TestRingHoldsLastEvents(t *testing.T) {
 	r := New(4, noReason)
 	for id := range uint64(3) {
@@ -26,12 +26,12 @@
 	}
 	for i, entry := range got {
 		if entry.ID != uint64(3+i) {
-			t.Errorf("place %d holds %d", i, entry.ID)
+			t.Errorf("entry %d has ID %d", i, entry.ID)
 		}
 	}
 }
 
-// Each event is written as a line of text.
+// WriteTo writes each event as one line of text and returns the number of bytes written.
 func TestWriteTo(t *testing.T) {
 	r := New(4, func(event Event, _ uint8) string {
 		if event == RequestEnded {
@@ -39,7 +39,7 @@
 		}
 		return ""
 	})
-	for id := range uint64(7) { // the ring wraps
+	for id := range uint64(7) { // more than the recorder holds
 		r.Add(Entry{Event: RequestEnded, ID: id, Endpoint: 7, Attempt: 1})
 	}
 	var text strings.Builder
@@ -63,21 +63,21 @@
 		})
 	}
 	writers.Wait()
-	if r.recorded != 4000 || len(r.Entries()) != 16 {
-		t.Errorf("%d events", r.recorded)
+	if r.recordedCount != 4000 || len(r.Entries()) != 16 {
+		t.Errorf("%d events", r.recordedCount)
 	}
 }
 
-// A recorder that is nil accepts everything and holds nothing.
+// A nil recorder accepts events and holds nilRecorder.
 func TestNilRecorderHoldsNothing(t *testing.T) {
-	var none *Recorder
-	none.Add(Entry{})
-	if n, err := none.WriteTo(nil); n != 0 || err != nil || none.Entries() != nil {
-		t.Error("a nil recorder holds something")
+	var nilRecorder *Recorder
+	nilRecorder.Add(Entry{})
+	if n, err := nilRecorder.WriteTo(nil); n != 0 || err != nil || nilRecorder.Entries() != nil {
+		t.Error("nil recorder is not empty")
 	}
 }
 
-// What an event costs, and that it allocates nothing.
+// BenchmarkAdd measures the time and the allocations of recording one event; there should be no allocation.
 func BenchmarkAdd(b *testing.B) {
 	r := New(4096, noReason)
 	b.ReportAllocs()
--- a/internal/invariant/attempt.go
+++ b/internal/invariant/attempt.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// EndSlack is how long after the end of a request an attempt for it may still be written completely: it was being
-	// written at the moment of a cancellation.
+	// EndSlack is how long after the end of a request the last byte of an attempt may be written. A cancellation may
+	// come while an attempt is being written.
 	EndSlack = 100 * time.Millisecond
-	// DeadlineSlack is how far the deadline that a server is sent may exceed the client's.
+	// DeadlineSlack is by how much the deadline sent to a server may exceed the client's deadline.
 	DeadlineSlack = 150 * time.Millisecond
-	// GraceSlack is how far past its start bound an attempt that began in time may be written completely.
-	GraceSlack = 50 * time.Millisecond
+	// StartBoundSlack is how long after its start bound the last byte of an attempt that began in time may be written.
+	StartBoundSlack = 50 * time.Millisecond
 )
 
-// Attempt is one attempt of a request at a server.
+// Attempt describes one attempt of a request at a server.
 type Attempt struct {
 	Number   routing.AttemptNumber
 	Server   Server
-	NotAfter time.Time     // the start bound: it begins by then or never; zero: none
-	Deadline time.Duration // as sent to the server
+	NotAfter time.Time     // the start bound: the attempt must not begin later; zero means no bound
+	Deadline time.Duration // time left until the deadline, as sent to the server
 }
 
 func (a Attempt) isStartBoundPassed(now time.Time) bool {
@@ -34,30 +34,30 @@
 type sentAttempt struct {
 	Attempt
 	startedAt      time.Time
-	isProvedNotRun bool
+	isProvenNotRun bool
 }
 
-// checkWritten checks that an attempt that has just been written completely was in time.
+// checkWritten checks that an attempt whose last byte has just been written was in time.
 func (r *Request) checkWritten(attempt *sentAttempt, now time.Time) {
 	if r.monitor.Watch().StalledSince(attempt.startedAt, now) {
-		return // the process stood still in the middle of the write
+		return // the process stalled during the write, so its duration proves nothing
 	}
-	violate := func(kind Violation, detail ...zap.Field) {
+	report := func(kind Violation, detail ...zap.Field) {
 		fields := []zap.Field{
 			zap.Int("attempt", int(attempt.Number)), zap.Duration("written_for", now.Sub(attempt.startedAt)),
 		}
 		r.monitor.Violate(kind, r.id, append(fields, detail...)...)
 	}
 	if r.end != EndOpen && now.Sub(r.endedAt) > EndSlack {
-		violate(AttemptAfterEnd, zap.Stringer("ended", r.end))
+		report(AttemptAfterEnd, zap.Stringer("ended", r.end))
 	}
 	if now.Sub(r.deadline) > EndSlack {
-		violate(AttemptAfterDeadline)
+		report(AttemptAfterDeadline)
 	}
-	if !attempt.NotAfter.IsZero() && now.Sub(attempt.NotAfter) > GraceSlack {
-		violate(AttemptAfterBound)
+	if !attempt.NotAfter.IsZero() && now.Sub(attempt.NotAfter) > StartBoundSlack {
+		report(AttemptAfterBound)
 	}
 	if attempt.Deadline > r.deadline.Sub(now)+DeadlineSlack {
-		violate(DeadlineTooLong, zap.Duration("deadline_sent", attempt.Deadline))
+		report(DeadlineTooLong, zap.Duration("deadline_sent", attempt.Deadline))
 	}
 }
--- a/internal/invariant/closereason.go
+++ b/internal/invariant/closereason.go
@@ -1,33 +1,33 @@
 package invariant
 
-// CloseReason says why a connection is closed.
+// CloseReason is the reason for closing a connection.
 type CloseReason uint8
 
-// The reasons. Those before CloseIdle are for connections of clients, the rest for connections to servers.
+// The reasons before CloseIdle are for client connections, CloseIdle and the rest for connections to servers.
 const (
-	CloseClientLeft        CloseReason = iota // the client closed it
-	CloseReadFailed                           // the system reports that it is broken
-	CloseWriteFailed                          // the same, or the client reads nothing for too long
-	CloseClientMalformed                      // the client sent what is not a message
-	CloseIncomplete                           // a message was not complete for too long
-	CloseClientIdle                           // no request was open on it for too long
-	CloseClientForCapacity                    // its place is needed for another
-	CloseShutdown                             // the router shuts down
+	CloseClientLeft        CloseReason = iota // the client closed the connection
+	CloseReadFailed                           // reading from the client failed
+	CloseWriteFailed                          // writing to the client failed, or the client read nothing for too long
+	CloseClientMalformed                      // the client sent malformed input
+	CloseIncomplete                           // a message stayed incomplete for too long
+	CloseClientIdle                           // no request was open for too long
+	CloseClientForCapacity                    // an idle connection made room for a new one
+	CloseShutdown                             // the router is shutting down
 	CloseHandshake                            // the TLS handshake failed
-	CloseRejected                             // it was not admitted
-	CloseIdle                                 // no attempt was in flight on it for too long
-	CloseServerForCapacity                    // it is idle, and its descriptor is needed
-	CloseServerSuspect                        // it may be stuck, or hold half of a response; it is idle
-	CloseServerEnded                          // the server closed it, or it broke
-	CloseServerWrite                          // the server accepts no more bytes
-	CloseServerMalformed                      // the server sent what is not a response
-	CloseHalfWritten                          // an attempt was aborted while it was half written
-	CloseServerMoved                          // the server has another address, or its address another server
-	CloseDialFailed                           // it was never established
-	closeReasons
+	CloseRejected                             // admission rejected the connection
+	CloseIdle                                 // no attempt was in flight for too long
+	CloseServerForCapacity                    // an idle connection was closed to free its descriptor
+	CloseServerSuspect                        // an idle connection that may be stuck or hold half a response
+	CloseServerEnded                          // the server closed the connection, or the connection broke
+	CloseServerWrite                          // writing to the server failed
+	CloseServerMalformed                      // the server sent a malformed response
+	CloseHalfWritten                          // an attempt was aborted after only part of it was written
+	CloseServerMoved                          // the server's address changed, or now belongs to another server
+	CloseDialFailed                           // the connection was never established
+	closeReasonCount
 )
 
-var closeReasonNames = [closeReasons]string{
+var closeReasonNames = [closeReasonCount]string{
 	CloseClientLeft:        "client_left",
 	CloseReadFailed:        "read_failed",
 	CloseWriteFailed:       "write_failed",
@@ -49,15 +49,15 @@
 	CloseDialFailed:        "server_dial_failed",
 }
 
-// String is the name under which a reason is counted and recorded.
+// String returns the name under which a reason is counted and recorded.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// isByClient reports whether the client itself, or the network, ended the connection.
-func (r CloseReason) isByClient() bool {
+// isCausedByClient reports whether the client or the network, not the router, ended the connection.
+func (r CloseReason) isCausedByClient() bool {
 	return r == CloseClientLeft || r == CloseReadFailed || r == CloseWriteFailed || r == CloseHandshake
 }
 
-// requiresIdle reports whether a reason holds only for a connection with no attempt in flight.
+// requiresIdle reports whether a reason is valid only for a connection without attempts in flight.
 func (r CloseReason) requiresIdle() bool {
 	return r == CloseIdle || r == CloseServerForCapacity || r == CloseServerSuspect
 }
--- a/internal/invariant/endreason.go
+++ b/internal/invariant/endreason.go
@@ -1,21 +1,21 @@
 package invariant
 
-// EndReason says how a request ended. It is the state of a request: from EndOpen it may change to any other, and from
-// no other.
+// EndReason is the way in which a request ended, and thereby the state of the request. EndOpen may change to any other
+// value; all others are final.
 type EndReason uint8
 
-// The reasons; EndOpen is none yet.
+// The reasons. EndOpen means that the request has not ended.
 const (
 	EndOpen       EndReason = iota
-	EndServed               // it was served
-	EndRejected             // it was rejected: repeating it is safe
-	EndFailed               // it failed
-	EndCancelled            // its client cancelled it
-	EndClientLeft           // its client's connection ended
-	endReasons
+	EndServed               // the request was served
+	EndRejected             // the request was rejected, and repeating it is safe
+	EndFailed               // the request failed
+	EndCancelled            // the client cancelled the request
+	EndClientLeft           // the client's connection ended
+	endReasonCount
 )
 
-var endReasonNames = [endReasons]string{
+var endReasonNames = [endReasonCount]string{
 	EndOpen:       "open",
 	EndServed:     "served",
 	EndRejected:   "rejected",
@@ -24,8 +24,8 @@
 	EndClientLeft: "client_left",
 }
 
-// String is the name under which a reason is recorded.
+// String returns the name under which a reason is recorded.
 func (r EndReason) String() string { return endReasonNames[r] }
 
-// isResponse reports whether the client was given a final response.
+// isResponse reports whether the request ended with a final response to the client.
 func (r EndReason) isResponse() bool { return r == EndServed || r == EndRejected || r == EndFailed }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -1,13 +1,15 @@
-// Package invariant checks the invariants of a request in one place: it has one final response; no attempt begins once
-// it has ended, its deadline has passed, or the start bound of the attempt has passed; none is repeated that may have
-// run and must not run twice; no connection is closed by this side while a request on it waits for its response.
+// Package invariant checks that the router keeps these invariants for every request:
 //
-// Every path that sends an attempt, ends a request or closes a connection asks here first, and is given a typed reason
-// where it may not. Such a denial is ordinary: events cross. What happened all the same is a violation: it is counted
-// by kind, logged with the id of the request, and the flight recorder is written out. A correct router counts none.
+//   - A request gets exactly one final response.
+//   - No attempt begins after the request has ended, after its deadline, or after the start bound of the attempt.
+//   - No attempt repeats an earlier one that may have run and must not run twice.
+//   - The router does not close a connection while a request on it waits for its response.
 //
-// This package decides nothing: which endpoint is asked, and whether an attempt is repeated, is decided in package
-// routing.
+// All code that sends an attempt, ends a request or closes a connection asks this package first. A denial carries a
+// typed reason and is normal, because events race. An invariant that is broken nevertheless is a violation, which is
+// counted by kind, logged with the request id, and triggers a dump of the flight recorder. A correct router has none.
+//
+// This package makes no routing decisions: package routing chooses endpoints and decides on retries.
 package invariant
 
 import (
@@ -22,33 +24,33 @@
 	"go.uber.org/zap"
 )
 
-// dumpInterval bounds how often violations write out the flight recorder.
+// dumpInterval is the shortest time between two dumps of the flight recorder that violations trigger.
 const dumpInterval = 10 * time.Second
 
-// Monitor counts violations, and holds what checking needs of the process. All methods work on nil, where nothing is
-// checked.
+// Monitor counts violations and gives access to the flight recorder and the stall detector. A nil Monitor is valid and
+// checks nothing.
 type Monitor struct {
 	log      *zap.Logger
 	recorder *flightrecorder.Recorder
 	watch    *stalldetect.Watch
 	dump     func(reason string)
 
-	violations [violationKinds]atomic.Uint64
-	closes     [closeReasons]atomic.Uint64
+	violations [violationKindCount]atomic.Uint64
+	closes     [closeReasonCount]atomic.Uint64
 
 	mu       sync.Mutex
 	dumpedAt time.Time
 }
 
-// NewMonitor returns a monitor without violations. If dump is set, it is called at a violation to write out the
-// recorder.
+// NewMonitor returns a monitor without violations. If dump is not nil, the monitor calls it on a violation, at most
+// once per dumpInterval, to write out the recorder.
 func NewMonitor(
 	log *zap.Logger, recorder *flightrecorder.Recorder, watch *stalldetect.Watch, dump func(reason string),
 ) *Monitor {
 	return &Monitor{log: log, recorder: recorder, watch: watch, dump: dump}
 }
 
-// Recorder is the flight recorder, or nil.
+// Recorder returns the flight recorder, which may be nil.
 func (m *Monitor) Recorder() *flightrecorder.Recorder {
 	if m == nil {
 		return nil
@@ -56,7 +58,7 @@
 	return m.recorder
 }
 
-// Watch detects stalls of the process; it may be nil.
+// Watch returns the detector of process stalls, which may be nil.
 func (m *Monitor) Watch() *stalldetect.Watch {
 	if m == nil {
 		return nil
@@ -71,7 +73,7 @@
 	}
 }
 
-// Violate counts a violation and logs it, with the id of the request or connection and what led to it.
+// Violate counts, records and logs a violation. The id is that of the request, connection or endpoint concerned.
 func (m *Monitor) Violate(kind Violation, id uint64, detail ...zap.Field) {
 	if m == nil {
 		return
@@ -85,7 +87,7 @@
 	}
 }
 
-// isDumpDue reports whether the last dump is long enough ago, and if so takes this one for the last.
+// isDumpDue reports whether dumpInterval has passed since the last dump. If so, now becomes the time of the last dump.
 func (m *Monitor) isDumpDue(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,7 +98,7 @@
 	return true
 }
 
-// Violations is the number of violations of all kinds.
+// Violations returns the number of violations of all kinds.
 func (m *Monitor) Violations() (total uint64) {
 	if m == nil {
 		return 0
@@ -107,18 +109,18 @@
 	return total
 }
 
-// Counts are the violations by kind, and the closed connections by reason; what did not happen is left out.
+// Counts returns the violations by kind and the closed connections by reason, without the entries that are zero.
 func (m *Monitor) Counts() (violations, closes map[string]uint64) {
 	violations, closes = map[string]uint64{}, map[string]uint64{}
 	if m == nil {
 		return violations, closes
 	}
-	for kind := range violationKinds {
+	for kind := range violationKindCount {
 		if n := m.violations[kind].Load(); n > 0 {
 			violations[kind.String()] = n
 		}
 	}
-	for reason := range closeReasons {
+	for reason := range closeReasonCount {
 		if n := m.closes[reason].Load(); n > 0 {
 			closes[reason.String()] = n
 		}
@@ -126,7 +128,8 @@
 	return violations, closes
 }
 
-// RecordClientClose is called before a client's connection is closed on which so many requests have no final response.
+// RecordClientClose records that a client connection is about to be closed while openRequests requests on it have no
+// final response.
 func (m *Monitor) RecordClientClose(connection uint64, reason CloseReason, openRequests int) {
 	if m == nil {
 		return
@@ -135,13 +138,14 @@
 	m.recorder.Add(flightrecorder.Entry{
 		Event: flightrecorder.ConnectionClosed, ID: connection, Reason: uint8(reason), Value: int64(openRequests),
 	})
-	if openRequests > 0 && !reason.isByClient() {
+	if openRequests > 0 && !reason.isCausedByClient() {
 		m.Violate(RequestUnanswered, connection,
 			zap.Stringer("close_reason", reason), zap.Int("in_flight", openRequests))
 	}
 }
 
-// RecordServerClose is called before a connection to a server is closed on which so many attempts are in flight.
+// RecordServerClose records that a connection to a server is about to be closed while openAttempts attempts on it are
+// in flight.
 func (m *Monitor) RecordServerClose(endpoint uint64, reason CloseReason, openAttempts int) {
 	if m == nil {
 		return
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -21,7 +21,8 @@
 	return NewMonitor(zap.NewNop(), flightrecorder.New(64, ReasonName), nil, nil)
 }
 
-// Ends of connections that cross requests are no violations; each is counted by its reason.
+// A connection that the client or the server ends while requests are open is no violation. Each close is counted by its
+// reason.
 func TestClosesAreCounted(t *testing.T) {
 	monitor := newMonitor()
 	monitor.RecordClientClose(1, CloseClientLeft, 3)
@@ -36,7 +37,7 @@
 	}
 }
 
-// A violation writes the recorder out, but not one after the other.
+// A violation dumps the flight recorder; a second violation right after it does not.
 func TestViolationDumpsRecorder(t *testing.T) {
 	var dumped []string
 	dump := func(reason string) { dumped = append(dumped, reason) }
@@ -52,7 +53,7 @@
 	}
 }
 
-// A monitor that is nil counts nothing.
+// A nil monitor counts nothing.
 func TestNilMonitorCountsNothing(t *testing.T) {
 	var monitor *Monitor
 	now := time.Now()
@@ -60,9 +61,9 @@
 	monitor.RecordClientClose(1, CloseClientIdle, 1)
 	monitor.RecordServerClose(1, CloseIdle, 1)
 	if monitor.Violations() != 0 || monitor.Watch() != nil || monitor.Recorder() != nil {
-		t.Error("a nil monitor counts something")
+		t.Error("nil monitor is not empty")
 	}
 	if request := monitor.NewRequest(1, now.Add(time.Second), RepeatPolicy{}); !request.End(EndServed, now) {
-		t.Error("a request without a monitor cannot end")
+		t.Error("request of a nil monitor cannot end")
 	}
 }
--- a/internal/invariant/reasonname.go
+++ b/internal/invariant/reasonname.go
@@ -6,7 +6,7 @@
 	"fennelarch/policy/routing"
 )
 
-// outcomeNames name how attempts end.
+// outcomeNames maps the outcomes of attempts to their names in the flight recorder.
 var outcomeNames = map[routing.Outcome]string{
 	routing.Succeeded:        "succeeded",
 	routing.Failed:           "failed",
@@ -19,12 +19,14 @@
 	routing.CacheMiss:        "cache_miss",
 }
 
+// endpointStateNames maps the states of endpoints to their names in the flight recorder.
 var endpointStateNames = map[routing.EndpointState]string{
 	routing.Gone:     "gone",
 	routing.Ready:    "ready",
 	routing.Draining: "draining",
 }
 
+// dialFaultNames maps the results of dials to their names in the flight recorder.
 var dialFaultNames = map[system.Fault]string{
 	system.FaultNone:    "up",
 	system.FaultLocal:   "local",
@@ -33,7 +35,7 @@
 	system.FaultBroken:  "broken",
 }
 
-// ReasonName names the reason of an event in the flight recorder; it is empty where the event has none.
+// ReasonName returns the name of the reason of an event in the flight recorder, or "" if the event has none.
 func ReasonName(event flightrecorder.Event, reason uint8) string {
 	switch event {
 	case flightrecorder.ConnectionClosed, flightrecorder.ServerClosed:
@@ -55,9 +57,10 @@
 	}
 }
 
-func nameAt(names []string, i uint8) string {
-	if int(i) < len(names) {
-		return names[i]
+// nameAt returns the name at an index, or "" if the index is out of range.
+func nameAt(names []string, index uint8) string {
+	if int(index) < len(names) {
+		return names[index]
 	}
 	return ""
 }
--- a/internal/invariant/reasonname_test.go
+++ b/internal/invariant/reasonname_test.go
@@ -6,7 +6,7 @@
 	"fennelarch/internal/flightrecorder"
 )
 
-// Each reason has a name of its own.
+// Every reason has a name, which no other reason of its list shares.
 func TestReasonNamesAreUnique(t *testing.T) {
 	for list, names := range map[string][]string{
 		"violations": violationNames[:], "send denials": sendDenialNames[:], "end reasons": endReasonNames[:],
@@ -16,7 +16,7 @@
 			seen := map[string]bool{}
 			for i, name := range names {
 				if name == "" || seen[name] {
-					t.Errorf("place %d: %q", i, name)
+					t.Errorf("reason %d has an empty or repeated name: %q", i, name)
 				}
 				seen[name] = true
 			}
@@ -26,6 +26,6 @@
 
 func TestUnknownReasonHasNoName(t *testing.T) {
 	if ReasonName(flightrecorder.AttemptDenied, 200) != "" || ReasonName(flightrecorder.Stalled, 0) != "" {
-		t.Error("an unknown reason has a name")
+		t.Error("unknown reason has a name")
 	}
 }
--- a/internal/invariant/repeat.go
+++ b/internal/invariant/repeat.go
@@ -6,21 +6,21 @@
 	"fennelarch/policy/routing"
 )
 
-// RepeatPolicy says which repeats of a request are safe, as configured for its class.
+// RepeatPolicy determines which repeats of a request are safe, as configured for its class.
 type RepeatPolicy struct {
 	Idempotency routing.Idempotency
-	DedupScope  routing.DedupScope // the servers that drop repeats with the same idempotency key
-	DedupWindow time.Duration      // for how long they do
+	DedupScope  routing.DedupScope // scope in which servers drop repeats with the same idempotency key
+	DedupWindow time.Duration      // how long servers remember an idempotency key
 }
 
-// Server identifies a server, and the scopes in which it drops repeats.
+// Server identifies a server and the zone and cell in which it deduplicates.
 type Server struct {
 	Endpoint routing.EndpointID
 	Zone     routing.ZoneID
 	Cell     routing.CellID
 }
 
-// allowsRepeat reports whether an attempt at a server is safe after an earlier one that may have run.
+// allowsRepeat reports whether an attempt at a server is safe after an earlier attempt that may have run.
 func (p RepeatPolicy) allowsRepeat(earlier *sentAttempt, to Server, now time.Time) bool {
 	switch p.Idempotency {
 	case routing.Idempotent:
@@ -32,7 +32,7 @@
 	}
 }
 
-// inSameScope reports whether two servers drop each other's repeats.
+// inSameScope reports whether each of two servers drops repeats of the other's requests.
 func (p RepeatPolicy) inSameScope(first, second Server) bool {
 	switch p.DedupScope {
 	case routing.ScopeAll:
--- a/internal/invariant/repeat_test.go
+++ b/internal/invariant/repeat_test.go
@@ -7,7 +7,8 @@
 	"fennelarch/policy/routing"
 )
 
-// Which repeats may begin, by idempotency, scope, window, and what was proved of the attempt before.
+// Whether a second attempt may begin depends on the idempotency, the dedup scope and window, and whether the first
+// attempt is proven not to have run.
 func TestRepeats(t *testing.T) {
 	withKey := func(scope routing.DedupScope) RepeatPolicy {
 		return RepeatPolicy{routing.IdempotentWithKey, scope, time.Second}
@@ -41,7 +42,7 @@
 			}
 			got := request.Begin(Attempt{Number: 1, Server: testCase.to}, now.Add(testCase.later))
 			if got != testCase.want {
-				t.Errorf("%v, not %v", got, testCase.want)
+				t.Errorf("second attempt: got %v, want %v", got, testCase.want)
 			}
 		})
 	}
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -10,11 +10,11 @@
 	"go.uber.org/zap"
 )
 
-// AnswerSlack is how long after the client's deadline a final response may come without counting as a violation.
+// AnswerSlack is how long after the client's deadline a final response may be sent without counting as a violation.
 const AnswerSlack = 50 * time.Millisecond
 
-// Request is the record of one request. The client's connection, the engine and the connections to servers share it.
-// All methods work on nil, where nothing is checked.
+// Request is the record of one request, shared by the client's connection, the engine and the connections to servers.
+// A nil Request is valid and checks no more than the start bound of an attempt.
 type Request struct {
 	monitor  *Monitor
 	id       uint64
@@ -27,7 +27,7 @@
 	attempts []sentAttempt
 }
 
-// NewRequest begins the record of a request whose client waits until the deadline.
+// NewRequest returns the record of a new request whose client waits until the deadline.
 func (m *Monitor) NewRequest(id uint64, deadline time.Time, policy RepeatPolicy) *Request {
 	m.Record(flightrecorder.Entry{
 		Event: flightrecorder.RequestArrived, ID: id, Value: time.Until(deadline).Milliseconds(),
@@ -35,7 +35,7 @@
 	return &Request{monitor: m, id: id, deadline: deadline, policy: policy}
 }
 
-// IsOpen reports whether the request has no final response and its client still waits.
+// IsOpen reports whether the request has no final response yet and its client is still waiting.
 func (r *Request) IsOpen() bool {
 	if r == nil {
 		return true
@@ -45,7 +45,7 @@
 	return r.end == EndOpen
 }
 
-// End ends the request, and reports whether it was open until now: only then may a response be written.
+// End ends the request and reports whether the request was still open. A response may be written only if so.
 func (r *Request) End(reason EndReason, now time.Time) bool {
 	if r == nil {
 		return true
@@ -67,27 +67,29 @@
 	return true
 }
 
+// checkEnd checks that the request may end for this reason at this time.
 func (r *Request) checkEnd(reason EndReason, now time.Time) {
 	if reason == EndRejected && r.policy.Idempotency == routing.NonIdempotent && r.mayHaveRun() {
 		r.monitor.Violate(RejectedThoughRan, r.id)
 	}
-	late := now.Sub(r.deadline)
-	if reason.isResponse() && late > AnswerSlack && !r.monitor.Watch().StalledSince(r.deadline, now) {
-		r.monitor.Violate(AnsweredLate, r.id, zap.Duration("late", late))
+	lateness := now.Sub(r.deadline)
+	if reason.isResponse() && lateness > AnswerSlack && !r.monitor.Watch().StalledSince(r.deadline, now) {
+		r.monitor.Violate(AnsweredLate, r.id, zap.Duration("late", lateness))
 	}
 }
 
+// mayHaveRun reports whether any attempt of the request may have run.
 func (r *Request) mayHaveRun() bool {
 	for i := range r.attempts {
-		if !r.attempts[i].isProvedNotRun {
+		if !r.attempts[i].isProvenNotRun {
 			return true
 		}
 	}
 	return false
 }
 
-// Begin is called at the moment in which an attempt would begin to be written. Unless it is denied, the attempt may
-// have run from here on, until MarkNotRun proves that it has not.
+// Begin asks to begin an attempt, immediately before its first byte is written. Once allowed, the attempt counts as
+// one that may have run, until MarkNotRun reports proof of the opposite.
 func (r *Request) Begin(attempt Attempt, now time.Time) SendDenial {
 	if r == nil {
 		if attempt.isStartBoundPassed(now) {
@@ -97,7 +99,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	denial := r.denial(attempt, now)
+	denial := r.checkBegin(attempt, now)
 	if denial != SendAllowed {
 		r.record(flightrecorder.AttemptDenied, attempt, uint8(denial), 0)
 		return denial
@@ -107,7 +109,8 @@
 	return SendAllowed
 }
 
-func (r *Request) denial(attempt Attempt, now time.Time) SendDenial {
+// checkBegin returns why an attempt may not begin, or SendAllowed.
+func (r *Request) checkBegin(attempt Attempt, now time.Time) SendDenial {
 	switch {
 	case r.end != EndOpen:
 		return SendRequestEnded
@@ -123,18 +126,19 @@
 	return SendAllowed
 }
 
-// mayRepeat checks, apart from the decisions, that no earlier attempt which may have run forbids this one.
+// mayRepeat reports whether no earlier attempt that may have run forbids an attempt at this server. The check is
+// independent of the routing decisions.
 func (r *Request) mayRepeat(to Server, now time.Time) bool {
 	for i := range r.attempts {
 		earlier := &r.attempts[i]
-		if !earlier.isProvedNotRun && !r.policy.allowsRepeat(earlier, to, now) {
+		if !earlier.isProvenNotRun && !r.policy.allowsRepeat(earlier, to, now) {
 			return false
 		}
 	}
 	return true
 }
 
-// Complete reports that the system has taken the last byte of an attempt, and checks that it was in time.
+// Complete records that the kernel has accepted the last byte of an attempt, and checks that this was in time.
 func (r *Request) Complete(number routing.AttemptNumber, endpoint routing.EndpointID, now time.Time) {
 	if r == nil {
 		return
@@ -152,7 +156,7 @@
 	}
 }
 
-// MarkNotRun reports that an attempt has been proved not to have run.
+// MarkNotRun records proof that an attempt has not run.
 func (r *Request) MarkNotRun(number routing.AttemptNumber, endpoint routing.EndpointID) {
 	if r == nil {
 		return
@@ -161,7 +165,7 @@
 	defer r.mu.Unlock()
 	for i := range r.attempts {
 		if attempt := &r.attempts[i]; attempt.Number == number && attempt.Server.Endpoint == endpoint {
-			attempt.isProvedNotRun = true
+			attempt.isProvenNotRun = true
 		}
 	}
 }
--- a/internal/invariant/request_test.go
+++ b/internal/invariant/request_test.go
@@ -7,7 +7,7 @@
 	"fennelarch/internal/flightrecorder"
 )
 
-// A request ends once; what crosses its end is ignored.
+// A request ends once; later ends are ignored and are no violations.
 func TestRequestEndsOnce(t *testing.T) {
 	now := time.Now()
 	monitor := newMonitor()
@@ -17,17 +17,17 @@
 	}
 	request.Complete(0, here.Endpoint, now.Add(time.Millisecond))
 	if !request.End(EndServed, now) || request.IsOpen() {
-		t.Error("the request did not end")
+		t.Error("request did not end")
 	}
 	if request.End(EndClientLeft, now) || request.End(EndCancelled, now) {
-		t.Error("the request ended more than once")
+		t.Error("request ended more than once")
 	}
 	if violations, _ := monitor.Counts(); len(violations) != 0 {
 		t.Error(violations)
 	}
 }
 
-// An attempt that comes too late is denied, which is no violation.
+// An attempt that comes too late is denied. A denial is no violation.
 func TestLateAttemptsAreDenied(t *testing.T) {
 	now := time.Now()
 	for _, testCase := range []struct {
@@ -48,7 +48,7 @@
 				request.End(EndServed, now)
 			}
 			if denial := request.Begin(testCase.attempt, now.Add(time.Millisecond)); denial != testCase.want {
-				t.Errorf("%v, not %v", denial, testCase.want)
+				t.Errorf("got %v, want %v", denial, testCase.want)
 			}
 			if violations, _ := monitor.Counts(); len(violations) != 0 {
 				t.Error(violations)
@@ -57,16 +57,16 @@
 	}
 }
 
-// A request that nobody checks may do anything.
+// A nil request allows every attempt and can end any number of times.
 func TestNilRequestAllowsAll(t *testing.T) {
 	var request *Request
 	now := time.Now()
 	if !request.IsOpen() || request.Begin(Attempt{}, now) != SendAllowed {
-		t.Error("an attempt is denied")
+		t.Error("attempt is denied")
 	}
 	for range 2 {
 		if !request.End(EndServed, now) {
-			t.Error("it cannot end")
+			t.Error("request cannot end")
 		}
 	}
 	request.Complete(0, 0, now)
--- a/internal/invariant/senddenial.go
+++ b/internal/invariant/senddenial.go
@@ -1,19 +1,19 @@
 package invariant
 
-// SendDenial says why an attempt may not begin.
+// SendDenial is the reason why an attempt may not begin.
 type SendDenial uint8
 
-// The reasons; SendAllowed is none.
+// The reasons. SendAllowed means that the attempt may begin.
 const (
 	SendAllowed        SendDenial = iota
-	SendRequestEnded              // the request has its final response, or its client has gone
-	SendDeadlinePassed            // the client's deadline has passed, or all but
-	SendBoundPassed               // the grace of a drain, or the dedup window, has passed
-	SendRepeatUnsafe              // an earlier attempt may have run, and this one might run again
-	sendDenials
+	SendRequestEnded              // the request has its final response, or the client has gone
+	SendDeadlinePassed            // the deadline of the request or of the attempt has passed
+	SendBoundPassed               // the attempt's start bound has passed: the drain grace or the dedup window is over
+	SendRepeatUnsafe              // an earlier attempt may have run, and the request must not run twice
+	sendDenialCount
 )
 
-var sendDenialNames = [sendDenials]string{
+var sendDenialNames = [sendDenialCount]string{
 	SendAllowed:        "allowed",
 	SendRequestEnded:   "request_ended",
 	SendDeadlinePassed: "deadline_passed",
@@ -21,5 +21,5 @@
 	SendRepeatUnsafe:   "repeat_unsafe",
 }
 
-// String is the name under which a reason is recorded.
+// String returns the name under which a reason is recorded.
 func (d SendDenial) String() string { return sendDenialNames[d] }
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -3,24 +3,24 @@
 // Violation is a kind of violated invariant.
 type Violation uint8
 
-// The kinds of violations.
+// The kinds of violations. An attempt is written once its last byte is.
 const (
-	AttemptAfterEnd      Violation = iota // an attempt was written completely after its request had ended
-	AttemptAfterDeadline                  // an attempt was written completely after its client's deadline
-	AttemptAfterBound                     // an attempt was written completely after its start bound
-	DeadlineTooLong                       // a server was sent a longer deadline than the client's
-	RepeatUnsafe                          // a repeat was asked for that might have had its effect twice
+	AttemptAfterEnd      Violation = iota // an attempt was written after its request had ended
+	AttemptAfterDeadline                  // an attempt was written after the client's deadline
+	AttemptAfterBound                     // an attempt was written after its start bound
+	DeadlineTooLong                       // a server was sent a deadline beyond the client's
+	RepeatUnsafe                          // an attempt was to repeat one that may have run and must not run twice
 	AnsweredTwice                         // a request got a second final response
 	AnsweredLate                          // a request got its final response after the client's deadline
-	RejectedThoughRan                     // a request was rejected as safe to repeat, though it may have run
-	RequestUnanswered                     // a connection was closed by this side with requests open
-	AttemptCutOff                         // a connection to a server was closed as idle, with attempts in flight
-	StaleCopyServed                       // a copy of the local cache was served that had been purged
-	InvalidTransition                     // a request, an attempt or a connection was to take a state that cannot follow
-	violationKinds
+	RejectedThoughRan                     // a request that may have run was rejected as safe to repeat
+	RequestUnanswered                     // the router closed a client connection with requests open
+	AttemptCutOff                         // a connection to a server was closed as idle with attempts in flight
+	StaleCopyServed                       // a purged copy was served from the local cache
+	InvalidTransition                     // a request, an attempt or a connection made an invalid state transition
+	violationKindCount
 )
 
-var violationNames = [violationKinds]string{
+var violationNames = [violationKindCount]string{
 	AttemptAfterEnd:      "attempt_after_end",
 	AttemptAfterDeadline: "attempt_after_deadline",
 	AttemptAfterBound:    "attempt_after_bound",
@@ -35,5 +35,5 @@
 	InvalidTransition:    "invalid_transition",
 }
 
-// String is the name under which a kind is counted and logged.
+// String returns the name under which a kind is counted and logged.
 func (v Violation) String() string { return violationNames[v] }
--- a/internal/invariant/violation_test.go
+++ b/internal/invariant/violation_test.go
@@ -7,23 +7,24 @@
 	"fennelarch/policy/routing"
 )
 
-// Each kind of violation counts when it is planted, and nothing else does.
+// Each planted violation is counted once under its kind, and no other kind is counted.
 func TestPlantedViolationsAreCounted(t *testing.T) {
-	for kind := range violationKinds {
+	for kind := range violationKindCount {
 		t.Run(kind.String(), func(t *testing.T) {
 			monitor := newMonitor()
 			plantedViolations[kind](monitor)
 			counts, _ := monitor.Counts()
 			if monitor.Violations() != 1 || counts[kind.String()] != 1 {
-				t.Errorf("counted %v", counts)
+				t.Errorf("got violations %v, want one of this kind", counts)
 			}
 		})
 	}
 }
 
-// arrival is when planted requests arrive.
+// arrival is the time at which the planted requests arrive.
 var arrival = time.Now()
 
+// after returns the time at a duration after arrival.
 func after(d time.Duration) time.Time { return arrival.Add(d) }
 
 func plantedAttempt(number routing.AttemptNumber) Attempt {
@@ -36,8 +37,8 @@
 	})
 }
 
-// plantedViolations causes one violation of each kind.
-var plantedViolations = [violationKinds]func(m *Monitor){
+// plantedViolations holds a function per kind, which causes one violation of that kind.
+var plantedViolations = [violationKindCount]func(m *Monitor){
 	AttemptAfterEnd: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		request.Begin(plantedAttempt(0), arrival)
@@ -54,7 +55,7 @@
 		attempt := plantedAttempt(0)
 		attempt.NotAfter, attempt.Deadline = arrival, time.Second
 		request.Begin(attempt, arrival)
-		request.Complete(0, here.Endpoint, after(GraceSlack+time.Millisecond))
+		request.Complete(0, here.Endpoint, after(StartBoundSlack+time.Millisecond))
 	},
 	DeadlineTooLong: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
--- a/internal/stalldetect/watch.go
+++ b/internal/stalldetect/watch.go
@@ -1,9 +1,9 @@
-// Package stalldetect detects that the process stood still: it was stopped, starved of processor time, or held up as a
-// whole. Whatever arrived meanwhile was held in buffers of the system, and is older than the moment at which it is
-// read. A watch beats at short intervals; a late beat shows a stall, and readers ask the watch how old what they have
-// just read may be.
+// Package stalldetect detects stalls of the whole process, caused for example by a stop signal or a lack of CPU time.
+// Data that arrives during a stall waits in kernel buffers and is therefore older than the time at which it is read. A
+// Watch runs a heartbeat at short intervals, and a late beat reveals a stall. Readers ask the Watch how early the data
+// that they have just read may have arrived.
 //
-// All spans are of the monotonic clock: a step of the wall clock is no stall.
+// All durations are measured on the monotonic clock, so a step of the wall clock is not a stall.
 package stalldetect
 
 import (
@@ -13,40 +13,41 @@
 )
 
 const (
-	// beatInterval is the time between two beats: a fraction of the shortest stall that matters.
+	// beatInterval is the time between two beats, a fraction of stallThreshold so that a normal beat is never late.
 	beatInterval = 20 * time.Millisecond
-	// stallThreshold is how long after the last beat the process counts as stalled. Shorter pauses are part of ordinary
-	// scheduling, and well within the slack that deadlines have.
+	// stallThreshold is the time after the last beat from which the process counts as stalled. Shorter pauses are normal
+	// scheduling delays and well within the tolerance of deadlines.
 	stallThreshold = 60 * time.Millisecond
-	// settleTime is how long after a stall readers are given to take what arrived meanwhile, before anything is done
-	// that it might forbid.
+	// settleTime is how long after a stall readers have to read what arrived during it, before the process does
+	// anything that this input might forbid.
 	settleTime = 8 * time.Millisecond
-	// immediateReturn is how soon a blocking call returns that did not have to wait.
-	immediateReturn = time.Millisecond
+	// immediateReturnWithin is the time within which a blocking call returns if it did not have to wait.
+	immediateReturnWithin = time.Millisecond
 )
 
-// Watch detects stalls of the process. The zero Watch never beats and so never shows any; all methods that ask work on
-// nil.
+// Watch detects stalls of the process by a heartbeat. A zero or nil Watch has no heartbeat and reports no stalls; Run
+// and Beat need a Watch from New.
 type Watch struct {
 	start time.Time
-	// Nanoseconds since the start.
+	// Times in nanoseconds since start.
 	lastBeat   atomic.Int64
-	stallFrom  atomic.Int64 // of the last stall: the last beat before it
-	stallUntil atomic.Int64 // the first beat after it; 0: there was none
+	stallFrom  atomic.Int64 // last beat before the last stall
+	stallUntil atomic.Int64 // first beat after the last stall; 0 if there was none
 }
 
-// New returns a watch whose first beat is now.
+// New returns a Watch whose first beat is now.
 func New() *Watch { return &Watch{start: time.Now()} }
 
-// Run beats until the context ends, and reports each stall once it is over.
-func (w *Watch) Run(ctx context.Context, report func(lasted time.Duration)) {
+// Run runs the heartbeat until the context ends. After each stall, Run calls report with the duration of the stall,
+// unless report is nil.
+func (w *Watch) Run(ctx context.Context, report func(duration time.Duration)) {
 	ticker := time.NewTicker(beatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			if lasted := w.Beat(time.Now()); lasted > 0 && report != nil {
-				report(lasted)
+			if duration := w.Beat(time.Now()); duration > 0 && report != nil {
+				report(duration)
 			}
 		case <-ctx.Done():
 			return
@@ -54,44 +55,46 @@
 	}
 }
 
-// Beat notes that the process runs, and returns how long it stood still before, if it did.
-func (w *Watch) Beat(now time.Time) (lasted time.Duration) {
+// Beat records that the process is running. Beat returns the duration of the stall that has just ended, or 0 if there
+// was none.
+func (w *Watch) Beat(now time.Time) (duration time.Duration) {
 	beat := int64(now.Sub(w.start))
 	last := w.lastBeat.Swap(beat)
-	if lasted = time.Duration(beat - last); lasted <= stallThreshold {
+	if duration = time.Duration(beat - last); duration <= stallThreshold {
 		return 0
 	}
 	w.stallFrom.Store(last)
 	w.stallUntil.Store(beat)
-	return lasted
+	return duration
 }
 
-// stall is a time in which the process stood still.
+// stall is a period in which the process did not run.
 type stall struct{ from, until time.Time }
 
-// lastStall is the stall that is not over, or over for less than a span.
+// lastStall returns the stall that is still going on, or the last stall if it ended less than within ago.
 func (w *Watch) lastStall(now time.Time, within time.Duration) (last stall, found bool) {
 	if w == nil || w.start.IsZero() {
 		return stall{}, false
 	}
-	at := int64(now.Sub(w.start))
-	if beat := w.lastBeat.Load(); at-beat > int64(stallThreshold) {
+	sinceStart := int64(now.Sub(w.start))
+	if beat := w.lastBeat.Load(); sinceStart-beat > int64(stallThreshold) {
 		return stall{from: w.time(beat), until: now}, true
 	}
-	if until := w.stallUntil.Load(); until > 0 && at-until < int64(within) {
+	if until := w.stallUntil.Load(); until > 0 && sinceStart-until < int64(within) {
 		return stall{from: w.time(w.stallFrom.Load()), until: w.time(until)}, true
 	}
 	return stall{}, false
 }
 
+// time converts nanoseconds since start into a time.
 func (w *Watch) time(sinceStart int64) time.Time { return w.start.Add(time.Duration(sinceStart)) }
 
-// EarliestArrival is the earliest time at which something may have arrived that a blocking call returned now. The call
-// was made at callStart; the queue that it reads was last known to be empty at emptyAt, before that.
+// EarliestArrival returns the earliest time at which the data that a blocking call has just returned may have arrived.
+// The call was made at callStart. The queue that it reads was last known to be empty at emptyAt, before callStart.
 func (w *Watch) EarliestArrival(emptyAt, callStart, now time.Time) time.Time {
 	earliest := now
-	if now.Sub(callStart) < immediateReturn {
-		earliest = emptyAt // it was in the queue already when the call began
+	if now.Sub(callStart) < immediateReturnWithin {
+		earliest = emptyAt // the data was in the queue before the call began
 	} else if last, found := w.lastStall(now, stallThreshold); found && last.from.Before(earliest) {
 		earliest = last.from
 	}
@@ -101,8 +104,8 @@
 	return earliest
 }
 
-// EarliestQueuedArrival is the earliest time at which something may have arrived that waited in a queue of the system
-// behind others, and is taken now: now, or the beginning of a stall that has just ended.
+// EarliestQueuedArrival returns the earliest time at which an item may have arrived that has waited behind others in a
+// kernel queue and is taken now: the start of a stall that goes on or has just ended, or else now.
 func (w *Watch) EarliestQueuedArrival(now time.Time) time.Time {
 	if last, found := w.lastStall(now, stallThreshold); found {
 		return last.from
@@ -110,14 +113,15 @@
 	return now
 }
 
-// StalledSince reports whether the process stood still at any time since a moment.
+// StalledSince reports whether the process stalled at any time between a moment and now.
 func (w *Watch) StalledSince(moment, now time.Time) bool {
 	last, found := w.lastStall(now, now.Sub(moment))
 	return found && last.until.After(moment)
 }
 
-// Settle waits, just after a stall, until readers had the time to take what arrived meanwhile: a cancellation, the end
-// of a connection, a response. It returns at once otherwise, and reports whether it waited.
+// Settle waits just after a stall until readers have had time to read what arrived during the stall, such as a
+// cancellation, the end of a connection or a response. At any other time Settle returns at once. Settle reports whether
+// it waited.
 func (w *Watch) Settle() (waited bool) {
 	now := time.Now()
 	last, found := w.lastStall(now, settleTime)
--- a/internal/stalldetect/watch_test.go
+++ b/internal/stalldetect/watch_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// watchTest is a watch that beats by hand, at times in milliseconds since its start.
+// watchTest is a Watch whose beats the test triggers. Times are in milliseconds since the start of the Watch.
 type watchTest struct {
 	*Watch
 	t *testing.T
@@ -17,17 +17,18 @@
 	return watchTest{New(), t}
 }
 
+// at returns the time at a number of milliseconds after the start.
 func (w watchTest) at(ms int) time.Time { return w.start.Add(time.Duration(ms) * time.Millisecond) }
 
-// beat beats at a time, and checks the stall that this shows.
+// beat triggers a beat at a time and checks the duration of the stall that it reports.
 func (w watchTest) beat(ms int, want time.Duration) {
 	w.t.Helper()
-	if lasted := w.Beat(w.at(ms)); lasted != want {
-		w.t.Errorf("a stall of %v at %d ms, not %v", lasted, ms, want)
+	if duration := w.Beat(w.at(ms)); duration != want {
+		w.t.Errorf("beat reported a stall of %v at %d ms, want %v", duration, ms, want)
 	}
 }
 
-// beatUntil beats in time.
+// beatUntil triggers beats at the normal interval, none of which reports a stall.
 func (w watchTest) beatUntil(from, until int) {
 	w.t.Helper()
 	for ms := from; ms <= until; ms += 20 {
@@ -35,7 +36,7 @@
 	}
 }
 
-// While the process stalls, what is read may be as old as the last beat before it.
+// Data that is read during a stall may have arrived as early as the last beat before the stall.
 func TestEarliestDuringStall(t *testing.T) {
 	w := newWatchTest(t)
 	w.beatUntil(20, 100)
@@ -44,32 +45,32 @@
 		emptyAt, callStart, now int
 		want                    int
 	}{
-		{"a call that waited", 0, 10, 110, 110},
-		{"what was in the queue already", 40, 109, 109, 40},
-		{"read before the late beat", 50, 60, 700, 100},
+		{"the call waited", 0, 10, 110, 110},
+		{"the data was in the queue before the call", 40, 109, 109, 40},
+		{"the call returned before the late beat", 50, 60, 700, 100},
 		{"the queue was seen empty during the stall", 650, 660, 700, 650},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			got := w.EarliestArrival(w.at(testCase.emptyAt), w.at(testCase.callStart), w.at(testCase.now))
 			if !got.Equal(w.at(testCase.want)) {
-				t.Errorf("%v, not %d ms", got.Sub(w.start), testCase.want)
+				t.Errorf("earliest arrival is %v after the start, want %d ms", got.Sub(w.start), testCase.want)
 			}
 		})
 	}
 }
 
-// A late beat ends a stall, which counts for a while after.
+// A late beat ends a stall. For a while after the stall, data may still have arrived as early as its beginning.
 func TestEarliestAfterStall(t *testing.T) {
 	w := newWatchTest(t)
 	w.beatUntil(20, 100)
 	w.beat(700, 600*time.Millisecond)
 	w.beat(720, 0)
 	if got := w.EarliestArrival(w.at(50), w.at(60), w.at(705)); !got.Equal(w.at(100)) {
-		t.Errorf("just after a stall: %v", got.Sub(w.start))
+		t.Errorf("earliest arrival just after a stall is %v after the start", got.Sub(w.start))
 	}
 	w.beatUntil(740, 780)
 	if got := w.EarliestArrival(w.at(50), w.at(60), w.at(790)); !got.Equal(w.at(790)) {
-		t.Errorf("long after a stall: %v", got.Sub(w.start))
+		t.Errorf("earliest arrival long after a stall is %v after the start", got.Sub(w.start))
 	}
 }
 
@@ -79,22 +80,22 @@
 	w.beat(700, 600*time.Millisecond)
 	w.beatUntil(720, 780)
 	if !w.StalledSince(w.at(300), w.at(790)) {
-		t.Error("a stall since then is not seen")
+		t.Error("stall since the moment is not reported")
 	}
 	if w.StalledSince(w.at(750), w.at(790)) {
-		t.Error("a stall before then is seen")
+		t.Error("stall before the moment is reported")
 	}
 }
 
 func TestNilWatchNeverStalls(t *testing.T) {
-	var none *Watch
+	var nilWatch *Watch
 	now := time.Now()
-	if none.Settle() || !none.EarliestArrival(now, now, now).Equal(now) || none.StalledSince(now, now) {
-		t.Error("a nil watch shows a stall")
+	if nilWatch.Settle() || !nilWatch.EarliestArrival(now, now, now).Equal(now) || nilWatch.StalledSince(now, now) {
+		t.Error("nil Watch reports a stall")
 	}
 }
 
-// Settle waits just after a stall, and at no other time.
+// Settle waits just after a stall and at no other time.
 func TestSettle(t *testing.T) {
 	w := New()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -105,12 +106,12 @@
 	}()
 	time.Sleep(3 * beatInterval)
 	if w.Settle() {
-		t.Error("it waits without a stall")
+		t.Error("Settle waits without a stall")
 	}
 	cancel()
 	<-done
 	time.Sleep(2 * stallThreshold)
-	if begun := time.Now(); !w.Settle() || time.Since(begun) < settleTime-time.Millisecond {
-		t.Error("it does not wait after a stall")
+	if start := time.Now(); !w.Settle() || time.Since(start) < settleTime-time.Millisecond {
+		t.Error("Settle does not wait after a stall")
 	}
 }
