--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,106 +1,107 @@
-// Package limits holds the bounds of the service on sizes, counts and times. They are derived once, at the start, from
-// the configuration, and handed down; no other package of the service has such a bound of its own. What decides about
-// requests is in the packages of policy instead.
+// Package limits holds the bounds of the service on sizes, counts and times. The bounds are derived from the
+// configuration once, at startup, and passed to the other packages of the service, which have no such bounds of their
+// own. Limits that decide about requests belong to the policy packages instead.
 package limits
 
 import "time"
 
-// Limits are the bounds. From fills them in.
+// Limits holds all bounds. The comments at the fields name the unit where the type does not; the functions below that
+// set the fields say what a wrong value causes.
 type Limits struct {
 	// The process.
-	Cores   float64
-	Memory  int64 // bytes, of all that the process holds
-	Sockets int   // descriptors
+	Cores   float64 // CPU cores
+	Memory  int64   // bytes of memory of the whole process
+	Sockets int     // open descriptors
 
-	// Descriptors by use. The rest is a reserve for the log, discovery and the runtime.
+	// Descriptors by use. The remainder is a reserve for the log, discovery and the runtime.
 	ClientConnections      int // open client connections
-	RejectedConnections    int // beside these, connections that are being rejected with a response
+	RejectedConnections    int // further connections that are open only until their rejection is sent
 	UpstreamConnections    int // connections to all endpoints together
-	ConnectionsPerEndpoint int
-	Redials                int // retries of a dial that failed for want of a descriptor
-	StreamsPerConnection   int // attempts open on one upstream connection
+	ConnectionsPerEndpoint int // connections to one endpoint
+	Redials                int // retries of a dial that failed for a local reason or was unreachable at once
+	StreamsPerConnection   int // attempts in flight on one upstream connection
 
 	// Frames and requests.
 	FrameStrings         int           // strings in a frame
-	RequestBodyBytes     int           // body of a request
-	ResponseBodyBytes    int           // body of a response
-	FieldBytes           int           // any other string
-	MaxSizeKB            float64       // size of the object that a request asks for
-	ObjectiveKBPerSecond float64       // KB a second by which a latency objective grows with the size
-	MaxRequestTimeout    time.Duration // timeout that a request may ask for
-
-	// Memory, in bytes. Buffers grow to their bound only where that is needed.
-	ClientReadBuffer     int
-	ClientWriteBuffer    int
-	UpstreamReadBuffer   int
-	UpstreamWriteBuffer  int
-	LocalCacheBytes      int
+	RequestBodyBytes     int           // bytes in the body of a request
+	ResponseBodyBytes    int           // bytes in the body of a response
+	FieldBytes           int           // bytes in any other string
+	MaxSizeKB            float64       // kilobytes of the object that a request asks for
+	ObjectiveKBPerSecond float64       // kilobytes per second by which a latency objective grows with the size
+	MaxRequestTimeout    time.Duration // longest timeout that a request may ask for
+
+	// Memory in bytes. Buffers grow to these sizes only when they need to.
+	ClientReadBuffer     int   // input of one client connection
+	ClientWriteBuffer    int   // output of one client connection
+	UpstreamReadBuffer   int   // input of one upstream connection
+	UpstreamWriteBuffer  int   // output of one upstream connection
+	LocalCacheBytes      int   // local cache
 	ResponseBacklogBytes int64 // bodies of all responses that wait for their clients
 	DiscoveryPageBytes   int64 // one response of the discovery server
 
 	// Queues.
-	OpenPerConnection int // requests open on one client connection
+	OpenPerConnection int // open requests on one client connection
 	PendingResponses  int // responses waiting on one client connection before its input is held
 	EventQueue        int // events waiting for the engine
-	LogQueue          int // lines waiting to be written
+	LogQueue          int // log lines waiting to be written
 
 	// Client connections.
-	ClientIdleTimeout time.Duration // until a connection without a request in flight is closed
-	MessageTimeout    time.Duration // until the first message, or one that has begun, must be complete
-	FirstRequestGrace time.Duration // how much longer a connection without a request yet counts as active
-	CloseLinger       time.Duration // for each step of a rejection, and for a request that crosses a close
-	HeldInputInterval time.Duration // between two checks whether clients whose input is held have gone; some within 0.1 s
-	StaleReadAge      time.Duration // age at which a request that is read may have been cancelled by what follows it
-	ReadAheadTimeout  time.Duration // how long such a cancel is waited for
-	PauseMargin       time.Duration // how long before the deadline of a waiting request a pause of its connection ends
+	ClientIdleTimeout time.Duration // idle time after which a connection without open requests is closed
+	MessageTimeout    time.Duration // time for the TLS handshake, for the first message and for one that has begun
+	FirstRequestGrace time.Duration // added to the idle time of a connection that has sent no message yet, for eviction
+	CloseLinger       time.Duration // wait in each step of a rejection, and for a request that races with a close
+	HeldInputInterval time.Duration // time between two checks of held input for cancels and for clients that have left
+	StaleReadAge      time.Duration // age from which a request may have been cancelled by input that is not read yet
+	ReadAheadTimeout  time.Duration // time for reading on in search of such a cancel
+	PauseMargin       time.Duration // time before the deadline of a held request at which the pause of its connection ends
 
 	// Upstream connections.
-	ConnectTimeout      time.Duration // until a connection must be up
-	SlowConnect         time.Duration // until a dial counts as slow, and another connection takes what waits for it
-	UpstreamIdleTimeout time.Duration // until an idle connection is closed
-	RequestWriteTimeout time.Duration // until a request that has begun to be written must be complete
-	WriteStallTimeout   time.Duration // until a peer that reads nothing is disconnected; clients too
-	StoreSilenceTimeout time.Duration // until a shared store that sends nothing is disconnected
+	ConnectTimeout      time.Duration // time for establishing a connection
+	SlowConnect         time.Duration // time after which the attempts that wait for a dial move to another connection
+	UpstreamIdleTimeout time.Duration // idle time after which a connection is closed
+	RequestWriteTimeout time.Duration // time for writing the rest of an attempt that is partly written
+	WriteStallTimeout   time.Duration // time after which a peer that reads nothing is disconnected, clients included
+	StoreSilenceTimeout time.Duration // time after which a shared store that sends nothing is disconnected
 
 	// Attempts.
-	AttemptStartWithin  time.Duration // until an attempt must be sent: policy counts it from its first byte
-	DrainingStartWithin time.Duration // the same where its endpoint, or the source of a fill, is draining
-	ForgetAfter         time.Duration // until endpoints that are gone and aborted attempts are forgotten
+	AttemptStartWithin  time.Duration // time within which the first byte of an attempt must be sent
+	DrainingStartWithin time.Duration // the same if the endpoint, or the source of a fill, is draining
+	ForgetAfter         time.Duration // time after which endpoints that are gone and old attempts are forgotten
 
 	// Discovery.
-	PollHold             time.Duration // how long the server may hold a poll
-	PollTimeout          time.Duration // until a poll must have a response
-	PollStallTimeout     time.Duration // until a response that stalls is given up
-	PollPageTimeout      time.Duration // until a response that does not end is cut off, and what came is applied
-	PollPromptWithin     time.Duration // within which a response counts as prompt: its events were there before
-	DiscoveryRewindAfter time.Duration // until a server that is behind the last event counts as a new one
-	DiscoveryDialTimeout time.Duration // until a connection must be up
-	BackoffMin           time.Duration // first pause after a failed poll; it doubles
-	BackoffMax           time.Duration // longest pause
+	PollHold             time.Duration // time for which the server may hold a poll open
+	PollTimeout          time.Duration // time for the start of the response to a poll
+	PollStallTimeout     time.Duration // time after which a response that makes no progress is abandoned
+	PollPageTimeout      time.Duration // time after which a response that does not end is cut off; its events apply
+	PollPromptWithin     time.Duration // time within which a response is prompt: its events are older than the poll
+	DiscoveryRewindAfter time.Duration // time after which a server that is behind the last event counts as a new server
+	DiscoveryDialTimeout time.Duration // time for establishing a connection
+	BackoffMin           time.Duration // first pause after a failed poll; each further pause doubles
+	BackoffMax           time.Duration // longest pause after a failed poll
 
 	// Shutdown and housekeeping.
-	DescriptorShortageAfter time.Duration // until a shortage counts as lasting, and connections are rejected
-	RecheckInterval         time.Duration // between two checks of what is retried or waited for
-	ShutdownLinger          time.Duration // for which requests are accepted after the order to stop
-	ShutdownGrace           time.Duration // until the last request must have its response
-	FlushTimeout            time.Duration // until that response, and the lines of the log, must be written
-	SummaryInterval         time.Duration // between two summaries in the log
+	DescriptorShortageAfter time.Duration // time after which a descriptor shortage is lasting, so connections are rejected
+	RecheckInterval         time.Duration // pause between two checks of a condition that is polled
+	ShutdownLinger          time.Duration // time after the signal to stop during which new requests are accepted
+	ShutdownGrace           time.Duration // time after the signal to stop within which the last request is answered
+	FlushTimeout            time.Duration // time after that for writing the last response, and for flushing the log
+	SummaryInterval         time.Duration // time between two summaries in the log
 }
 
-// Inputs are what the configuration and the settings say.
+// Inputs holds the configured values from which the limits are derived.
 type Inputs struct {
 	Cores                float64
 	MemoryMB             int
-	Sockets              int
+	Sockets              int // descriptors that the process may open
 	StreamsPerConnection int
 	ConnectTimeout       time.Duration
-	IdleTimeout          time.Duration
+	IdleTimeout          time.Duration // of upstream connections
 	LongestDeadline      time.Duration // of all request classes
-	DrainGrace           time.Duration
-	PurgeGrace           time.Duration
+	DrainGrace           time.Duration // after a drain is published
+	PurgeGrace           time.Duration // after a purge is published
 }
 
-// From derives the bounds.
+// From derives the limits.
 func From(inputs Inputs) Limits {
 	inputs = inputs.withDefaults()
 	var lim Limits
@@ -117,7 +118,7 @@
 	return lim
 }
 
-// withDefaults fills in what the settings do not say.
+// withDefaults returns the inputs with defaults in place of missing values.
 func (i Inputs) withDefaults() Inputs {
 	i.StreamsPerConnection = max(1, i.StreamsPerConnection)
 	if i.ConnectTimeout <= 0 {
@@ -129,10 +130,11 @@
 	return i
 }
 
-// memoryBytes is the memory of the process.
+// memoryBytes returns the memory of the process in bytes.
 func (i *Inputs) memoryBytes() int { return i.MemoryMB << 20 }
 
-// startGrace is the shorter of the graces after a drain and a purge, within which an attempt must start.
+// startGrace returns the shorter of the graces after a drain and after a purge. An attempt that starts later than that
+// would reach a drained server or miss the purge.
 func (i *Inputs) startGrace() time.Duration {
 	grace := i.DrainGrace
 	if i.PurgeGrace > 0 {
@@ -144,92 +146,97 @@
 	return grace
 }
 
+// setProcess copies the limits of the process.
 func (l *Limits) setProcess(inputs *Inputs) {
 	l.Cores = inputs.Cores
 	l.Memory = int64(inputs.memoryBytes())
 	l.Sockets = inputs.Sockets
 }
 
+// setDescriptors divides the descriptors. Larger shares leave too few for the log, discovery and the runtime.
 func (l *Limits) setDescriptors(inputs *Inputs) {
-	l.ClientConnections = inputs.Sockets * 2 / 5
-	l.RejectedConnections = inputs.Sockets / 32
-	l.UpstreamConnections = inputs.Sockets * 2 / 5
-	l.ConnectionsPerEndpoint = inputs.Sockets / 8
-	l.Redials = 8
+	l.ClientConnections = inputs.Sockets * 2 / 5   // if lower, clients are rejected although descriptors are free
+	l.RejectedConnections = inputs.Sockets / 32    // if lower, clients may be closed before they read the rejection
+	l.UpstreamConnections = inputs.Sockets * 2 / 5 // if lower, attempts share connections and fail together
+	l.ConnectionsPerEndpoint = inputs.Sockets / 8  // if higher, one slow endpoint uses up the connections of all
+	l.Redials = 8                                  // if lower, a brief shortage fails attempts; if higher, it delays them
 	l.StreamsPerConnection = inputs.StreamsPerConnection
 }
 
+// setFrames sets the limits on what clients and servers send. Values that are too low make valid messages fail.
 func (l *Limits) setFrames(inputs *Inputs) {
 	l.FrameStrings = 8
-	l.RequestBodyBytes = 48_000
-	l.ResponseBodyBytes = 240_000
+	l.RequestBodyBytes = 48_000   // with its fields, must fit into ClientReadBuffer
+	l.ResponseBodyBytes = 240_000 // with its fields, must fit into UpstreamReadBuffer
 	l.FieldBytes = 1 << 10
 	l.MaxSizeKB = 1e9
-	l.MaxRequestTimeout = 2*inputs.LongestDeadline + time.Second
+	l.MaxRequestTimeout = 2*inputs.LongestDeadline + time.Second // if higher, one request can hold memory for long
 }
 
+// setMemory divides the memory. Larger sizes let the process exceed its memory.
 func (l *Limits) setMemory(inputs *Inputs) {
-	l.ClientReadBuffer = 64 << 10
-	l.ClientWriteBuffer = 32 << 10
-	l.UpstreamReadBuffer = 256 << 10
-	l.UpstreamWriteBuffer = 64 << 10
+	l.ClientReadBuffer = 64 << 10    // if lower, a large request does not fit and the connection is closed
+	l.ClientWriteBuffer = 32 << 10   // if lower, a large response takes more writes
+	l.UpstreamReadBuffer = 256 << 10 // if lower, a large response does not fit and the connection is closed
+	l.UpstreamWriteBuffer = 64 << 10 // if lower, a large attempt takes more writes
 	l.LocalCacheBytes = inputs.memoryBytes() / 4
-	l.ResponseBacklogBytes = int64(inputs.memoryBytes()) / 6
-	l.DiscoveryPageBytes = 4 << 20
+	l.ResponseBacklogBytes = int64(inputs.memoryBytes()) / 6 // if lower, slow readers lose responses
+	l.DiscoveryPageBytes = 4 << 20                           // if lower, a long endpoint list is cut off
 }
 
+// setQueues sets the lengths of queues. Longer queues use more memory and let requests wait longer.
 func (l *Limits) setQueues() {
-	l.OpenPerConnection = 32
-	l.PendingResponses = 64
-	l.EventQueue = 4096
-	l.LogQueue = 1024
+	l.OpenPerConnection = 32 // if lower, clients that send several requests at once get failures
+	l.PendingResponses = 64  // if lower, fast clients are held although they read
+	l.EventQueue = 4096      // if lower, a burst of requests is rejected
+	l.LogQueue = 1024        // if lower, a burst of log lines is dropped
 }
 
 func (l *Limits) setClientConnections() {
-	l.ClientIdleTimeout = 6 * time.Second
-	l.MessageTimeout = 2 * time.Second
-	l.FirstRequestGrace = time.Second
-	l.CloseLinger = 150 * time.Millisecond
-	l.HeldInputInterval = 20 * time.Millisecond
-	l.StaleReadAge = 50 * time.Millisecond
-	l.ReadAheadTimeout = time.Millisecond
-	l.PauseMargin = 100 * time.Millisecond
+	l.ClientIdleTimeout = 6 * time.Second       // if lower, slow clients must reconnect; if higher, descriptors are held
+	l.MessageTimeout = 2 * time.Second          // if lower, slow clients are cut off; if higher, descriptors are held
+	l.FirstRequestGrace = time.Second           // if lower, connections that send nothing crowd out used ones
+	l.CloseLinger = 150 * time.Millisecond      // if lower, a close resets the connection before the client has read
+	l.HeldInputInterval = 20 * time.Millisecond // a client that has left must be noticed within 0.1 s
+	l.StaleReadAge = 50 * time.Millisecond      // if higher, requests are forwarded that are cancelled already
+	l.ReadAheadTimeout = time.Millisecond       // if higher, the connection's other requests are delayed
+	l.PauseMargin = 100 * time.Millisecond      // if lower, a held request is rejected after its deadline
 }
 
 func (l *Limits) setUpstreamConnections(inputs *Inputs) {
 	l.ConnectTimeout = inputs.ConnectTimeout
-	l.SlowConnect = inputs.ConnectTimeout / 8
-	l.UpstreamIdleTimeout = inputs.IdleTimeout * 8 / 10
-	l.RequestWriteTimeout = 100 * time.Millisecond
-	l.WriteStallTimeout = 5 * time.Second
-	l.StoreSilenceTimeout = time.Second
+	l.SlowConnect = inputs.ConnectTimeout / 8           // if higher, attempts wait for connections that never come up
+	l.UpstreamIdleTimeout = inputs.IdleTimeout * 8 / 10 // if higher, an attempt may meet the server's own idle close
+	l.RequestWriteTimeout = 100 * time.Millisecond      // if higher, a late attempt names a deadline that is too long
+	l.WriteStallTimeout = 5 * time.Second               // if lower, slow peers are cut off; if higher, stuck peers stay
+	l.StoreSilenceTimeout = time.Second                 // if lower, slow stores are cut off; if higher, requests wait
 }
 
 func (l *Limits) setAttempts(inputs *Inputs) {
-	l.AttemptStartWithin = inputs.startGrace() * 9 / 10
-	l.DrainingStartWithin = inputs.DrainGrace / 10
-	l.ForgetAfter = 2 * (inputs.LongestDeadline + inputs.DrainGrace)
+	l.AttemptStartWithin = inputs.startGrace() * 9 / 10              // if higher, attempts start after the grace
+	l.DrainingStartWithin = inputs.DrainGrace / 10                   // if higher, attempts start after the drain grace
+	l.ForgetAfter = 2 * (inputs.LongestDeadline + inputs.DrainGrace) // if lower, a retry may get a late response
 }
 
 func (l *Limits) setDiscovery() {
 	l.PollHold = 2 * time.Second
-	l.PollTimeout = 2500 * time.Millisecond
-	l.PollStallTimeout = 500 * time.Millisecond
-	l.PollPageTimeout = 4 * time.Second
-	l.PollPromptWithin = 500 * time.Millisecond
-	l.DiscoveryRewindAfter = 3 * time.Second
-	l.DiscoveryDialTimeout = time.Second
-	l.BackoffMin = 50 * time.Millisecond
-	l.BackoffMax = 500 * time.Millisecond
+	l.PollTimeout = 2500 * time.Millisecond     // must exceed PollHold, or polls without news fail
+	l.PollStallTimeout = 500 * time.Millisecond // if lower, a pause ends a good response; if higher, news waits
+	l.PollPageTimeout = 4 * time.Second         // if lower, a slow server never completes a page
+	l.PollPromptWithin = 500 * time.Millisecond // if lower, old events count as new; must be less than PollHold
+	l.DiscoveryRewindAfter = 3 * time.Second    // if lower, a server that is catching up counts as a new one
+	l.DiscoveryDialTimeout = time.Second        // if higher, news waits for a server that is unreachable
+	l.BackoffMin = 50 * time.Millisecond        // if lower, a failing server is flooded with polls
+	l.BackoffMax = 500 * time.Millisecond       // if higher, news waits after the server has recovered
 }
 
-// setShutdown has the process end before the platform kills it. That is no sooner than the longest deadline, or 3 s if
-// that is less, and 0.7 s more.
+// setShutdown makes the process end before the platform kills it, which happens no earlier than 0.7 s after the longest
+// deadline or 3 s, whichever is shorter.
 func (l *Limits) setShutdown(inputs *Inputs) {
-	l.DescriptorShortageAfter = 100 * time.Millisecond
-	l.RecheckInterval = 5 * time.Millisecond
-	l.ShutdownLinger = 700 * time.Millisecond
+	l.DescriptorShortageAfter = 100 * time.Millisecond // if lower, a brief shortage rejects connections
+	l.RecheckInterval = 5 * time.Millisecond           // if lower, polling uses CPU; if higher, it adds delay
+	l.ShutdownLinger = 700 * time.Millisecond          // if lower, requests on their way at the signal are lost
 	l.ShutdownGrace = min(inputs.LongestDeadline, 3*time.Second) + 450*time.Millisecond
-	l.FlushTimeout = 150 * time.Millisecond
-	l.SummaryInterval = 5 * time.Second
+	l.FlushTimeout = 150 * time.Millisecond // ShutdownGrace and FlushTimeout must end before the platform's kill
+	l.SummaryInterval = 5 * time.Second     // if lower, summaries fill the log
 }
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -8,25 +8,25 @@
 	"syscall"
 )
 
-// Fault says whom a failed call tells something about.
+// Fault classifies a failed network call by what the failure says about the peer.
 type Fault uint8
 
 const (
-	// FaultNone is the class of a call that did not fail.
+	// FaultNone means that the call succeeded.
 	FaultNone Fault = iota
-	// FaultLocal concerns this machine or process alone: no descriptor, no memory, no port, no route for the moment.
-	// It says nothing of the peer.
+	// FaultLocal means that this machine or process lacks a resource, such as a descriptor, memory, a port or a route.
+	// The failure says nothing about the peer.
 	FaultLocal
-	// FaultRefused is a peer's host that answers, with nobody listening: nothing ran there.
+	// FaultRefused means that the peer's host answered that nothing listens at the address, so no request ran there.
 	FaultRefused
-	// FaultSilent is a peer, or the way to it, that gives no answer in time.
+	// FaultSilent means that no answer came in time from the peer or from the network on the way to it.
 	FaultSilent
-	// FaultBroken is a connection that ended under way.
+	// FaultBroken means that an established connection ended.
 	FaultBroken
 )
 
-// faultsByError is the one table of what errors mean; an error that is not in it counts as a broken connection. The
-// first row that matches decides.
+// faultsByError maps errors to faults; the first row that matches decides. Other errors are FaultSilent if they are
+// timeouts, and FaultBroken if not.
 var faultsByError = []struct {
 	err   error
 	fault Fault
@@ -37,14 +37,14 @@
 	{syscall.ENOMEM, FaultLocal},
 	{syscall.EAGAIN, FaultLocal},
 	{syscall.EINTR, FaultLocal},
-	{syscall.EADDRNOTAVAIL, FaultLocal}, // no port is left to dial from
+	{syscall.EADDRNOTAVAIL, FaultLocal}, // no local port is free
 	{syscall.EADDRINUSE, FaultLocal},
 	{syscall.ENETDOWN, FaultLocal},
 	{syscall.ENETUNREACH, FaultLocal},
-	{syscall.EACCES, FaultLocal}, // a filter of this machine
+	{syscall.EACCES, FaultLocal}, // a packet filter on this machine
 	{syscall.EPERM, FaultLocal},
 	{syscall.ECONNREFUSED, FaultRefused},
-	{syscall.EHOSTUNREACH, FaultSilent}, // nobody answered for the address
+	{syscall.EHOSTUNREACH, FaultSilent}, // no host answered at the address
 	{syscall.EHOSTDOWN, FaultSilent},
 	{syscall.ETIMEDOUT, FaultSilent},
 	{os.ErrDeadlineExceeded, FaultSilent},
@@ -55,7 +55,7 @@
 	{net.ErrClosed, FaultBroken},
 }
 
-// Classify says whom an error of dialling, reading or writing tells about.
+// Classify returns the fault that an error of dialing, reading or writing indicates.
 func Classify(err error) Fault {
 	if err == nil {
 		return FaultNone
@@ -72,23 +72,25 @@
 	return FaultBroken
 }
 
-// Exhausted says whether a call failed because the process or the system has no descriptor, or no memory for one.
+// Exhausted reports whether a call failed because the process or the system is out of descriptors, or of memory for
+// one.
 func Exhausted(err error) bool { return isAnyOf(err, exhaustionErrors) }
 
-// Temporary says whether the same call may well succeed a moment later: resources that come back, an interrupted call,
-// an address that its last owner is about to release, a file that is being replaced.
+// Temporary reports whether the same call may succeed a moment later: an exhausted resource, an interrupted call, an
+// address that its last owner has not released yet, or a file that is being replaced.
 func Temporary(err error) bool {
-	return isAnyOf(err, exhaustionErrors) || isAnyOf(err, passingErrors)
+	return isAnyOf(err, exhaustionErrors) || isAnyOf(err, transientErrors)
 }
 
 var (
 	exhaustionErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM}
-	passingErrors    = []error{
+	transientErrors  = []error{
 		syscall.EINTR, syscall.EAGAIN, syscall.EADDRINUSE, syscall.EADDRNOTAVAIL, syscall.ESTALE,
 		syscall.EBUSY, syscall.ETXTBSY, syscall.EIO,
 	}
 )
 
+// isAnyOf reports whether an error is one of the targets, or wraps one.
 func isAnyOf(err error, targets []error) bool {
 	for _, target := range targets {
 		if errors.Is(err, target) {
--- a/internal/system/errors_test.go
+++ b/internal/system/errors_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// What each error tells, and of whom; which are worth another try.
+// Classify and Temporary recognise errors that are wrapped as package net wraps them.
 func TestClassify(t *testing.T) {
 	for err, want := range map[error]struct {
 		fault     Fault
@@ -41,20 +41,20 @@
 			wrapped = &net.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
 		}
 		if got := Classify(wrapped); got != want.fault || Temporary(wrapped) != want.temporary {
-			t.Errorf("%v: %d, temporary %v", err, got, Temporary(wrapped))
+			t.Errorf("%v: got fault %d, temporary %v", err, got, Temporary(wrapped))
 		}
 	}
 }
 
-// scriptedSocket is a connection whose calls end as they are told to.
+// scriptedSocket is a connection whose calls return the given results in order.
 type scriptedSocket struct {
 	net.Conn
 	calls []callResult
-	moved int // bytes of all calls
+	moved int // bytes transferred by all calls
 }
 
 type callResult struct {
-	n   int // at most
+	n   int // most bytes that the call transfers
 	err error
 }
 
@@ -69,7 +69,7 @@
 func (s *scriptedSocket) Read(buffer []byte) (int, error) { return s.call(buffer) }
 func (s *scriptedSocket) Write(data []byte) (int, error)  { return s.call(data) }
 
-// Short and failing calls are made again, as long as their errors are temporary.
+// Read and Write repeat calls that are short or fail with a temporary error, and no others.
 func TestShortAndFailingCalls(t *testing.T) {
 	type transfer = func(net.Conn, []byte) (int, error)
 	for _, test := range []struct {
@@ -89,16 +89,16 @@
 			socket := &scriptedSocket{calls: test.results}
 			n, err := test.call(socket, make([]byte, 10))
 			if n != test.bytes || socket.moved != test.bytes || !errors.Is(err, test.err) {
-				t.Errorf("%d bytes, %d of them moved, %v", n, socket.moved, err)
+				t.Errorf("got %d bytes, the socket transferred %d, error %v", n, socket.moved, err)
 			}
 			if len(socket.calls) > 0 {
-				t.Errorf("%d calls were not made", len(socket.calls))
+				t.Errorf("%d expected calls were not made", len(socket.calls))
 			}
 		})
 	}
 }
 
-// The ordinary build calls the system, and nothing else.
+// The normal build passes calls on to the standard library unchanged.
 func TestPassthrough(t *testing.T) {
 	if Faulty {
 		t.Skip("this build injects faults")
@@ -113,11 +113,11 @@
 		t.Fatal(err)
 	}
 	if _, isPlain := socket.(*net.TCPConn); !isPlain {
-		t.Errorf("a connection is a %T", socket)
+		t.Errorf("connection is a %T, want *net.TCPConn", socket)
 	}
 	_ = socket.Close()
 	if wall := WallClock(); time.Since(wall) > time.Second || wall != wall.Round(0) {
-		t.Error("the wall clock is not the system's")
+		t.Error("WallClock differs from the system's clock or has a monotonic reading")
 	}
 	if _, err := ReadFile(os.DevNull); err != nil {
 		t.Error(err)
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -2,16 +2,16 @@
 
 package system
 
-// This file is the fault-injecting build of the package. Calls fail in the ways that Linux documents, by a plan that
-// the environment gives, drawn from a seed: the same plan and the same order of calls fail alike. It serves the soak
-// test alone.
+// This file is the fault-injecting build of the package, for the soak test only. Calls fail with errors that Linux
+// documents. The faults are drawn from a seeded generator, so the same plan and the same order of calls give the same
+// faults.
 //
-// FENNELARCH_FAULTS holds words:
+// The environment variable FENNELARCH_FAULTS holds the plan as words:
 //
 //	seed=7 accept=0.01 dial=0.02 read=0.005 write=0.005 reset=0.001 file=0.1 listen=2 clock=3s:+1h,8s:-5s
 //
-// Rates are per call; listen is how many calls fail at first; clock steps the wall clock, as often as it has pairs: so
-// long after the start, by so much.
+// The rates are probabilities per call. The word listen gives the number of listen calls that fail before one succeeds.
+// The word clock lists steps of the wall clock, each as the time after the start and the size of the step.
 
 import (
 	"context"
@@ -30,14 +30,14 @@
 const (
 	planVariable    = "FENNELARCH_FAULTS"
 	exitBadPlan     = 2
-	randomStream    = 11 // of the generator that the seed begins
+	randomStream    = 11 // second half of the generator's seed, the plan gives the first
 	defaultPlanSeed = 1
 )
 
-// Faulty says whether this build injects faults.
+// Faulty reports whether this build injects faults.
 const Faulty = true
 
-// The errors with which calls fail. Their order and number belong to what a seed stands for.
+// The errors with which calls fail. A change of their order or number changes the faults that a seed produces.
 var (
 	acceptErrors = []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED,
@@ -54,26 +54,28 @@
 
 // clockStep is a step of the wall clock.
 type clockStep struct {
-	after time.Duration // the start
-	by    time.Duration
+	after time.Duration // time after the start
+	by    time.Duration // size of the step
 }
 
-// faultPlan is what fails, and how often.
+// faultPlan determines which calls fail and how often.
 type faultPlan struct {
-	acceptRate, dialRate, readRate, writeRate, resetRate, fileRate float64 // per call
+	acceptRate, dialRate, readRate, writeRate, resetRate, fileRate float64 // probabilities per call
 
 	clockSteps []clockStep
 	startedAt  time.Time
 
 	mu             sync.Mutex
 	random         *rand.Rand
-	listenFailures int // still to come
+	listenFailures int // number of listen calls that are still to fail
 }
 
-var plan = mustPlan(os.Getenv(planVariable))
+// plan is the fault plan of the process.
+var plan = mustParsePlan(os.Getenv(planVariable))
 
-// mustPlan ends the program on a plan that can't be used, with one line that names the word.
-func mustPlan(text string) *faultPlan {
+// mustParsePlan parses a plan. If the plan is invalid, mustParsePlan prints an error that names the invalid word and
+// exits.
+func mustParsePlan(text string) *faultPlan {
 	parsed, err := parsePlan(text)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", planVariable, err)
@@ -83,10 +85,11 @@
 }
 
 var (
-	errBadRate      = errors.New("a rate is between 0 and 1")
-	errUnknownFault = errors.New("there is no such fault")
+	errBadRate      = errors.New("rate is not between 0 and 1")
+	errUnknownFault = errors.New("unknown fault")
 )
 
+// parsePlan parses a plan; its error names the invalid word.
 func parsePlan(text string) (*faultPlan, error) {
 	parsed := &faultPlan{startedAt: time.Now()}
 	seed := uint64(defaultPlanSeed)
@@ -111,6 +114,7 @@
 	return parsed, nil
 }
 
+// setRate sets the rate of a kind of calls.
 func (p *faultPlan) setRate(name, value string) (err error) {
 	rate := map[string]*float64{
 		"accept": &p.acceptRate,
@@ -132,6 +136,7 @@
 	return nil
 }
 
+// parseClockSteps parses a list such as 3s:+1h,8s:-5s.
 func parseClockSteps(text string) (steps []clockStep, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		after, by, _ := strings.Cut(part, ":")
@@ -147,7 +152,7 @@
 	return steps, nil
 }
 
-// draw draws whether a call fails, and with which of the errors.
+// draw returns at random, at the given rate, one of the errors with which a call fails, or else nil.
 func (p *faultPlan) draw(rate float64, errs ...syscall.Errno) error {
 	if rate <= 0 {
 		return nil
@@ -160,14 +165,14 @@
 	return errs[p.random.IntN(len(errs))]
 }
 
-// drawLength draws how many bytes of a call go through.
-func (p *faultPlan) drawLength(bytes int) int {
+// drawByteCount returns at random how many of the bytes of a call are transferred, at least one.
+func (p *faultPlan) drawByteCount(bytes int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return 1 + p.random.IntN(bytes)
 }
 
-// drawListenFailure says whether a call of listen fails, and counts it.
+// drawListenFailure reports whether a listen call fails, and counts the failure.
 func (p *faultPlan) drawListenFailure() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -178,7 +183,7 @@
 	return true
 }
 
-// systemError is an error as package net makes it of a failed system call.
+// systemError returns the error that package net returns for a failed system call.
 func systemError(call string, err error) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
@@ -194,7 +199,7 @@
 	return &faultyListener{listener.(*net.TCPListener)}, nil
 }
 
-// faultyListener accepts with failures.
+// faultyListener is a listener whose Accept fails at the planned rate.
 type faultyListener struct{ *net.TCPListener }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
@@ -220,39 +225,39 @@
 	return &faultyConn{TCPConn: socket.(*net.TCPConn)}, nil
 }
 
-// faultyConn reads and writes in pieces, and fails temporarily, or for good by a reset that the peer sees too.
+// faultyConn is a connection with short reads and writes, temporary errors and resets, which the peer sees too.
 type faultyConn struct{ *net.TCPConn }
 
 func (c *faultyConn) Read(b []byte) (int, error) {
-	if c.isReset() {
+	if c.drawReset() {
 		return 0, systemError("read", syscall.ECONNRESET)
 	}
 	if err := plan.draw(plan.readRate, transferErrors...); err != nil {
 		return 0, systemError("read", err)
 	}
 	if plan.draw(plan.readRate, syscall.EAGAIN) != nil && len(b) > 0 {
-		b = b[:plan.drawLength(len(b))] // a short read
+		b = b[:plan.drawByteCount(len(b))] // a short read
 	}
 	return c.TCPConn.Read(b)
 }
 
 func (c *faultyConn) Write(b []byte) (int, error) {
-	if c.isReset() {
+	if c.drawReset() {
 		return 0, systemError("write", syscall.EPIPE)
 	}
 	err := plan.draw(plan.writeRate, transferErrors...)
 	if err == nil || len(b) == 0 {
 		return c.TCPConn.Write(b)
 	}
-	n, failed := c.TCPConn.Write(b[:plan.drawLength(len(b))])
+	n, failed := c.TCPConn.Write(b[:plan.drawByteCount(len(b))])
 	if failed != nil || n == len(b) {
 		return n, failed
 	}
 	return n, systemError("write", err)
 }
 
-// isReset draws whether the connection breaks now; if so, the peer sees a reset.
-func (c *faultyConn) isReset() bool {
+// drawReset reports at random whether the connection breaks now. If so, drawReset closes it, and the peer sees a reset.
+func (c *faultyConn) drawReset() bool {
 	if plan.draw(plan.resetRate, syscall.ECONNRESET) == nil {
 		return false
 	}
--- a/internal/system/faults_test.go
+++ b/internal/system/faults_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Plans that can't be used name their word.
+// The error of an invalid plan names the invalid word.
 func TestBadPlans(t *testing.T) {
 	for text, want := range map[string]string{
 		"seed=x":            `word 1, "seed=x"`,
@@ -22,24 +22,24 @@
 		"read=0.1 dial=-.1": `word 2, "dial=-.1"`,
 	} {
 		if _, err := parsePlan(text); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v", text, err)
 		}
 	}
 }
 
-// usePlan puts a plan in force for the rest of a test.
+// usePlan replaces the fault plan until the end of the test.
 func usePlan(t *testing.T, text string) {
 	t.Helper()
 	parsed, err := parsePlan(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	usual := plan
-	t.Cleanup(func() { plan = usual })
+	previous := plan
+	t.Cleanup(func() { plan = previous })
 	plan = parsed
 }
 
-// acceptOne accepts one connection, however many calls fail before.
+// acceptOne accepts one connection, retrying calls that fail.
 func acceptOne(listener net.Listener) chan net.Conn {
 	accepted := make(chan net.Conn)
 	go func() {
@@ -53,12 +53,11 @@
 	return accepted
 }
 
-// Listening, accepting, dialling, reading and writing fail at their rates, and what is written and read is whole all
-// the same.
+// Although listening, accepting, dialing, reading and writing fail at the planned rates, all bytes arrive unchanged.
 func TestNetworkFaults(t *testing.T) {
 	usePlan(t, "seed=3 accept=0.3 dial=0.3 read=0.3 write=0.3 file=0.5 listen=1 clock=0s:+1h")
 	if _, err := Listen("tcp", "127.0.0.1:0"); !Temporary(err) || Classify(err) != FaultLocal {
-		t.Errorf("the first listen: %v", err)
+		t.Errorf("first listen: got error %v", err)
 	}
 	listener, err := Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,15 +77,15 @@
 		_ = client.Close()
 	}()
 	if got := readAll(t, <-accepted); got != text {
-		t.Errorf("%d bytes of %d arrive", len(got), len(text))
+		t.Errorf("got %d bytes that differ from the %d sent", len(got), len(text))
 	}
 	plan.resetRate = 1
 	if _, err := client.Write([]byte("x")); Classify(err) != FaultBroken {
-		t.Errorf("a reset: %v", err)
+		t.Errorf("write after a reset: got error %v", err)
 	}
 }
 
-// readAll reads until the peer closes.
+// readAll reads until the peer closes the connection.
 func readAll(t *testing.T, socket net.Conn) string {
 	t.Helper()
 	var got strings.Builder
@@ -106,7 +105,7 @@
 func TestClockStep(t *testing.T) {
 	usePlan(t, "clock=0s:+1h")
 	if ahead := time.Until(WallClock()); ahead < 59*time.Minute {
-		t.Errorf("the wall clock is %v ahead", ahead)
+		t.Errorf("wall clock is %v ahead, want 1h", ahead)
 	}
 }
 
@@ -119,6 +118,6 @@
 		}
 	}
 	if failures < 20 || failures > 80 {
-		t.Errorf("%d of 100 reads of a file fail", failures)
+		t.Errorf("%d of 100 file reads failed, want about half", failures)
 	}
 }
--- a/internal/system/passthrough.go
+++ b/internal/system/passthrough.go
@@ -2,7 +2,7 @@
 
 package system
 
-// This file is the ordinary build of the package: each call goes straight to the system.
+// This file is the normal build of the package, which passes each call on to the standard library.
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Faulty says whether this build injects faults.
+// Faulty reports whether this build injects faults.
 const Faulty = false
 
 func listen(network, address string) (net.Listener, error) { return net.Listen(network, address) }
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -1,10 +1,10 @@
-// Package system is the one place where the service makes system calls that can fail for reasons outside the program:
-// listening, dialling, reading files, reading the wall clock. The ordinary build passes every call straight through; a
-// build with the tag "faults" fails some of them by a plan drawn from a seed (see faults.go), which the soak test uses.
-// A deploy build must never carry that tag; .ci/run checks it.
+// Package system makes the system calls of the service that can fail for reasons outside the program: listening,
+// dialing, reading files and reading the wall clock. The normal build passes every call on to the standard library. A
+// build with the tag "faults", which the soak test uses, makes some calls fail by a seeded plan (see faults.go). A
+// release build must not carry that tag; .ci/run checks this.
 //
-// The package also classifies the errors of such calls: which are temporary, which concern this machine only, and
-// which tell something of the peer.
+// The package also classifies the errors of such calls: which are temporary, which concern this machine only, and which
+// say something about the peer.
 package system
 
 import (
@@ -18,25 +18,25 @@
 	"time"
 )
 
-// Listen opens a listening socket.
+// Listen is like [net.Listen].
 func Listen(network, address string) (net.Listener, error) { return listen(network, address) }
 
-// DialTimeout opens a connection, and gives up after the timeout.
+// DialTimeout is like [net.DialTimeout].
 func DialTimeout(network, address string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return dial(ctx, network, address)
 }
 
-// DialContext opens a connection, and gives up when the context ends.
+// DialContext is like [net.Dialer.DialContext].
 func DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	return dial(ctx, network, address)
 }
 
-// ReadFile reads a whole file.
+// ReadFile is like [os.ReadFile].
 func ReadFile(name string) ([]byte, error) { return readFile(name) }
 
-// LoadKeyPair reads a certificate and its key, both as PEM.
+// LoadKeyPair is like [tls.LoadX509KeyPair]: it reads a certificate and its private key from PEM files.
 func LoadKeyPair(certFile, keyFile string) (tls.Certificate, error) {
 	certificate, err := readFile(certFile)
 	if err != nil {
@@ -49,21 +49,21 @@
 	return tls.X509KeyPair(certificate, key)
 }
 
-// Open opens a file for reading.
+// Open is like [os.Open].
 func Open(name string) (*os.File, error) { return open(name) }
 
-// WallClock is the time of day. It may step at any moment and carries no monotonic reading: it serves to compare with
-// timestamps of other machines, never to measure a duration.
+// WallClock returns the current wall clock time without a monotonic reading. The wall clock may step at any moment, so
+// the time may be compared with timestamps of other machines but not used to measure durations.
 func WallClock() time.Time { return wallClock().Round(0) }
 
 const (
-	// maxTries bounds how often a read or write is made that fails for want of memory.
+	// maxTries is the number of times that a read or write is tried while it fails with a retryable error.
 	maxTries = 20
-	// retryInterval is the time between them.
+	// retryInterval is the pause between two tries.
 	retryInterval = time.Millisecond
 )
 
-// Read reads the bytes that have come. A call that failed with a temporary error of this machine is made again.
+// Read reads from a connection. Read retries while the call fails with a temporary error of this machine.
 func Read(connection net.Conn, buffer []byte) (n int, err error) {
 	for range maxTries {
 		n, err = connection.Read(buffer)
@@ -75,8 +75,8 @@
 	return n, err
 }
 
-// Write writes all of data, unless it fails for good: after a short write, or one with a temporary error of this
-// machine, it goes on with the rest.
+// Write writes all of data to a connection. After a short write, or a temporary error of this machine, Write continues
+// with the remaining bytes.
 func Write(connection net.Conn, data []byte) (written int, err error) {
 	for failures := 0; written < len(data) && failures < maxTries; {
 		var n int
@@ -97,8 +97,8 @@
 	return written, err
 }
 
-// isRetryable says whether a call on an open connection may succeed when it is made again at once. One whose deadline
-// has passed may not.
+// isRetryable reports whether a call on an open connection may succeed if it is repeated at once. A call whose deadline
+// has passed does not.
 func isRetryable(err error) bool {
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
