--- a/cmd/fennelarch/admission.go
+++ b/cmd/fennelarch/admission.go
@@ -1,6 +1,7 @@
 package main
 
-// The settings of admission: limits on client connections and requests, as the operator's file gives them.
+// This file converts the admission section of the operator's file, the limits on client connections and requests, into
+// settings of the admission policy.
 
 import (
 	"fmt"
@@ -11,10 +12,12 @@
 	"fennelarch/policy/admission"
 )
 
-// minPeerNetworkBits is the narrowest IPv6 network by which admission knows a peer; longer prefixes are rounded to it.
-const minPeerNetworkBits = 64
+// peerPrefixBits is the prefix length by which admission identifies IPv6 peers. Longer prefixes in the operator's
+// file are shortened to this length.
+const peerPrefixBits = 64
 
-// admissionSettings returns the settings of admission. Without an operator's section no limit is set.
+// admissionSettings returns the settings of the admission policy. Without an admission section, the settings have no
+// limits.
 func admissionSettings(file *operatorconfig.File, cfg *config.Config) (admission.Settings, error) {
 	section := file.Admission
 	if section == nil {
@@ -41,7 +44,7 @@
 	return settings.WithDefaults(), nil
 }
 
-// parseNetworks reads the operator's list of addresses and networks of known clients.
+// parseNetworks parses the operator's list of addresses and networks of known clients.
 func parseNetworks(list []string) ([]netip.Prefix, error) {
 	networks := make([]netip.Prefix, 0, len(list))
 	for i, text := range list {
@@ -65,7 +68,7 @@
 		if network.Contains(address) {
 			return true
 		}
-		isNarrow := network.Addr().Is6() && network.Bits() >= minPeerNetworkBits
+		isNarrow := network.Addr().Is6() && network.Bits() >= peerPrefixBits
 		if isNarrow && admission.Address(network.Addr().As16()) == peer {
 			return true
 		}
--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -1,7 +1,6 @@
 package main
 
-// The construction of a router's parts. Every constructor of another package is called here, in the order in which
-// the parts depend on each other.
+// This file constructs the parts of a router, in the order in which they depend on each other.
 
 import (
 	"context"
@@ -25,10 +24,10 @@
 	"go.uber.org/zap"
 )
 
-// recordedEvents is how many events the flight recorder holds: some seconds of a busy router, in a fifth of a megabyte.
-const recordedEvents = 4096
+// recorderSize is the number of events in the flight recorder: some seconds of a busy router in 0.2 MB.
+const recorderSize = 4096
 
-// deriveLimits returns the limits that follow from the configuration.
+// deriveLimits derives the limits from the configuration.
 func deriveLimits(cfg *config.Config) limits.Limits {
 	inputs := limits.Inputs{
 		Cores:                cfg.Cores,
@@ -46,7 +45,7 @@
 	return limits.From(inputs)
 }
 
-// assemble makes the parts of the router and connects them. Nothing reads from a socket before start is called.
+// assemble creates the parts of the router and connects them. No part reads from a socket before start is called.
 func (r *router) assemble(retry *startupRetry) error {
 	r.monitor = r.newMonitor()
 	go r.watchStalls(context.Background())
@@ -62,14 +61,15 @@
 	return nil
 }
 
-// newMonitor returns the monitor of the router's invariants, whose flight recorder is written at a violation.
+// newMonitor returns the monitor of the router's invariants. A violation dumps its flight recorder.
 func (r *router) newMonitor() *invariant.Monitor {
-	recorder := flightrecorder.New(recordedEvents, invariant.ReasonName)
+	recorder := flightrecorder.New(recorderSize, invariant.ReasonName)
 	return invariant.NewMonitor(r.log, recorder, stalldetect.New(), func(reason string) {
 		go r.writeRecorder(recorder, reason)
 	})
 }
 
+// newSharedStores returns the transport to the stores in the operator's file.
 func (r *router) newSharedStores() sharedStores {
 	file := r.operatorFile.Load()
 	if len(file.Stores) == 0 {
@@ -101,7 +101,7 @@
 		Names:                   r.config.Names,
 		ReportsWithHealthChecks: r.config.Routing.ReportChannel == routing.ReportsWithHealthChecks,
 		Post:                    r.stores.upstreamPost(r.post),
-		// The front end is made after the pool, and before any endpoint is known.
+		// A function literal, because the frontend is created after the pool. Both exist before an endpoint is known.
 		OnDescriptorShortage: func() { r.frontend.ReportDescriptorShortage() },
 		Monitor:              r.monitor,
 		Log:                  r.log,
@@ -127,7 +127,7 @@
 	})
 }
 
-// buildFrontend makes the frontend. Reading its TLS keys is retried like any other file of a start.
+// buildFrontend creates the frontend. Reading its TLS keys is retried like reading any other file at startup.
 func (r *router) buildFrontend(retry *startupRetry) error {
 	options := frontend.Options{
 		Limits:               r.limits,
@@ -152,7 +152,8 @@
 	return nil
 }
 
-// newWatcher returns the watcher of the discovery server, which keeps the shared stores informed.
+// newWatcher returns the watcher of the discovery server. The watcher also tells the shared stores how current its
+// events are.
 func (r *router) newWatcher() *discovery.Watcher {
 	return discovery.New(discovery.Options{
 		Limits:    r.limits,
@@ -165,7 +166,7 @@
 	})
 }
 
-// applyKnownEvents applies the discovery events that the configuration holds. Unreadable ones are skipped: the
+// applyKnownEvents applies the discovery events in the configuration. Unreadable events are skipped, because the
 // discovery server reports the state that follows from them.
 func (r *router) applyKnownEvents() {
 	if len(r.config.KnownEvents) == 0 {
@@ -180,8 +181,8 @@
 	}
 }
 
-// loadFrontendFiles returns the settings of admission and the TLS keys that the operator's file names; no keys without
-// TLS.
+// loadFrontendFiles returns the admission settings and the TLS keys that the operator's file names. The keys are nil if
+// the file has no TLS section.
 func loadFrontendFiles(
 	file *operatorconfig.File, cfg *config.Config,
 ) (settings admission.Settings, keys *frontend.TLSKeys, err error) {
--- a/cmd/fennelarch/devkeys.go
+++ b/cmd/fennelarch/devkeys.go
@@ -1,7 +1,7 @@
 package main
 
-// Development keys: an authority, a key pair for the router and pairs for clients. They are for trying things out;
-// a real installation has its own authority.
+// This file generates development keys: a certificate authority, a key pair for the router and key pairs for clients.
+// Production installations use their own authority.
 
 import (
 	"crypto/ecdsa"
@@ -24,7 +24,7 @@
 	authorityName    = "ca"
 	serverName       = "server"
 	serialNumberBits = 120
-	// clockSkewAllowed is how long before now a certificate begins to be valid.
+	// clockSkewAllowed is how long before its creation a certificate becomes valid, for peers whose clocks are behind.
 	clockSkewAllowed = time.Minute
 
 	keyFolderMode   = 0o700
@@ -33,10 +33,10 @@
 )
 
 type keysCmd struct {
-	Folder  string        `arg:"" type:"path" help:"Where the files go; it is made if it is not there."`
-	Names   []string      `default:"localhost,127.0.0.1" help:"Names and addresses of the router."`
-	Clients []string      `default:"client" help:"Names of clients, each of which gets a pair."`
-	For     time.Duration `default:"720h" help:"How long the pairs are good."`
+	Folder  string        `arg:"" type:"path" help:"Folder for the files, created if it does not exist."`
+	Names   []string      `default:"localhost,127.0.0.1" help:"Host names and IP addresses of the router."`
+	Clients []string      `default:"client" help:"Names of clients, each of which gets a key pair."`
+	For     time.Duration `default:"720h" help:"How long the certificates are valid."`
 }
 
 func (k keysCmd) Run() error {
@@ -55,10 +55,11 @@
 			return err
 		}
 	}
-	fmt.Printf("an authority, a pair for %v and %d for clients are in %s\n", k.Names, len(k.Clients), k.Folder)
+	fmt.Printf("wrote a development CA and key pairs for %v and %d clients to %s\n", k.Names, len(k.Clients), k.Folder)
 	return nil
 }
 
+// authorityTemplate returns the template of the authority's certificate.
 func authorityTemplate() *x509.Certificate {
 	return &x509.Certificate{
 		Subject: pkix.Name{CommonName: "fennelarch development authority"}, IsCA: true, BasicConstraintsValid: true,
@@ -66,7 +67,8 @@
 	}
 }
 
-// serverTemplate is a certificate for host names and IP addresses, at least one of them.
+// serverTemplate returns the template of a server certificate for host names and IP addresses. There must be at least
+// one name.
 func serverTemplate(names []string) *x509.Certificate {
 	template := &x509.Certificate{
 		Subject: pkix.Name{CommonName: names[0]}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth},
@@ -82,6 +84,7 @@
 	return template
 }
 
+// clientTemplate returns the template of a client certificate.
 func clientTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		Subject: pkix.Name{CommonName: name}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth},
@@ -89,15 +92,15 @@
 	}
 }
 
-// keyIssuer makes key pairs that one authority signs.
+// keyIssuer generates key pairs and has one authority sign them.
 type keyIssuer struct {
 	folder       string
 	validUntil   time.Time
-	authority    *x509.Certificate // nil until the first pair, which is its own
+	authority    *x509.Certificate // nil until the first key pair is issued, which is the authority's
 	authorityKey *ecdsa.PrivateKey
 }
 
-// issue writes NAME.crt and NAME.key. The first pair is the authority's.
+// issue generates a key pair and writes NAME.crt and NAME.key. The first key pair is the authority's and signs itself.
 func (k *keyIssuer) issue(name string, template *x509.Certificate) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -125,6 +128,7 @@
 	return k.write(name+".key", privateKeyMode, &pem.Block{Type: "EC PRIVATE KEY", Bytes: private})
 }
 
+// write writes a PEM block to a file of the folder.
 func (k *keyIssuer) write(name string, mode os.FileMode, block *pem.Block) error {
 	return renameio.WriteFile(filepath.Join(k.folder, name), pem.EncodeToMemory(block), mode)
 }
--- a/cmd/fennelarch/log.go
+++ b/cmd/fennelarch/log.go
@@ -1,7 +1,7 @@
 package main
 
-// The log's output: lines go through a bounded queue to standard error. One that finds the queue full is dropped and
-// counted, so that nothing ever waits on the log.
+// This file writes the log: lines go through a bounded queue to standard error. If the queue is full, lines are dropped
+// and counted, so that logging never blocks.
 
 import (
 	"fmt"
@@ -13,18 +13,18 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// flushPollInterval is how often flush looks whether the queue has been written.
+// flushPollInterval is the pause between two checks by flush whether all lines are written.
 const flushPollInterval = time.Millisecond
 
-// logQueue is a zapcore.WriteSyncer that never blocks.
+// logQueue is a [zapcore.WriteSyncer] that never blocks.
 type logQueue struct {
 	lines   chan []byte
-	queued  atomic.Int64 // lines put into the queue
-	written atomic.Int64 // lines taken from it and written
-	dropped atomic.Int64 // lines dropped since that was last reported
+	queued  atomic.Int64 // lines put into the queue so far
+	written atomic.Int64 // lines taken from the queue and written so far
+	dropped atomic.Int64 // lines dropped since the last report of dropped lines
 }
 
-// Write queues a copy of a line, or drops it.
+// Write queues a copy of a line, or drops the line if the queue is full.
 func (q *logQueue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -35,10 +35,10 @@
 	return len(line), nil
 }
 
-// Sync does nothing: the program flushes at its end.
+// Sync does nothing, because the program flushes the queue before it exits.
 func (q *logQueue) Sync() error { return nil }
 
-// run writes the lines of the queue for as long as the program runs.
+// run writes the queued lines until the program exits.
 func (q *logQueue) run() {
 	for line := range q.lines {
 		_, _ = os.Stderr.Write(line)
@@ -49,7 +49,7 @@
 	}
 }
 
-// flush waits until all lines so far are written, or a timeout is over.
+// flush waits until all queued lines are written, or until the timeout.
 func (q *logQueue) flush(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for q.written.Load() < q.queued.Load() && time.Now().Before(deadline) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// newLog returns a log whose queue holds a number of lines, and a function that flushes it.
+// newLog returns a logger with a queue of queueLength lines, and a function that flushes the queue.
 func newLog(queueLength int, flushTimeout time.Duration) (*zap.Logger, func()) {
 	queue := &logQueue{lines: make(chan []byte, queueLength)}
 	go queue.run()
--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -1,4 +1,4 @@
-// Command fennelarch is the router as a service, with commands to check its files and to make development keys.
+// Command fennelarch runs a router as a service. It also checks the router's files and generates development keys.
 package main
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is the release; the revision is added where the build knows it.
+// version is the release. The version command adds the source revision if the build recorded one.
 const version = "0.1.0"
 
 type serveCmd struct {
-	Operator string `help:"The operator's file: settings beyond the platform's." env:"RELAY_OPERATOR" placeholder:"FILE"`
-	Recorder string `help:"Folder for flight recorder dumps; none: standard error." env:"RELAY_RECORDER" placeholder:"DIR"`
+	Operator string `help:"The operator's file: settings besides the platform's." env:"RELAY_OPERATOR" placeholder:"FILE"`
+	Recorder string `help:"Folder for flight recorder dumps (or standard error)." env:"RELAY_RECORDER" placeholder:"DIR"`
 }
 
 type checkCmd struct {
-	Operator string `help:"The operator's own file, which is checked too." env:"RELAY_OPERATOR" placeholder:"FILE"`
+	Operator string `help:"The operator's file, which is checked too." env:"RELAY_OPERATOR" placeholder:"FILE"`
 }
 
 type schemaCmd struct{}
@@ -37,19 +37,19 @@
 	return err
 }
 
-func (k checkCmd) Run() error {
+func (c checkCmd) Run() error {
 	cfg, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	operatorFile, err := operatorconfig.Load(k.Operator)
+	operatorFile, err := operatorconfig.Load(c.Operator)
 	if err != nil {
 		return err
 	}
 	if err := checkStoresUsable(operatorFile, cfg); err != nil {
 		return err
 	}
-	// The word for request classes here is part of a stable form, the output of check.
+	// The output of check is stable, so it keeps the word tariffs for request classes.
 	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n",
 		cfg.Name, cfg.Listen, len(cfg.Routing.Classes), cfg.Cores, cfg.MemoryMB, cfg.Sockets)
 	for _, store := range operatorFile.Stores {
@@ -60,7 +60,7 @@
 
 func (versionCmd) Run() error {
 	text := "fennelarch " + version
-	if info, isKnown := debug.ReadBuildInfo(); isKnown {
+	if info, hasInfo := debug.ReadBuildInfo(); hasInfo {
 		for _, setting := range info.Settings {
 			if setting.Key == "vcs.revision" {
 				text += " " + setting.Value
@@ -76,10 +76,10 @@
 }
 
 type commands struct {
-	Serve   serveCmd   `cmd:"" help:"Run one router, as the environment tells: RELAY_NAME, RELAY_LISTEN, RELAY_CONFIG."`
-	Check   checkCmd   `cmd:"" help:"Read the configuration, say what it holds, and end."`
+	Serve   serveCmd   `cmd:"" help:"Run one router. The environment sets RELAY_NAME, RELAY_LISTEN and RELAY_CONFIG."`
+	Check   checkCmd   `cmd:"" help:"Check the configuration and print a summary of it."`
 	Schema  schemaCmd  `cmd:"" help:"Print the JSON schema of the operator's file."`
-	Keys    keysCmd    `cmd:"" help:"Make a development authority, and pairs for the router and for clients."`
+	Keys    keysCmd    `cmd:"" help:"Generate a development CA, and key pairs for the router and for clients."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
--- a/cmd/fennelarch/recorder.go
+++ b/cmd/fennelarch/recorder.go
@@ -1,6 +1,6 @@
 package main
 
-// The flight recorder and the detection of stalls: when they are written, and where to.
+// This file dumps the flight recorder, and records and logs stalls of the process.
 
 import (
 	"context"
@@ -16,33 +16,34 @@
 	"go.uber.org/zap"
 )
 
-// loggedStall is the shortest stall that is logged: shorter ones are common on a crowded machine.
-const loggedStall = 250 * time.Millisecond
+// minLoggedStall is the shortest stall that is logged. Shorter stalls are common on a busy machine.
+const minLoggedStall = 250 * time.Millisecond
 
-// watchStalls records when the process did not run for a while, until the context ends.
+// watchStalls records stalls of the process until the context ends.
 func (r *router) watchStalls(ctx context.Context) {
-	r.monitor.Watch().Run(ctx, func(lasted time.Duration) {
-		r.monitor.Record(flightrecorder.Entry{Event: flightrecorder.Stalled, Value: lasted.Milliseconds()})
-		if lasted >= loggedStall {
-			r.log.Warn("process stalled", zap.Duration("duration", lasted))
+	r.monitor.Watch().Run(ctx, func(duration time.Duration) {
+		r.monitor.Record(flightrecorder.Entry{Event: flightrecorder.Stalled, Value: duration.Milliseconds()})
+		if duration >= minLoggedStall {
+			r.log.Warn("process stalled", zap.Duration("duration", duration))
 		}
 	})
 }
 
-// dumpRecorderAtSignals writes the flight recorder at each signal.
-func (r *router) dumpRecorderAtSignals(signals <-chan os.Signal) {
+// dumpRecorderOnSignals dumps the flight recorder on each signal.
+func (r *router) dumpRecorderOnSignals(signals <-chan os.Signal) {
 	for range signals {
 		r.writeRecorder(r.monitor.Recorder(), "signal")
 	}
 }
 
-// recorderWriting keeps dumps apart, which may end up in the same file.
-var recorderWriting sync.Mutex
+// dumpMutex serializes dumps, because two of them may go to the same file.
+var dumpMutex sync.Mutex
 
-// writeRecorder appends the flight recorder to a file of its own, or to standard error where no folder is set.
+// writeRecorder appends the events of the flight recorder to a file named after the router, the process and the reason,
+// or writes them to standard error if no folder is set.
 func (r *router) writeRecorder(recorder *flightrecorder.Recorder, reason string) {
-	recorderWriting.Lock()
-	defer recorderWriting.Unlock()
+	dumpMutex.Lock()
+	defer dumpMutex.Unlock()
 	if r.recorderFolder == "" {
 		_, _ = recorder.WriteTo(os.Stderr)
 		return
--- a/cmd/fennelarch/reload.go
+++ b/cmd/fennelarch/reload.go
@@ -1,6 +1,7 @@
 package main
 
-// Reloads at SIGHUP: the configuration and the operator's file are read again, each until it is applied or rejected.
+// This file handles reloads on SIGHUP: the configuration and the operator's file are read again, with retries until
+// each is applied or rejected.
 
 import (
 	"fmt"
@@ -13,16 +14,16 @@
 	"go.uber.org/zap"
 )
 
-// fileReload is a file that is reloaded at a signal.
+// fileReload is a file to reload and the state of its retries.
 type fileReload struct {
 	name          string
 	load          func() error // reads and applies the file, or changes nothing
 	policy        retryPolicy
 	isRetryLogged bool
-	retryDue      <-chan time.Time // fires when it is to be retried; nil: it is not
+	retryDue      <-chan time.Time // fires when the next retry is due; nil if there is none
 }
 
-// reloader reloads files at a signal, in the order in which they were added.
+// reloader reloads files in the order in which they were added.
 type reloader struct {
 	files []*fileReload
 	log   *zap.Logger
@@ -30,12 +31,12 @@
 
 func newReloader(log *zap.Logger) *reloader { return &reloader{log: log} }
 
-// add includes one more file in each reload.
+// add adds a file to the reloader.
 func (r *reloader) add(name string, load func() error) {
 	r.files = append(r.files, &fileReload{name: name, load: load})
 }
 
-// reloadAll starts a reload of every file. Retries that are due from an earlier one are dropped.
+// reloadAll reloads every file. Pending retries of an earlier reload are dropped.
 func (r *reloader) reloadAll() {
 	for _, file := range r.files {
 		file.policy, file.isRetryLogged = retryPolicy{}, false
@@ -43,7 +44,8 @@
 	}
 }
 
-// nextRetry returns a file to be retried and a channel that fires when that is due; a nil channel where there is none.
+// nextRetry returns a file with a pending retry and a channel that fires when the retry is due. Both are nil if there
+// is none.
 func (r *reloader) nextRetry() (<-chan time.Time, *fileReload) {
 	for _, file := range r.files {
 		if file.retryDue != nil {
@@ -53,16 +55,16 @@
 	return nil, nil
 }
 
-// reload makes one attempt at a file, and schedules the next one where it failed temporarily.
+// reload tries once to load a file, and schedules a retry if the failure is temporary.
 func (r *reloader) reload(file *fileReload) {
 	file.retryDue = nil
-	if wait := r.attempt(file); wait > 0 {
+	if wait := r.tryLoad(file); wait > 0 {
 		file.retryDue = time.After(wait)
 	}
 }
 
-// attempt returns the pause until the next attempt, 0 where there is to be none.
-func (r *reloader) attempt(file *fileReload) time.Duration {
+// tryLoad tries once to load a file. It returns the pause before the next try, or 0 if there is none.
+func (r *reloader) tryLoad(file *fileReload) time.Duration {
 	err := file.load()
 	if err == nil {
 		r.log.Info(file.name + " reloaded")
@@ -83,7 +85,7 @@
 	return 0
 }
 
-// newReloader returns the reloader of the files that this router was started with.
+// newReloader returns a reloader of the files with which this router was started.
 func (r *router) newReloader() *reloader {
 	reloads := newReloader(r.log)
 	reloads.add("configuration", r.reloadConfig)
@@ -93,8 +95,8 @@
 	return reloads
 }
 
-// reloadConfig applies the one part of the configuration that may change while the router runs, the address of the
-// discovery server. A log line says where anything else has changed: it has no effect before the next start.
+// reloadConfig applies the only part of the configuration that may change while the router runs, the address of the
+// discovery server. A log line warns if other parts have changed, because they take effect only at the next start.
 func (r *router) reloadConfig() error {
 	changed, err := config.Load(os.Getenv)
 	if err != nil {
@@ -107,7 +109,8 @@
 	return nil
 }
 
-// reloadOperatorFile applies the operator's file, or changes nothing.
+// reloadOperatorFile reads the operator's file again and applies it. If the file is invalid, or changes a part that is
+// fixed while the router runs, nothing is applied.
 func (r *router) reloadOperatorFile() error {
 	changed, err := operatorconfig.Load(r.operatorPath)
 	if err != nil {
--- a/cmd/fennelarch/serve.go
+++ b/cmd/fennelarch/serve.go
@@ -1,7 +1,7 @@
 package main
 
-// The life of a router: its parts are assembled, started in order, controlled by signals and shut down. Limits,
-// decisions and protocols belong to the packages of those parts.
+// This file runs a router: it assembles the parts, starts them in order, handles signals and shuts the router down.
+// Limits, decisions and protocols belong to the packages of the parts.
 
 import (
 	"context"
@@ -28,16 +28,16 @@
 	"go.uber.org/zap"
 )
 
-// minDescriptors is the least limit of the process that is believed: no router can work with fewer.
+// minDescriptors is the smallest descriptor limit of the process that is applied: no router can work with fewer.
 const minDescriptors = 32
 
-var errListenerFailed = errors.New("no client can be accepted any more")
+var errListenerFailed = errors.New("the listener accepts no more clients")
 
-// router owns the parts of one running router.
+// router holds the parts of one running router.
 type router struct {
 	config         *config.Config
 	operatorPath   string
-	operatorFile   atomic.Pointer[operatorconfig.File] // in force; a reload replaces it while summaries read it
+	operatorFile   atomic.Pointer[operatorconfig.File] // current file; a reload may replace it while a summary reads it
 	recorderFolder string
 	limits         limits.Limits
 	log            *zap.Logger
@@ -51,7 +51,7 @@
 	frontend *frontend.Server
 	watcher  *discovery.Watcher
 
-	serveResult chan error // gets the end of the frontend, whose listener is never closed while the router runs
+	serveResult chan error // receives the error of the frontend, which ends only if its listener fails
 }
 
 // controlSignals are the signals that control a router.
@@ -61,6 +61,7 @@
 	dump   chan os.Signal
 }
 
+// notifyControlSignals starts to receive the signals.
 func notifyControlSignals() controlSignals {
 	signals := controlSignals{
 		reload: make(chan os.Signal, 1),
@@ -73,9 +74,9 @@
 	return signals
 }
 
-// serve runs a router until it is told to stop, or can accept no client any more.
+// serve runs a router until a signal stops it or its listener fails.
 func serve(operatorPath, recorderFolder string) error {
-	signals := notifyControlSignals() // before anything else: by default each of them ends the program
+	signals := notifyControlSignals() // first, because by default each of these signals ends the program
 	retry := newStartupRetry()
 	cfg, operatorFile, err := loadFiles(retry, operatorPath)
 	if err != nil {
@@ -104,8 +105,8 @@
 	return failure
 }
 
-// loadFiles reads the configuration and the operator's file, and lowers the sockets of the configuration to what the
-// process may have.
+// loadFiles reads the configuration and the operator's file. It lowers the sockets of the configuration to the
+// descriptor limit of the process.
 func loadFiles(retry *startupRetry, operatorPath string) (*config.Config, *operatorconfig.File, error) {
 	var cfg *config.Config
 	err := retry.load(func() (err error) {
@@ -134,18 +135,19 @@
 	return cfg, operatorFile, nil
 }
 
-// applyRuntimeLimits bounds the processors and the memory of the Go runtime. A quarter of the memory is left to what
-// the runtime does not count.
+// applyRuntimeLimits limits the CPU cores and the memory of the Go runtime. A quarter of the memory is reserved for
+// memory that the runtime does not account for.
 func applyRuntimeLimits(lim limits.Limits) {
 	runtime.GOMAXPROCS(int(math.Ceil(lim.Cores)))
 	debug.SetMemoryLimit(lim.Memory * 3 / 4)
 }
 
-// start starts the goroutines of the router. Each runs until the program ends: the engine answers requests to the last.
+// start starts the goroutines of the router. They run until the program ends, because the engine answers requests until
+// then.
 func (r *router) start(listener net.Listener, dump <-chan os.Signal) {
 	never := make(chan struct{})
 	go r.engine.Run(never, r.limits.SummaryInterval, r.logSummaries)
-	go r.dumpRecorderAtSignals(dump)
+	go r.dumpRecorderOnSignals(dump)
 	go r.stores.run(context.Background())
 	go r.watcher.Run(context.Background(), func(at time.Time, message engine.Message) {
 		r.post(at, r.stores.translateEvent(message))
@@ -158,7 +160,7 @@
 		zap.Int("sockets", r.limits.Sockets))
 }
 
-// run handles signals until the router is to be shut down, and returns why if that is a failure.
+// run handles signals until the router must shut down. The error is nil if a signal asked for the shutdown.
 func (r *router) run(signals controlSignals) error {
 	reloads := r.newReloader()
 	for {
@@ -168,9 +170,9 @@
 			reloads.reloadAll()
 		case <-retryDue:
 			reloads.reload(file)
-		case <-signals.stop: // a second one has no effect
+		case <-signals.stop: // further stop signals have no effect
 			return nil
-		case err := <-r.serveResult: // requests that have been taken are answered all the same
+		case err := <-r.serveResult: // accepted requests are still answered during the shutdown
 			failure := errors.Join(errListenerFailed, err)
 			r.log.Error("listener failed, shutting down", zap.Error(failure))
 			return failure
@@ -178,10 +180,10 @@
 	}
 }
 
-// offer posts a client's message to the engine, which may reject it.
-func (r *router) offer(at time.Time, message engine.Message) (isTaken bool) {
+// offer posts a client's message to the engine and reports whether the engine accepted it.
+func (r *router) offer(at time.Time, message engine.Message) (isAccepted bool) {
 	return r.engine.Post(at, message)
 }
 
-// post posts a message that the engine always takes.
+// post posts a message that the engine always accepts.
 func (r *router) post(at time.Time, message engine.Message) { r.engine.Post(at, message) }
--- a/cmd/fennelarch/sharedstores.go
+++ b/cmd/fennelarch/sharedstores.go
@@ -1,7 +1,7 @@
 package main
 
-// Shared stores in a router: their transport stands between the engine and the upstream pool where the operator's file
-// names stores; without any, every method here passes its argument through.
+// This file connects the shared stores to the router. If the operator's file names stores, their transport sits between
+// the engine and the upstream pool; otherwise the methods here pass their argument on or do nothing.
 
 import (
 	"context"
@@ -16,13 +16,13 @@
 	policystore "fennelarch/policy/sharedstore"
 )
 
-// postFunc delivers a message to the engine, with the time at which it came.
+// postFunc delivers a message to the engine, with the time at which the message arrived.
 type postFunc func(at time.Time, message engine.Message)
 
-// sharedStores is the transport to all shared stores, or nothing where the operator's file has none.
+// sharedStores holds the transport to all shared stores, which is nil if the operator's file names none.
 type sharedStores struct{ transport *sharedstore.Transport }
 
-// checkStoresUsable reports whether the settings let this router use the stores of the operator's file.
+// checkStoresUsable returns an error if the settings do not let this router use the stores of the operator's file.
 func checkStoresUsable(file *operatorconfig.File, cfg *config.Config) error {
 	if len(file.Stores) > 0 && !cfg.Routing.AllowDirect {
 		return errors.New("operator's file: stores: the settings do not let this router ask parents itself (may_pass_by), " +
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// sharedStoreSettings returns the settings of the policy for shared stores.
+// sharedStoreSettings returns the settings of the shared store policy.
 func sharedStoreSettings(file *operatorconfig.File, cfg *config.Config, lim limits.Limits) policystore.Settings {
 	shared := file.Shared
 	settings := policystore.Settings{
@@ -48,7 +48,8 @@
 	return settings.WithDefaults(&cfg.Routing)
 }
 
-// upstreamPost returns where the upstream pool posts its messages: the stores' transport sees them first.
+// upstreamPost returns the function to which the upstream pool posts its messages: the stores' transport, which handles
+// them first, or the given one.
 func (s sharedStores) upstreamPost(post postFunc) postFunc {
 	if s.transport == nil {
 		return post
@@ -56,7 +57,7 @@
 	return s.transport.Post
 }
 
-// wrap returns the transport that the engine drives, given the one to all other endpoints.
+// wrap returns the transport for the engine, given the transport to all endpoints that are not stores.
 func (s sharedStores) wrap(upstream engine.Transport) engine.Transport {
 	if s.transport == nil {
 		return upstream
@@ -65,7 +66,7 @@
 	return s.transport
 }
 
-// translateEvent returns the message that the engine gets in place of one from the discovery server.
+// translateEvent returns the message that the engine gets for a message from the discovery server.
 func (s sharedStores) translateEvent(message engine.Message) engine.Message {
 	if s.transport == nil {
 		return message
@@ -73,35 +74,35 @@
 	return s.transport.ObserveDiscovery(message)
 }
 
-// wallClockStepped passes on that the wall clock was set by so much.
+// wallClockStepped tells the transport that the wall clock stepped by a duration.
 func (s sharedStores) wallClockStepped(by time.Duration) {
 	if s.transport != nil {
 		s.transport.ClockStepped(by)
 	}
 }
 
-// discoveryCurrent passes on that all events before a moment have been seen.
+// discoveryCurrent tells the transport that all discovery events before a time have been applied.
 func (s sharedStores) discoveryCurrent(asOf time.Time) {
 	if s.transport != nil {
 		s.transport.DiscoveryCurrent(asOf)
 	}
 }
 
-// discoveryGap passes on that an event was lost for good.
+// discoveryGap tells the transport that a discovery event was lost.
 func (s sharedStores) discoveryGap() {
 	if s.transport != nil {
 		s.transport.DiscoveryGap()
 	}
 }
 
-// run keeps the connections to the stores until the context ends.
+// run keeps the connections to the stores open until the context ends.
 func (s sharedStores) run(ctx context.Context) {
 	if s.transport != nil {
 		s.transport.Run(ctx)
 	}
 }
 
-// updateSettings applies what may change of the operator's file while the router runs.
+// updateSettings applies the settings of the operator's file that may change while the router runs.
 func (s sharedStores) updateSettings(file *operatorconfig.File, cfg *config.Config) {
 	if s.transport != nil {
 		s.transport.UpdateSettings(sharedStoreSettings(file, cfg, s.transport.Limits()))
--- a/cmd/fennelarch/shutdown.go
+++ b/cmd/fennelarch/shutdown.go
@@ -1,7 +1,7 @@
 package main
 
-// The graceful shutdown: requests that have been taken are answered, and those that arrive for a while after the order
-// to stop are still served.
+// This file shuts the router down gracefully: accepted requests are answered, and for a while after the stop signal new
+// requests are still served.
 
 import (
 	"time"
@@ -11,21 +11,22 @@
 	"go.uber.org/zap"
 )
 
-// shutDown ends the router in order. It returns once nothing is open, or when the grace is over.
+// shutDown drains the router. It returns once all requests are answered and all client connections are closed, or when
+// the time limit is over.
 func (r *router) shutDown() {
 	r.log.Info("stopping", zap.Int("in_flight", r.engine.InFlight()))
-	begun := time.Now()
-	r.engine.Post(begun, engine.Shutdown{Grace: r.limits.ShutdownGrace})
+	startedAt := time.Now()
+	r.engine.Post(startedAt, engine.Shutdown{Grace: r.limits.ShutdownGrace})
 	time.Sleep(r.limits.ShutdownLinger)
 	r.frontend.Drain()
-	deadline := begun.Add(r.limits.ShutdownGrace + r.limits.FlushTimeout)
+	deadline := startedAt.Add(r.limits.ShutdownGrace + r.limits.FlushTimeout)
 	for r.hasOpenWork() && time.Now().Before(deadline) {
 		time.Sleep(r.limits.RecheckInterval)
 	}
 	r.log.Info("stopped", zap.Int("in_flight", r.engine.InFlight()))
 }
 
-// hasOpenWork reports whether a request has no answer yet, or a connection is not closed yet.
+// hasOpenWork reports whether a request is unanswered or a client connection is open.
 func (r *router) hasOpenWork() bool {
 	return r.engine.InFlight() > 0 || r.frontend.UnclosedCount() > 0
 }
--- a/cmd/fennelarch/startupretry.go
+++ b/cmd/fennelarch/startupretry.go
@@ -1,7 +1,7 @@
 package main
 
-// Retries of what the program needs at its start: readable files and a free listen address. Temporary failures are
-// retried until a deadline, permanent ones end the start at once.
+// This file retries what the program needs at startup: readable files and a free listen address. Temporary failures are
+// retried until a deadline; permanent failures end the program at once.
 
 import (
 	"errors"
@@ -15,29 +15,30 @@
 )
 
 const (
-	// startupRetryFor bounds the retries of a start: the platform waits 10 s for a router to be ready.
+	// startupRetryFor is how long startup is retried. The platform waits 10 s for a router to be ready.
 	startupRetryFor = 8 * time.Second
-	// retryInterval is the pause after a failure for want of a resource of the system.
+	// retryInterval is the pause after a failure for lack of a system resource.
 	retryInterval = 100 * time.Millisecond
-	// startupRereadAfter is the pause before a file with invalid content is read once more: it may be half written.
+	// startupRereadAfter is the pause before a file with invalid content is read again, as it may be half written.
 	startupRereadAfter = 250 * time.Millisecond
-	// reloadRereadAfter is the same pause at a reload, during which the old settings stay in force.
+	// reloadRereadAfter is the same pause during a reload, while the old settings stay in force.
 	reloadRereadAfter = 100 * time.Millisecond
 )
 
-// retryAction is what to do about a file that could not be loaded.
+// retryAction is the reaction to a file that could not be loaded.
 type retryAction uint8
 
 const (
-	retrySoon  retryAction = iota // the system lacked a resource, such as a descriptor
+	retrySoon  retryAction = iota // the system lacks a resource, such as a descriptor
 	rereadFile                    // the content is invalid, perhaps because the file is being written
 	giveUp                        // the failure is permanent
 )
 
-// retryPolicy decides whether to retry one file, given the errors of its attempts in order.
+// retryPolicy decides whether to retry one file, from the errors of its successive loads.
 type retryPolicy struct{ lastContentError string }
 
-// classifyError returns what to do about an error. The same content error twice is permanent.
+// classifyError returns the reaction to an error. An error that occurs again unchanged is permanent, unless the system
+// lacks a resource.
 func (p *retryPolicy) classifyError(err error) retryAction {
 	if system.Temporary(err) {
 		return retrySoon
@@ -50,7 +51,7 @@
 	return rereadFile
 }
 
-// startupRetry retries the steps of a start until a common deadline.
+// startupRetry retries the steps of startup until a common deadline.
 type startupRetry struct {
 	deadline time.Time
 	isLogged bool
@@ -60,7 +61,7 @@
 
 func (s *startupRetry) isExpired() bool { return time.Now().After(s.deadline) }
 
-// load calls a function that loads a file until it succeeds or has failed permanently.
+// load calls loadFile until it succeeds, fails permanently, or fails after the deadline.
 func (s *startupRetry) load(loadFile func() error) error {
 	var policy retryPolicy
 	for {
@@ -80,7 +81,7 @@
 	}
 }
 
-// listen opens the address for clients. The process that had it before may not have released it yet.
+// listen opens the listen address. It retries, because an earlier process may not have released the address yet.
 func (s *startupRetry) listen(address string) (net.Listener, error) {
 	for {
 		listener, err := system.Listen("tcp", address)
@@ -91,7 +92,7 @@
 	}
 }
 
-// wait pauses before a retry; the first one is logged.
+// wait pauses before a retry. The first retry is logged.
 func (s *startupRetry) wait(err error) {
 	if !s.isLogged {
 		fmt.Fprintln(os.Stderr, "fennelarch: startup is retried:", err)
--- a/cmd/fennelarch/summary.go
+++ b/cmd/fennelarch/summary.go
@@ -1,6 +1,6 @@
 package main
 
-// The log lines with counts that are written at each summary interval.
+// This file logs counts at each summary interval.
 
 import (
 	"runtime"
@@ -10,13 +10,14 @@
 	"go.uber.org/zap"
 )
 
-// logSummaries writes one line for the router, and one each for shared stores and admission where they are used.
+// logSummaries logs a line for the router, and one each for the shared stores and admission if they are in use.
 func (r *router) logSummaries(counts engine.Counts) {
 	r.logSummary(counts)
 	r.logSharedStores()
 	r.logAdmission()
 }
 
+// logSummary logs the counts of the router.
 func (r *router) logSummary(counts engine.Counts) {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -39,6 +40,7 @@
 		zap.Any("closes_by_reason", closes))
 }
 
+// logSharedStores logs the counts of the shared stores, if there are any.
 func (r *router) logSharedStores() {
 	if r.stores.transport == nil {
 		return
@@ -60,7 +62,8 @@
 		zap.Uint64("rejected", counts.Rejected))
 }
 
-// logAdmission writes a line where the operator's file limits connections, or where descriptors have run out.
+// logAdmission logs the counts of admission if the operator's file has an admission section, or if descriptors have run
+// out.
 func (r *router) logAdmission() {
 	counts, mode := r.frontend.AdmissionStatus()
 	if r.operatorFile.Load().Admission == nil && counts.DescriptorsExhausted == 0 {
--- a/cmd/fennelarch/tlskeys.go
+++ b/cmd/fennelarch/tlskeys.go
@@ -1,6 +1,6 @@
 package main
 
-// The TLS keys of the frontend, as the operator's file names them.
+// This file converts the TLS section of the operator's file into options of the frontend.
 
 import (
 	"crypto/tls"
@@ -9,13 +9,13 @@
 	"fennelarch/internal/operatorconfig"
 )
 
-// Values of the operator's file, section tls.
+// Values in the TLS section of the operator's file.
 const (
 	clientCertRequired = "required"
 	minVersionTLS13    = "1.3"
 )
 
-// tlsFiles returns the files and options of the frontend's TLS.
+// tlsFiles returns the key files and TLS options of the frontend.
 func tlsFiles(settings *operatorconfig.FrontendTLS) frontend.TLSFiles {
 	files := frontend.TLSFiles{
 		Cert:               settings.CertFile,
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
-// Command sim-adapter hosts routers for the simulator: it reads frames of events on standard input and writes one reply
-// a frame on standard output.
+// Command sim-adapter hosts routers for the simulator. It reads frames of events from standard input and writes one
+// reply per frame to standard output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"fennelarch/internal/simwire"
 )
 
-// gcPercent makes collections rare: routers hold little memory and make little garbage.
+// gcPercent makes garbage collections rare, since routers use little memory and allocate little.
 const gcPercent = 400
 
 func main() {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed runs experiments on real routers among fake servers, on this machine's loopback alone. The
-// experiments are those of internal/testbed.
+// Command testbed runs the experiments of package internal/testbed, with real routers and fake servers on the loopback
+// interface.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	exitUsage  = 2
 )
 
-// Bounds of the flags.
+// Largest values of the flags.
 const (
 	maxScale   = 10
 	maxRouters = 200
@@ -33,19 +33,19 @@
 
 type runCommand struct {
 	Name    string  `arg:"" help:"The experiment; 'testbed list' names them."`
-	Seed    uint64  `default:"1" help:"What chance is drawn from; the same seed gives the same script."`
-	Scale   float64 `default:"1" help:"Of rates and durations; 1 is the scale of docs/results.md."`
-	Routers int     `help:"How many routers, where the experiment leaves it open; 0: its own choice."`
-	Plan    string  `type:"path" placeholder:"FILE" help:"The plan of a soak, a fault a line; none: by the seed."`
-	Out     string  `type:"path" placeholder:"DIR" help:"Where the result is written, as NAME-SEED.json."`
+	Seed    uint64  `default:"1" help:"Seed of the random script. The same seed gives the same script."`
+	Scale   float64 `default:"1" help:"Factor on rates and durations. 1 is the scale of docs/results.md."`
+	Routers int     `help:"Number of routers, if the experiment allows a choice. 0: the default of the experiment."`
+	Plan    string  `type:"path" placeholder:"FILE" help:"Fault plan of a soak, one fault per line. Default: by the seed."`
+	Out     string  `type:"path" placeholder:"DIR" help:"Folder for the result, written as NAME-SEED.json."`
 	JSON    bool    `name:"json" help:"Print the result as JSON."`
 }
 
 type upCommand struct {
-	DiscoveryAddress string `name:"bulletin" default:"127.0.0.1:7070" help:"Where discovery listens."`
+	DiscoveryAddress string `name:"bulletin" default:"127.0.0.1:7070" help:"Listen address of the discovery server."`
 }
 
-// usageError is a flag that cannot be used.
+// usageError is the error of an invalid flag.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
@@ -92,6 +92,7 @@
 	return nil
 }
 
+// options checks the flags and returns the options of the experiment.
 func (c runCommand) options() (testbed.Options, error) {
 	options := testbed.Options{Seed: c.Seed, Scale: c.Scale, Routers: c.Routers, Out: c.Out}
 	if c.Scale <= 0 || c.Scale > maxScale {
@@ -113,7 +114,7 @@
 	return options, nil
 }
 
-// write writes the result, where it is to be written.
+// write writes the result to the output folder, if one is set.
 func (c runCommand) write(text []byte) error {
 	if c.Out == "" {
 		return nil
@@ -125,6 +126,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
+// printResult prints the figures and assertions of a result.
 func printResult(result *testbed.Result) {
 	for _, name := range slices.Sorted(maps.Keys(result.Figures)) {
 		fmt.Printf("  %-44s %10.3f\n", name, result.Figures[name])
@@ -138,14 +140,14 @@
 	}
 }
 
-// Run starts the fake servers of the example configuration.
+// Run runs the fake servers of the example configuration.
 func (c upCommand) Run() error { return testbed.ServeExample(c.DiscoveryAddress, os.Stdout) }
 
 func main() {
 	var commands struct {
 		List listCommand `cmd:"" help:"List the experiments."`
 		Run  runCommand  `cmd:"" help:"Run an experiment; exit code 0 only if every assertion passed."`
-		Up   upCommand   `cmd:"" help:"Start the fake servers of the example files in deploy/, until interrupted."`
+		Up   upCommand   `cmd:"" help:"Run the fake servers of the example files in deploy/ until interrupted."`
 	}
 	context := kong.Parse(&commands, kong.Name("testbed"),
 		kong.Description("Experiments on real routers among fake servers, on loopback."))
@@ -155,7 +157,7 @@
 	}
 }
 
-// exitCode tells what cannot be used from what has failed.
+// exitCode returns exitUsage for an invalid flag or plan and exitFailed for any other error.
 func exitCode(err error) int {
 	if errors.As(err, &usageError{}) || errors.As(err, &soak.PlanError{}) {
 		return exitUsage
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -17,13 +17,13 @@
 		err  error
 		want int
 	}{
-		{"an assertion that failed", errAssertion, exitFailed},
-		{"a flag", usageError{errors.New("--scale")}, exitUsage},
-		{"a plan", fmt.Errorf("soak: %w", soak.PlanError{Err: planError}), exitUsage},
+		{"failed assertion", errAssertion, exitFailed},
+		{"invalid flag", usageError{errors.New("--scale")}, exitUsage},
+		{"invalid plan", fmt.Errorf("soak: %w", soak.PlanError{Err: planError}), exitUsage},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := exitCode(test.err); got != test.want {
-				t.Errorf("%d, not %d", got, test.want)
+				t.Errorf("got exit code %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -35,21 +35,21 @@
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
-		name     string
-		command  runCommand
-		isUsable bool
+		name    string
+		command runCommand
+		isValid bool
 	}{
-		{"the defaults", runCommand{Scale: 1}, true},
-		{"a plan", runCommand{Scale: 1, Plan: plan}, true},
-		{"no scale", runCommand{}, false},
-		{"a scale that is too large", runCommand{Scale: maxScale + 1}, false},
+		{"defaults", runCommand{Scale: 1}, true},
+		{"plan", runCommand{Scale: 1, Plan: plan}, true},
+		{"scale of zero", runCommand{}, false},
+		{"scale too large", runCommand{Scale: maxScale + 1}, false},
 		{"too many routers", runCommand{Scale: 1, Routers: maxRouters + 1}, false},
-		{"a plan that does not exist", runCommand{Scale: 1, Plan: plan + "x"}, false},
+		{"missing plan file", runCommand{Scale: 1, Plan: plan + "x"}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := test.command.options()
-			if (err == nil) != test.isUsable {
-				t.Fatalf("%v", err)
+			if (err == nil) != test.isValid {
+				t.Fatalf("got error %v", err)
 			}
 			if err != nil && exitCode(err) != exitUsage {
 				t.Errorf("exit code %d for %v", exitCode(err), err)
