--- a/cmd/fennelarch/architecture_test.go
+++ b/cmd/fennelarch/architecture_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// goPackage is what `go list` tells of a package.
+// goPackage holds the fields of a package that the test reads from go list.
 type goPackage struct {
 	ImportPath string
 	Imports    []string
@@ -24,16 +24,17 @@
 	testbedPrefix  = "fennelarch/internal/testbed"
 )
 
-// notInPolicy are packages with side effects, or that wait: decisions must not import them, nor any below them.
+// notInPolicy lists packages with side effects or blocking calls. Policy packages must not import them or their
+// subpackages.
 var notInPolicy = []string{
 	"net", "os", "sync", "context", "log", "io", "go.uber.org/zap", "math/rand", "math/rand/v2", "fennelarch/internal",
 }
 
-// adapters are the packages of internal that speak a protocol each, and must not know each other.
+// adapters lists the internal packages that implement one protocol each and must not import each other.
 var adapters = []string{"frontend", "upstream", "discovery", "sharedstore", "gateway", "media", "disk"}
 
-// Decisions import nothing that has side effects or waits, adapters do not know each other, and the service does not
-// need its own tests and experiments.
+// Policy packages must not import packages with side effects or blocking calls, adapters must not import each other,
+// fakes must not import the service, and the programs must not depend on fakes or the testbed.
 func TestArchitecture(t *testing.T) {
 	packages := listPackages(t)
 	for _, pkg := range packages {
@@ -41,17 +42,18 @@
 			forbiddenInPolicy, forbiddenInPrograms, forbiddenInFakes, forbiddenInAdapters,
 		} {
 			for _, forbidden := range rule(pkg) {
-				t.Errorf("%s needs %s", pkg.ImportPath, forbidden)
+				t.Errorf("%s must not depend on %s", pkg.ImportPath, forbidden)
 			}
 		}
 	}
 	for _, path := range []string{"fennelarch/policy/sharedstore", "fennelarch/internal/fake/redis"} {
 		if !slices.ContainsFunc(packages, func(pkg goPackage) bool { return pkg.ImportPath == path }) {
-			t.Errorf("%s was not checked", path)
+			t.Errorf("go list did not report %s", path)
 		}
 	}
 }
 
+// listPackages returns all packages of the module.
 func listPackages(t *testing.T) []goPackage {
 	t.Helper()
 	output, err := exec.Command("go", "list", "-json=ImportPath,Imports,Deps", "fennelarch/...").Output()
@@ -70,7 +72,7 @@
 	}
 }
 
-// filter returns the paths for which a condition holds.
+// filter returns the paths that satisfy a condition.
 func filter(paths []string, condition func(path string) bool) (list []string) {
 	for _, path := range paths {
 		if condition(path) {
@@ -80,6 +82,7 @@
 	return list
 }
 
+// forbiddenInPolicy returns the imports of a policy package that have side effects or block.
 func forbiddenInPolicy(pkg goPackage) []string {
 	if !strings.HasPrefix(pkg.ImportPath, policyPrefix) {
 		return nil
@@ -91,6 +94,7 @@
 	})
 }
 
+// forbiddenInPrograms returns the fakes and testbed packages on which a program depends.
 func forbiddenInPrograms(pkg goPackage) []string {
 	if pkg.ImportPath != "fennelarch/cmd/fennelarch" && pkg.ImportPath != "fennelarch/cmd/sim-adapter" {
 		return nil
@@ -100,7 +104,8 @@
 	})
 }
 
-// forbiddenInFakes has fake servers written from the published protocol, not from the code that speaks to them.
+// forbiddenInFakes returns the imports of a fake from the service, except the RESP codec. Fakes are written from the
+// published protocol, so they must not share other code with the service that they test.
 func forbiddenInFakes(pkg goPackage) []string {
 	if !strings.HasPrefix(pkg.ImportPath, fakePrefix) {
 		return nil
@@ -110,6 +115,7 @@
 	})
 }
 
+// forbiddenInAdapters returns the other adapters that an adapter imports.
 func forbiddenInAdapters(pkg goPackage) []string {
 	if !isAdapter(pkg.ImportPath) {
 		return nil
--- a/cmd/fennelarch/cancel_test.go
+++ b/cmd/fennelarch/cancel_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// The attempts of a request are aborted at the servers once its time is up, its client cancels it, or its client has
-// gone.
+// When a request times out, or its client cancels it or disconnects, the router must abort its attempts at the servers.
 func TestEndOfRequestAbortsItsAttempts(t *testing.T) {
 	cache := newFakeServer(t, "s-1", "std", respondNothing)
 	cluster := startCluster(t, cache)
@@ -22,10 +21,10 @@
 	}
 
 	client := cluster.connect()
-	begun := time.Now()
+	requestedAt := time.Now()
 	client.expectAnswer(client.request("clip", 1, 300, ""), "BUSY")
-	if took := time.Since(begun); took > 400*time.Millisecond {
-		t.Errorf("the answer took %v", took)
+	if took := time.Since(requestedAt); took > 400*time.Millisecond {
+		t.Errorf("answer took %v, want at most 400ms", took)
 	}
 	awaitAborts()
 
@@ -36,7 +35,7 @@
 	client.write(frame("PING", "901"))
 	client.expectAnswer("901", "UP")
 	if client.answerCount(tag) > 0 {
-		t.Error("a cancelled request has an answer")
+		t.Error("cancelled request got an answer")
 	}
 
 	leaving := cluster.connect()
--- a/cmd/fennelarch/client_test.go
+++ b/cmd/fennelarch/client_test.go
@@ -14,24 +14,24 @@
 	"github.com/tidwall/redcon"
 )
 
-// testClient is one connection to the router.
+// testClient is a client connection to the router.
 type testClient struct {
 	t    *testing.T
 	conn net.Conn
-	tag  int // of the last request
+	tag  int // tag of the last request
 
 	mu       sync.Mutex
 	answers  map[string][][]string // by tag
-	isClosed bool                  // the router has closed the connection
+	isClosed bool                  // whether the router has closed the connection
 }
 
-// newTestClient speaks the clients' protocol on a connection; it collects the answers once read is called.
+// newTestClient returns a client on a connection. The client reads answers only after read is called.
 func newTestClient(t *testing.T, conn net.Conn) *testClient {
 	t.Helper()
 	return &testClient{t: t, conn: conn, answers: map[string][][]string{}}
 }
 
-// read collects the answers until the connection ends.
+// read starts to collect the answers, until the connection ends, and returns the client.
 func (c *testClient) read() *testClient {
 	go func() {
 		for reader := redcon.NewReader(c.conn); ; {
@@ -66,7 +66,7 @@
 	}
 }
 
-// request asks for an object with a timeout in milliseconds, and returns the tag.
+// request sends a request for an object, with a timeout in milliseconds, and returns its tag.
 func (c *testClient) request(class string, object, timeoutMS int, body string) string {
 	c.t.Helper()
 	c.tag++
@@ -83,33 +83,33 @@
 	return len(c.answers[tag])
 }
 
-// awaitAnswer waits for the answer under a tag, which must be the only one.
+// awaitAnswer waits for the answer to a tag, checks that there is only one, and returns it.
 func (c *testClient) awaitAnswer(tag string) []string {
 	c.t.Helper()
-	await(c.t, "an answer under "+tag, func() bool { return c.answerCount(tag) > 0 })
+	await(c.t, "an answer to tag "+tag, func() bool { return c.answerCount(tag) > 0 })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.answers[tag]) != 1 {
-		c.t.Errorf("%d answers under %s", len(c.answers[tag]), tag)
+		c.t.Errorf("got %d answers to tag %s, want 1", len(c.answers[tag]), tag)
 	}
 	return c.answers[tag][0]
 }
 
-// expectAnswer waits for the answer under a tag, which must begin with a text.
+// expectAnswer waits for the answer to a tag and checks that it starts with a text.
 func (c *testClient) expectAnswer(tag, want string) {
 	c.t.Helper()
 	if got := c.awaitAnswer(tag); !strings.HasPrefix(strings.Join(got, " "), want) {
-		c.t.Errorf("%.80q, not %s", got, want)
+		c.t.Errorf("got answer %.80q, want %s", got, want)
 	}
 }
 
-// expectServed asks for an object, which must be served.
+// expectServed requests an object and checks that the request is served.
 func (c *testClient) expectServed(object int) {
 	c.t.Helper()
 	c.expectAnswer(c.request("clip", object, 2000, ""), "OK")
 }
 
-// awaitRequestAt asks for one object after the other until a server gets one of the requests.
+// awaitRequestAt requests one object after another until a server receives one of the requests.
 func (c *testClient) awaitRequestAt(server *fakeServer) {
 	c.t.Helper()
 	object := 0
@@ -123,19 +123,19 @@
 // awaitClose waits until the router has closed the connection.
 func (c *testClient) awaitClose() {
 	c.t.Helper()
-	await(c.t, "the end of a connection", func() bool {
+	await(c.t, "the router to close a connection", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.isClosed
 	})
 }
 
-// expectClose waits until the router has closed the connection, which must not be by a reset.
+// expectClose waits until the router has closed the connection, and checks that it was not reset.
 func (c *testClient) expectClose() {
 	c.t.Helper()
 	c.awaitClose()
 	_ = c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		c.t.Errorf("the connection ended with %v", err)
+		c.t.Errorf("connection ended with %v, want EOF", err)
 	}
 }
--- a/cmd/fennelarch/clients_test.go
+++ b/cmd/fennelarch/clients_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What one client does wrong has an effect on nobody else.
+// A client that misbehaves must not affect other clients.
 func TestMisbehavingClientsAreIsolated(t *testing.T) {
 	cache := newFakeServer(t, "s-1", "std", func(request serverRequest) (string, bool) {
 		return request.respond("200", "how=local", strings.Repeat("x", 200_000)), false
@@ -24,11 +24,11 @@
 		sender := cluster.connect()
 		tag := sender.request("clip", 1, 2000, "")
 		sender.write(malformed)
-		sender.expectAnswer(tag, "") // and no answer to what followed it
+		sender.expectAnswer(tag, "") // the malformed input gets no answer
 		sender.awaitClose()
 	}
 
-	halfMessage, noMessage, begun := cluster.connect(), cluster.connect(), time.Now()
+	halfMessage, noMessage, openedAt := cluster.connect(), cluster.connect(), time.Now()
 	halfMessage.write("*4\r\n$2\r\nDO\r\n$1")
 	notReading := cluster.connectWithoutReading()
 	for object := range 32 {
@@ -39,7 +39,7 @@
 	}
 	halfMessage.awaitClose()
 	noMessage.awaitClose()
-	if took := time.Since(begun); took > 3*time.Second {
-		t.Errorf("silent connections stay for %v", took)
+	if took := time.Since(openedAt); took > 3*time.Second {
+		t.Errorf("silent connections stayed open for %v, want at most 3s", took)
 	}
 }
--- a/cmd/fennelarch/cluster_test.go
+++ b/cmd/fennelarch/cluster_test.go
@@ -1,7 +1,8 @@
 package main
 
-// The tests of this package start the program and speak to it over loopback sockets: clients on one side, fake cache
-// servers, a parent, the origin and a discovery server on the other, all written from the published protocol.
+// The tests of this package start the program and talk to it over loopback sockets, as clients on one side and as fake
+// cache servers, a parent, the origin and a discovery server on the other. The fakes are written from the published
+// protocols.
 
 import (
 	"bytes"
@@ -17,7 +18,7 @@
 	"time"
 )
 
-// settingsText are the settings of every router under test. The router's wire names are explained in internal/config.
+// settingsText holds the settings of all routers under test. Package config documents the keys.
 const settingsText = `{"az":0,"dcs":["west","east"],"shapes":["std","parent","origin"],"n_instances":1,
  "registry_mode":"automatic","weight_source":"rough","report":{"columns":["util","x1"],"via":"probe"},
  "caps":{"cancelling":true,"conn_idle_ms":30000,"connect_timeout_ms":400,"max_retry_after_ms":1000,"most_tries":6,
@@ -31,22 +32,22 @@
   "upper_fall_multiple":2,"purge_grace_ms":1000,"root_kind":2,"second_tier_kind":1,"says":"all","seats_by_zone":[1,0],
   "origin_limit_factor":2.5,"origin_bears_ms":3000}}`
 
-// testCluster is a router among a parent, the origin, cache servers and a discovery server.
+// testCluster is a router process with a fake parent, origin and discovery server and fake cache servers.
 type testCluster struct {
 	t              *testing.T
 	parent, origin *fakeServer
 	discovery      *fakeDiscovery
 	process        *exec.Cmd
-	listen         string
+	listen         string // address
 	configPath     string
 
-	exited  chan struct{} // closed once the process has ended; what follows may be read then
+	exited  chan struct{} // closed once the process has ended; log and exitErr may be read only then
 	log     bytes.Buffer
 	exitErr error
 }
 
-// freeAddress is one that a router can listen at. It is on a loopback address of this process alone: nobody else can
-// take the port before the router does.
+// freeAddress returns a free listen address for a router. The loopback IP address is derived from the process id, so
+// that other processes do not take the port before the router does.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
@@ -58,7 +59,7 @@
 	return listener.Addr().String()
 }
 
-// startCluster starts a router whose endpoint list has the given cache servers, a parent and the origin.
+// startCluster starts a cluster whose endpoint list has the given cache servers, a parent and the origin.
 func startCluster(t *testing.T, caches ...*fakeServer) *testCluster {
 	t.Helper()
 	cluster := newCluster(t, caches...)
@@ -66,7 +67,7 @@
 	return cluster
 }
 
-// newCluster is a cluster whose router has not started yet.
+// newCluster returns a cluster whose router is not started yet.
 func newCluster(t *testing.T, caches ...*fakeServer) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
@@ -80,12 +81,13 @@
 	return cluster
 }
 
-// configure writes the configuration, with the discovery server given.
+// configure writes the configuration with the address of the given discovery server.
 func (c *testCluster) configure(discovery *fakeDiscovery) {
 	c.t.Helper()
 	c.writeConfig(c.configText(discovery))
 }
 
+// configText returns the text of the configuration.
 func (c *testCluster) configText(discovery *fakeDiscovery) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964",
 	  "limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -109,13 +111,13 @@
 	return string(text)
 }
 
-// setKnownEvents replaces the events that the configuration holds.
+// setKnownEvents replaces the known events in the configuration.
 func (c *testCluster) setKnownEvents(known string) {
 	c.t.Helper()
 	text := c.readConfig()
 	changed := strings.Replace(text, `"known":`+c.discovery.First(), `"known":`+known, 1)
 	if changed == text {
-		c.t.Fatal("the configuration holds no events")
+		c.t.Fatal("configuration has no known events")
 	}
 	c.writeConfig(changed)
 }
@@ -133,6 +135,7 @@
 	})
 }
 
+// startWithoutWaiting starts the router process.
 func (c *testCluster) startWithoutWaiting() {
 	c.t.Helper()
 	c.exited = make(chan struct{})
@@ -152,7 +155,7 @@
 	c.t.Cleanup(c.kill)
 }
 
-// kill ends the router at the end of a test, and looks through its log.
+// kill kills the router at the end of a test, and fails the test if the log shows a panic or a data race.
 func (c *testCluster) kill() {
 	_ = c.process.Process.Kill()
 	<-c.exited
@@ -171,13 +174,13 @@
 	}
 }
 
-// connect opens a client connection.
+// connect opens a client connection and collects its answers.
 func (c *testCluster) connect() *testClient {
 	c.t.Helper()
 	return c.connectWithoutReading().read()
 }
 
-// connectWithoutReading opens a client connection whose client reads nothing.
+// connectWithoutReading opens a client connection from which the client does not read.
 func (c *testCluster) connectWithoutReading() *testClient {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.listen)
@@ -188,35 +191,36 @@
 	return newTestClient(c.t, conn)
 }
 
-// awaitExit waits until the router has ended.
+// awaitExit waits until the router process has ended.
 func (c *testCluster) awaitExit() {
 	c.t.Helper()
 	select {
 	case <-c.exited:
 	case <-time.After(testTimeout):
-		c.t.Fatal("the router does not end")
+		c.t.Fatal("timed out waiting for the router to exit")
 	}
 }
 
-// expectShutdown waits until the router has ended, which must be in order and within a time since the signal.
-func (c *testCluster) expectShutdown(begun time.Time, within time.Duration) {
+// expectShutdown waits until the router has ended, and checks that it ended without an error or open requests and
+// within a time after the signal.
+func (c *testCluster) expectShutdown(signalledAt time.Time, within time.Duration) {
 	c.t.Helper()
 	c.awaitExit()
-	if took := time.Since(begun); c.exitErr != nil || took > within {
-		c.t.Errorf("ended after %v with %v", took, c.exitErr)
+	if took := time.Since(signalledAt); c.exitErr != nil || took > within {
+		c.t.Errorf("router exited after %v with error %v", took, c.exitErr)
 	}
 	if !strings.Contains(c.log.String(), "stopped\t{\"router\": \"n0\", \"in_flight\": 0}") {
-		c.t.Error("requests were left open")
+		c.t.Error("log does not report a shutdown without open requests")
 	}
 }
 
-// expectLogged checks how often texts are in the log of a router that has ended.
+// expectLogged checks how often each text occurs in the log of a router that has ended.
 func (c *testCluster) expectLogged(counts map[string]int) {
 	c.t.Helper()
 	log := c.log.String()
 	for text, want := range counts {
 		if got := strings.Count(log, text); got != want {
-			c.t.Errorf("%q is logged %d times, not %d:\n%s", text, got, want, log)
+			c.t.Errorf("%q occurs %d times in the log, want %d:\n%s", text, got, want, log)
 		}
 	}
 }
--- a/cmd/fennelarch/discovery_test.go
+++ b/cmd/fennelarch/discovery_test.go
@@ -8,8 +8,8 @@
 	"fennelarch/internal/fake/site"
 )
 
-// A router starts with events that tell of a drained and of a departed cache server. Neither is an attempt's target or
-// a fill's source, from the first request on.
+// A router starts with known events that report one cache server as draining and one as gone. From the first request
+// on, neither may be the target of an attempt or the source of a fill.
 func TestKnownEventsExcludeDepartedServers(t *testing.T) {
 	ready := newFakeServer(t, "s-1", "std", respondMiss)
 	draining, gone := newFakeServer(t, "s-2", "std", respondMiss), newFakeServer(t, "s-3", "std", respondMiss)
@@ -24,22 +24,22 @@
 		client.awaitAnswer(client.request("clip", object+1, 500, ""))
 	}
 	if count := draining.receivedCount(verbFetch) + gone.receivedCount(verbFetch); count > 0 {
-		t.Errorf("%d attempts reached servers that had left", count)
+		t.Errorf("%d attempts reached servers that were draining or gone", count)
 	}
 	for _, request := range ready.received(verbFetch) {
 		if next := request.fields["next"]; next == draining.uid || next == gone.uid {
-			t.Errorf("%s is named as a source after it had left", next)
+			t.Errorf("%s was named as the source of a fill although it was draining or gone", next)
 		}
 	}
 }
 
-// Known events that can't be read are skipped, and do not stop the start: the discovery server tells the rest.
+// Unreadable known events are skipped and do not prevent the start, as the discovery server sends the current state.
 func TestUnreadableKnownEventsAreSkipped(t *testing.T) {
 	for name, known := range map[string]string{
-		"events of a wrong form": `{"no":2,"items":[{"no":1,"roster":{"targets":7}},{"no":2,"recall":{"item":"x"}}]}`,
-		"page of a wrong form":   `{"no":"two"}`,
-		"no page":                `[]`,
-		"null":                   `null`,
+		"malformed events":        `{"no":2,"items":[{"no":1,"roster":{"targets":7}},{"no":2,"recall":{"item":"x"}}]}`,
+		"malformed page":          `{"no":"two"}`,
+		"array instead of a page": `[]`,
+		"null":                    `null`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			cluster := newCluster(t)
@@ -49,15 +49,15 @@
 			cluster.discovery.publish(stateReady, cache)
 			cluster.discovery.publishAll(stateReady, cache, cluster.parent, cluster.origin)
 			client := cluster.connect()
-			await(t, "the list of the discovery server", func() bool {
-				client.awaitAnswer(client.request("clip", 1, 2000, "")) // rejected until it has come
+			await(t, "the endpoint list of the discovery server", func() bool {
+				client.awaitAnswer(client.request("clip", 1, 2000, "")) // rejected until the list has arrived
 				return cache.receivedCount(verbFetch) > 0
 			})
 		})
 	}
 }
 
-// The discovery server can't be reached for a while. No event is missed.
+// The discovery server is unreachable for a while. Events published meanwhile must not be missed.
 func TestNoEventIsMissedWhileDiscoveryIsDown(t *testing.T) {
 	first, second := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	cluster := startCluster(t, first)
@@ -69,8 +69,8 @@
 	client.awaitRequestAt(second)
 }
 
-// After a purge, servers are told an age limit. A server then takes over the address of one that is gone: it gets
-// connections of its own. Once it drains, it gets nothing.
+// After a purge, servers are sent an age limit. A new server then takes over the address of one that is gone, and must
+// get new connections. After the drain grace of the new server, no attempt may reach it.
 func TestPurgeAddressReuseAndDrain(t *testing.T) {
 	former, successor := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	cluster := startCluster(t, former)
@@ -85,10 +85,10 @@
 
 	formerConn := former.received(verbFetch)[0].conn
 	successor.address = former.address
-	listener := former // it accepts for both
+	listener := former // accepts connections for both servers
 	cluster.discovery.publish(stateGone, former)
 	cluster.discovery.publish(stateReady, successor)
-	await(t, "the end of the former server's connection", func() bool {
+	await(t, "a new connection for the successor", func() bool {
 		client.expectServed(2)
 		requests := listener.received(verbFetch)
 		return requests[len(requests)-1].conn != formerConn
@@ -106,12 +106,12 @@
 		client.awaitAnswer(client.request("clip", 4, 2000, ""))
 	}
 	if got := listener.receivedCount(verbFetch); got != drained {
-		t.Errorf("%d attempts after the grace", got-drained)
+		t.Errorf("%d attempts reached the server after the drain grace", got-drained)
 	}
 }
 
-// A drain is published while the discovery server can't be reached, and another server with lower event numbers takes
-// its place: the complete list is read, and the drained cache server gets nothing after its grace.
+// A drain is published while the discovery server is unreachable. Another discovery server, with lower event numbers,
+// then replaces it. The router must read the complete list and send the drained cache server nothing after its grace.
 func TestDrainAcrossDiscoveryServers(t *testing.T) {
 	drained, ready := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	cluster := startCluster(t, drained, ready)
@@ -124,13 +124,13 @@
 	}
 	expectServed(1)
 	for range 3 {
-		cluster.discovery.Publish(`"other":{}`) // so that the numbers of the other server are lower
+		cluster.discovery.Publish(`"other":{}`) // gives the other server lower event numbers
 	}
 	time.Sleep(100 * time.Millisecond)
 	cluster.discovery.Suspend()
 	other := newFakeDiscovery(t)
-	other.PublishList(append([]site.Endpoint{drained.line(stateDraining)},
-		lines(stateReady, []*fakeServer{ready, cluster.parent, cluster.origin})...)...)
+	other.PublishList(append([]site.Endpoint{drained.endpointLine(stateDraining)},
+		endpointLines(stateReady, []*fakeServer{ready, cluster.parent, cluster.origin})...)...)
 	cluster.configure(other)
 	cluster.signal(syscall.SIGHUP)
 
@@ -140,10 +140,10 @@
 		return drained.receivedCount(verbFetch) == before
 	}
 	await(t, "the drain", isDrained)
-	time.Sleep(300 * time.Millisecond) // the grace
+	time.Sleep(300 * time.Millisecond) // the drain grace
 	before := ready.receivedCount(verbFetch)
 	if !isDrained() {
-		t.Error("an attempt at a drained cache server after its grace")
+		t.Error("attempt reached the drained cache server after its grace")
 	}
 	expectServed(100)
 	for _, request := range ready.received(verbFetch)[before:] {
--- a/cmd/fennelarch/fakeserver_test.go
+++ b/cmd/fennelarch/fakeserver_test.go
@@ -14,14 +14,14 @@
 	"github.com/tidwall/redcon"
 )
 
-// Verbs of the protocol between a router and its servers.
+// Verbs of the protocol between the router and its servers.
 const (
 	verbFetch = "fetch"
 	verbAbort = "abort"
 	verbStats = "stats"
 )
 
-// frame encodes strings as one frame of the protocol.
+// frame encodes strings as one frame, an array of bulk strings.
 func frame(parts ...string) string {
 	encoded := redcon.AppendArray(nil, len(parts))
 	for _, part := range parts {
@@ -30,19 +30,19 @@
 	return string(encoded)
 }
 
-// serverRequest is a frame that a server received.
+// serverRequest is a request that a fake server received.
 type serverRequest struct {
 	verb, id, body string
 	fields         map[string]string
 	conn           net.Conn
 }
 
-// respond encodes the response to a request.
+// respond encodes a response to the request.
 func (r serverRequest) respond(status, fields, body string) string {
 	return frame(r.id, status, fields, body)
 }
 
-// handler returns what is written for a request, and whether the connection is closed then.
+// handler returns the response to a request, and whether the server closes the connection after writing it.
 type handler func(request serverRequest) (response string, closeAfter bool)
 
 func respondHit(request serverRequest) (string, bool) {
@@ -59,7 +59,7 @@
 
 func respondNothing(serverRequest) (string, bool) { return "", false }
 
-// fakeServer is a cache server, a parent or the origin, written from the published protocol.
+// fakeServer is a fake cache server, parent or origin.
 type fakeServer struct {
 	uid, kind, address string
 
@@ -77,7 +77,7 @@
 	return server
 }
 
-// listen accepts connections, at the address that the server had before if it had one.
+// listen starts to accept connections, at the server's previous address if it has one.
 func (s *fakeServer) listen(t *testing.T) {
 	t.Helper()
 	address := "127.0.0.1:0"
@@ -101,6 +101,7 @@
 	}()
 }
 
+// serve handles the requests on a connection until the connection ends.
 func (s *fakeServer) serve(conn net.Conn) {
 	s.mu.Lock()
 	s.conns[conn] = true
@@ -136,7 +137,7 @@
 	return request
 }
 
-// record keeps a request and returns what handles it.
+// record stores a request and returns the handler for it.
 func (s *fakeServer) record(request serverRequest) handler {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,14 +153,14 @@
 	}
 }
 
-// setHandler replaces the handler of fetches.
+// setHandler replaces the handler of fetch requests.
 func (s *fakeServer) setHandler(handle handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.handle = handle
 }
 
-// received returns the requests with a verb so far.
+// received returns the requests with a verb that the server has received so far.
 func (s *fakeServer) received(verb string) (list []serverRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,14 +172,14 @@
 	return list
 }
 
-// receivedCount is how many requests with a verb came so far.
+// receivedCount returns the number of requests with a verb that the server has received so far.
 func (s *fakeServer) receivedCount(verb string) int { return len(s.received(verb)) }
 
-// stopListening refuses further connections and ends those that are open.
+// stopListening makes the server refuse new connections, and closes the open ones.
 func (s *fakeServer) stopListening(t *testing.T) {
 	t.Helper()
 	_ = s.listener.Close()
-	await(t, "the end of all connections", func() bool {
+	await(t, "all connections to close", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for conn := range s.conns {
@@ -188,7 +189,8 @@
 	})
 }
 
-// unreachableAddress is one at which connections never come up: the queue of its listener is full.
+// unreachableAddress returns an address at which connections are never established, because the queue of its listener
+// is full.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
--- a/cmd/fennelarch/idempotency_test.go
+++ b/cmd/fennelarch/idempotency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request that is not idempotent runs once at the most, wherever its attempt breaks, and is retried once it provably
-// did not run.
+// A non-idempotent request must run at most once, however its attempt fails, and must be retried if it provably did not
+// run.
 func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
 	cluster := startCluster(t, newFakeServer(t, "s-1", "std", respondHit))
 	origin, client := cluster.origin, cluster.connect()
@@ -35,7 +35,7 @@
 			origin.setHandler(test.handle)
 			client.expectAnswer(client.request("signoff", index+1, 2000, "body"), test.want)
 			if got := origin.receivedCount(verbFetch) - before; got != test.runs {
-				t.Errorf("ran %d times, not %d", got, test.runs)
+				t.Errorf("request ran %d times, want %d", got, test.runs)
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 		origin.listen(t)
 		client.expectAnswer(client.request("signoff", 9, 2000, "body"), "OK  done body")
 		if got := origin.receivedCount(verbFetch) - before; got != 1 {
-			t.Errorf("ran %d times after the refusal", got)
+			t.Errorf("request ran %d times after the refusal, want 1", got)
 		}
 	})
 }
--- a/cmd/fennelarch/main_test.go
+++ b/cmd/fennelarch/main_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// argumentsVariable holds the arguments of a child process that is the program itself.
+// argumentsVariable is the environment variable with the arguments of the program, when the test binary runs as the
+// program.
 const argumentsVariable = "FENNELARCH_ARGS"
 
-// testTimeout bounds the wait for what must happen at all.
+// testTimeout is how long tests wait for an event before they fail.
 const testTimeout = 10 * time.Second
 
-// TestMain is the program itself where a test has started it.
+// TestMain runs the program instead of the tests if argumentsVariable is set.
 func TestMain(m *testing.M) {
 	if arguments := os.Getenv(argumentsVariable); arguments != "" {
 		os.Args = append(os.Args[:1], strings.Fields(arguments)...)
@@ -24,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// program is a command that runs the program in a process of its own.
+// program returns a command that runs the program, as a child process from the test binary.
 func program(arguments, configPath string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(),
@@ -32,12 +33,12 @@
 	return cmd
 }
 
-// await polls a condition until it holds.
-func await(t *testing.T, what string, condition func() bool) {
+// await polls a condition until it holds, and fails the test after testTimeout.
+func await(t *testing.T, event string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("timed out waiting for %s", what)
+			t.Fatalf("timed out waiting for %s", event)
 		}
 	}
 }
--- a/cmd/fennelarch/operatorfile_test.go
+++ b/cmd/fennelarch/operatorfile_test.go
@@ -12,8 +12,9 @@
 	"fennelarch/internal/fake/redis"
 )
 
-// A store of the operator's file: a miss is filled from the parent and stored, the next request is served by the store.
-// SIGHUP applies what may change and rejects the rest with one line each, while requests are served.
+// With a store in the operator's file, a miss is filled from the parent and stored, and the store serves the next
+// request. On SIGHUP the router must apply settings that may change and reject other changes with one log line each,
+// while it serves requests.
 func TestOperatorFile(t *testing.T) {
 	store, err := redis.Start(redis.Config{InitialAge: time.Hour})
 	if err != nil {
@@ -37,7 +38,7 @@
 		return request.respond("200", fields, "of "+request.fields["key"]), false
 	})
 	client := cluster.connect()
-	await(t, "a request that the store alone serves", func() bool {
+	await(t, "a request that the store serves without the parent", func() bool {
 		fills := cluster.parent.receivedCount(verbFetch)
 		client.expectAnswer(client.request("clip", 1, 2000, ""), "OK  of "+objectKey(1))
 		time.Sleep(20 * time.Millisecond)
--- a/cmd/fennelarch/reload_test.go
+++ b/cmd/fennelarch/reload_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// At SIGHUP the discovery server at the new address is watched, from the last event on. An invalid configuration
-// changes nothing, nor do repeated signals.
+// On SIGHUP the router watches the discovery server at the new address, starting after the last event. An invalid
+// configuration and repeated signals must change nothing.
 func TestReloadMovesToOtherDiscoveryServer(t *testing.T) {
 	first, second := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	cluster := startCluster(t, first)
@@ -35,8 +35,8 @@
 	}
 }
 
-// At SIGHUP nothing but the address of the discovery server changes. Other classes, limits and another listen address
-// in the file have no effect, and one log line says so.
+// On SIGHUP only the address of the discovery server changes. Changed classes, limits and a changed listen address must
+// have no effect, which one log line reports.
 func TestReloadChangesOnlyDiscoveryAddress(t *testing.T) {
 	cluster := startCluster(t, newFakeServer(t, "s-1", "std", respondHit))
 	client := cluster.connect()
@@ -57,19 +57,20 @@
 
 	client.expectAnswer(client.request("film", 1, 2000, ""), "FAILED")
 	before := cluster.origin.receivedCount(verbFetch)
-	cluster.origin.setHandler(func(serverRequest) (string, bool) { return "", true }) // it may have run
+	cluster.origin.setHandler(func(serverRequest) (string, bool) { return "", true }) // the request may have run
 	client.expectAnswer(client.request("signoff", 1, 2000, "body"), "FAILED")
 	if got := cluster.origin.receivedCount(verbFetch) - before; got != 1 {
-		t.Errorf("a request that is not idempotent was sent %d times after the reload", got)
+		t.Errorf("non-idempotent request was sent %d times after the reload, want 1", got)
 	}
-	begun := time.Now()
+	signalledAt := time.Now()
 	cluster.signal(syscall.SIGTERM)
 	_ = client.conn.Close()
-	cluster.expectShutdown(begun, 2500*time.Millisecond)
+	cluster.expectShutdown(signalledAt, 2500*time.Millisecond)
 	cluster.expectLogged(map[string]int{"only the discovery address changes before a restart": 1})
 }
 
-// At SIGHUP no descriptor is free. The configuration is read as soon as one is, without another signal.
+// On SIGHUP no descriptor is free. The router must read the configuration once a descriptor is free, without another
+// signal.
 func TestReloadRetriesTemporaryFailure(t *testing.T) {
 	first, second := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	cluster := startCluster(t, first)
@@ -79,18 +80,18 @@
 	other.Follow(cluster.discovery.DiscoveryServer)
 	cluster.configure(other)
 
-	var usual unix.Rlimit
+	var previous unix.Rlimit
 	pid := cluster.process.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &usual); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &previous); err != nil {
 		t.Fatal(err)
 	}
-	none := unix.Rlimit{Cur: 3, Max: usual.Max}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &none, nil); err != nil {
+	noFree := unix.Rlimit{Cur: 3, Max: previous.Max}
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &noFree, nil); err != nil {
 		t.Fatal(err)
 	}
 	cluster.signal(syscall.SIGHUP)
 	time.Sleep(700 * time.Millisecond)
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &usual, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &previous, nil); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(700 * time.Millisecond)
--- a/cmd/fennelarch/serve_test.go
+++ b/cmd/fennelarch/serve_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// objectKey is how the servers' protocol writes an object.
+// objectKey returns an object's key in the servers' protocol.
 func objectKey(object int) string { return fmt.Sprintf("%016x", object) }
 
 func TestServesCachedObjects(t *testing.T) {
@@ -23,17 +23,17 @@
 	client.expectAnswer("900", "UP")
 	changed, unchanged := client.request("clip", 1, 2000, ""), client.request("clip", 2, 2000, "")
 	if got := client.awaitAnswer(changed); got[0] != "OK" || got[2] != body {
-		t.Errorf("%.60q", got)
+		t.Errorf("got answer %.60q, want OK with the body", got)
 	}
 	if got := client.awaitAnswer(unchanged); fmt.Sprint(got) != "[OK unchanged=1 ]" {
-		t.Errorf("%q", got)
+		t.Errorf("got answer %q, want unchanged", got)
 	}
 	fields := cache.received(verbFetch)[0].fields
 	for name, want := range map[string]string{
 		"class": "clip", "next": "s-parent", "cached": "00000000000000bc", "part": "0",
 	} {
 		if fields[name] != want {
-			t.Errorf("field %s is %q, not %q, in %v", name, fields[name], want, fields)
+			t.Errorf("field %s is %q, want %q, in %v", name, fields[name], want, fields)
 		}
 	}
 	await(t, "a health check", func() bool {
@@ -61,7 +61,7 @@
 	client.expectAnswer(client.request("clip", 1, 2000, ""), "BUSY holdoff=")
 }
 
-// The local cache serves what passed through the router where the request would be rejected, until that is purged.
+// When all servers are busy, the local cache serves objects that have passed through the router, until a purge.
 func TestLocalCacheServesUntilPurge(t *testing.T) {
 	cache := newFakeServer(t, "s-1", "std", func(request serverRequest) (string, bool) {
 		fields := fmt.Sprintf("sum=5,t0=%d,how=local", time.Now().UnixMilli())
@@ -79,7 +79,8 @@
 	await(t, "the purge", func() bool { return client.awaitAnswer(client.request("clip", 1, 2000, ""))[0] == "BUSY" })
 }
 
-// A cache server stops responding. Requests for the others are not delayed, and its own are retried elsewhere.
+// A cache server stops responding. Requests to it must be retried elsewhere and aborted at the silent server, and all
+// requests must be served.
 func TestSilentServerIsRoutedAround(t *testing.T) {
 	silent, healthy := newFakeServer(t, "s-1", "std", respondHit), newFakeServer(t, "s-2", "std", respondHit)
 	client := startCluster(t, silent, healthy).connect()
@@ -87,7 +88,8 @@
 		client.expectServed(object + 1)
 	}
 	if silent.receivedCount(verbFetch) < 5 || healthy.receivedCount(verbFetch) < 5 {
-		t.Fatalf("%d and %d attempts", silent.receivedCount(verbFetch), healthy.receivedCount(verbFetch))
+		t.Fatalf("servers got %d and %d attempts, want at least 5 each",
+			silent.receivedCount(verbFetch), healthy.receivedCount(verbFetch))
 	}
 	silent.setHandler(respondNothing)
 	var tags []string
@@ -98,6 +100,6 @@
 		client.expectAnswer(tag, "OK")
 	}
 	if silent.receivedCount(verbAbort) == 0 {
-		t.Error("no attempt at the silent server was aborted")
+		t.Error("no attempt was aborted at the silent server")
 	}
 }
--- a/cmd/fennelarch/shutdown_test.go
+++ b/cmd/fennelarch/shutdown_test.go
@@ -1,7 +1,7 @@
 package main
 
-// Shutdowns while something is still owed: the fake servers force the order of events, and the program must end by
-// itself afterwards. docs/endings.md has the table.
+// The tests in this file shut the router down while requests or connections are open. The fake servers force the order
+// of events, and the program must exit by itself. docs/endings.md lists the cases.
 
 import (
 	"fmt"
@@ -11,9 +11,10 @@
 	"time"
 )
 
-// SIGTERM, twice and with a SIGHUP between, while one request is at a slow cache server, half of one has come, one
-// connection is new, one is idle and one is about to send another request. What comes in time is served, each request
-// has one answer and each connection an orderly end, and nothing is forwarded after that.
+// SIGTERM arrives twice with a SIGHUP in between, while connections are in these states: waiting for a slow cache
+// server, half a request sent, unused, idle, and about to send another request. Requests that arrive in time must be
+// served, each request must get one answer, and each connection must be closed without a reset. No later request may be
+// forwarded.
 func TestShutdownWithConnectionsInEachState(t *testing.T) {
 	release := make(chan struct{})
 	cache := newFakeServer(t, "s-1", "std", respondHitButDelay(objectKey(1), release))
@@ -28,7 +29,7 @@
 	active.expectAnswer("1", "OK")
 	await(t, "the slow request", func() bool { return cache.receivedCount(verbFetch) == 2 })
 
-	begun := time.Now()
+	signalledAt := time.Now()
 	cluster.signal(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
 	time.Sleep(100 * time.Millisecond)
 	halfSent.write(message("1", 2)[50:])
@@ -43,7 +44,7 @@
 	idle.expectClose()
 
 	forwarded := cache.receivedCount(verbFetch)
-	_, _ = io.WriteString(idle.conn, message("2", 7)) // crosses the end
+	_, _ = io.WriteString(idle.conn, message("2", 7)) // races with the close
 	inFlight.write(message("2", 8))
 	inFlight.expectAnswer("2", "BUSY")
 	close(release)
@@ -53,16 +54,16 @@
 		_ = client.conn.Close()
 	}
 	_ = idle.conn.Close()
-	cluster.expectShutdown(begun, 2500*time.Millisecond)
+	cluster.expectShutdown(signalledAt, 2500*time.Millisecond)
 	if got := cache.receivedCount(verbFetch); got != forwarded {
-		t.Errorf("%d requests were forwarded that came after the end", got-forwarded)
+		t.Errorf("%d requests that came after the drain were forwarded", got-forwarded)
 	}
 	expectNoSecondAnswer(t, map[string]*testClient{
 		"in flight": inFlight, "half sent": halfSent, "active": active, "idle": idle, "unused": unused, "late": late,
 	})
 }
 
-// respondHitButDelay serves all objects at once but one, which waits for a channel to be closed.
+// respondHitButDelay returns a handler that serves one object only after a channel is closed, and all others at once.
 func respondHitButDelay(delayedKey string, release <-chan struct{}) handler {
 	return func(request serverRequest) (string, bool) {
 		if request.fields["key"] != delayedKey {
@@ -76,30 +77,30 @@
 	}
 }
 
-// message is a client's request with a tag of its own choice.
+// message encodes a client's request for an object with a given tag.
 func message(tag string, object int) string {
 	fields := fmt.Sprintf("req=%016x,timeout=2500,subject=%016x,need=30", 77+object, object)
 	return frame("DO", tag, "clip", fields, "")
 }
 
+// expectNoSecondAnswer checks that no client got two answers to a tag.
 func expectNoSecondAnswer(t *testing.T, clients map[string]*testClient) {
 	t.Helper()
 	for name, client := range clients {
 		for _, tag := range []string{"1", "2"} {
 			if count := client.answerCount(tag); count > 1 {
-				t.Errorf("client %q has %d answers under %s", name, count, tag)
+				t.Errorf("client %q got %d answers to tag %s, want at most 1", name, count, tag)
 			}
 		}
 	}
 }
 
-// At SIGTERM all requests that have been taken are answered, and those that come for a while after it, and then the
-// program ends by itself.
+// After SIGTERM the program answers all accepted requests and those that arrive for a while, and then exits by itself.
 func TestShutdownUnderLoad(t *testing.T) {
 	cache := newFakeServer(t, "s-1", "std", func(request serverRequest) (string, bool) {
 		if request.fields["key"] != objectKey(1) {
 			go func() {
-				time.Sleep(100 * time.Millisecond) // a slow server
+				time.Sleep(100 * time.Millisecond) // simulates a slow server
 				_, _ = io.WriteString(request.conn, request.respond("200", "how=local", "late"))
 			}()
 		}
@@ -114,7 +115,7 @@
 		tags = append(tags, client.request("clip", object+1, 5000, ""))
 	}
 	await(t, "ten attempts", func() bool { return cache.receivedCount(verbFetch) >= 10 })
-	begun := time.Now()
+	signalledAt := time.Now()
 	cluster.signal(syscall.SIGTERM, syscall.SIGTERM)
 	var late []*testClient
 	for object := range 5 {
@@ -125,19 +126,19 @@
 	for _, lateClient := range late {
 		lateClient.expectAnswer("1", "OK")
 	}
-	client.expectAnswer(tags[0], "") // the server never answers it
+	client.expectAnswer(tags[0], "") // the server never responds to this request
 	for _, tag := range tags[1:] {
 		client.expectAnswer(tag, "OK")
 	}
 	cluster.awaitExit()
-	took := time.Since(begun)
+	took := time.Since(signalledAt)
 	if cluster.exitErr != nil || took < 700*time.Millisecond || took > 3700*time.Millisecond {
-		t.Errorf("ended after %v with %v", took, cluster.exitErr)
+		t.Errorf("router exited after %v with error %v", took, cluster.exitErr)
 	}
 }
 
-// SIGTERM while nobody responds: cache server, parent and origin are silent, and connections to another cache server
-// never come up. Each request has its answer when its time is up, and the program ends in its time.
+// SIGTERM arrives while a cache server, the parent and the origin are silent and another cache server is unreachable.
+// Each request must be answered by its deadline, and the program must exit in time.
 func TestShutdownWhileNoServerResponds(t *testing.T) {
 	cache := newFakeServer(t, "s-1", "std", respondNothing)
 	unreachable := &fakeServer{uid: "s-2", kind: "std", address: unreachableAddress(t)}
@@ -146,14 +147,14 @@
 	cluster.origin.setHandler(respondNothing)
 	client := cluster.connect()
 	var tags []string
-	for object := range 20 { // some of them at the unreachable server
+	for object := range 20 { // some go to the unreachable server
 		tags = append(tags, client.request("clip", object+1, 800, ""))
 	}
 	write, long := client.request("signoff", 2, 2900, "body"), client.request("clip", 3, 5000, "")
 	await(t, "attempts", func() bool {
 		return cache.receivedCount(verbFetch) >= 5 && cluster.origin.receivedCount(verbFetch) >= 1
 	})
-	begun := time.Now()
+	signalledAt := time.Now()
 	cluster.signal(syscall.SIGTERM)
 	for _, tag := range tags {
 		client.expectAnswer(tag, "BUSY")
@@ -162,7 +163,7 @@
 	client.expectAnswer(long, "")
 	client.expectClose()
 	_ = client.conn.Close()
-	cluster.expectShutdown(begun, 3700*time.Millisecond)
+	cluster.expectShutdown(signalledAt, 3700*time.Millisecond)
 	writes := 0
 	for _, request := range cluster.origin.received(verbFetch) {
 		if request.fields["class"] == "signoff" {
@@ -170,12 +171,12 @@
 		}
 	}
 	if writes != 1 {
-		t.Errorf("a request that is not idempotent was sent %d times", writes)
+		t.Errorf("non-idempotent request was sent %d times, want 1", writes)
 	}
 }
 
-// SIGTERM before the first endpoint list has come, and SIGHUP after it: the program listens, rejects what it has no
-// server for, and ends.
+// SIGTERM, followed by SIGHUP, arrives before the first endpoint list. The program must reject requests, since it knows
+// no servers, and exit.
 func TestShutdownBeforeFirstEndpointList(t *testing.T) {
 	cluster := newCluster(t, newFakeServer(t, "s-1", "std", respondHit))
 	cluster.discovery.Suspend()
--- a/cmd/fennelarch/stall_test.go
+++ b/cmd/fennelarch/stall_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// The process is stopped for a while, as on a machine without a free core. A request that arrived meanwhile was in a
-// buffer of the system: its time counts from its arrival, so the server is told a shorter timeout. A request that was
-// cancelled meanwhile, or whose client has gone, reaches no server.
+// The process is stopped for a while, as on a machine without a free core. Requests that arrive meanwhile wait in
+// kernel buffers. Their time counts from their arrival, so the server must be sent a shorter timeout. A request that is
+// cancelled meanwhile, or whose client leaves, must reach no server.
 func TestRequestsThatArriveWhileStopped(t *testing.T) {
 	const (
 		timeoutMS    = 1500
 		stopped      = 600 * time.Millisecond
-		maxTimeoutMS = 900 + 150 // what is left after the stop, and a tolerance
+		maxTimeoutMS = 900 + 150 // what is left of timeoutMS after the stop, and a tolerance
 	)
 	cache := newFakeServer(t, "s-1", "std", respondHit)
 	cluster := startCluster(t, cache)
@@ -39,11 +39,11 @@
 		time.Sleep(50 * time.Millisecond)
 		for _, request := range cache.received(verbFetch)[before:] {
 			if key := request.fields["key"]; key != objectKey(2) {
-				t.Errorf("a request for %s, whose client had gone, reached a server", key)
+				t.Errorf("request for %s reached a server after its client had cancelled or left", key)
 				continue
 			}
 			if ms, _ := strconv.Atoi(request.fields["wait"]); ms > maxTimeoutMS {
-				t.Errorf("the server is told %d ms, the client has at most 900 ms left", ms)
+				t.Errorf("server was sent a timeout of %d ms, but the client has at most 900 ms left", ms)
 			}
 		}
 	}
--- a/cmd/fennelarch/startup_test.go
+++ b/cmd/fennelarch/startup_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// isFailedStart reports whether the program ended by itself with exit code 1.
+// isFailedStart reports whether an error means that the program exited with code 1.
 func isFailedStart(err error) bool {
 	var exit *exec.ExitError
 	return errors.As(err, &exit) && exit.ExitCode() == 1
@@ -21,7 +21,7 @@
 
 func TestInvalidConfigurationEndsStart(t *testing.T) {
 	for name, text := range map[string]string{
-		"empty": "", "cut off": "{", "incomplete": `{"listen":"127.0.0.1:1"}`,
+		"empty": "", "truncated": "{", "incomplete": `{"listen":"127.0.0.1:1"}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -30,7 +30,7 @@
 			}
 			output, err := program("serve", path).CombinedOutput()
 			if !isFailedStart(err) || bytes.Count(output, []byte("\n")) != 1 {
-				t.Errorf("%v, %s", err, output)
+				t.Errorf("got error %v and output %s, want exit code 1 and one line", err, output)
 			}
 		})
 	}
@@ -39,13 +39,13 @@
 func TestVersion(t *testing.T) {
 	output, err := program("version", "").CombinedOutput()
 	if err != nil || !strings.HasPrefix(string(output), "fennelarch ") {
-		t.Errorf("%v, %s", err, output)
+		t.Errorf("got error %v and output %s", err, output)
 	}
 }
 
-// What fails temporarily at the start is retried: the address is still in use, the file is just being written.
+// Temporary failures at startup must be retried, such as an address in use or a file that is being written.
 func TestStartRetriesTemporaryFailures(t *testing.T) {
-	const moment = 700 * time.Millisecond
+	const failureTime = 700 * time.Millisecond
 	for name, fail := range map[string]func(t *testing.T, cluster *testCluster){
 		"address in use": func(t *testing.T, cluster *testCluster) {
 			t.Helper()
@@ -53,14 +53,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			time.AfterFunc(moment, func() { _ = listener.Close() })
+			time.AfterFunc(failureTime, func() { _ = listener.Close() })
 		},
-		"half a configuration": func(t *testing.T, cluster *testCluster) {
+		"configuration half written": func(t *testing.T, cluster *testCluster) {
 			t.Helper()
-			whole := cluster.readConfig()
-			cluster.writeConfig(whole[:len(whole)/2])
-			time.AfterFunc(moment/7, func() {
-				_ = os.WriteFile(cluster.configPath+".new", []byte(whole), 0o600)
+			fullText := cluster.readConfig()
+			cluster.writeConfig(fullText[:len(fullText)/2])
+			time.AfterFunc(failureTime/7, func() {
+				_ = os.WriteFile(cluster.configPath+".new", []byte(fullText), 0o600)
 				_ = os.Rename(cluster.configPath+".new", cluster.configPath)
 			})
 		},
@@ -69,11 +69,11 @@
 			cluster := newCluster(t, newFakeServer(t, "s-1", "std", respondHit))
 			fail(t, cluster)
 			cluster.startWithoutWaiting()
-			begun := time.Now()
-			time.Sleep(moment + 100*time.Millisecond)
+			startedAt := time.Now()
+			time.Sleep(failureTime + 100*time.Millisecond)
 			select {
 			case <-cluster.exited:
-				t.Fatalf("it ended after %v with %v: %s", time.Since(begun), cluster.exitErr, cluster.log.String())
+				t.Fatalf("router exited after %v with error %v: %s", time.Since(startedAt), cluster.exitErr, cluster.log.String())
 			default:
 			}
 			cluster.connect().expectServed(1)
@@ -86,11 +86,11 @@
 	}
 }
 
-// A permanent failure ends the start at once, with one line.
+// A permanent failure must end the program at once.
 func TestStartEndsAtPermanentFailure(t *testing.T) {
-	begun := time.Now()
+	startedAt := time.Now()
 	output, err := program("serve", filepath.Join(t.TempDir(), "nowhere.json")).CombinedOutput()
-	if took := time.Since(begun); !isFailedStart(err) || took > 2*time.Second {
-		t.Errorf("%v after %v: %s", err, took, output)
+	if took := time.Since(startedAt); !isFailedStart(err) || took > 2*time.Second {
+		t.Errorf("got error %v after %v: %s", err, took, output)
 	}
 }
--- a/cmd/fennelarch/startupretry_test.go
+++ b/cmd/fennelarch/startupretry_test.go
@@ -15,16 +15,16 @@
 	noDescriptor := fmt.Errorf("open config.json: %w", syscall.ENFILE)
 	invalid, invalidElsewhere := errors.New("line 4: unexpected end"), errors.New("line 9: unexpected end")
 	for name, test := range map[string]struct {
-		errs []error // in the order of the attempts
+		errs []error // errors of the successive loads
 		want retryAction
 	}{
-		"no descriptor, repeatedly":          {[]error{noDescriptor, noDescriptor, noDescriptor}, retrySoon},
-		"half a file":                        {[]error{invalid}, rereadFile},
-		"a file that still grows":            {[]error{invalid, invalidElsewhere}, rereadFile},
-		"an invalid file":                    {[]error{invalid, invalid}, giveUp},
-		"an invalid file, and no descriptor": {[]error{invalid, noDescriptor, invalid}, giveUp},
-		"no file":                            {[]error{fmt.Errorf("open: %w", fs.ErrNotExist)}, giveUp},
-		"no permission":                      {[]error{fmt.Errorf("open: %w", syscall.EACCES)}, giveUp},
+		"no descriptor, repeatedly":        {[]error{noDescriptor, noDescriptor, noDescriptor}, retrySoon},
+		"half-written file":                {[]error{invalid}, rereadFile},
+		"file that still grows":            {[]error{invalid, invalidElsewhere}, rereadFile},
+		"invalid file":                     {[]error{invalid, invalid}, giveUp},
+		"invalid file, then no descriptor": {[]error{invalid, noDescriptor, invalid}, giveUp},
+		"missing file":                     {[]error{fmt.Errorf("open: %w", fs.ErrNotExist)}, giveUp},
+		"no permission":                    {[]error{fmt.Errorf("open: %w", syscall.EACCES)}, giveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var policy retryPolicy
@@ -33,7 +33,7 @@
 				got = policy.classifyError(err)
 			}
 			if got != test.want {
-				t.Errorf("%d, not %d", got, test.want)
+				t.Errorf("got action %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -41,7 +41,7 @@
 
 func TestStartupRetryEndsWithSuccessOrDeadline(t *testing.T) {
 	retry := newStartupRetry()
-	retry.isLogged = true // no line among the test's
+	retry.isLogged = true // keeps the line out of the test output
 	calls := 0
 	err := retry.load(func() error {
 		if calls++; calls < 3 {
@@ -50,15 +50,15 @@
 		return nil
 	})
 	if err != nil || calls != 3 {
-		t.Errorf("%v after %d calls", err, calls)
+		t.Errorf("got error %v after %d calls, want success after 3", err, calls)
 	}
 	retry.deadline = time.Now()
 	if err := retry.load(func() error { return syscall.EMFILE }); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("past the deadline: %v", err)
+		t.Errorf("after the deadline: got error %v", err)
 	}
 }
 
-// A file that fails temporarily is retried until it is applied; one that is rejected is not retried.
+// A file that fails temporarily must be retried until it is applied. A file that is rejected must not be retried.
 func TestReloaderRetriesEachFile(t *testing.T) {
 	reloads := newReloader(zap.NewNop())
 	calls := 0
@@ -79,6 +79,6 @@
 		reloads.reload(file)
 	}
 	if due, _ := reloads.nextRetry(); calls != 3 || due != nil {
-		t.Errorf("applied after %d attempts, still waiting: %v", calls, due != nil)
+		t.Errorf("applied after %d tries, retry pending: %v", calls, due != nil)
 	}
 }
