--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -1,6 +1,7 @@
 package main
 
-// This file constructs the parts of a router, in the order in which they depend on each other.
+// This file constructs the parts of a router, in the order in which they depend on each other. Every constructor of
+// another package is called here.
 
 import (
 	"context"
@@ -101,7 +102,7 @@
 		Names:                   r.config.Names,
 		ReportsWithHealthChecks: r.config.Routing.ReportChannel == routing.ReportsWithHealthChecks,
 		Post:                    r.stores.upstreamPost(r.post),
-		// A function literal, because the frontend is created after the pool. Both exist before an endpoint is known.
+		// The frontend is created after the pool, but before any endpoint is known.
 		OnDescriptorShortage: func() { r.frontend.ReportDescriptorShortage() },
 		Monitor:              r.monitor,
 		Log:                  r.log,
--- a/cmd/fennelarch/client_test.go
+++ b/cmd/fennelarch/client_test.go
@@ -16,9 +16,9 @@
 
 // testClient is a client connection to the router.
 type testClient struct {
-	t    *testing.T
-	conn net.Conn
-	tag  int // tag of the last request
+	t       *testing.T
+	conn    net.Conn
+	lastTag int // tag of the last request
 
 	mu       sync.Mutex
 	answers  map[string][][]string // by tag
@@ -69,8 +69,8 @@
 // request sends a request for an object, with a timeout in milliseconds, and returns its tag.
 func (c *testClient) request(class string, object, timeoutMS int, body string) string {
 	c.t.Helper()
-	c.tag++
-	tag := strconv.Itoa(c.tag)
+	c.lastTag++
+	tag := strconv.Itoa(c.lastTag)
 	fields := fmt.Sprintf("req=%016x,timeout=%d,subject=%016x,piece=0,lot=1,need=30,ver=00000000000000bc",
 		time.Now().UnixNano(), timeoutMS, object)
 	c.write(frame("DO", tag, class, fields, body))
--- a/cmd/fennelarch/idempotency_test.go
+++ b/cmd/fennelarch/idempotency_test.go
@@ -11,10 +11,10 @@
 		return request.respond("200", "sum=5,t0=1", "done "+request.body), false
 	}
 	for index, test := range []struct {
-		name   string
-		handle handler
-		runs   int
-		want   string
+		name     string
+		handle   handler
+		attempts int
+		want     string
 	}{
 		{"served", run, 1, "OK  done body"},
 		{"connection closed", func(serverRequest) (string, bool) { return "", true }, 1, "FAILED"},
@@ -34,8 +34,8 @@
 			before := origin.receivedCount(verbFetch)
 			origin.setHandler(test.handle)
 			client.expectAnswer(client.request("signoff", index+1, 2000, "body"), test.want)
-			if got := origin.receivedCount(verbFetch) - before; got != test.runs {
-				t.Errorf("request ran %d times, want %d", got, test.runs)
+			if got := origin.receivedCount(verbFetch) - before; got != test.attempts {
+				t.Errorf("origin got %d attempts, want %d", got, test.attempts)
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 		origin.listen(t)
 		client.expectAnswer(client.request("signoff", 9, 2000, "body"), "OK  done body")
 		if got := origin.receivedCount(verbFetch) - before; got != 1 {
-			t.Errorf("request ran %d times after the refusal, want 1", got)
+			t.Errorf("origin got %d attempts after the refusal, want 1", got)
 		}
 	})
 }
--- a/cmd/fennelarch/serve.go
+++ b/cmd/fennelarch/serve.go
@@ -54,14 +54,14 @@
 	serveResult chan error // receives the error of the frontend, which ends only if its listener fails
 }
 
-// controlSignals are the signals that control a router.
+// controlSignals holds the channels that deliver the signals for a router.
 type controlSignals struct {
 	reload chan os.Signal
 	stop   chan os.Signal
 	dump   chan os.Signal
 }
 
-// notifyControlSignals starts to receive the signals.
+// notifyControlSignals registers the channels for their signals.
 func notifyControlSignals() controlSignals {
 	signals := controlSignals{
 		reload: make(chan os.Signal, 1),
--- a/cmd/fennelarch/startupretry.go
+++ b/cmd/fennelarch/startupretry.go
@@ -37,8 +37,8 @@
 // retryPolicy decides whether to retry one file, from the errors of its successive loads.
 type retryPolicy struct{ lastContentError string }
 
-// classifyError returns the reaction to an error. An error that occurs again unchanged is permanent, unless the system
-// lacks a resource.
+// classifyError returns the reaction to an error. A missing file, a missing permission and the second occurrence of the
+// same content error are permanent.
 func (p *retryPolicy) classifyError(err error) retryAction {
 	if system.Temporary(err) {
 		return retrySoon
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -10,11 +10,12 @@
 	"go.uber.org/zap"
 )
 
+// Servers whose names tell how their location relates to that of baseServer.
 var (
-	here      = Server{Endpoint: 1, Zone: 1, Cell: 1}
-	sameCell  = Server{Endpoint: 2, Zone: 1, Cell: 1}
-	sameZone  = Server{Endpoint: 3, Zone: 1, Cell: 2}
-	otherZone = Server{Endpoint: 4, Zone: 2, Cell: 1}
+	baseServer = Server{Endpoint: 1, Zone: 1, Cell: 1}
+	sameCell   = Server{Endpoint: 2, Zone: 1, Cell: 1}
+	sameZone   = Server{Endpoint: 3, Zone: 1, Cell: 2}
+	otherZone  = Server{Endpoint: 4, Zone: 2, Cell: 1}
 )
 
 func newMonitor() *Monitor {
--- a/internal/invariant/repeat_test.go
+++ b/internal/invariant/repeat_test.go
@@ -25,20 +25,20 @@
 		want   SendDenial
 	}{
 		{"idempotent", idempotent, otherZone, time.Second, false, SendAllowed},
-		{"not idempotent", nonIdempotent, here, 0, false, SendRepeatUnsafe},
+		{"not idempotent", nonIdempotent, baseServer, 0, false, SendRepeatUnsafe},
 		{"not idempotent, did not run", nonIdempotent, otherZone, 0, true, SendAllowed},
 		{"with key, in its cell", withKey(routing.ScopeCell), sameCell, 0, false, SendAllowed},
 		{"with key, out of its cell", withKey(routing.ScopeCell), sameZone, 0, false, SendRepeatUnsafe},
 		{"with key, in its zone", withKey(routing.ScopeZone), sameZone, 0, false, SendAllowed},
 		{"with key, out of its zone", withKey(routing.ScopeZone), otherZone, 0, false, SendRepeatUnsafe},
 		{"with key, anywhere", withKey(routing.ScopeAll), otherZone, 0, false, SendAllowed},
-		{"with key, after its window", withKey(routing.ScopeAll), here, time.Second, false, SendRepeatUnsafe},
+		{"with key, after its window", withKey(routing.ScopeAll), baseServer, time.Second, false, SendRepeatUnsafe},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			request := newMonitor().NewRequest(7, now.Add(time.Minute), testCase.policy)
-			request.Begin(Attempt{Server: here}, now)
+			request.Begin(Attempt{Server: baseServer}, now)
 			if testCase.notRun {
-				request.MarkNotRun(0, here.Endpoint)
+				request.MarkNotRun(0, baseServer.Endpoint)
 			}
 			got := request.Begin(Attempt{Number: 1, Server: testCase.to}, now.Add(testCase.later))
 			if got != testCase.want {
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -45,7 +45,8 @@
 	return r.end == EndOpen
 }
 
-// End ends the request and reports whether the request was still open. A response may be written only if so.
+// End ends the request and reports whether the request was still open. A response may be written only if End returns
+// true.
 func (r *Request) End(reason EndReason, now time.Time) bool {
 	if r == nil {
 		return true
@@ -88,8 +89,8 @@
 	return false
 }
 
-// Begin asks to begin an attempt, immediately before its first byte is written. Once allowed, the attempt counts as
-// one that may have run, until MarkNotRun reports proof of the opposite.
+// Begin checks whether an attempt may begin and records the attempt if so. The caller calls Begin immediately before it
+// writes the first byte. From then on the attempt counts as one that may have run, until MarkNotRun is called.
 func (r *Request) Begin(attempt Attempt, now time.Time) SendDenial {
 	if r == nil {
 		if attempt.isStartBoundPassed(now) {
@@ -109,7 +110,7 @@
 	return SendAllowed
 }
 
-// checkBegin returns why an attempt may not begin, or SendAllowed.
+// checkBegin returns why an attempt may not begin, or SendAllowed. An unsafe repeat is also a violation.
 func (r *Request) checkBegin(attempt Attempt, now time.Time) SendDenial {
 	switch {
 	case r.end != EndOpen:
--- a/internal/invariant/request_test.go
+++ b/internal/invariant/request_test.go
@@ -12,10 +12,10 @@
 	now := time.Now()
 	monitor := newMonitor()
 	request := monitor.NewRequest(7, now.Add(time.Second), RepeatPolicy{})
-	if denial := request.Begin(Attempt{Server: here, Deadline: time.Second}, now); denial != SendAllowed {
+	if denial := request.Begin(Attempt{Server: baseServer, Deadline: time.Second}, now); denial != SendAllowed {
 		t.Error(denial)
 	}
-	request.Complete(0, here.Endpoint, now.Add(time.Millisecond))
+	request.Complete(0, baseServer.Endpoint, now.Add(time.Millisecond))
 	if !request.End(EndServed, now) || request.IsOpen() {
 		t.Error("request did not end")
 	}
@@ -37,9 +37,9 @@
 		attempt Attempt
 		want    SendDenial
 	}{
-		{"after the end", time.Second, true, Attempt{Number: 1, Server: here}, SendRequestEnded},
-		{"at the deadline", time.Millisecond, false, Attempt{Server: here}, SendDeadlinePassed},
-		{"after its start bound", time.Second, false, Attempt{Server: here, NotAfter: now}, SendBoundPassed},
+		{"after the end", time.Second, true, Attempt{Number: 1, Server: baseServer}, SendRequestEnded},
+		{"at the deadline", time.Millisecond, false, Attempt{Server: baseServer}, SendDeadlinePassed},
+		{"after its start bound", time.Second, false, Attempt{Server: baseServer, NotAfter: now}, SendBoundPassed},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			monitor := newMonitor()
--- a/internal/invariant/violation_test.go
+++ b/internal/invariant/violation_test.go
@@ -28,7 +28,7 @@
 func after(d time.Duration) time.Time { return arrival.Add(d) }
 
 func plantedAttempt(number routing.AttemptNumber) Attempt {
-	return Attempt{Number: number, Server: here, NotAfter: after(time.Second), Deadline: 2 * time.Second}
+	return Attempt{Number: number, Server: baseServer, NotAfter: after(time.Second), Deadline: 2 * time.Second}
 }
 
 func plantedRequest(m *Monitor, idempotency routing.Idempotency) *Request {
@@ -43,26 +43,26 @@
 		request := plantedRequest(m, routing.Idempotent)
 		request.Begin(plantedAttempt(0), arrival)
 		request.End(EndCancelled, arrival)
-		request.Complete(0, here.Endpoint, after(EndSlack+time.Millisecond))
+		request.Complete(0, baseServer.Endpoint, after(EndSlack+time.Millisecond))
 	},
 	AttemptAfterDeadline: func(m *Monitor) {
 		request := m.NewRequest(7, after(10*time.Millisecond), RepeatPolicy{})
-		request.Begin(Attempt{Server: here}, arrival)
-		request.Complete(0, here.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
+		request.Begin(Attempt{Server: baseServer}, arrival)
+		request.Complete(0, baseServer.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
 	},
 	AttemptAfterBound: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		attempt := plantedAttempt(0)
 		attempt.NotAfter, attempt.Deadline = arrival, time.Second
 		request.Begin(attempt, arrival)
-		request.Complete(0, here.Endpoint, after(StartBoundSlack+time.Millisecond))
+		request.Complete(0, baseServer.Endpoint, after(StartBoundSlack+time.Millisecond))
 	},
 	DeadlineTooLong: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		attempt := plantedAttempt(0)
 		attempt.Deadline = 2*time.Second + DeadlineSlack + time.Millisecond
 		request.Begin(attempt, arrival)
-		request.Complete(0, here.Endpoint, arrival)
+		request.Complete(0, baseServer.Endpoint, arrival)
 	},
 	RepeatUnsafe: func(m *Monitor) {
 		request := plantedRequest(m, routing.NonIdempotent)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -64,7 +64,7 @@
 	StoreSilenceTimeout time.Duration // time after which a shared store that sends nothing is disconnected
 
 	// Attempts.
-	AttemptStartWithin  time.Duration // time within which the first byte of an attempt must be sent
+	AttemptStartWithin  time.Duration // time from the routing decision to the first byte of an attempt
 	DrainingStartWithin time.Duration // the same if the endpoint, or the source of a fill, is draining
 	ForgetAfter         time.Duration // time after which endpoints that are gone and old attempts are forgotten
 
@@ -155,12 +155,12 @@
 
 // setDescriptors divides the descriptors. Larger shares leave too few for the log, discovery and the runtime.
 func (l *Limits) setDescriptors(inputs *Inputs) {
-	l.ClientConnections = inputs.Sockets * 2 / 5   // if lower, clients are rejected although descriptors are free
-	l.RejectedConnections = inputs.Sockets / 32    // if lower, clients may be closed before they read the rejection
-	l.UpstreamConnections = inputs.Sockets * 2 / 5 // if lower, attempts share connections and fail together
-	l.ConnectionsPerEndpoint = inputs.Sockets / 8  // if higher, one slow endpoint uses up the connections of all
-	l.Redials = 8                                  // if lower, a brief shortage fails attempts; if higher, it delays them
-	l.StreamsPerConnection = inputs.StreamsPerConnection
+	l.ClientConnections = inputs.Sockets * 2 / 5         // if lower, clients are rejected although descriptors are free
+	l.RejectedConnections = inputs.Sockets / 32          // if lower, clients may be closed before they read the rejection
+	l.UpstreamConnections = inputs.Sockets * 2 / 5       // if lower, attempts share connections and fail together
+	l.ConnectionsPerEndpoint = inputs.Sockets / 8        // if higher, one slow endpoint uses up the connections of all
+	l.Redials = 8                                        // if lower, a brief shortage of descriptors fails attempts
+	l.StreamsPerConnection = inputs.StreamsPerConnection // if higher, a broken connection fails more attempts
 }
 
 // setFrames sets the limits on what clients and servers send. Values that are too low make valid messages fail.
@@ -175,11 +175,11 @@
 
 // setMemory divides the memory. Larger sizes let the process exceed its memory.
 func (l *Limits) setMemory(inputs *Inputs) {
-	l.ClientReadBuffer = 64 << 10    // if lower, a large request does not fit and the connection is closed
-	l.ClientWriteBuffer = 32 << 10   // if lower, a large response takes more writes
-	l.UpstreamReadBuffer = 256 << 10 // if lower, a large response does not fit and the connection is closed
-	l.UpstreamWriteBuffer = 64 << 10 // if lower, a large attempt takes more writes
-	l.LocalCacheBytes = inputs.memoryBytes() / 4
+	l.ClientReadBuffer = 64 << 10                            // if lower, connections with a large request are closed
+	l.ClientWriteBuffer = 32 << 10                           // if lower, a large response takes more writes
+	l.UpstreamReadBuffer = 256 << 10                         // if lower, connections with a large response are closed
+	l.UpstreamWriteBuffer = 64 << 10                         // if lower, a large attempt takes more writes
+	l.LocalCacheBytes = inputs.memoryBytes() / 4             // if lower, fewer requests are served while servers are busy
 	l.ResponseBacklogBytes = int64(inputs.memoryBytes()) / 6 // if lower, slow readers lose responses
 	l.DiscoveryPageBytes = 4 << 20                           // if lower, a long endpoint list is cut off
 }
@@ -204,7 +204,7 @@
 }
 
 func (l *Limits) setUpstreamConnections(inputs *Inputs) {
-	l.ConnectTimeout = inputs.ConnectTimeout
+	l.ConnectTimeout = inputs.ConnectTimeout            // if lower, slow servers are unreachable; if higher, attempts wait
 	l.SlowConnect = inputs.ConnectTimeout / 8           // if higher, attempts wait for connections that never come up
 	l.UpstreamIdleTimeout = inputs.IdleTimeout * 8 / 10 // if higher, an attempt may meet the server's own idle close
 	l.RequestWriteTimeout = 100 * time.Millisecond      // if higher, a late attempt names a deadline that is too long
@@ -219,7 +219,7 @@
 }
 
 func (l *Limits) setDiscovery() {
-	l.PollHold = 2 * time.Second
+	l.PollHold = 2 * time.Second                // if lower, the server is polled more often without news
 	l.PollTimeout = 2500 * time.Millisecond     // must exceed PollHold, or polls without news fail
 	l.PollStallTimeout = 500 * time.Millisecond // if lower, a pause ends a good response; if higher, news waits
 	l.PollPageTimeout = 4 * time.Second         // if lower, a slow server never completes a page
@@ -236,7 +236,8 @@
 	l.DescriptorShortageAfter = 100 * time.Millisecond // if lower, a brief shortage rejects connections
 	l.RecheckInterval = 5 * time.Millisecond           // if lower, polling uses CPU; if higher, it adds delay
 	l.ShutdownLinger = 700 * time.Millisecond          // if lower, requests on their way at the signal are lost
+	// If lower, requests fail before their deadlines; if higher, the platform's kill interrupts them.
 	l.ShutdownGrace = min(inputs.LongestDeadline, 3*time.Second) + 450*time.Millisecond
-	l.FlushTimeout = 150 * time.Millisecond // ShutdownGrace and FlushTimeout must end before the platform's kill
+	l.FlushTimeout = 150 * time.Millisecond // if lower, the last responses are lost; if higher, the kill interrupts them
 	l.SummaryInterval = 5 * time.Second     // if lower, summaries fill the log
 }
