--- a/cmd/fennelarch/idempotency_test.go
+++ b/cmd/fennelarch/idempotency_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request that is not idempotent runs once at the most, wherever its attempt breaks, and is retried once it provably
-// did not run.
+// A non-idempotent request must run at most once, however its attempt fails, and must be retried if it provably did not
+// run.
 func TestNonIdempotentRequestRunsAtMostOnce(t *testing.T) {
 	cluster := startCluster(t, newFakeServer(t, "s-1", "std", respondHit))
 	origin, client := cluster.origin, cluster.connect()
@@ -11,10 +11,10 @@
 		return request.respond("200", "sum=5,t0=1", "done "+request.body), false
 	}
 	for index, test := range []struct {
-		name   string
-		handle handler
-		runs   int
-		want   string
+		name     string
+		handle   handler
+		attempts int
+		want     string
 	}{
 		{"served", run, 1, "OK  done body"},
 		{"connection closed", func(serverRequest) (string, bool) { return "", true }, 1, "FAILED"},
@@ -34,8 +34,8 @@
 			before := origin.receivedCount(verbFetch)
 			origin.setHandler(test.handle)
 			client.expectAnswer(client.request("signoff", index+1, 2000, "body"), test.want)
-			if got := origin.receivedCount(verbFetch) - before; got != test.runs {
-				t.Errorf("ran %d times, not %d", got, test.runs)
+			if got := origin.receivedCount(verbFetch) - before; got != test.attempts {
+				t.Errorf("origin got %d attempts, want %d", got, test.attempts)
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 		origin.listen(t)
 		client.expectAnswer(client.request("signoff", 9, 2000, "body"), "OK  done body")
 		if got := origin.receivedCount(verbFetch) - before; got != 1 {
-			t.Errorf("ran %d times after the refusal", got)
+			t.Errorf("origin got %d attempts after the refusal, want 1", got)
 		}
 	})
 }
--- a/internal/invariant/violation_test.go
+++ b/internal/invariant/violation_test.go
@@ -7,27 +7,28 @@
 	"fennelarch/policy/routing"
 )
 
-// Each kind of violation counts when it is planted, and nothing else does.
+// Each planted violation is counted once under its kind, and no other kind is counted.
 func TestPlantedViolationsAreCounted(t *testing.T) {
-	for kind := range violationKinds {
+	for kind := range violationKindCount {
 		t.Run(kind.String(), func(t *testing.T) {
 			monitor := newMonitor()
 			plantedViolations[kind](monitor)
 			counts, _ := monitor.Counts()
 			if monitor.Violations() != 1 || counts[kind.String()] != 1 {
-				t.Errorf("counted %v", counts)
+				t.Errorf("got violations %v, want one of this kind", counts)
 			}
 		})
 	}
 }
 
-// arrival is when planted requests arrive.
+// arrival is the time at which the planted requests arrive.
 var arrival = time.Now()
 
+// after returns the time at a duration after arrival.
 func after(d time.Duration) time.Time { return arrival.Add(d) }
 
 func plantedAttempt(number routing.AttemptNumber) Attempt {
-	return Attempt{Number: number, Server: here, NotAfter: after(time.Second), Deadline: 2 * time.Second}
+	return Attempt{Number: number, Server: baseServer, NotAfter: after(time.Second), Deadline: 2 * time.Second}
 }
 
 func plantedRequest(m *Monitor, idempotency routing.Idempotency) *Request {
@@ -36,32 +37,32 @@
 	})
 }
 
-// plantedViolations causes one violation of each kind.
-var plantedViolations = [violationKinds]func(m *Monitor){
+// plantedViolations holds a function per kind, which causes one violation of that kind.
+var plantedViolations = [violationKindCount]func(m *Monitor){
 	AttemptAfterEnd: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		request.Begin(plantedAttempt(0), arrival)
 		request.End(EndCancelled, arrival)
-		request.Complete(0, here.Endpoint, after(EndSlack+time.Millisecond))
+		request.Complete(0, baseServer.Endpoint, after(EndSlack+time.Millisecond))
 	},
 	AttemptAfterDeadline: func(m *Monitor) {
 		request := m.NewRequest(7, after(10*time.Millisecond), RepeatPolicy{})
-		request.Begin(Attempt{Server: here}, arrival)
-		request.Complete(0, here.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
+		request.Begin(Attempt{Server: baseServer}, arrival)
+		request.Complete(0, baseServer.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
 	},
 	AttemptAfterBound: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		attempt := plantedAttempt(0)
 		attempt.NotAfter, attempt.Deadline = arrival, time.Second
 		request.Begin(attempt, arrival)
-		request.Complete(0, here.Endpoint, after(GraceSlack+time.Millisecond))
+		request.Complete(0, baseServer.Endpoint, after(StartBoundSlack+time.Millisecond))
 	},
 	DeadlineTooLong: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		attempt := plantedAttempt(0)
 		attempt.Deadline = 2*time.Second + DeadlineSlack + time.Millisecond
 		request.Begin(attempt, arrival)
-		request.Complete(0, here.Endpoint, arrival)
+		request.Complete(0, baseServer.Endpoint, arrival)
 	},
 	RepeatUnsafe: func(m *Monitor) {
 		request := plantedRequest(m, routing.NonIdempotent)
