--- a/cmd/fennelarch/admission.go
+++ b/cmd/fennelarch/admission.go
@@ -23,20 +23,20 @@
 	if section == nil {
 		return admission.Settings{SendRetryAfter: cfg.Routing.RetryAfter, MaxRetryAfter: cfg.Routing.MaxRetryAfter}, nil
 	}
-	known, err := parseNetworks(section.Known)
+	known, err := parseNetworks(section.KnownClients)
 	if err != nil {
 		return admission.Settings{}, err
 	}
 	settings := admission.Settings{
-		Reserve:             section.Reserve,
-		ConnectionsPerPeer:  section.PerAddress,
-		NewPerPeerPerSecond: section.NewPerSecond,
+		Reserve:             section.ReservedConnections,
+		ConnectionsPerPeer:  section.ConnectionsPerAddress,
+		NewPerPeerPerSecond: section.NewConnectionsPerSecond,
 		Burst:               section.Burst,
 		RequestsPerPeer:     section.RequestsPerAddress,
 		MaxRequests:         section.Requests,
-		MaxHandshakes:       section.Handshakes,
+		MaxHandshakes:       section.MaxHandshakes,
 		HandshakeCPU:        section.HandshakeCPU,
-		MaxRememberedPeers:  section.Remember,
+		MaxRememberedPeers:  section.MaxRemembered,
 		SendRetryAfter:      cfg.Routing.RetryAfter,
 		MaxRetryAfter:       cfg.Routing.MaxRetryAfter,
 		IsKnown:             func(peer admission.Peer) bool { return isInNetworks(peer, known) },
--- a/cmd/fennelarch/assemble.go
+++ b/cmd/fennelarch/assemble.go
@@ -43,7 +43,7 @@
 	for _, class := range cfg.Routing.Classes {
 		inputs.LongestDeadline = max(inputs.LongestDeadline, class.Deadline)
 	}
-	return limits.From(inputs)
+	return limits.Derive(inputs)
 }
 
 // assemble creates the parts of the router and connects them. No part reads from a socket before start is called.
@@ -80,14 +80,14 @@
 	for _, store := range file.Stores {
 		list = append(list, sharedstore.Store{
 			UID: store.UID, Addresses: store.Addresses, Listed: store.Listed, Weight: store.Weight, Prefix: store.Prefix,
-			TLS:         store.Secure,
+			TLS:         store.TLSConfig,
 			Credentials: sharedstore.Credentials{User: store.User, Password: store.Password, Database: store.Database},
 		})
 	}
 	return sharedStores{sharedstore.New(sharedstore.Options{
 		Limits:    r.limits,
 		Routing:   r.config.Routing,
-		Decisions: sharedStoreSettings(file, r.config, r.limits),
+		Policy:    sharedStoreSettings(file, r.config, r.limits),
 		Seed:      r.config.Seed,
 		Stores:    list,
 		StartedAt: r.startedAt,
@@ -117,7 +117,7 @@
 		StartTime:   r.startedAt,
 		Transport:   r.stores.wrap(r.upstream),
 		LocalCache: engine.LocalCacheSettings{
-			Bytes:              r.limits.LocalCacheBytes,
+			MaxBytes:           r.limits.LocalCacheBytes,
 			FlowBytesPerSecond: r.config.FlowBytesPerSecond,
 			LinkBytesPerSecond: r.config.LinkBytesPerSecond,
 			MaxTransferTime:    r.limits.ForgetAfter,
@@ -163,7 +163,7 @@
 		Log:       r.log,
 		OnCurrent: r.stores.discoveryCurrent,
 		OnGap:     r.stores.discoveryGap,
-		Stalls:    r.monitor.Watch(),
+		Stalls:    r.monitor.StallDetector(),
 	})
 }
 
@@ -174,7 +174,7 @@
 		return
 	}
 	known, parseErr := discovery.ParseKnown(r.config.KnownEvents)
-	applyErr := r.watcher.Apply(&known, engine.AgeBeforeStart, func(message engine.Message) {
+	applyErr := r.watcher.Apply(&known, engine.MaxAgeBeforeStart, func(message engine.Message) {
 		r.engine.Handle(0, engine.Event{Message: r.stores.translateEvent(message)})
 	})
 	if err := errors.Join(parseErr, applyErr); err != nil {
--- a/cmd/fennelarch/cluster_test.go
+++ b/cmd/fennelarch/cluster_test.go
@@ -92,7 +92,7 @@
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"8c1f30d27a5be964",
 	  "limits":{"cores":1,"memory_mb":192,"sockets":1024},
 	  "bulletin":%q,"flow_bytes_per_s":310000,"link_bytes_per_s":620000,"known":%s,"settings":%s}`,
-		c.listen, discovery.Address, c.discovery.First(), settingsText)
+		c.listen, discovery.Address, c.discovery.FirstEvent(), settingsText)
 }
 
 func (c *testCluster) writeConfig(text string) {
@@ -115,7 +115,7 @@
 func (c *testCluster) setKnownEvents(known string) {
 	c.t.Helper()
 	text := c.readConfig()
-	changed := strings.Replace(text, `"known":`+c.discovery.First(), `"known":`+known, 1)
+	changed := strings.Replace(text, `"known":`+c.discovery.FirstEvent(), `"known":`+known, 1)
 	if changed == text {
 		c.t.Fatal("configuration has no known events")
 	}
--- a/cmd/fennelarch/discovery_test.go
+++ b/cmd/fennelarch/discovery_test.go
@@ -17,7 +17,7 @@
 	cluster.discovery.publish(stateDraining, draining)
 	cluster.discovery.publish(stateGone, gone)
 	time.Sleep(400 * time.Millisecond) // past the grace of 0.3 s
-	cluster.setKnownEvents(cluster.discovery.Known())
+	cluster.setKnownEvents(cluster.discovery.KnownEvents())
 	cluster.start()
 	client := cluster.connect()
 	for object := range 60 {
--- a/cmd/fennelarch/main.go
+++ b/cmd/fennelarch/main.go
@@ -49,7 +49,7 @@
 	if err := checkStoresUsable(operatorFile, cfg); err != nil {
 		return err
 	}
-	// The output of check is stable, so it keeps the word tariffs for request classes.
+	// The output of check is stable, so it keeps the platform's word for request classes.
 	fmt.Printf("%s on %s: %d tariffs, %g cores, %d MB, %d sockets\n",
 		cfg.Name, cfg.Listen, len(cfg.Routing.Classes), cfg.Cores, cfg.MemoryMB, cfg.Sockets)
 	for _, store := range operatorFile.Stores {
@@ -68,7 +68,7 @@
 		}
 		text += " " + info.GoVersion
 	}
-	if system.Faulty {
+	if system.InjectsFaults {
 		text += " with injected faults, not for service"
 	}
 	_, err := fmt.Println(text)
--- a/cmd/fennelarch/operatorfile_test.go
+++ b/cmd/fennelarch/operatorfile_test.go
@@ -42,7 +42,7 @@
 		fills := cluster.parent.receivedCount(verbFetch)
 		client.expectAnswer(client.request("clip", 1, 2000, ""), "OK  of "+objectKey(1))
 		time.Sleep(20 * time.Millisecond)
-		return cluster.parent.receivedCount(verbFetch) == fills && store.Counts().Given > 0
+		return cluster.parent.receivedCount(verbFetch) == fills && store.Counts().Hits > 0
 	})
 	for _, text := range []string{
 		strings.Replace(valid, `"lease": true`, `"lease": false`, 1),
--- a/cmd/fennelarch/recorder.go
+++ b/cmd/fennelarch/recorder.go
@@ -21,7 +21,7 @@
 
 // watchStalls records stalls of the process until the context ends.
 func (r *router) watchStalls(ctx context.Context) {
-	r.monitor.Watch().Run(ctx, func(duration time.Duration) {
+	r.monitor.StallDetector().Run(ctx, func(duration time.Duration) {
 		r.monitor.Record(flightrecorder.Entry{Event: flightrecorder.Stalled, Value: duration.Milliseconds()})
 		if duration >= minLoggedStall {
 			r.log.Warn("process stalled", zap.Duration("duration", duration))
--- a/cmd/fennelarch/reload.go
+++ b/cmd/fennelarch/reload.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	if changed.Immutable != r.config.Immutable {
+	if changed.ImmutableText != r.config.ImmutableText {
 		r.log.Warn("configuration: only the discovery address changes before a restart")
 	}
 	r.watcher.SetAddress(changed.DiscoveryAddress)
@@ -128,7 +128,7 @@
 			return err
 		}
 	}
-	r.frontend.UpdateAdmission(settings)
+	r.frontend.UpdateAdmissionSettings(settings)
 	r.stores.updateSettings(changed, r.config)
 	r.operatorFile.Store(changed)
 	return nil
--- a/cmd/fennelarch/reload_test.go
+++ b/cmd/fennelarch/reload_test.go
@@ -16,7 +16,7 @@
 	cluster := startCluster(t, first)
 	client := cluster.connect()
 	other := newFakeDiscovery(t)
-	other.Follow(cluster.discovery.DiscoveryServer)
+	other.CopyFirstEvent(cluster.discovery.DiscoveryServer)
 	halfConfig, _, _ := strings.Cut(cluster.configText(other), `"settings"`)
 	cluster.writeConfig(halfConfig)
 	cluster.signal(syscall.SIGHUP)
@@ -42,7 +42,7 @@
 	client := cluster.connect()
 	client.expectServed(1)
 	other := newFakeDiscovery(t)
-	other.Follow(cluster.discovery.DiscoveryServer)
+	other.CopyFirstEvent(cluster.discovery.DiscoveryServer)
 	cluster.writeConfig(strings.NewReplacer(
 		`"name":"clip"`, `"name":"film"`,
 		`"effect":"fragile"`, `"effect":"retryable"`,
@@ -77,7 +77,7 @@
 	client := cluster.connect()
 	client.expectServed(1)
 	other := newFakeDiscovery(t)
-	other.Follow(cluster.discovery.DiscoveryServer)
+	other.CopyFirstEvent(cluster.discovery.DiscoveryServer)
 	cluster.configure(other)
 
 	var previous unix.Rlimit
--- a/cmd/fennelarch/sharedstores.go
+++ b/cmd/fennelarch/sharedstores.go
@@ -42,7 +42,7 @@
 		OverloadFactor: shared.OverloadFactor,
 		MaxInFlight:    shared.MaxInFlight,
 		MaxValueBytes:  lim.ResponseBodyBytes,
-		MaxTTL:         operatorconfig.Milliseconds(shared.KeepMS),
+		MaxTTL:         operatorconfig.Milliseconds(shared.MaxTTLMS),
 		Lease:          shared.Lease == nil || *shared.Lease,
 	}
 	return settings.WithDefaults(&cfg.Routing)
--- a/cmd/fennelarch/shutdown.go
+++ b/cmd/fennelarch/shutdown.go
@@ -28,5 +28,5 @@
 
 // hasOpenWork reports whether a request is unanswered or a client connection is open.
 func (r *router) hasOpenWork() bool {
-	return r.engine.InFlight() > 0 || r.frontend.UnclosedCount() > 0
+	return r.engine.InFlight() > 0 || r.frontend.OpenSocketCount() > 0
 }
--- a/cmd/fennelarch/startupretry.go
+++ b/cmd/fennelarch/startupretry.go
@@ -40,7 +40,7 @@
 // classifyError returns the reaction to an error. A missing file, a missing permission and the second occurrence of the
 // same content error are permanent.
 func (p *retryPolicy) classifyError(err error) retryAction {
-	if system.Temporary(err) {
+	if system.IsTemporary(err) {
 		return retrySoon
 	}
 	isRepeated := p.lastContentError == err.Error()
@@ -85,7 +85,7 @@
 func (s *startupRetry) listen(address string) (net.Listener, error) {
 	for {
 		listener, err := system.Listen("tcp", address)
-		if err == nil || !system.Temporary(err) || s.isExpired() {
+		if err == nil || !system.IsTemporary(err) || s.isExpired() {
 			return listener, err
 		}
 		s.wait(err)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -57,7 +57,7 @@
 // Run lists the experiments.
 func (listCommand) Run() error {
 	for _, experiment := range testbed.Experiments() {
-		if _, err := fmt.Printf("%-20s %s\n", experiment.Name, experiment.Shows); err != nil {
+		if _, err := fmt.Printf("%-20s %s\n", experiment.Name, experiment.Description); err != nil {
 			return err
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,7 +44,7 @@
 	KnownEvents        json.RawMessage // discovery events published so far
 	Routing            routing.Settings
 	Names              Names
-	Immutable          string // JSON text of the keys whose changes take effect only at the next start
+	ImmutableText      string // JSON text of the keys whose changes take effect only at the next start
 }
 
 // Load reads the environment variables and the configuration file that they name.
@@ -85,7 +85,7 @@
 		config.Listen = listen
 	}
 	var err error
-	if config.Immutable, err = immutableText(text); err != nil {
+	if config.ImmutableText, err = immutableText(text); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	if config.Seed, err = strconv.ParseUint(keys.Seed, 16, 64); err != nil {
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -74,7 +74,7 @@
 // withAge sets the age of an endpoint list. Purges carry the time at which they were issued and need no age.
 func withAge(message engine.Message, age time.Duration) engine.Message {
 	if list, isList := message.(engine.EndpointList); isList {
-		list.Age = age
+		list.MaxAge = age
 		return list
 	}
 	return message
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -19,7 +19,7 @@
 // newTestWatcher returns a watcher with short timeouts that treats a lower last event number as that of a new server at
 // once. The change functions modify its options.
 func newTestWatcher(change ...func(options *Options)) *Watcher {
-	lim := limits.From(limits.Inputs{MemoryMB: 64, Sockets: 256})
+	lim := limits.Derive(limits.Inputs{MemoryMB: 64, Sockets: 256})
 	lim.PollHold, lim.PollTimeout, lim.BackoffMin = 50*time.Millisecond, 200*time.Millisecond, time.Millisecond
 	lim.PollStallTimeout, lim.DiscoveryRewindAfter = 100*time.Millisecond, 0
 	options := Options{
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -82,7 +82,7 @@
 func (w *Watcher) maxEventAge(start, now time.Time) time.Duration {
 	switch {
 	case w.lastResponse.IsZero():
-		return engine.AgeBeforeStart
+		return engine.MaxAgeBeforeStart
 	case now.Sub(start) < w.limits.PollPromptWithin || w.stalls.StalledSince(start, now):
 		return now.Sub(w.lastResponse)
 	}
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -106,8 +106,8 @@
 	watcher.stalls = nil
 	now := time.Now()
 	before := func(ago time.Duration) time.Time { return now.Add(-ago) }
-	if got := watcher.maxEventAge(before(time.Second), now); got != engine.AgeBeforeStart {
-		t.Errorf("first response: max age %v, want AgeBeforeStart", got)
+	if got := watcher.maxEventAge(before(time.Second), now); got != engine.MaxAgeBeforeStart {
+		t.Errorf("first response: max age %v, want MaxAgeBeforeStart", got)
 	}
 	watcher.lastResponse = before(5 * time.Second)
 	if got := watcher.maxEventAge(before(10*time.Millisecond), now); got != 5*time.Second {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -30,7 +30,7 @@
 	// OnGap is called when a published event will never be delivered.
 	OnGap func()
 	// Stalls reports whether the process was stopped during a poll.
-	Stalls *stalldetect.Watch
+	Stalls *stalldetect.Detector
 	// Dial opens connections to the discovery server; nil means the system's dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -42,7 +42,7 @@
 	log       *zap.Logger
 	onCurrent func(asOf time.Time)
 	onGap     func()
-	stalls    *stalldetect.Watch
+	stalls    *stalldetect.Detector
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 
 	lastEvent     int64     // number of the last event that was delivered or skipped
--- a/internal/engine/clockskew_test.go
+++ b/internal/engine/clockskew_test.go
@@ -76,7 +76,7 @@
 func checkLocalCacheAcrossStep(t *testing.T, clocks clockCase) {
 	t.Helper()
 	engine := newCheckedEngine(t, clocks.String(), LocalCacheSettings{
-		Bytes: 1 << 20, FlowBytesPerSecond: 1e6, LinkBytesPerSecond: 1e6, MaxTransferTime: 10 * time.Second,
+		MaxBytes: 1 << 20, FlowBytesPerSecond: 1e6, LinkBytesPerSecond: 1e6, MaxTransferTime: 10 * time.Second,
 	})
 	wanted := &Request{Object: 7}
 	isServed := func(maxAge time.Duration) bool { return engine.localCache.find(wanted, maxAge, engine.now) != nil }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -19,7 +19,7 @@
 		Event: flightrecorder.EndpointListReceived, Value: int64(len(list.Endpoints)),
 	})
 	event := routing.Event{
-		Kind: routing.EventEndpoints, EndpointListKind: routing.EndpointListDelta, Endpoints: e.endpoints, Age: list.Age,
+		Kind: routing.EventEndpoints, EndpointListKind: routing.EndpointListDelta, Endpoints: e.endpoints, Age: list.MaxAge,
 	}
 	if list.Complete {
 		event.EndpointListKind = routing.EndpointListFull
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -167,7 +167,7 @@
 // drainAfterStall lets readers run first after a stall of the process, and handles what they have read. This may
 // include a cancellation, or the response of an endpoint that would otherwise be treated as unresponsive.
 func (e *Engine) drainAfterStall() {
-	if !e.monitor.Watch().Settle() {
+	if !e.monitor.StallDetector().Settle() {
 		return
 	}
 	e.handleCancellations()
--- a/internal/engine/example_test.go
+++ b/internal/engine/example_test.go
@@ -111,7 +111,7 @@
 // ends when the link has carried the body.
 func Example_localCache() {
 	engine := newTestEngine(LocalCacheSettings{
-		Bytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxTransferTime: 10 * time.Second,
+		MaxBytes: 1 << 20, FlowBytesPerSecond: 50, LinkBytesPerSecond: 50, MaxTransferTime: 10 * time.Second,
 	})
 	engine.sendRequest(1, idempotentClass, 2*time.Second)
 	engine.deliverResult(0, routing.Succeeded, routing.NoteHit)
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -13,7 +13,7 @@
 
 // LocalCacheSettings limits the copies that the router keeps in memory.
 type LocalCacheSettings struct {
-	Bytes              int           // memory for all copies
+	MaxBytes           int           // memory for all copies
 	FlowBytesPerSecond float64       // rate of one transfer
 	LinkBytesPerSecond float64       // rate of all transfers together
 	MaxTransferTime    time.Duration // longest time that a response can be in transit
@@ -21,7 +21,7 @@
 
 // Capacity returns how many transfers fit on the link, or 0 if no copies can be kept.
 func (s LocalCacheSettings) Capacity() float64 {
-	if s.Bytes <= 0 || s.FlowBytesPerSecond <= 0 {
+	if s.MaxBytes <= 0 || s.FlowBytesPerSecond <= 0 {
 		return 0
 	}
 	return s.LinkBytesPerSecond / s.FlowBytesPerSecond
@@ -102,7 +102,7 @@
 		return
 	}
 	c.remove(c.entries[entry.key])
-	for c.bytes+entry.bytes() > c.settings.Bytes {
+	for c.bytes+entry.bytes() > c.settings.MaxBytes {
 		c.remove(c.recentlyUsed.Back())
 	}
 	c.bytes += entry.bytes()
@@ -110,7 +110,7 @@
 }
 
 func (c *localCache) isStorable(entry *cacheEntry) bool {
-	return len(entry.body) > 0 && !entry.generatedAt.IsZero() && entry.bytes() <= c.settings.Bytes
+	return len(entry.body) > 0 && !entry.generatedAt.IsZero() && entry.bytes() <= c.settings.MaxBytes
 }
 
 func (c *localCache) remove(element *list.Element) {
@@ -197,7 +197,7 @@
 	}
 	e.counts.LocalCacheHits++
 	if e.localCache.isPurged(entry) {
-		e.monitor.Violate(invariant.StaleCopyServed, uint64(request.ClientRequestID))
+		e.monitor.RecordViolation(invariant.StaleCopyServed, uint64(request.ClientRequestID))
 	}
 	e.respond(request, response)
 	e.pending = append(e.pending, routing.Event{
--- a/internal/engine/localcache_test.go
+++ b/internal/engine/localcache_test.go
@@ -17,7 +17,7 @@
 func newTestCache() *testCache {
 	return &testCache{
 		localCache: newLocalCache(LocalCacheSettings{
-			Bytes:              3 * (1000 + entryOverheadBytes),
+			MaxBytes:           3 * (1000 + entryOverheadBytes),
 			FlowBytesPerSecond: 1000, LinkBytesPerSecond: 2500, MaxTransferTime: 10 * time.Second,
 		}),
 		now: time.Hour, epoch: time.Now(),
@@ -45,7 +45,7 @@
 	c.find(requestFor(1), 0, c.now)
 	c.storeObject(4, c.now)
 	c.storeObject(4, c.now)
-	if !c.holds(1) || c.holds(2) || c.bytes > c.settings.Bytes || c.recentlyUsed.Len() != 3 {
+	if !c.holds(1) || c.holds(2) || c.bytes > c.settings.MaxBytes || c.recentlyUsed.Len() != 3 {
 		t.Errorf("%d copies, %d bytes", c.recentlyUsed.Len(), c.bytes)
 	}
 	if c.find(requestFor(1), time.Second, c.now+2*time.Second) != nil {
@@ -101,7 +101,7 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			engine := newCheckedEngine(t, testCase.name, LocalCacheSettings{
-				Bytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxTransferTime: time.Second,
+				MaxBytes: 1300, FlowBytesPerSecond: 1000, LinkBytesPerSecond: 1000, MaxTransferTime: time.Second,
 			})
 			engine.send(engine.newRequest(1, idempotentClass, 3*time.Second))
 			engine.deliverResult(0, routing.Succeeded, routing.NoteHit)
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -96,11 +96,11 @@
 type EndpointList struct {
 	Endpoints []Endpoint
 	Complete  bool          // endpoints missing from the list are gone
-	Age       time.Duration // longest possible time between its publication and its receipt
+	MaxAge    time.Duration // longest possible time between its publication and its receipt
 }
 
-// AgeBeforeStart is the Age of a list that may have been published before this process started.
-const AgeBeforeStart = 24 * time.Hour
+// MaxAgeBeforeStart is the MaxAge of a list that may have been published before this process started.
+const MaxAgeBeforeStart = 24 * time.Hour
 
 // Purge reports that an object was purged, or a group if Object is 0.
 type Purge struct {
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -55,7 +55,7 @@
 }
 
 func (e *Engine) reportInvalidTransition(request *Request, subject string, from, to fmt.Stringer) {
-	e.monitor.Violate(invariant.InvalidTransition, uint64(request.ClientRequestID),
+	e.monitor.RecordViolation(invariant.InvalidTransition, uint64(request.ClientRequestID),
 		zap.String("of", subject), zap.Stringer("from", from), zap.Stringer("to", to))
 }
 
--- a/internal/fake/redis/counts.go
+++ b/internal/fake/redis/counts.go
@@ -45,7 +45,7 @@
 // Counts counts what a store has received and done, and what it holds.
 type Counts struct {
 	Commands int
-	Given    int // values returned by GET
+	Hits     int // values returned by GET
 	Evicted  int
 	Keys     int
 	Clients  int
@@ -60,7 +60,7 @@
 	defer s.mu.Unlock()
 	counts := Counts{
 		Commands: s.counter.commands,
-		Given:    s.counter.valuesServed,
+		Hits:     s.counter.valuesServed,
 		Evicted:  s.counter.evicted,
 		Keys:     len(s.values.byKey),
 		Clients:  len(s.connections),
--- a/internal/fake/redis/store_test.go
+++ b/internal/fake/redis/store_test.go
@@ -107,7 +107,7 @@
 	expectAnswer(t, socket, "GET b", "$-1\r\n")
 	expectAnswer(t, socket, "GET a", "$2\r\n12\r\n")
 	counts := store.Counts()
-	if counts.Evicted != 1 || counts.Keys != 2 || counts.Given != 2 || counts.Commands != 6 || store.ValueCommands() != 6 {
+	if counts.Evicted != 1 || counts.Keys != 2 || counts.Hits != 2 || counts.Commands != 6 || store.ValueCommands() != 6 {
 		t.Errorf("unexpected counts: %+v", counts)
 	}
 }
--- a/internal/fake/site/discovery_server.go
+++ b/internal/fake/site/discovery_server.go
@@ -86,20 +86,20 @@
 	}
 }
 
-// Follow adds the first event of another server, as if this server replaced it.
-func (d *DiscoveryServer) Follow(other *DiscoveryServer) {
+// CopyFirstEvent adds the first event of another server, as if this server replaced it.
+func (d *DiscoveryServer) CopyFirstEvent(other *DiscoveryServer) {
 	events, _ := other.events.Events()
 	d.events.appendEvent(events[0])
 }
 
-// First returns the first event alone, in the form in which a configuration holds known events.
-func (d *DiscoveryServer) First() string {
+// FirstEvent returns the first event alone, in the form in which a configuration holds known events.
+func (d *DiscoveryServer) FirstEvent() string {
 	events, _ := d.events.Events()
 	return Page(events[:1], 0)
 }
 
-// Known returns all events so far, in the form in which a configuration holds known events.
-func (d *DiscoveryServer) Known() string {
+// KnownEvents returns all events so far, in the form in which a configuration holds known events.
+func (d *DiscoveryServer) KnownEvents() string {
 	events, _ := d.events.Events()
 	return Page(events, 0)
 }
--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -76,8 +76,8 @@
 	})
 	if decision.Kind == admission.Accept {
 		server.monitor.Record(flightrecorder.Entry{Event: flightrecorder.ConnectionAccepted, ID: uint64(c.id)})
-		c.isUnclosed.Store(true)
-		server.unclosedCount.Add(1)
+		c.isSocketOpen.Store(true)
+		server.openSocketCount.Add(1)
 		return c
 	}
 	server.monitor.RecordClientClose(uint64(c.id), invariant.CloseRejected, 0)
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -24,7 +24,7 @@
 
 	requestedPause atomic.Int64 // nanoseconds for which nothing is parsed, from the next step of the reader
 	isEvicted      atomic.Bool  // to be closed to make room for others
-	isUnclosed     atomic.Bool  // counted in Server.unclosedCount
+	isSocketOpen   atomic.Bool  // counted in Server.openSocketCount
 
 	mu                 sync.Mutex // locked before Server.mu if both are needed
 	sessionChanged     *sync.Cond // signals a change of the session
@@ -96,7 +96,7 @@
 // Read is called by redcon's goroutine for the connection. It does all reading and returns io.EOF when the connection
 // has ended, so that redcon closes it.
 func (c *connection) Read([]byte) (int, error) {
-	reason, hasEnded := invariant.CloseHandshake, !c.handshake()
+	reason, hasEnded := invariant.CloseHandshakeFailed, !c.handshake()
 	if !hasEnded {
 		c.server.goroutines.Go(c.writeLoop)
 	}
@@ -118,8 +118,8 @@
 
 // Close closes the connection. It may be called more than once.
 func (c *connection) Close() error {
-	if c.isUnclosed.Swap(false) {
-		c.server.unclosedCount.Add(-1)
+	if c.isSocketOpen.Swap(false) {
+		c.server.openSocketCount.Add(-1)
 	}
 	return c.Conn.Close()
 }
@@ -128,7 +128,7 @@
 // client.
 func isEndedByClient(reason invariant.CloseReason) bool {
 	switch reason {
-	case invariant.CloseClientLeft, invariant.CloseReadFailed, invariant.CloseWriteFailed, invariant.CloseHandshake:
+	case invariant.CloseClientLeft, invariant.CloseReadFailed, invariant.CloseWriteFailed, invariant.CloseHandshakeFailed:
 		return true
 	default:
 		return false
--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -42,7 +42,7 @@
 			t.Fatalf("unexpected response: %q", text)
 		}
 		server.write(conn, requestFrame(2))
-		await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
+		await(t, "the connection is closed", func() bool { return server.OpenSocketCount() == 0 })
 		if len(server.requests) > 0 {
 			t.Fatal("a request was taken after the connection was closed")
 		}
@@ -92,7 +92,7 @@
 	for _, conn := range []net.Conn{idle, busy, half, late} {
 		_ = conn.Close()
 	}
-	await(t, "all connections are closed", func() bool { return server.UnclosedCount() == 0 })
+	await(t, "all connections are closed", func() bool { return server.OpenSocketCount() == 0 })
 	if len(server.requests) > 0 {
 		t.Error("a request was taken after Drain")
 	}
@@ -147,7 +147,7 @@
 			request := receive(t, server.requests)
 			leave(server, conn, func() { respond(request, []byte("bytes")) })
 			_ = conn.Close()
-			await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
+			await(t, "the connection is closed", func() bool { return server.OpenSocketCount() == 0 })
 			if len(server.cancelled) > 1 {
 				t.Errorf("the request was cancelled %d more times", len(server.cancelled))
 			}
@@ -188,12 +188,12 @@
 	defer func() { _ = theirs.Close() }()
 	server := newTestServer(t, nil)
 	conn := newConnection(server.Server, ours, time.Now())
-	conn.isUnclosed.Store(true)
-	server.unclosedCount.Add(1)
+	conn.isSocketOpen.Store(true)
+	server.openSocketCount.Add(1)
 	for range 2 {
 		conn.session.close()
 		_ = conn.Close()
-		if count := server.UnclosedCount(); count != 0 || conn.session.state != stateClosed {
+		if count := server.OpenSocketCount(); count != 0 || conn.session.state != stateClosed {
 			t.Errorf("%d connections are not closed, and the state is %v", count, conn.session.state)
 		}
 	}
--- a/internal/frontend/harness_test.go
+++ b/internal/frontend/harness_test.go
@@ -36,7 +36,7 @@
 }
 
 func testLimits(memoryMB int) limits.Limits {
-	return limits.From(limits.Inputs{
+	return limits.Derive(limits.Inputs{
 		MemoryMB: memoryMB, Sockets: 256, StreamsPerConnection: 100, LongestDeadline: 5 * time.Second,
 	})
 }
@@ -98,7 +98,7 @@
 	await(s.t, "every connection is closed and nothing of it remains", func() bool {
 		s.shared.mu.Lock()
 		defer s.shared.mu.Unlock()
-		return s.UnclosedCount() == 0 && s.ConnectionCount() == 0 && s.busyCount.Load() == 0 &&
+		return s.OpenSocketCount() == 0 && s.ConnectionCount() == 0 && s.busyCount.Load() == 0 &&
 			s.shared.backlogBytes.Load() == 0 && len(s.shared.inFlight) == 0
 	})
 	s.Wait()
--- a/internal/frontend/heldinput_test.go
+++ b/internal/frontend/heldinput_test.go
@@ -35,7 +35,7 @@
 				t.Errorf("the cancel or the leaving was noticed only after %v", elapsed)
 			}
 			_ = conn.Close()
-			await(t, "the connection is closed", func() bool { return server.UnclosedCount() == 0 })
+			await(t, "the connection is closed", func() bool { return server.OpenSocketCount() == 0 })
 			if len(server.requests) > 0 {
 				t.Error("a request was taken from a client that had left")
 			}
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -56,7 +56,7 @@
 			l.shortageSince = time.Time{} // the call blocked, so no connection was waiting to be accepted
 		}
 		switch {
-		case err != nil && system.Exhausted(err):
+		case err != nil && system.IsExhausted(err):
 			if c := l.handleExhausted(now); c != nil {
 				return c, nil
 			}
@@ -121,7 +121,7 @@
 	for range server.shared.limits.Sockets {
 		raw, err := l.Listener.Accept()
 		if err != nil {
-			if system.Exhausted(err) {
+			if system.IsExhausted(err) {
 				time.Sleep(decision.Wait) // even the released descriptor was taken
 			}
 			return nil
@@ -136,7 +136,7 @@
 // earliestArrival returns the earliest time at which a connection accepted now, and its first request, may have
 // arrived. The connection may have waited while the process was stalled or while there was no descriptor for it.
 func (l *listener) earliestArrival(now time.Time) time.Time {
-	earliest := l.server.monitor.Watch().EarliestQueuedArrival(now)
+	earliest := l.server.monitor.StallDetector().EarliestQueuedArrival(now)
 	if !l.shortageSince.IsZero() && l.shortageSince.Before(earliest) {
 		earliest = l.shortageSince
 	}
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -62,7 +62,7 @@
 // a tag in use, is an error, because the client could not attribute a response.
 func (s *session) handleFrame(args [][]byte, arrivedAt time.Time) error {
 	if len(args) < 2 || len(args[1]) > s.shared.limits.FieldBytes {
-		return resp.ErrFraming
+		return resp.ErrMalformed
 	}
 	tag, isTag := parseTag(args[1])
 	if !isTag {
--- a/internal/frontend/reader.go
+++ b/internal/frontend/reader.go
@@ -175,7 +175,7 @@
 func (c *connection) readInto(buffer []byte) error {
 	start := time.Now()
 	count, err := system.Read(c.Conn, buffer)
-	now, stalls := time.Now(), c.server.monitor.Watch()
+	now, stalls := time.Now(), c.server.monitor.StallDetector()
 	arrivedAt := stalls.EarliestArrival(c.receiveBufferEmptyAt, start, now)
 	if count < len(buffer) && stalls.EarliestQueuedArrival(now).Equal(now) {
 		// A short read means that the kernel's receive buffer is empty, except just after a stall, when the kernel may
--- a/internal/frontend/rejection_test.go
+++ b/internal/frontend/rejection_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("got %q, error %v", response[:n], err)
 	}
 	_ = conn.Close()
-	for until := time.Now().Add(responseTimeout); server.UnclosedCount() > 1; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(responseTimeout); server.OpenSocketCount() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the rejected connection was not closed")
 		}
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -35,12 +35,12 @@
 
 	onDescriptorShortage func() // may be nil
 
-	goroutines     sync.WaitGroup // writers, rejections and wake-ups
-	busyCount      atomic.Int64   // connections with open requests or pending output
-	unclosedCount  atomic.Int64   // accepted connections that are not closed yet
-	rejectingCount atomic.Int64   // connections being rejected
-	lingeringCount atomic.Int64   // evicted connections that linger until their output has arrived
-	isDraining     atomic.Bool
+	goroutines      sync.WaitGroup // writers, rejections and wake-ups
+	busyCount       atomic.Int64   // connections with open requests or pending output
+	openSocketCount atomic.Int64   // accepted connections that are not closed yet
+	rejectingCount  atomic.Int64   // connections being rejected
+	lingeringCount  atomic.Int64   // evicted connections that linger until their output has arrived
+	isDraining      atomic.Bool
 
 	mu          sync.Mutex
 	admission   *admission.Controller
@@ -88,12 +88,12 @@
 
 // withLimits returns the settings with the limits of the process filled in.
 func withLimits(settings admission.Settings, bounds *limits.Limits) admission.Settings {
-	settings.MaxConnections, settings.FirstRequestGrace = bounds.ClientConnections, bounds.FirstRequestGrace
+	settings.MaxConnections, settings.FirstRequestGrace = bounds.ClientConnections, bounds.NoMessageIdlePenalty
 	return settings
 }
 
-// UpdateAdmission applies changed admission settings.
-func (s *Server) UpdateAdmission(settings admission.Settings) {
+// UpdateAdmissionSettings applies changed admission settings.
+func (s *Server) UpdateAdmissionSettings(settings admission.Settings) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admission.UpdateSettings(withLimits(settings, &s.shared.limits))
@@ -118,11 +118,13 @@
 }
 
 // Wait waits until all writers, rejections and wake-ups have ended. It must be called only after Serve has returned and
-// UnclosedCount and ConnectionCount are zero, because a reader that is still running may start a writer.
+// OpenSocketCount and ConnectionCount are zero, because a reader that is still running may start a writer.
 func (s *Server) Wait() { s.goroutines.Wait() }
 
-// UnclosedCount returns the number of connections that are not closed yet, including those being rejected.
-func (s *Server) UnclosedCount() int { return int(s.unclosedCount.Load() + s.rejectingCount.Load()) }
+// OpenSocketCount returns the number of connections that are not closed yet, including those being rejected.
+func (s *Server) OpenSocketCount() int {
+	return int(s.openSocketCount.Load() + s.rejectingCount.Load())
+}
 
 // ConnectionCount returns the number of connections that are served.
 func (s *Server) ConnectionCount() int {
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -106,6 +106,6 @@
 // reportInvalidTransition counts and reports a signal that is invalid in the state of a connection.
 func (s *sharedState) reportInvalidTransition(id admission.ConnID, state connectionState, signal connectionSignal) {
 	s.invalidTransitions.Add(1)
-	s.monitor.Violate(invariant.InvalidTransition, uint64(id),
+	s.monitor.RecordViolation(invariant.InvalidTransition, uint64(id),
 		zap.Stringer("state", state), zap.Stringer("signal", signal))
 }
--- a/internal/frontend/wireformat.go
+++ b/internal/frontend/wireformat.go
@@ -112,7 +112,7 @@
 // newDecoder returns a decoder that accepts client frames up to the given limits.
 func newDecoder(bounds *limits.Limits) resp.Decoder {
 	return resp.Decoder{
-		MaxStrings:     bounds.FrameStrings,
+		MaxStrings:     bounds.MaxFrameStrings,
 		MaxStringBytes: bounds.ClientReadBuffer - 2*bounds.FieldBytes,
 		MaxFrameBytes:  bounds.ClientReadBuffer,
 	}
--- a/internal/invariant/attempt.go
+++ b/internal/invariant/attempt.go
@@ -39,14 +39,14 @@
 
 // checkWritten checks that an attempt whose last byte has just been written was in time.
 func (r *Request) checkWritten(attempt *sentAttempt, now time.Time) {
-	if r.monitor.Watch().StalledSince(attempt.startedAt, now) {
+	if r.monitor.StallDetector().StalledSince(attempt.startedAt, now) {
 		return // the process stalled during the write, so its duration proves nothing
 	}
 	report := func(kind Violation, detail ...zap.Field) {
 		fields := []zap.Field{
 			zap.Int("attempt", int(attempt.Number)), zap.Duration("written_for", now.Sub(attempt.startedAt)),
 		}
-		r.monitor.Violate(kind, r.id, append(fields, detail...)...)
+		r.monitor.RecordViolation(kind, r.id, append(fields, detail...)...)
 	}
 	if r.end != EndOpen && now.Sub(r.endedAt) > EndSlack {
 		report(AttemptAfterEnd, zap.Stringer("ended", r.end))
--- a/internal/invariant/closereason.go
+++ b/internal/invariant/closereason.go
@@ -3,7 +3,8 @@
 // CloseReason is the reason for closing a connection.
 type CloseReason uint8
 
-// The reasons before CloseIdle are for client connections, CloseIdle and the rest for connections to servers.
+// The reasons before CloseServerIdle are for client connections, CloseServerIdle and the rest for connections to
+// servers.
 const (
 	CloseClientLeft        CloseReason = iota // the client closed the connection
 	CloseReadFailed                           // reading from the client failed
@@ -13,15 +14,15 @@
 	CloseClientIdle                           // no request was open for too long
 	CloseClientForCapacity                    // an idle connection made room for a new one
 	CloseShutdown                             // the router is shutting down
-	CloseHandshake                            // the TLS handshake failed
+	CloseHandshakeFailed                      // the TLS handshake failed
 	CloseRejected                             // admission rejected the connection
-	CloseIdle                                 // no attempt was in flight for too long
+	CloseServerIdle                           // no attempt was in flight for too long
 	CloseServerForCapacity                    // an idle connection was closed to free its descriptor
 	CloseServerSuspect                        // an idle connection that may be stuck or hold half a response
 	CloseServerEnded                          // the server closed the connection, or the connection broke
-	CloseServerWrite                          // writing to the server failed
+	CloseServerWriteFailed                    // writing to the server failed
 	CloseServerMalformed                      // the server sent a malformed response
-	CloseHalfWritten                          // an attempt was aborted after only part of it was written
+	CloseServerHalfWritten                    // an attempt was aborted after only part of it was written
 	CloseServerMoved                          // the server's address changed, or now belongs to another server
 	CloseDialFailed                           // the connection was never established
 	closeReasonCount
@@ -36,15 +37,15 @@
 	CloseClientIdle:        "idle",
 	CloseClientForCapacity: "for_capacity",
 	CloseShutdown:          "shutdown",
-	CloseHandshake:         "handshake_failed",
+	CloseHandshakeFailed:   "handshake_failed",
 	CloseRejected:          "rejected",
-	CloseIdle:              "server_idle",
+	CloseServerIdle:        "server_idle",
 	CloseServerForCapacity: "server_for_capacity",
 	CloseServerSuspect:     "server_suspect",
 	CloseServerEnded:       "server_ended",
-	CloseServerWrite:       "server_write_failed",
+	CloseServerWriteFailed: "server_write_failed",
 	CloseServerMalformed:   "server_malformed",
-	CloseHalfWritten:       "server_half_written",
+	CloseServerHalfWritten: "server_half_written",
 	CloseServerMoved:       "server_moved",
 	CloseDialFailed:        "server_dial_failed",
 }
@@ -54,10 +55,10 @@
 
 // isCausedByClient reports whether the client or the network, not the router, ended the connection.
 func (r CloseReason) isCausedByClient() bool {
-	return r == CloseClientLeft || r == CloseReadFailed || r == CloseWriteFailed || r == CloseHandshake
+	return r == CloseClientLeft || r == CloseReadFailed || r == CloseWriteFailed || r == CloseHandshakeFailed
 }
 
 // requiresIdle reports whether a reason is valid only for a connection without attempts in flight.
 func (r CloseReason) requiresIdle() bool {
-	return r == CloseIdle || r == CloseServerForCapacity || r == CloseServerSuspect
+	return r == CloseServerIdle || r == CloseServerForCapacity || r == CloseServerSuspect
 }
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -32,7 +32,7 @@
 type Monitor struct {
 	log      *zap.Logger
 	recorder *flightrecorder.Recorder
-	watch    *stalldetect.Watch
+	stalls   *stalldetect.Detector
 	dump     func(reason string)
 
 	violations [violationKindCount]atomic.Uint64
@@ -45,9 +45,9 @@
 // NewMonitor returns a monitor without violations. If dump is not nil, the monitor calls it on a violation, at most
 // once per dumpInterval, to write out the recorder.
 func NewMonitor(
-	log *zap.Logger, recorder *flightrecorder.Recorder, watch *stalldetect.Watch, dump func(reason string),
+	log *zap.Logger, recorder *flightrecorder.Recorder, stalls *stalldetect.Detector, dump func(reason string),
 ) *Monitor {
-	return &Monitor{log: log, recorder: recorder, watch: watch, dump: dump}
+	return &Monitor{log: log, recorder: recorder, stalls: stalls, dump: dump}
 }
 
 // Recorder returns the flight recorder, which may be nil.
@@ -58,12 +58,12 @@
 	return m.recorder
 }
 
-// Watch returns the detector of process stalls, which may be nil.
-func (m *Monitor) Watch() *stalldetect.Watch {
+// StallDetector returns the detector of process stalls, which may be nil.
+func (m *Monitor) StallDetector() *stalldetect.Detector {
 	if m == nil {
 		return nil
 	}
-	return m.watch
+	return m.stalls
 }
 
 // Record adds an event to the flight recorder.
@@ -73,8 +73,9 @@
 	}
 }
 
-// Violate counts, records and logs a violation. The id is that of the request, connection or endpoint concerned.
-func (m *Monitor) Violate(kind Violation, id uint64, detail ...zap.Field) {
+// RecordViolation counts, records and logs a violation. The id is that of the request, connection or endpoint
+// concerned.
+func (m *Monitor) RecordViolation(kind Violation, id uint64, detail ...zap.Field) {
 	if m == nil {
 		return
 	}
@@ -139,7 +140,7 @@
 		Event: flightrecorder.ConnectionClosed, ID: connection, Reason: uint8(reason), Value: int64(openRequests),
 	})
 	if openRequests > 0 && !reason.isCausedByClient() {
-		m.Violate(RequestUnanswered, connection,
+		m.RecordViolation(RequestUnanswered, connection,
 			zap.Stringer("close_reason", reason), zap.Int("in_flight", openRequests))
 	}
 }
@@ -155,7 +156,7 @@
 		Event: flightrecorder.ServerClosed, Endpoint: endpoint, Reason: uint8(reason), Value: int64(openAttempts),
 	})
 	if openAttempts > 0 && reason.requiresIdle() {
-		m.Violate(AttemptCutOff, endpoint,
+		m.RecordViolation(AttemptCutOff, endpoint,
 			zap.Stringer("close_reason", reason), zap.Int("in_flight", openAttempts))
 	}
 }
--- a/internal/invariant/monitor_test.go
+++ b/internal/invariant/monitor_test.go
@@ -43,8 +43,8 @@
 	var dumped []string
 	dump := func(reason string) { dumped = append(dumped, reason) }
 	monitor := NewMonitor(zap.NewNop(), flightrecorder.New(8, ReasonName), nil, dump)
-	monitor.Violate(AnsweredTwice, 7)
-	monitor.Violate(AnsweredLate, 7)
+	monitor.RecordViolation(AnsweredTwice, 7)
+	monitor.RecordViolation(AnsweredLate, 7)
 	if strings.Join(dumped, " ") != "answered_twice" {
 		t.Error(dumped)
 	}
@@ -58,10 +58,10 @@
 func TestNilMonitorCountsNothing(t *testing.T) {
 	var monitor *Monitor
 	now := time.Now()
-	monitor.Violate(AnsweredLate, 1)
+	monitor.RecordViolation(AnsweredLate, 1)
 	monitor.RecordClientClose(1, CloseClientIdle, 1)
-	monitor.RecordServerClose(1, CloseIdle, 1)
-	if monitor.Violations() != 0 || monitor.Watch() != nil || monitor.Recorder() != nil {
+	monitor.RecordServerClose(1, CloseServerIdle, 1)
+	if monitor.Violations() != 0 || monitor.StallDetector() != nil || monitor.Recorder() != nil {
 		t.Error("nil monitor is not empty")
 	}
 	if request := monitor.NewRequest(1, now.Add(time.Second), RepeatPolicy{}); !request.End(EndServed, now) {
--- a/internal/invariant/repeat_test.go
+++ b/internal/invariant/repeat_test.go
@@ -36,11 +36,11 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			request := newMonitor().NewRequest(7, now.Add(time.Minute), testCase.policy)
-			request.Begin(Attempt{Server: baseServer}, now)
+			request.BeginAttempt(Attempt{Server: baseServer}, now)
 			if testCase.notRun {
 				request.MarkNotRun(0, baseServer.Endpoint)
 			}
-			got := request.Begin(Attempt{Number: 1, Server: testCase.to}, now.Add(testCase.later))
+			got := request.BeginAttempt(Attempt{Number: 1, Server: testCase.to}, now.Add(testCase.later))
 			if got != testCase.want {
 				t.Errorf("second attempt: got %v, want %v", got, testCase.want)
 			}
--- a/internal/invariant/request.go
+++ b/internal/invariant/request.go
@@ -55,7 +55,7 @@
 	defer r.mu.Unlock()
 	if r.end != EndOpen {
 		if r.end.isResponse() && reason.isResponse() {
-			r.monitor.Violate(AnsweredTwice, r.id, zap.Stringer("first", r.end), zap.Stringer("second", reason))
+			r.monitor.RecordViolation(AnsweredTwice, r.id, zap.Stringer("first", r.end), zap.Stringer("second", reason))
 		}
 		return false
 	}
@@ -71,11 +71,11 @@
 // checkEnd checks that the request may end for this reason at this time.
 func (r *Request) checkEnd(reason EndReason, now time.Time) {
 	if reason == EndRejected && r.policy.Idempotency == routing.NonIdempotent && r.mayHaveRun() {
-		r.monitor.Violate(RejectedThoughRan, r.id)
+		r.monitor.RecordViolation(RejectedThoughRan, r.id)
 	}
 	lateness := now.Sub(r.deadline)
-	if reason.isResponse() && lateness > AnswerSlack && !r.monitor.Watch().StalledSince(r.deadline, now) {
-		r.monitor.Violate(AnsweredLate, r.id, zap.Duration("late", lateness))
+	if reason.isResponse() && lateness > AnswerSlack && !r.monitor.StallDetector().StalledSince(r.deadline, now) {
+		r.monitor.RecordViolation(AnsweredLate, r.id, zap.Duration("late", lateness))
 	}
 }
 
@@ -89,9 +89,10 @@
 	return false
 }
 
-// Begin checks whether an attempt may begin and records the attempt if so. The caller calls Begin immediately before it
-// writes the first byte. From then on the attempt counts as one that may have run, until MarkNotRun is called.
-func (r *Request) Begin(attempt Attempt, now time.Time) SendDenial {
+// BeginAttempt checks whether an attempt may begin and records the attempt if so. The caller calls BeginAttempt
+// immediately before it writes the first byte. From then on the attempt counts as one that may have run, until
+// MarkNotRun is called.
+func (r *Request) BeginAttempt(attempt Attempt, now time.Time) SendDenial {
 	if r == nil {
 		if attempt.isStartBoundPassed(now) {
 			return SendBoundPassed
@@ -120,7 +121,7 @@
 	case attempt.isStartBoundPassed(now):
 		return SendBoundPassed
 	case !r.mayRepeat(attempt.Server, now):
-		r.monitor.Violate(RepeatUnsafe, r.id,
+		r.monitor.RecordViolation(RepeatUnsafe, r.id,
 			zap.Int("attempt", int(attempt.Number)), zap.Int("earlier", len(r.attempts)))
 		return SendRepeatUnsafe
 	}
@@ -139,8 +140,9 @@
 	return true
 }
 
-// Complete records that the kernel has accepted the last byte of an attempt, and checks that this was in time.
-func (r *Request) Complete(number routing.AttemptNumber, endpoint routing.EndpointID, now time.Time) {
+// RecordAttemptWritten records that the kernel has accepted the last byte of an attempt, and checks that this was in
+// time.
+func (r *Request) RecordAttemptWritten(number routing.AttemptNumber, endpoint routing.EndpointID, now time.Time) {
 	if r == nil {
 		return
 	}
--- a/internal/invariant/request_test.go
+++ b/internal/invariant/request_test.go
@@ -12,10 +12,10 @@
 	now := time.Now()
 	monitor := newMonitor()
 	request := monitor.NewRequest(7, now.Add(time.Second), RepeatPolicy{})
-	if denial := request.Begin(Attempt{Server: baseServer, Deadline: time.Second}, now); denial != SendAllowed {
+	if denial := request.BeginAttempt(Attempt{Server: baseServer, Deadline: time.Second}, now); denial != SendAllowed {
 		t.Error(denial)
 	}
-	request.Complete(0, baseServer.Endpoint, now.Add(time.Millisecond))
+	request.RecordAttemptWritten(0, baseServer.Endpoint, now.Add(time.Millisecond))
 	if !request.End(EndServed, now) || request.IsOpen() {
 		t.Error("request did not end")
 	}
@@ -47,7 +47,7 @@
 			if testCase.ended {
 				request.End(EndServed, now)
 			}
-			if denial := request.Begin(testCase.attempt, now.Add(time.Millisecond)); denial != testCase.want {
+			if denial := request.BeginAttempt(testCase.attempt, now.Add(time.Millisecond)); denial != testCase.want {
 				t.Errorf("got %v, want %v", denial, testCase.want)
 			}
 			if violations, _ := monitor.Counts(); len(violations) != 0 {
@@ -61,7 +61,7 @@
 func TestNilRequestAllowsAll(t *testing.T) {
 	var request *Request
 	now := time.Now()
-	if !request.IsOpen() || request.Begin(Attempt{}, now) != SendAllowed {
+	if !request.IsOpen() || request.BeginAttempt(Attempt{}, now) != SendAllowed {
 		t.Error("attempt is denied")
 	}
 	for range 2 {
@@ -69,7 +69,7 @@
 			t.Error("request cannot end")
 		}
 	}
-	request.Complete(0, 0, now)
+	request.RecordAttemptWritten(0, 0, now)
 	request.MarkNotRun(0, 0)
 	request.Record(flightrecorder.AttemptEnded, 0, 0, 0, 0)
 }
--- a/internal/invariant/violation_test.go
+++ b/internal/invariant/violation_test.go
@@ -41,33 +41,33 @@
 var plantedViolations = [violationKindCount]func(m *Monitor){
 	AttemptAfterEnd: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
-		request.Begin(plantedAttempt(0), arrival)
+		request.BeginAttempt(plantedAttempt(0), arrival)
 		request.End(EndCancelled, arrival)
-		request.Complete(0, baseServer.Endpoint, after(EndSlack+time.Millisecond))
+		request.RecordAttemptWritten(0, baseServer.Endpoint, after(EndSlack+time.Millisecond))
 	},
 	AttemptAfterDeadline: func(m *Monitor) {
 		request := m.NewRequest(7, after(10*time.Millisecond), RepeatPolicy{})
-		request.Begin(Attempt{Server: baseServer}, arrival)
-		request.Complete(0, baseServer.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
+		request.BeginAttempt(Attempt{Server: baseServer}, arrival)
+		request.RecordAttemptWritten(0, baseServer.Endpoint, after(10*time.Millisecond+EndSlack+time.Millisecond))
 	},
 	AttemptAfterBound: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		attempt := plantedAttempt(0)
 		attempt.NotAfter, attempt.Deadline = arrival, time.Second
-		request.Begin(attempt, arrival)
-		request.Complete(0, baseServer.Endpoint, after(StartBoundSlack+time.Millisecond))
+		request.BeginAttempt(attempt, arrival)
+		request.RecordAttemptWritten(0, baseServer.Endpoint, after(StartBoundSlack+time.Millisecond))
 	},
 	DeadlineTooLong: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
 		attempt := plantedAttempt(0)
 		attempt.Deadline = 2*time.Second + DeadlineSlack + time.Millisecond
-		request.Begin(attempt, arrival)
-		request.Complete(0, baseServer.Endpoint, arrival)
+		request.BeginAttempt(attempt, arrival)
+		request.RecordAttemptWritten(0, baseServer.Endpoint, arrival)
 	},
 	RepeatUnsafe: func(m *Monitor) {
 		request := plantedRequest(m, routing.NonIdempotent)
-		request.Begin(plantedAttempt(0), arrival)
-		request.Begin(plantedAttempt(1), arrival)
+		request.BeginAttempt(plantedAttempt(0), arrival)
+		request.BeginAttempt(plantedAttempt(1), arrival)
 	},
 	AnsweredTwice: func(m *Monitor) {
 		request := plantedRequest(m, routing.Idempotent)
@@ -79,11 +79,11 @@
 	},
 	RejectedThoughRan: func(m *Monitor) {
 		request := plantedRequest(m, routing.NonIdempotent)
-		request.Begin(plantedAttempt(0), arrival)
+		request.BeginAttempt(plantedAttempt(0), arrival)
 		request.End(EndRejected, arrival)
 	},
 	RequestUnanswered: func(m *Monitor) { m.RecordClientClose(7, CloseClientIdle, 1) },
-	AttemptCutOff:     func(m *Monitor) { m.RecordServerClose(7, CloseIdle, 1) },
-	StaleCopyServed:   func(m *Monitor) { m.Violate(StaleCopyServed, 7) },
-	InvalidTransition: func(m *Monitor) { m.Violate(InvalidTransition, 7) },
+	AttemptCutOff:     func(m *Monitor) { m.RecordServerClose(7, CloseServerIdle, 1) },
+	StaleCopyServed:   func(m *Monitor) { m.RecordViolation(StaleCopyServed, 7) },
+	InvalidTransition: func(m *Monitor) { m.RecordViolation(InvalidTransition, 7) },
 }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -18,11 +18,11 @@
 	RejectedConnections    int // further connections that are open only until their rejection is sent
 	UpstreamConnections    int // connections to all endpoints together
 	ConnectionsPerEndpoint int // connections to one endpoint
-	Redials                int // retries of a dial that failed for a local reason or was unreachable at once
+	MaxRedials             int // retries of a dial that failed for a local reason or was unreachable at once
 	StreamsPerConnection   int // attempts in flight on one upstream connection
 
 	// Frames and requests.
-	FrameStrings         int           // strings in a frame
+	MaxFrameStrings      int           // strings in a frame
 	RequestBodyBytes     int           // bytes in the body of a request
 	ResponseBodyBytes    int           // bytes in the body of a response
 	FieldBytes           int           // bytes in any other string
@@ -46,14 +46,14 @@
 	LogQueue          int // log lines waiting to be written
 
 	// Client connections.
-	ClientIdleTimeout time.Duration // idle time after which a connection without open requests is closed
-	MessageTimeout    time.Duration // time for the TLS handshake, for the first message and for one that has begun
-	FirstRequestGrace time.Duration // added to the idle time of a connection that has sent no message yet, for eviction
-	CloseLinger       time.Duration // wait in each step of a rejection, and for a request that races with a close
-	HeldInputInterval time.Duration // time between two checks of held input for cancels and for clients that have left
-	StaleReadAge      time.Duration // age from which a request may have been cancelled by input that is not read yet
-	ReadAheadTimeout  time.Duration // time for reading on in search of such a cancel
-	PauseMargin       time.Duration // time before the deadline of a held request at which the pause of its connection ends
+	ClientIdleTimeout    time.Duration // idle time after which a connection without open requests is closed
+	MessageTimeout       time.Duration // time for the TLS handshake, for the first message and for one that has begun
+	NoMessageIdlePenalty time.Duration // added to the idle time of a connection that has sent no message yet, for eviction
+	CloseLinger          time.Duration // wait in each step of a rejection, and for a request that races with a close
+	HeldInputInterval    time.Duration // time between two checks of held input for cancels and for clients that have left
+	StaleReadAge         time.Duration // age from which a request may have been cancelled by input that is not read yet
+	ReadAheadTimeout     time.Duration // time for reading on in search of such a cancel
+	PauseMargin          time.Duration // time before a held request's deadline at which the pause of its connection ends
 
 	// Upstream connections.
 	ConnectTimeout      time.Duration // time for establishing a connection
@@ -101,8 +101,8 @@
 	PurgeGrace           time.Duration // after a purge is published
 }
 
-// From derives the limits.
-func From(inputs Inputs) Limits {
+// Derive derives the limits.
+func Derive(inputs Inputs) Limits {
 	inputs = inputs.withDefaults()
 	var lim Limits
 	lim.setProcess(&inputs)
@@ -159,13 +159,13 @@
 	l.RejectedConnections = inputs.Sockets / 32          // if lower, clients may be closed before they read the rejection
 	l.UpstreamConnections = inputs.Sockets * 2 / 5       // if lower, attempts share connections and fail together
 	l.ConnectionsPerEndpoint = inputs.Sockets / 8        // if higher, one slow endpoint uses up the connections of all
-	l.Redials = 8                                        // if lower, a brief shortage of descriptors fails attempts
+	l.MaxRedials = 8                                     // if lower, a brief shortage of descriptors fails attempts
 	l.StreamsPerConnection = inputs.StreamsPerConnection // if higher, a broken connection fails more attempts
 }
 
 // setFrames sets the limits on what clients and servers send. Values that are too low make valid messages fail.
 func (l *Limits) setFrames(inputs *Inputs) {
-	l.FrameStrings = 8
+	l.MaxFrameStrings = 8
 	l.RequestBodyBytes = 48_000   // with its fields, must fit into ClientReadBuffer
 	l.ResponseBodyBytes = 240_000 // with its fields, must fit into UpstreamReadBuffer
 	l.FieldBytes = 1 << 10
@@ -195,7 +195,7 @@
 func (l *Limits) setClientConnections() {
 	l.ClientIdleTimeout = 6 * time.Second       // if lower, slow clients must reconnect; if higher, descriptors are held
 	l.MessageTimeout = 2 * time.Second          // if lower, slow clients are cut off; if higher, descriptors are held
-	l.FirstRequestGrace = time.Second           // if lower, connections that send nothing crowd out used ones
+	l.NoMessageIdlePenalty = time.Second        // if lower, connections that send nothing crowd out used ones
 	l.CloseLinger = 150 * time.Millisecond      // if lower, a close resets the connection before the client has read
 	l.HeldInputInterval = 20 * time.Millisecond // a client that has left must be noticed within 0.1 s
 	l.StaleReadAge = 50 * time.Millisecond      // if higher, requests are forwarded that are cancelled already
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,7 +7,7 @@
 
 func TestDescriptorsLeaveReserve(t *testing.T) {
 	for _, sockets := range []int{32, 256, 1024, 65536} {
-		lim := From(Inputs{Sockets: sockets})
+		lim := Derive(Inputs{Sockets: sockets})
 		if used := lim.ClientConnections + lim.RejectedConnections + lim.UpstreamConnections; used > sockets*9/10 {
 			t.Errorf("connections may use %d of %d descriptors", used, sockets)
 		}
@@ -17,7 +17,7 @@
 // Shutdown ends before the platform kills the router, 0.7 s after the longest deadline or 3 s, whichever is shorter.
 func TestShutdownEndsBeforeThePlatformKills(t *testing.T) {
 	for _, deadline := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
-		lim := From(Inputs{LongestDeadline: deadline})
+		lim := Derive(Inputs{LongestDeadline: deadline})
 		killed := min(deadline, 3*time.Second) + 700*time.Millisecond
 		if ends := lim.ShutdownGrace + lim.FlushTimeout; ends >= killed {
 			t.Errorf("with a deadline of %v, shutdown ends after %v and the kill comes after %v", deadline, ends, killed)
@@ -35,7 +35,7 @@
 		"neither":  {0, 0, 1800 * time.Millisecond}, // two connect timeouts
 	} {
 		t.Run(name, func(t *testing.T) {
-			lim := From(Inputs{DrainGrace: test.drain, PurgeGrace: test.purge})
+			lim := Derive(Inputs{DrainGrace: test.drain, PurgeGrace: test.purge})
 			if lim.AttemptStartWithin != test.want {
 				t.Errorf("got %v, want %v", lim.AttemptStartWithin, test.want)
 			}
--- a/internal/operatorconfig/check.go
+++ b/internal/operatorconfig/check.go
@@ -71,17 +71,18 @@
 	}
 	locate := func(keys ...string) string { return locate(text, append([]string{"admission"}, keys...)...) }
 	seen := map[string]int{}
-	for i, known := range limits.Known {
+	for i, known := range limits.KnownClients {
 		if earlier, isSeen := seen[known]; isSeen {
 			return fmt.Errorf("%s: %q is there twice, at %d too", locate("known", strconv.Itoa(i)), known, earlier)
 		}
 		seen[known] = i
 	}
-	isAnyClientKnown := len(limits.Known) > 0 || f.TLS != nil && f.TLS.ClientCAFile != "" || limits.Remember != 1
+	isAnyClientKnown := len(limits.KnownClients) > 0 || f.TLS != nil && f.TLS.ClientCAFile != "" ||
+		limits.MaxRemembered != 1
 	switch {
-	case limits.Reserve > 0 && !isAnyClientKnown:
+	case limits.ReservedConnections > 0 && !isAnyClientKnown:
 		return fmt.Errorf("%s: a reserve for known clients, but nobody can be known", locate("reserve"))
-	case limits.Burst > 0 && limits.NewPerSecond <= 0:
+	case limits.Burst > 0 && limits.NewConnectionsPerSecond <= 0:
 		return fmt.Errorf("%s: a burst of new connections has no meaning without new_per_s", locate("burst"))
 	case limits.RequestsPerAddress > 0 && limits.Requests > 0 && limits.RequestsPerAddress > limits.Requests:
 		return fmt.Errorf("%s: one address may have more open views than all together", locate("views_per_address"))
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -23,16 +23,16 @@
 // Admission holds the limits on the connections and requests of clients. An absent limit has a default or does not
 // apply.
 type Admission struct {
-	Known              []string `json:"known"`             // addresses and networks of known clients
-	Reserve            int      `json:"reserve"`           // connections reserved for known clients
-	PerAddress         int      `json:"per_address"`       // connections of one address
-	NewPerSecond       float64  `json:"new_per_s"`         // new connections of one address per second
-	Burst              int      `json:"burst"`             // new connections of one address at once
-	RequestsPerAddress int      `json:"views_per_address"` // requests in flight of one address
-	Requests           int      `json:"views"`             // requests in flight of all addresses
-	Handshakes         int      `json:"handshakes"`        // concurrent TLS handshakes
-	HandshakeCPU       float64  `json:"handshake_cores"`   // part of a core that TLS handshakes may use
-	Remember           int      `json:"remember"`          // addresses without a connection that are remembered
+	KnownClients            []string `json:"known"`             // addresses and networks of known clients
+	ReservedConnections     int      `json:"reserve"`           // connections reserved for known clients
+	ConnectionsPerAddress   int      `json:"per_address"`       // connections of one address
+	NewConnectionsPerSecond float64  `json:"new_per_s"`         // new connections of one address per second
+	Burst                   int      `json:"burst"`             // new connections of one address at once
+	RequestsPerAddress      int      `json:"views_per_address"` // requests in flight of one address
+	Requests                int      `json:"views"`             // requests in flight of all addresses
+	MaxHandshakes           int      `json:"handshakes"`        // concurrent TLS handshakes
+	HandshakeCPU            float64  `json:"handshake_cores"`   // part of a core that TLS handshakes may use
+	MaxRemembered           int      `json:"remember"`          // addresses without a connection that are remembered
 }
 
 // FrontendTLS configures TLS for client connections.
@@ -56,8 +56,8 @@
 	Database     int      `json:"database"`
 	TLS          *TLS     `json:"tls"` // nil: connections without TLS
 
-	Password string      `json:"-"` // content of the password file, without surrounding white space
-	Secure   *tls.Config `json:"-"` // configuration that TLS describes, with its files loaded
+	Password  string      `json:"-"` // content of the password file, without surrounding white space
+	TLSConfig *tls.Config `json:"-"` // configuration that TLS describes, with its files loaded
 }
 
 // TLS configures TLS for connections to a store.
@@ -76,7 +76,7 @@
 	OverloadFactor float64 `json:"multiple"`       // load limit of a cold store, as a multiple of its current capacity
 	Routers        int     `json:"routers"`        // routers that share the stores; 0: those of this location
 	MaxInFlight    int     `json:"most_out"`       // commands in flight from one router
-	KeepMS         float64 `json:"keep_ms"`        // longest TTL of a copy
+	MaxTTLMS       float64 `json:"keep_ms"`        // longest TTL of a copy
 	Lease          *bool   `json:"lease"`          // concurrent misses of an object become one fill; nil: true
 }
 
@@ -89,7 +89,7 @@
 	switch {
 	case !slices.EqualFunc(f.Stores, changed.Stores, isSameStore):
 		return "stores"
-	case f.Shared.KeepMS != changed.Shared.KeepMS:
+	case f.Shared.MaxTTLMS != changed.Shared.MaxTTLMS:
 		return "shared.keep_ms"
 	case (f.TLS == nil) != (changed.TLS == nil):
 		return "tls"
@@ -99,6 +99,6 @@
 
 // isSameStore reports whether two stores have the same settings. It ignores the content of their TLS files.
 func isSameStore(first, second Store) bool {
-	first.Secure, second.Secure = nil, nil
+	first.TLSConfig, second.TLSConfig = nil, nil
 	return reflect.DeepEqual(first, second)
 }
--- a/internal/operatorconfig/load.go
+++ b/internal/operatorconfig/load.go
@@ -85,7 +85,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", locate("tls"), err)
 			}
-			store.Secure = secure
+			store.TLSConfig = secure
 		}
 	}
 	return nil
--- a/internal/operatorconfig/load_test.go
+++ b/internal/operatorconfig/load_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if store := file.Stores[0]; store.Password != "secret" || store.Secure == nil {
+	if store := file.Stores[0]; store.Password != "secret" || store.TLSConfig == nil {
 		t.Errorf("unexpected password or TLS configuration: %+v", store)
 	}
 }
--- a/internal/resp/decoder.go
+++ b/internal/resp/decoder.go
@@ -7,9 +7,9 @@
 	"github.com/tidwall/redcon"
 )
 
-// ErrFraming reports input that is malformed or exceeds a limit. Decoding cannot resume after it, because the start of
-// the next frame is unknown.
-var ErrFraming = errors.New("malformed RESP2 message or length beyond the limit")
+// ErrMalformed reports input that is malformed or exceeds a limit. Decoding cannot resume after it, because the start
+// of the next frame is unknown.
+var ErrMalformed = errors.New("malformed RESP2 message or length beyond the limit")
 
 const (
 	lineEnd = "\r\n"
@@ -31,8 +31,8 @@
 	args             [][]byte // returned by Next, for reuse
 }
 
-// Fresh returns a decoder with the same limits that has not parsed anything.
-func (d *Decoder) Fresh() Decoder {
+// NewWithSameLimits returns a decoder with the same limits that has not parsed anything.
+func (d *Decoder) NewWithSameLimits() Decoder {
 	return Decoder{MaxStrings: d.MaxStrings, MaxStringBytes: d.MaxStringBytes, MaxFrameBytes: d.MaxFrameBytes}
 }
 
@@ -62,7 +62,7 @@
 		d.position += used + length + len(lineEnd)
 		d.remainingHeaders--
 		if d.position > d.MaxFrameBytes {
-			return nil, ErrFraming
+			return nil, ErrMalformed
 		}
 	}
 	if d.position > r.Len() {
@@ -70,7 +70,7 @@
 	}
 	isComplete, args, _, _, err := redcon.ReadNextCommand(r.Peek(d.position), d.args[:0])
 	if err != nil || !isComplete || len(args) == 0 {
-		return nil, ErrFraming
+		return nil, ErrMalformed
 	}
 	d.args, d.isReturned = args, true
 	return args, nil
@@ -102,7 +102,7 @@
 		return 0, 0, nil
 	}
 	if Kind(r.At(position)) != kind {
-		return 0, 0, ErrFraming
+		return 0, 0, ErrMalformed
 	}
 	for offset := 1; ; offset++ {
 		if position+offset >= r.Len() {
@@ -111,18 +111,18 @@
 		switch c := r.At(position + offset); {
 		case c >= '0' && c <= '9' && offset < maxHeaderBytes-len(lineEnd):
 			if length = 10*length + int(c-'0'); length > limit {
-				return 0, 0, ErrFraming
+				return 0, 0, ErrMalformed
 			}
 		case c == '\r' && offset > 1:
 			if position+offset+1 >= r.Len() {
 				return 0, 0, nil
 			}
 			if r.At(position+offset+1) != '\n' {
-				return 0, 0, ErrFraming
+				return 0, 0, ErrMalformed
 			}
 			return length, offset + len(lineEnd), nil
 		default:
-			return 0, 0, ErrFraming
+			return 0, 0, ErrMalformed
 		}
 	}
 }
--- a/internal/resp/decoder_test.go
+++ b/internal/resp/decoder_test.go
@@ -85,7 +85,7 @@
 		"number for a string":    "*1\r\n:1\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, err := decode(stream, smallRing); got != "" || !errors.Is(err, ErrFraming) {
+			if got, err := decode(stream, smallRing); got != "" || !errors.Is(err, ErrMalformed) {
 				t.Errorf("%q: %s, %v", stream, got, err)
 			}
 		})
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -73,7 +73,7 @@
 		}
 		d.parts = append(d.parts, next)
 		if len(d.parts)+d.remaining > d.MaxParts {
-			return nil, ErrFraming
+			return nil, ErrMalformed
 		}
 	}
 	encoded := r.Peek(d.position)
@@ -109,7 +109,7 @@
 		return next, used, nil
 	case Integer, BulkString, Array:
 	default:
-		return part{}, 0, ErrFraming
+		return part{}, 0, ErrMalformed
 	}
 	if next.number, err = parseNumber(r, next.from, next.to); err != nil {
 		return part{}, 0, err
@@ -119,11 +119,11 @@
 	case next.number == nullLength:
 		next.isNull, next.to = true, next.from
 	case next.number < 0:
-		return part{}, 0, ErrFraming
+		return part{}, 0, ErrMalformed
 	case next.kind == BulkString:
 		return d.parseBulk(r, next, used)
 	case next.number > int64(d.MaxParts):
-		return part{}, 0, ErrFraming
+		return part{}, 0, ErrMalformed
 	}
 	return next, used, nil
 }
@@ -135,7 +135,7 @@
 	}
 	for length = 1; ; length++ {
 		if length > d.MaxLineBytes {
-			return 0, false, ErrFraming
+			return 0, false, ErrMalformed
 		}
 		if d.position+length+1 >= r.Len() {
 			return 0, false, nil
@@ -145,7 +145,7 @@
 		}
 	}
 	if r.At(d.position+length+1) != '\n' {
-		return 0, false, ErrFraming
+		return 0, false, ErrMalformed
 	}
 	return length, true, nil
 }
@@ -154,19 +154,19 @@
 // length of header line and content together.
 func (d *ReplyDecoder) parseBulk(r *Ring, next part, used int) (part, int, error) {
 	if next.number > int64(d.MaxStringBytes) {
-		return part{}, 0, ErrFraming
+		return part{}, 0, ErrMalformed
 	}
 	next.from = d.position + used
 	next.to = next.from + int(next.number)
 	used += int(next.number) + len(lineEnd)
 	if d.position+used > r.MaxBytes {
-		return part{}, 0, ErrFraming // the ring could never hold all of it
+		return part{}, 0, ErrMalformed // the ring could never hold all of it
 	}
 	if r.Len() < d.position+used {
 		return part{}, 0, nil
 	}
 	if r.At(next.to) != '\r' || r.At(next.to+1) != '\n' {
-		return part{}, 0, ErrFraming
+		return part{}, 0, ErrMalformed
 	}
 	return next, used, nil
 }
@@ -175,14 +175,14 @@
 func parseNumber(r *Ring, from, to int) (int64, error) {
 	var text [maxNumberBytes]byte
 	if to-from > len(text) || to == from {
-		return 0, ErrFraming
+		return 0, ErrMalformed
 	}
 	for i := from; i < to; i++ {
 		text[i-from] = r.At(i)
 	}
 	number, err := strconv.ParseInt(string(text[:to-from]), 10, 64)
 	if err != nil {
-		return 0, ErrFraming
+		return 0, ErrMalformed
 	}
 	return number, nil
 }
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -18,10 +18,10 @@
 // Writer encodes frames into a ring piece by piece, as room allows, and counts the bytes of the stream.
 type Writer struct {
 	Ring
-	TakenBytes int64     // bytes of the stream that Advance has removed from the ring so far
-	added      int64     // bytes of the stream that were put into the ring so far
-	header     []byte    // for reuse
-	parts      [3][]byte // rest of the current frame: header, body and final line end
+	WrittenBytes int64     // bytes of the stream that Advance has removed from the ring so far
+	added        int64     // bytes of the stream that were put into the ring so far
+	header       []byte    // for reuse
+	parts        [3][]byte // rest of the current frame: header, body and final line end
 }
 
 var lineEndBytes = []byte(lineEnd)
@@ -69,10 +69,10 @@
 // Advance removes the first n bytes returned by Next.
 func (w *Writer) Advance(n int) {
 	w.Discard(n)
-	w.TakenBytes += int64(n)
+	w.WrittenBytes += int64(n)
 }
 
 // Empty reports whether Advance has removed all frames that were started.
 func (w *Writer) Empty() bool {
-	return w.TakenBytes == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
+	return w.WrittenBytes == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
 }
--- a/internal/resp/writer_test.go
+++ b/internal/resp/writer_test.go
@@ -32,7 +32,7 @@
 		got += string(next[:n])
 		writer.Advance(n)
 	}
-	if got != want || !writer.Empty() || int(writer.TakenBytes) != len(want) {
+	if got != want || !writer.Empty() || int(writer.WrittenBytes) != len(want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -44,7 +44,7 @@
 type Options struct {
 	Limits    limits.Limits
 	Routing   routing.Settings
-	Decisions policy.Settings // Epoch is set from StartedAt
+	Policy    policy.Settings // Epoch is set from StartedAt
 	Seed      uint64
 	Stores    []Store
 	StartedAt time.Time
@@ -101,7 +101,7 @@
 		ids = append(ids, id)
 		t.clients[id] = newStoreClient(t, id, store)
 	}
-	settings := options.Decisions
+	settings := options.Policy
 	settings.Epoch = policy.Timestamp(options.StartedAt.UnixMilli())
 	t.coordinator = policy.New(settings, options.Seed, ids...)
 	return t
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -28,7 +28,7 @@
 )
 
 func testLimits() limits.Limits {
-	return limits.From(limits.Inputs{
+	return limits.Derive(limits.Inputs{
 		Cores: 1, MemoryMB: 64, Sockets: 256, DrainGrace: time.Second, LongestDeadline: 3 * time.Second,
 	})
 }
@@ -114,7 +114,7 @@
 			ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000,
 			Classes: []routing.Class{{LatencyObjective: time.Second}},
 		},
-		Decisions: policy.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
+		Policy:    policy.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
 		Seed:      1,
 		Stores:    []Store{store},
 		StartedAt: time.Now().Add(-time.Second),
--- a/internal/stalldetect/watch.go
+++ b/internal/stalldetect/detector.go
@@ -1,7 +1,7 @@
 // Package stalldetect detects stalls of the whole process, caused for example by a stop signal or a lack of CPU time.
 // Data that arrives during a stall waits in kernel buffers and is therefore older than the time at which it is read. A
-// Watch runs a heartbeat at short intervals, and a late beat reveals a stall. Readers ask the Watch how early the data
-// that they have just read may have arrived.
+// Detector runs a heartbeat at short intervals, and a late beat reveals a stall. Readers ask the Detector how early the
+// data that they have just read may have arrived.
 //
 // All durations are measured on the monotonic clock, so a step of the wall clock is not a stall.
 package stalldetect
@@ -25,9 +25,9 @@
 	immediateReturnWithin = time.Millisecond
 )
 
-// Watch detects stalls of the process by a heartbeat. A zero or nil Watch has no heartbeat and reports no stalls; Run
-// and Beat need a Watch from New.
-type Watch struct {
+// Detector detects stalls of the process by a heartbeat. A zero or nil Detector has no heartbeat and reports no stalls;
+// Run and Beat need a Detector from New.
+type Detector struct {
 	start time.Time
 	// Times in nanoseconds since start.
 	lastBeat   atomic.Int64
@@ -35,18 +35,18 @@
 	stallUntil atomic.Int64 // first beat after the last stall; 0 if there was none
 }
 
-// New returns a Watch whose first beat is now.
-func New() *Watch { return &Watch{start: time.Now()} }
+// New returns a Detector whose first beat is now.
+func New() *Detector { return &Detector{start: time.Now()} }
 
 // Run runs the heartbeat until the context ends. After each stall, Run calls report with the duration of the stall,
 // unless report is nil.
-func (w *Watch) Run(ctx context.Context, report func(duration time.Duration)) {
+func (d *Detector) Run(ctx context.Context, report func(duration time.Duration)) {
 	ticker := time.NewTicker(beatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			if duration := w.Beat(time.Now()); duration > 0 && report != nil {
+			if duration := d.Beat(time.Now()); duration > 0 && report != nil {
 				report(duration)
 			}
 		case <-ctx.Done():
@@ -57,14 +57,14 @@
 
 // Beat records that the process is running. Beat returns the duration of the stall that has just ended, or 0 if there
 // was none.
-func (w *Watch) Beat(now time.Time) (duration time.Duration) {
-	beat := int64(now.Sub(w.start))
-	last := w.lastBeat.Swap(beat)
+func (d *Detector) Beat(now time.Time) (duration time.Duration) {
+	beat := int64(now.Sub(d.start))
+	last := d.lastBeat.Swap(beat)
 	if duration = time.Duration(beat - last); duration <= stallThreshold {
 		return 0
 	}
-	w.stallFrom.Store(last)
-	w.stallUntil.Store(beat)
+	d.stallFrom.Store(last)
+	d.stallUntil.Store(beat)
 	return duration
 }
 
@@ -72,30 +72,30 @@
 type stall struct{ from, until time.Time }
 
 // lastStall returns the stall that is still going on, or the last stall if it ended less than within ago.
-func (w *Watch) lastStall(now time.Time, within time.Duration) (last stall, found bool) {
-	if w == nil || w.start.IsZero() {
+func (d *Detector) lastStall(now time.Time, within time.Duration) (last stall, found bool) {
+	if d == nil || d.start.IsZero() {
 		return stall{}, false
 	}
-	sinceStart := int64(now.Sub(w.start))
-	if beat := w.lastBeat.Load(); sinceStart-beat > int64(stallThreshold) {
-		return stall{from: w.time(beat), until: now}, true
+	sinceStart := int64(now.Sub(d.start))
+	if beat := d.lastBeat.Load(); sinceStart-beat > int64(stallThreshold) {
+		return stall{from: d.time(beat), until: now}, true
 	}
-	if until := w.stallUntil.Load(); until > 0 && sinceStart-until < int64(within) {
-		return stall{from: w.time(w.stallFrom.Load()), until: w.time(until)}, true
+	if until := d.stallUntil.Load(); until > 0 && sinceStart-until < int64(within) {
+		return stall{from: d.time(d.stallFrom.Load()), until: d.time(until)}, true
 	}
 	return stall{}, false
 }
 
 // time converts nanoseconds since start into a time.
-func (w *Watch) time(sinceStart int64) time.Time { return w.start.Add(time.Duration(sinceStart)) }
+func (d *Detector) time(sinceStart int64) time.Time { return d.start.Add(time.Duration(sinceStart)) }
 
 // EarliestArrival returns the earliest time at which the data that a blocking call has just returned may have arrived.
 // The call was made at callStart. The queue that it reads was last known to be empty at emptyAt, before callStart.
-func (w *Watch) EarliestArrival(emptyAt, callStart, now time.Time) time.Time {
+func (d *Detector) EarliestArrival(emptyAt, callStart, now time.Time) time.Time {
 	earliest := now
 	if now.Sub(callStart) < immediateReturnWithin {
 		earliest = emptyAt // the data was in the queue before the call began
-	} else if last, found := w.lastStall(now, stallThreshold); found && last.from.Before(earliest) {
+	} else if last, found := d.lastStall(now, stallThreshold); found && last.from.Before(earliest) {
 		earliest = last.from
 	}
 	if earliest.Before(emptyAt) {
@@ -106,25 +106,25 @@
 
 // EarliestQueuedArrival returns the earliest time at which an item may have arrived that has waited behind others in a
 // kernel queue and is taken now: the start of a stall that goes on or has just ended, or else now.
-func (w *Watch) EarliestQueuedArrival(now time.Time) time.Time {
-	if last, found := w.lastStall(now, stallThreshold); found {
+func (d *Detector) EarliestQueuedArrival(now time.Time) time.Time {
+	if last, found := d.lastStall(now, stallThreshold); found {
 		return last.from
 	}
 	return now
 }
 
 // StalledSince reports whether the process stalled at any time between a moment and now.
-func (w *Watch) StalledSince(moment, now time.Time) bool {
-	last, found := w.lastStall(now, now.Sub(moment))
+func (d *Detector) StalledSince(moment, now time.Time) bool {
+	last, found := d.lastStall(now, now.Sub(moment))
 	return found && last.until.After(moment)
 }
 
 // Settle waits just after a stall until readers have had time to read what arrived during the stall, such as a
 // cancellation, the end of a connection or a response. At any other time Settle returns at once. Settle reports whether
 // it waited.
-func (w *Watch) Settle() (waited bool) {
+func (d *Detector) Settle() (waited bool) {
 	now := time.Now()
-	last, found := w.lastStall(now, settleTime)
+	last, found := d.lastStall(now, settleTime)
 	if !found {
 		return false
 	}
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -72,13 +72,13 @@
 	return FaultBroken
 }
 
-// Exhausted reports whether a call failed because the process or the system is out of descriptors, or of memory for
+// IsExhausted reports whether a call failed because the process or the system is out of descriptors, or of memory for
 // one.
-func Exhausted(err error) bool { return isAnyOf(err, exhaustionErrors) }
+func IsExhausted(err error) bool { return isAnyOf(err, exhaustionErrors) }
 
-// Temporary reports whether the same call may succeed a moment later: an exhausted resource, an interrupted call, an
+// IsTemporary reports whether the same call may succeed a moment later: an exhausted resource, an interrupted call, an
 // address that its last owner has not released yet, or a file that is being replaced.
-func Temporary(err error) bool {
+func IsTemporary(err error) bool {
 	return isAnyOf(err, exhaustionErrors) || isAnyOf(err, transientErrors)
 }
 
--- a/internal/system/errors_test.go
+++ b/internal/system/errors_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Classify and Temporary recognise errors that are wrapped as package net wraps them.
+// Classify and IsTemporary recognise errors that are wrapped as package net wraps them.
 func TestClassify(t *testing.T) {
 	for err, want := range map[error]struct {
 		fault     Fault
@@ -40,8 +40,8 @@
 		if err != nil {
 			wrapped = &net.OpError{Op: "dial", Err: fmt.Errorf("connect: %w", err)}
 		}
-		if got := Classify(wrapped); got != want.fault || Temporary(wrapped) != want.temporary {
-			t.Errorf("%v: got fault %d, temporary %v", err, got, Temporary(wrapped))
+		if got := Classify(wrapped); got != want.fault || IsTemporary(wrapped) != want.temporary {
+			t.Errorf("%v: got fault %d, temporary %v", err, got, IsTemporary(wrapped))
 		}
 	}
 }
@@ -100,7 +100,7 @@
 
 // The normal build passes calls on to the standard library unchanged.
 func TestPassthrough(t *testing.T) {
-	if Faulty {
+	if InjectsFaults {
 		t.Skip("this build injects faults")
 	}
 	listener, err := Listen("tcp", "127.0.0.1:0")
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -34,8 +34,8 @@
 	defaultPlanSeed = 1
 )
 
-// Faulty reports whether this build injects faults.
-const Faulty = true
+// InjectsFaults reports whether this build injects faults.
+const InjectsFaults = true
 
 // The errors with which calls fail. A change of their order or number changes the faults that a seed produces.
 var (
--- a/internal/system/faults_test.go
+++ b/internal/system/faults_test.go
@@ -56,7 +56,7 @@
 // Although listening, accepting, dialing, reading and writing fail at the planned rates, all bytes arrive unchanged.
 func TestNetworkFaults(t *testing.T) {
 	usePlan(t, "seed=3 accept=0.3 dial=0.3 read=0.3 write=0.3 file=0.5 listen=1 clock=0s:+1h")
-	if _, err := Listen("tcp", "127.0.0.1:0"); !Temporary(err) || Classify(err) != FaultLocal {
+	if _, err := Listen("tcp", "127.0.0.1:0"); !IsTemporary(err) || Classify(err) != FaultLocal {
 		t.Errorf("first listen: got error %v", err)
 	}
 	listener, err := Listen("tcp", "127.0.0.1:0")
--- a/internal/system/passthrough.go
+++ b/internal/system/passthrough.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Faulty reports whether this build injects faults.
-const Faulty = false
+// InjectsFaults reports whether this build injects faults.
+const InjectsFaults = false
 
 func listen(network, address string) (net.Listener, error) { return net.Listen(network, address) }
 
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -103,5 +103,5 @@
 	if err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	return Exhausted(err) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EAGAIN)
+	return IsExhausted(err) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EAGAIN)
 }
--- a/internal/testbed/admission_burst.go
+++ b/internal/testbed/admission_burst.go
@@ -1,9 +1,9 @@
 package testbed
 
 var _ = Register(Experiment{
-	Name:  "admission-burst",
-	Shows: "one address opens ten thousand connections, at once and at a steady rate",
-	Run:   runAdmissionBurst,
+	Name:        "admission-burst",
+	Description: "one address opens ten thousand connections, at once and at a steady rate",
+	Run:         runAdmissionBurst,
 })
 
 func runAdmissionBurst(options Options, result *Result) error {
--- a/internal/testbed/admission_descriptors.go
+++ b/internal/testbed/admission_descriptors.go
@@ -3,9 +3,9 @@
 import "golang.org/x/sys/unix"
 
 var _ = Register(Experiment{
-	Name:  "admission-descriptors",
-	Shows: "descriptors run out while answers are owed",
-	Run:   runAdmissionDescriptors,
+	Name:        "admission-descriptors",
+	Description: "descriptors run out while answers are owed",
+	Run:         runAdmissionDescriptors,
 })
 
 func runAdmissionDescriptors(options Options, result *Result) error {
--- a/internal/testbed/admission_handshakes.go
+++ b/internal/testbed/admission_handshakes.go
@@ -6,9 +6,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "admission-handshakes",
-	Shows: "half handshakes by the thousand; and keys read again meanwhile",
-	Run:   runAdmissionHandshakes,
+	Name:        "admission-handshakes",
+	Description: "half handshakes by the thousand; and keys read again meanwhile",
+	Run:         runAdmissionHandshakes,
 })
 
 func runAdmissionHandshakes(options Options, result *Result) error {
--- a/internal/testbed/admission_many.go
+++ b/internal/testbed/admission_many.go
@@ -1,9 +1,9 @@
 package testbed
 
 var _ = Register(Experiment{
-	Name:  "admission-many",
-	Shows: "a thousand addresses flood together",
-	Run:   runAdmissionMany,
+	Name:        "admission-many",
+	Description: "a thousand addresses flood together",
+	Run:         runAdmissionMany,
 })
 
 func runAdmissionMany(options Options, result *Result) error {
--- a/internal/testbed/admission_restart.go
+++ b/internal/testbed/admission_restart.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "admission-restart",
-	Shows: "known clients that return all at once after a restart, among a flood",
-	Run:   runAdmissionRestart,
+	Name:        "admission-restart",
+	Description: "known clients that return all at once after a restart, among a flood",
+	Run:         runAdmissionRestart,
 })
 
 const (
--- a/internal/testbed/admission_shared.go
+++ b/internal/testbed/admission_shared.go
@@ -7,9 +7,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "admission-shared",
-	Shows: "behind one address, one bad and fifty good clients are told apart by certificate",
-	Run:   runAdmissionShared,
+	Name:        "admission-shared",
+	Description: "behind one address, one bad and fifty good clients are told apart by certificate",
+	Run:         runAdmissionShared,
 })
 
 const (
--- a/internal/testbed/cluster.go
+++ b/internal/testbed/cluster.go
@@ -217,7 +217,7 @@
 func (c *Cluster) configuration(seed uint64) Configuration {
 	return Configuration{
 		Seed: seed, Settings: c.Settings, DiscoveryAddress: c.Site.Discovery.Address,
-		KnownEvents: c.Site.Discovery.Known(),
+		KnownEvents: c.Site.Discovery.KnownEvents(),
 	}
 }
 
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -44,8 +44,8 @@
 
 // Experiment is a scripted, repeatable test.
 type Experiment struct {
-	Name, Shows string
-	Run         func(options Options, result *Result) error
+	Name, Description string
+	Run               func(options Options, result *Result) error
 }
 
 var experiments = map[string]Experiment{}
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -16,7 +16,7 @@
 
 var _ = testbed.Register(testbed.Experiment{
 	Name: "soak", Run: run,
-	Shows: "dozens of routers under overlapping faults and failing system calls break no rule",
+	Description: "dozens of routers under overlapping faults and failing system calls break no rule",
 })
 
 // run is the experiment: it plays the plan of one seed, or the plan that the options hold.
--- a/internal/testbed/store_cold.go
+++ b/internal/testbed/store_cold.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "store-cold",
-	Shows: "a store that restarts empty in a busy minute is not overloaded by 1, 4 or 16 routers",
-	Run:   runStoreCold,
+	Name:        "store-cold",
+	Description: "a store that restarts empty in a busy minute is not overloaded by 1, 4 or 16 routers",
+	Run:         runStoreCold,
 })
 
 // coldStoreLoad is the number of requests per second to all routers together. It exceeds the capacity of a cold store.
@@ -72,6 +72,6 @@
 	}
 	peak = max(peak, observed.Store.PeakLoad)
 	result.Figure(name+" peak multiple", peak)
-	result.Figure(name+" store hits", float64(observed.Store.Given))
+	result.Figure(name+" store hits", float64(observed.Store.Hits))
 	return peak, nil
 }
--- a/internal/testbed/store_cost.go
+++ b/internal/testbed/store_cost.go
@@ -3,9 +3,9 @@
 import "time"
 
 var _ = Register(Experiment{
-	Name:  "store-cost",
-	Shows: "what a request costs by way of a store, beside one by way of a cache",
-	Run:   runStoreCost,
+	Name:        "store-cost",
+	Description: "what a request costs by way of a store, beside one by way of a cache",
+	Run:         runStoreCost,
 })
 
 // maxStoreMB is the memory that a router may use in addition when it has a store.
--- a/internal/testbed/store_drain.go
+++ b/internal/testbed/store_drain.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "store-drain",
-	Shows: "a store that is drained and gone while sets are in flight gets nothing past the grace",
-	Run:   runStoreDrain,
+	Name:        "store-drain",
+	Description: "a store that is drained and gone while sets are in flight gets nothing past the grace",
+	Run:         runStoreDrain,
 })
 
 func runStoreDrain(options Options, result *Result) error {
@@ -44,7 +44,7 @@
 	}
 	result.Assert(commandsAtGrace > 0 && commandsLater == commandsAtGrace, "no get, lease or set past the grace",
 		"%d before, %d later", commandsAtGrace, commandsLater)
-	result.Assert(observed.Store.Given > 0 && observed.InTimeShare() >= 0.97, "requests are in time all the same", "%.4f",
+	result.Assert(observed.Store.Hits > 0 && observed.InTimeShare() >= 0.97, "requests are in time all the same", "%.4f",
 		observed.InTimeShare())
 	return nil
 }
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "store-faults",
-	Shows: "whatever the store answers, requests are served, and the store is used again when it is well",
-	Run:   runStoreFaults,
+	Name:        "store-faults",
+	Description: "whatever the store answers, requests are served, and the store is used again when it is well",
+	Run:         runStoreFaults,
 })
 
 // storeFault is a fault of the store and a text of the log line with which routers report it.
@@ -78,9 +78,9 @@
 			time.Sleep(quarter)
 			cluster.Store.SetFault(redis.Fault{})
 			time.Sleep(quarter)
-			hitsBefore = cluster.Store.Counts().Given
+			hitsBefore = cluster.Store.Counts().Hits
 			time.Sleep(quarter)
-			hitsAfter = cluster.Store.Counts().Given
+			hitsAfter = cluster.Store.Counts().Hits
 			for _, router := range cluster.Routers {
 				isLogged = isLogged || strings.Contains(router.Log(), f.logLine)
 			}
--- a/internal/testbed/store_lease.go
+++ b/internal/testbed/store_lease.go
@@ -8,8 +8,8 @@
 
 var _ = Register(Experiment{
 	Name: "store-lease",
-	Shows: "one object missed by 16 routers at once is filled once; a lease holder that dies costs nobody a latency " +
-		"objective",
+	Description: "one object missed by 16 routers at once is filled once; a lease holder that dies costs nobody a " +
+		"latency objective",
 	Run: runStoreLease,
 })
 
--- a/internal/testbed/store_none.go
+++ b/internal/testbed/store_none.go
@@ -3,9 +3,9 @@
 import "time"
 
 var _ = Register(Experiment{
-	Name:  "store-none",
-	Shows: "the baseline: the usual load without a store",
-	Run:   runStoreNone,
+	Name:        "store-none",
+	Description: "the baseline: the usual load without a store",
+	Run:         runStoreNone,
 })
 
 func runStoreNone(options Options, result *Result) error {
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "store-purge",
-	Shows: "no copy from before a purge is served past the grace, whatever fails in the store and the routers",
-	Run:   runStorePurge,
+	Name:        "store-purge",
+	Description: "no copy from before a purge is served past the grace, whatever fails in the store and the routers",
+	Run:         runStorePurge,
 })
 
 const (
@@ -44,9 +44,9 @@
 		return err
 	}
 	result.Figure("purges", float64(purges))
-	result.Figure("store hits", float64(observed.Store.Given))
-	result.Assert(observed.Store.Given > observed.Requests/20, "the store was of use meanwhile", "%d hits for %d requests",
-		observed.Store.Given, observed.Requests)
+	result.Figure("store hits", float64(observed.Store.Hits))
+	result.Assert(observed.Store.Hits > observed.Requests/20, "the store was of use meanwhile", "%d hits for %d requests",
+		observed.Store.Hits, observed.Requests)
 	return nil
 }
 
--- a/internal/testbed/store_slow.go
+++ b/internal/testbed/store_slow.go
@@ -7,9 +7,9 @@
 )
 
 var _ = Register(Experiment{
-	Name:  "store-slow",
-	Shows: "a store that is slow without failing costs no request its latency objective",
-	Run:   runStoreSlow,
+	Name:        "store-slow",
+	Description: "a store that is slow without failing costs no request its latency objective",
+	Run:         runStoreSlow,
 })
 
 func runStoreSlow(options Options, result *Result) error {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -84,7 +84,7 @@
 	mayHaveRun = c.session.abort(attempt, time.Now())
 	if c.session.hasPartialAbort {
 		c.advance(eventClose)
-		go c.close(invariant.CloseHalfWritten)
+		go c.close(invariant.CloseServerHalfWritten)
 	}
 	return mayHaveRun
 }
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -47,8 +47,8 @@
 	started := time.Now()
 	socket, err := c.pool.dial("tcp", address, l.ConnectTimeout)
 	attempts := 1
-	for ; attempts <= l.Redials && c.shouldRedial(err, time.Since(started)); attempts++ {
-		if attempts > 1 && system.Exhausted(err) { // more than momentary
+	for ; attempts <= l.MaxRedials && c.shouldRedial(err, time.Since(started)); attempts++ {
+		if attempts > 1 && system.IsExhausted(err) { // more than momentary
 			c.pool.freeDescriptors()
 		}
 		time.Sleep(l.RecheckInterval)
@@ -57,7 +57,7 @@
 	}
 	now := time.Now()
 	fault := system.Classify(err)
-	if fault == system.FaultSilent && c.pool.monitor.Watch().StalledSince(started, now) {
+	if fault == system.FaultSilent && c.pool.monitor.StallDetector().StalledSince(started, now) {
 		fault = system.FaultLocal // the process stalled meanwhile and may have missed the server's reply
 	}
 	c.pool.monitor.Record(flightrecorder.Entry{
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -21,7 +21,7 @@
 )
 
 // responseError reports a frame from a server that cannot be a response to any request sent. Like a framing error, it
-// matches resp.ErrFraming: nothing that follows on the connection can be trusted.
+// matches resp.ErrMalformed: nothing that follows on the connection can be trusted.
 type responseError struct {
 	id      string // as sent by the server
 	problem responseProblem
@@ -44,9 +44,9 @@
 
 func (e *responseError) Unwrap() []error {
 	if e.err == nil {
-		return []error{resp.ErrFraming}
+		return []error{resp.ErrMalformed}
 	}
-	return []error{resp.ErrFraming, e.err}
+	return []error{resp.ErrMalformed, e.err}
 }
 
 // dialError reports that a dial failed after all its attempts.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -23,7 +23,7 @@
 // testTimeout is how long a test waits for an event that must occur.
 const testTimeout = 10 * time.Second
 
-var testLimits = limits.From(limits.Inputs{
+var testLimits = limits.Derive(limits.Inputs{
 	MemoryMB:             64,
 	Sockets:              256,
 	StreamsPerConnection: 100,
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -106,7 +106,7 @@
 			}
 			session.writeAttempt(attempt, wholeFrame)
 			session.checkHealth(7, verbCheckWithReport, time.Now())
-			if err := session.feed(stream, 3); !errors.Is(err, resp.ErrFraming) {
+			if err := session.feed(stream, 3); !errors.Is(err, resp.ErrMalformed) {
 				t.Errorf("%q: error %v, want a framing error", stream, err)
 			}
 			session.failAll()
@@ -132,7 +132,7 @@
 			session := newTestSession()
 			session.writeAttempt(newAttempt(test.sent), wholeFrame)
 			err := session.feed(frame(test.id, statusOK, "-", "bytes"), 1)
-			if !errors.Is(err, resp.ErrFraming) {
+			if !errors.Is(err, resp.ErrMalformed) {
 				t.Errorf("id %q: error %v, want a framing error", test.id, err)
 			}
 			if results := session.takeResults(); len(results) != 0 {
--- a/internal/upstream/session.go
+++ b/internal/upstream/session.go
@@ -76,7 +76,7 @@
 		input:  resp.Ring{MaxBytes: l.UpstreamReadBuffer},
 		output: resp.Writer{Ring: resp.Ring{MaxBytes: l.UpstreamWriteBuffer}},
 		decoder: resp.Decoder{
-			MaxStrings:     l.FrameStrings,
+			MaxStrings:     l.MaxFrameStrings,
 			MaxStringBytes: l.ResponseBodyBytes,
 			MaxFrameBytes:  min(frameBytes, l.UpstreamReadBuffer),
 		},
@@ -147,7 +147,7 @@
 		return true
 	}
 	delete(s.inFlight, id)
-	s.hasPartialAbort = s.hasPartialAbort || e.streamEnd > s.output.TakenBytes
+	s.hasPartialAbort = s.hasPartialAbort || e.streamEnd > s.output.WrittenBytes
 	s.hasSilentAbort = s.hasSilentAbort || e.responsesBefore == s.responses
 	s.controlFrames = appendAbort(s.controlFrames, id)
 	maps.DeleteFunc(s.aborted, func(_ engine.ClientRequestID, at time.Time) bool {
@@ -195,7 +195,7 @@
 func (s *session) beginAttempt(next exchange, now time.Time) bool {
 	request := next.attempt.Request
 	timeLeft := next.attempt.Deadline.Sub(now)
-	denial := request.Invariants.Begin(invariant.Attempt{
+	denial := request.Invariants.BeginAttempt(invariant.Attempt{
 		Number:   next.attempt.Number,
 		Server:   next.server,
 		NotAfter: next.notAfter,
@@ -221,8 +221,8 @@
 // recordWritten records that the system has accepted the next n bytes of the output stream.
 func (s *session) recordWritten(n int, now time.Time) {
 	s.output.Advance(n)
-	if e := &s.sending; e.attempt != nil && e.streamEnd <= s.output.TakenBytes {
-		e.attempt.Request.Invariants.Complete(e.attempt.Number, e.server.Endpoint, now)
+	if e := &s.sending; e.attempt != nil && e.streamEnd <= s.output.WrittenBytes {
+		e.attempt.Request.Invariants.RecordAttemptWritten(e.attempt.Number, e.server.Endpoint, now)
 		s.sending = exchange{}
 	}
 }
@@ -257,7 +257,7 @@
 	})
 	for _, e := range append(begun, s.waiting...) {
 		outcome := routing.ConnectionBroken
-		if e.streamEnd == 0 || e.streamEnd > s.output.TakenBytes {
+		if e.streamEnd == 0 || e.streamEnd > s.output.WrittenBytes {
 			outcome = routing.ConnectFailed
 		}
 		if s.dialFailedLocally {
--- a/internal/upstream/state.go
+++ b/internal/upstream/state.go
@@ -133,7 +133,7 @@
 func (c *connection) advance(event connectionEvent) {
 	next := transitions[event][c.state]
 	if next == impossible {
-		c.pool.monitor.Violate(invariant.InvalidTransition, uint64(c.endpoint),
+		c.pool.monitor.RecordViolation(invariant.InvalidTransition, uint64(c.endpoint),
 			zap.Stringer("state", c.state), zap.Stringer("event", event))
 		return
 	}
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -25,7 +25,7 @@
 	idle := time.NewTicker(c.pool.limits.UpstreamIdleTimeout / idleChecksPerTimeout)
 	defer idle.Stop()
 	for {
-		c.pool.monitor.Watch().Settle() // an abort of a waiting attempt may have arrived during a stall
+		c.pool.monitor.StallDetector().Settle() // an abort of a waiting attempt may have arrived during a stall
 		now := time.Now()
 		next := c.nextOutput(now)
 		for _, result := range next.results {
@@ -36,7 +36,7 @@
 		}
 		if len(next.frames) > 0 {
 			if err := c.writeFrames(socket, next, now); err != nil {
-				return invariant.CloseServerWrite
+				return invariant.CloseServerWriteFailed
 			}
 			continue
 		}
@@ -44,7 +44,7 @@
 		case <-c.wake:
 		case <-idle.C:
 			if c.markClosedIfIdle(c.pool.limits.UpstreamIdleTimeout) {
-				return invariant.CloseIdle
+				return invariant.CloseServerIdle
 			}
 		}
 	}
