--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -50,7 +50,8 @@
 	options  FillOptions
 }
 
-// sendAttempt sends an attempt if the five rules allow it, and reports whether it did. All attempts are sent here.
+// sendAttempt sends an attempt if the rules of the package comment allow it, and reports whether it did. All attempts
+// are sent here.
 func (r *Router) sendAttempt(req *request, plan attemptPlan) bool {
 	if !r.mayAttempt(req, plan) {
 		return false
--- a/policy/routing/attribution.go
+++ b/policy/routing/attribution.go
@@ -6,12 +6,12 @@
 	// connectionBreakInterval is the minimum time between two broken connections to an endpoint that count as separate
 	// failures. One broken connection may end many attempts, which would otherwise eject the endpoint.
 	connectionBreakInterval = 20 * ms
-	// noFillsDuration is the time in which a cache that had no capacity gets no requests that need a fill. Some of its
-	// transfers end in this time.
+	// noFillsDuration is the time in which a cache that had no capacity gets no requests that need a fill. Meanwhile, some
+	// of its transfers end.
 	noFillsDuration = 100 * ms
 )
 
-// attributeFailure counts a failure against its cause: the endpoint, the source, the origin or the request.
+// attributeFailure counts a failure against its cause: the endpoint, the source or the origin.
 func (r *Router) attributeFailure(req *request, att *attempt, event *Event, failure failureKind) {
 	if att.endpoint == r.origin {
 		// A client that left before the objective says nothing about the origin.
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -14,8 +14,8 @@
 func overdueAge(expected time.Duration) time.Duration { return overdueFactor*expected + overdueMargin }
 
 // checkOverdueAttempts retries writes whose backoff is over, and hedges requests with overdue attempts. This protects
-// against silent caches and parents (crashed, disconnected or stalled). If an endpoint only pauses for long, the object
-// may be transferred twice.
+// against silent caches and parents (crashed, disconnected or stalled). If an endpoint only pauses for a long time, the
+// object may be transferred twice.
 func (r *Router) checkOverdueAttempts() {
 	for i := range r.requests.slots {
 		req := &r.requests.slots[i]
@@ -33,7 +33,7 @@
 }
 
 // checkOverdueAttempt hedges the request if the attempt is overdue and its endpoint or source has shown no sign of life
-// since the attempt was sent. If the request's size is known, it also hedges although both have.
+// since the attempt was sent. A request of known size is also hedged if both have shown one.
 func (r *Router) checkOverdueAttempt(req *request, att *attempt) {
 	age := r.now - att.sentAt
 	if !att.isPending() || req.transferTime == 0 || age < overdueAge(att.expected) || att.endpoint == r.origin {
--- a/policy/routing/hedging_test.go
+++ b/policy/routing/hedging_test.go
@@ -22,8 +22,9 @@
 	//   0.40s request 1: rejected
 }
 
-// A silent cache: an attempt is hedged once it is overdue and its endpoint has shown no sign of life since, and the
-// endpoint is ejected. A late answer to an attempt sent before the ejection shows that the endpoint did not restart.
+// A silent cache: an attempt is hedged once it is overdue and its endpoint has shown no sign of life since the attempt
+// was sent. The endpoint is ejected. A late answer to an attempt sent before the ejection shows that the endpoint did
+// not restart.
 func Example_silentCache() {
 	harness := newHarness(testSettings(), cacheA, cacheB)
 	object := harness.firstObject(cacheA, parentP)
--- a/policy/routing/latency.go
+++ b/policy/routing/latency.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// congestionGrowth is the additional slowdown that requests arriving during a transfer cause on a shared link, as a
-// multiple of the slowdown at its start. A full link stays full. With a lower value, admitted requests end late; with a
-// higher value, some requests are rejected in normal operation.
+// congestionGrowth is the slowdown that requests arriving during a transfer add on a shared link, as a multiple of the
+// excess slowdown at the transfer's start, which is the slowdown less 1. A full link stays full. With a lower value,
+// admitted requests end late; with a higher value, some requests are rejected in normal operation.
 const congestionGrowth = 1.6
 
 // prediction is the predicted cost of an attempt.
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -6,8 +6,8 @@
 )
 
 // Without response detail and sizes, the shortest answer counts as a hit. A busy cache gets no more requests, but an
-// idle cache always gets one, so that a slow period does not shut it out permanently. If congestion goes unnoticed, all
-// requests are admitted until all are late.
+// idle cache always gets one, so that a slow period does not shut it out permanently. If congestion went unnoticed, all
+// requests would be admitted until all are late.
 func Example_noResponseDetail() {
 	settings := testSettings()
 	settings.ResponseDetail, settings.FlowKBPerSecond, settings.AllowDirect = DetailNone, 0, false
--- a/policy/routing/learning.go
+++ b/policy/routing/learning.go
@@ -9,8 +9,8 @@
 	slowFillFactor = 2
 	// maxFillSlowdown limits the ratio with which one outlying fill enters the mean fillSlowdown of a parent.
 	maxFillSlowdown = 8
-	// minFillSlowdown is the lower bound of the fillSlowdown with which that of another parent is compared. Without it,
-	// each parent would count as slow beside a parent that has no fills yet.
+	// minFillSlowdown is the lowest value to which a parent's fillSlowdown is compared. Without it, each parent would
+	// count as slow compared to a parent that has no fills yet.
 	minFillSlowdown = 0.5
 	// uncongestedUtilization is the reported utilization below which the link of a cache is considered free of congestion.
 	uncongestedUtilization = 0.8
@@ -31,13 +31,13 @@
 
 // answer is a successful attempt with the values derived from it.
 type answer struct {
-	req          *request
-	att          *attempt
-	event        *Event
-	body         time.Duration // time from the first to the last byte
-	slowdown     float64       // ratio of body to the request's transfer time
-	bypassCaches bool          // the answer came from a parent or the origin
-	isHit        bool
+	req            *request
+	att            *attempt
+	event          *Event
+	body           time.Duration // time from the first to the last byte
+	slowdown       float64       // ratio of body to the request's transfer time
+	bypassedCaches bool          // the answer came from a parent or the origin
+	isHit          bool
 }
 
 // learnFromSuccess updates the endpoints and links that a successful attempt used.
@@ -54,7 +54,7 @@
 	target.throughput.add(req.transferTime.Seconds(), r.now, r.throughputSpan(att.endpoint))
 	ans := answer{
 		req: req, att: att, event: event, body: event.Elapsed - event.FirstByteWait, slowdown: 1,
-		bypassCaches: target.role > roleCache,
+		bypassedCaches: target.role > roleCache,
 	}
 	if req.transferTime > 0 {
 		ans.slowdown = float64(ans.body) / float64(req.transferTime)
@@ -68,7 +68,7 @@
 	if ans.isHit {
 		r.learnFromHit(&ans, record)
 	}
-	if ans.bypassCaches || event.Note == NoteFilled || event.Note == NoteViaOrigin {
+	if ans.bypassedCaches || event.Note == NoteFilled || event.Note == NoteViaOrigin {
 		r.learnFromFill(&ans)
 	}
 }
@@ -79,7 +79,7 @@
 	if ans.event.Note == NoteHit {
 		return true
 	}
-	return r.settings.ResponseDetail == DetailNone && !ans.bypassCaches &&
+	return r.settings.ResponseDetail == DetailNone && !ans.bypassedCaches &&
 		(record.transferTime == 0 || r.isExpectedCachedAt(ans.req, ans.att.endpoint))
 }
 
@@ -94,7 +94,7 @@
 	if !req.sizeInRequest && target.utilization < uncongestedUtilization || isShortest && !stats.hasUsualTransferTime() {
 		stats.transferTime.add(record.transferTime, transferTimeWeight)
 	}
-	if req.isLinkSample() && !ans.bypassCaches && r.warmFraction(ans.att.endpoint) >= 1 {
+	if req.isLinkSample() && !ans.bypassedCaches && r.warmFraction(ans.att.endpoint) >= 1 {
 		concurrent := r.totalTransfers(&target.link) + ans.att.linkShare
 		target.link.observe(ans.slowdown, concurrent, minCacheLinkCapacity, r.now)
 	}
@@ -149,7 +149,7 @@
 		viaOrigin = 1
 		objective := r.settings.Classes[ans.req.class].LatencyObjective
 		r.originLimiter.observe(wait, wait > objective/2 && r.now >= ans.req.objectiveAt, r.now)
-	} else if !ans.bypassCaches {
+	} else if !ans.bypassedCaches {
 		source.cachedFillWait += (wait - source.cachedFillWait) / fillAverageSamples
 	}
 	if source.role == roleParent {
--- a/policy/routing/link.go
+++ b/policy/routing/link.go
@@ -29,8 +29,8 @@
 	// congestedSlowdown is the slowdown from which a transfer counts as congested. Smaller slowdowns are within the
 	// noise of sizes and paths.
 	congestedSlowdown = 1.25
-	// capacityWeight is the weight of a new transfer in the estimated capacity. It doubles if transfers are a second
-	// apart.
+	// capacityWeight is the weight of a new transfer in the estimated capacity: the influence of earlier transfers ends
+	// after some ten new ones. The weight doubles if transfers are a second apart.
 	capacityWeight = 0.1
 	// busyFraction is the share of the estimated capacity above which an uncongested transfer shows that the capacity is
 	// larger.
@@ -43,7 +43,7 @@
 	// maxReportAge is the time for which a report of the link's load is used. It is several times the interval of the
 	// reports.
 	maxReportAge = 2 * time.Second
-	// reportWeightDivisor is the divisor of the weight of a new report in the mean utilization.
+	// reportWeightDivisor is the inverse of the weight of a new report in the mean utilization.
 	reportWeightDivisor = 4
 )
 
@@ -60,8 +60,7 @@
 
 // observe updates the capacity from the slowdown of a transfer and the number of transfers at the same time. An
 // uncongested transfer shows that more would have fit. A congested transfer shows how many did fit, which is less than
-// one for a slow endpoint but at least minCapacity. With a weight of a tenth, the influence of earlier transfers ends
-// after some ten new ones; if transfers are rare, each weighs twice as much.
+// one for a slow endpoint but at least minCapacity.
 func (l *link) observe(slowdown, concurrent, minCapacity float64, now time.Duration) {
 	weight := capacityWeight + capacityWeight*min(1, (now-l.observedAt).Seconds())
 	l.observedAt = now
--- a/policy/routing/link_test.go
+++ b/policy/routing/link_test.go
@@ -37,10 +37,10 @@
 	idle.observe(1, 3, minCacheLinkCapacity, time.Minute)
 	busy.observe(1, 12, minCacheLinkCapacity, time.Minute)
 	if idle.capacity != 10 {
-		t.Errorf("the capacity of an idle link grew to %v", idle.capacity)
+		t.Errorf("got capacity %v of an idle link, want 10", idle.capacity)
 	}
 	if busy.capacity <= 10 {
-		t.Errorf("the capacity of a busy link did not grow: %v", busy.capacity)
+		t.Errorf("got capacity %v of a busy link, want more than 10", busy.capacity)
 	}
 }
 
@@ -111,7 +111,7 @@
 	// 20 routers: 5 of 30 requests are filled
 }
 
-// Load reports that are stuck at a full link, and requests without sizes. The link must not be closed permanently: one
+// The load reports are stuck at a full link, and requests have no sizes. The link must not be closed permanently: one
 // fill is always admitted.
 func Example_frozenReports() {
 	settings := testSettings()
--- a/policy/routing/loadreport.go
+++ b/policy/routing/loadreport.go
@@ -5,8 +5,8 @@
 const (
 	// healthCheckInterval is the interval between health checks, which go to one cache after the other.
 	healthCheckInterval = 500 * ms
-	// requestsPerHealthCheck is the minimum number of requests between health checks. It limits health checks to one
-	// per 20 requests, even if each router has few requests.
+	// requestsPerHealthCheck is the minimum number of requests between health checks. It keeps health checks rare even if
+	// each router has few requests.
 	requestsPerHealthCheck = 20
 	// minReportedUtilization and minReportedTransfers are the utilization and the number of transfers up to which a
 	// report is not used to estimate the capacity of a link, since their ratio is too uncertain.
@@ -51,8 +51,8 @@
 	}
 }
 
-// observeIngressReport applies a report of the utilization of the location's link. If the settings do not have the
-// capacity of the link, it is estimated from the report.
+// observeIngressReport applies a report of the utilization of the location's link. If the settings lack the capacity of
+// the link, the capacity is estimated from the report.
 func (r *Router) observeIngressReport(utilization float64) {
 	if r.settings.ingressTransfers() > 0 {
 		r.ingress.observeReport(utilization, r.now)
--- a/policy/routing/objecthistory_test.go
+++ b/policy/routing/objecthistory_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := record.isCachedAt(test.index, test.startedAt, test.now); got != test.want {
-				t.Errorf("got %v", got)
+				t.Errorf("got isCachedAt %v, want the opposite", got)
 			}
 		})
 	}
@@ -46,6 +46,6 @@
 		record.countRequest()
 	}
 	if record.requests != maxCountedRequests {
-		t.Errorf("counted %d requests, want the maximum", record.requests)
+		t.Errorf("got a count of %d requests, want maxCountedRequests", record.requests)
 	}
 }
--- a/policy/routing/originlimit.go
+++ b/policy/routing/originlimit.go
@@ -7,7 +7,7 @@
 	// would overload the origin when many routers start together.
 	initialOriginLimit = 8
 	// baseMaxOriginLimit is the value, in fills, up to which timely answers raise the limit at any load. The limit rises
-	// above it only if more than half as many fills are in flight. Late answers soon reduce a limit that is too high.
+	// further only while more than half of it is in use. Late answers soon reduce a limit that is too high.
 	baseMaxOriginLimit = 24
 	// minOriginLimit is the lower bound of the limit, in fills. With less, no trial fills would be sent.
 	minOriginLimit = 1
@@ -15,8 +15,7 @@
 	// in flight together, so their failures have the same cause.
 	originFailureInterval = 100 * ms
 	// maxWaitDiscount is the maximum share of the usual wait that is subtracted from the prediction for admitting a fill.
-	// Half of all waits are shorter than the usual wait, so that many such fills end in time. A share of 0.7 has no
-	// advantage.
+	// Half of all waits are shorter than the usual wait, so many such fills end in time.
 	maxWaitDiscount = 0.5
 	// limitIncrease is the number of fills by which a timely answer raises the limit. scarceLimitIncrease is the
 	// additional number at a scarcity of 1.
@@ -33,8 +32,8 @@
 	waitStepShare          = 0.07
 	waitStepSharePerSecond = 0.15
 	maxWaitStepShare       = 0.4
-	// fullOriginLimitCaches is the number of caches for which a router has a full limit. A router that shares few caches
-	// with many other routers has a smaller limit. A limit below one fill admits fills only part of the time.
+	// fullOriginLimitCaches is the number of caches per router from which a router has a full limit. A router that shares
+	// few caches with many other routers has a smaller limit. A limit below one fill admits fills only part of the time.
 	fullOriginLimitCaches = 4
 	// originTrialInterval is the mean interval between trials of a router with a full limit while the limiter is closed.
 	// Failures may reach all routers at the same time, and without the interval all would send a trial at once. Parents
@@ -151,9 +150,9 @@
 	r.logEndpoint(state, r.origin)
 }
 
-// mayReachOrigin reports whether a fill that may have to wait for the origin is admitted: the limiter has capacity and
-// the fill is predicted in time, less the wait discount. One fill at a time is admitted whatever its prediction, since
-// otherwise no router would notice that the origin has recovered.
+// mayReachOrigin reports whether a fill that may have to wait for the origin is admitted: the limiter has capacity, and
+// the predicted duration less the wait discount meets the objective. One fill at a time is admitted whatever its
+// prediction, since otherwise no router would notice that the origin has recovered.
 func (r *Router) mayReachOrigin(req *request, index, source endpointIndex) bool {
 	if source == noEndpoint || r.now >= req.objectiveAt {
 		return false
--- a/policy/routing/originlimit_test.go
+++ b/policy/routing/originlimit_test.go
@@ -88,7 +88,7 @@
 }
 
 // With timely answers the limit rises with the number of fills in flight, and with late answers it falls to the
-// minimum. With a fixed maximum, requests would be rejected at five times the usual rate.
+// minimum. With a fixed maximum, requests would be rejected under five times the usual load.
 func Example_originLimitWidens() {
 	limiter := originLimiter{limit: initialOriginLimit, share: 0.5}
 	for _, test := range []struct {
--- a/policy/routing/random_test.go
+++ b/policy/routing/random_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The first numbers of two seeds. A change of the generator would change every decision that uses a random number.
+// The first numbers of two seeds must not change: every decision that uses a random number would change with them.
 func TestRandomNumbersAreStable(t *testing.T) {
 	for seed, want := range map[uint64][3]float64{
 		1: {0.7996301718521863, 0.5209461254999042, 0.9231933446135372},
--- a/policy/routing/request.go
+++ b/policy/routing/request.go
@@ -12,7 +12,7 @@
 	requestOpen            requestState = iota
 	requestStreaming                    // open; the client is receiving the answer
 	requestClosed                       // answered or given up; attempts in flight are cancelled
-	requestClosedStreaming              // closed after the answer began; attempts in flight are not cancelled
+	requestClosedStreaming              // closed, but the answer has begun; attempts in flight are not cancelled
 	requestStateCount
 )
 
--- a/policy/routing/request_test.go
+++ b/policy/routing/request_test.go
@@ -18,7 +18,8 @@
 	}
 	second := table.add(2)
 	if len(table.slots) != 1 || second.id != 2 || second.state != requestOpen {
-		t.Errorf("got %d slots and request %d in state %v", len(table.slots), second.id, second.state)
+		t.Errorf("got %d slots and request %d in state %v, want 1 slot and request 2 in state requestOpen",
+			len(table.slots), second.id, second.state)
 	}
 	table.release(second)
 	if table.find(2) != second {
@@ -44,7 +45,7 @@
 				t.Errorf("after closing: got state %v, want %v", got, test.closed)
 			}
 			if got := (&request{state: test.from}).isOpen(); got != test.isOpen {
-				t.Errorf("got isOpen %v", got)
+				t.Errorf("got isOpen %v, want the opposite", got)
 			}
 		})
 	}
@@ -63,7 +64,7 @@
 			for range 2 {
 				actions := router.Handle(router.now, &Event{Kind: EventClientGone, Request: 1}, nil)
 				if isCancelled := len(actions) == 1 && actions[0].Kind == ActionCancel; isCancelled == isStreaming {
-					t.Errorf("got cancelled %v", isCancelled)
+					t.Errorf("got cancelled %v, want the opposite", isCancelled)
 				}
 			}
 		})
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -302,24 +302,24 @@
 
 // followUp retries or gives up an open request after one of its attempts has failed.
 func (r *Router) followUp(req *request, failure failureKind) {
-	following := transitions[req.stage][failure]
+	next := transitions[req.stage][failure]
 	if r.settings.Classes[req.class].Write {
-		if following.kind == rejectRequest || !r.scheduleWriteRetry(req) {
+		if next.kind == rejectRequest || !r.scheduleWriteRetry(req) {
 			r.giveUp(req)
 		}
 		return
 	}
 	// A retry after a failure, unlike one after a miss, needs a token. Otherwise retries multiply the load of a fault.
-	if following.kind != rejectRequest && failure != failureNotCached {
+	if next.kind != rejectRequest && failure != failureNotCached {
 		if !r.retries.take() || r.now >= req.objectiveAt {
-			following.kind = rejectRequest
+			next.kind = rejectRequest
 		}
 	}
-	switch following.kind {
+	switch next.kind {
 	case tryNextCache:
 		r.route(req)
 	case tryNextSource:
-		if !r.sendWithFill(req, following.stage) {
+		if !r.sendWithFill(req, next.stage) {
 			r.giveUp(req)
 		}
 	case rejectRequest:
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -6,7 +6,7 @@
 	// budgetSafetyFactor is the share of a cold endpoint's budget that all routers together use on average. The rest is
 	// left for random bursts.
 	budgetSafetyFactor = 0.6
-	// defaultThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until a
+	// defaultThroughput is the assumed throughput of a warm endpoint, in seconds of transfers per second, until a higher
 	// throughput has been observed.
 	defaultThroughput = 1
 	// minBudgetRate is the budget rate, in seconds of transfers per second, if a setting is missing. It is almost zero,
@@ -57,7 +57,7 @@
 	return true
 }
 
-// consume counts a number of requests (count), each with the transfer time, and delays the next request to the cold
+// consume counts the given number of requests, each with the transfer time, and delays the next request to the cold
 // endpoint accordingly. throughput is this router's share of the throughput of the warm endpoint. Unused budget is
 // saved up to the amount that the endpoint can bear within the overload window in addition to the continuing requests.
 func (s *slowStart) consume(count float64, transferTime time.Duration, throughput float64, now time.Duration) {
@@ -99,16 +99,15 @@
 		return true
 	}
 	if ramp.beginBudget(r.now) {
-		// Begins with a random delay and nothing saved up: all routers learn of the endpoint's start at about the same
-		// time, or start together after it.
+		// The budget begins with a random delay and nothing saved up, so that many routers together keep it: all learn of
+		// the endpoint's start at about the same time, or start together after it.
 		r.consumeBudget(req, index, r.random.float()*(1-r.trafficShareOf(index)))
 	}
 	return r.now >= ramp.nextAllowed
 }
 
-// consumeBudget counts a number of requests (count) against the budget of a cold endpoint. A router whose share of the
-// budget is less than one request starts with a random delay, so that many routers together keep the budget. This
-// enforces rule 4 under unusual load: a lost location, retries, a failed neighbour.
+// consumeBudget counts the given number of requests against the budget of a cold endpoint. This enforces rule 4 under
+// unusual load: a lost location, retries, a failed neighbour.
 func (r *Router) consumeBudget(req *request, index endpointIndex, count float64) {
 	ramp := &r.endpoints[index].slowStart
 	if ramp.warmFraction(r.now) >= 1 {
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -68,11 +68,11 @@
 // simulate runs the fleet. It returns the arrivals at the cold endpoint and the share of requests that were served.
 func (f *coldFleet) simulate(settings Settings, start time.Duration) (arrivals []arrival, served float64) {
 	run := newFleetRun(*f, settings, start)
-	length := settings.SlowStartFor
+	duration := settings.SlowStartFor
 	if f.isParent {
-		length = settings.ParentSlowStartFor
+		duration = settings.ParentSlowStartFor
 	}
-	for run.now = start; run.now < start+length; run.now += fleetStep {
+	for run.now = start; run.now < start+duration; run.now += fleetStep {
 		run.step()
 	}
 	return run.arrivals, run.served / run.requests
@@ -239,10 +239,10 @@
 // work that it can bear. If the settings allow N requests per window at the end of the window, the endpoint can bear
 // N + 2*sqrt(N) + 2, which leaves room for random variation.
 func (f *coldFleet) worstRatio(settings Settings, start time.Duration, arrivals []arrival) (worstRatio float64) {
-	initial, duration, multiple := settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor
+	initial, duration, overloadFactor := settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor
 	if f.isParent {
 		initial, duration = settings.ParentSlowStartShare, settings.ParentSlowStartFor
-		multiple = settings.ParentOverloadFactor
+		overloadFactor = settings.ParentOverloadFactor
 	}
 	first, sum := 0, 0.0
 	for _, last := range arrivals {
@@ -252,8 +252,8 @@
 			first++
 		}
 		warm := initial + (1-initial)*float64(last.at-start)/float64(duration)
-		// In requests of mean work, which take a tenth of a second each.
-		bearable := multiple * warm * f.linkCapacity / 0.1 * settings.OverloadWindow.Seconds()
+		// The unit is requests of mean work, which take a tenth of a second each.
+		bearable := overloadFactor * warm * f.linkCapacity / 0.1 * settings.OverloadWindow.Seconds()
 		worstRatio = math.Max(worstRatio, sum/(bearable+2*math.Sqrt(bearable)+2))
 	}
 	return worstRatio
@@ -298,7 +298,7 @@
 		ratio, text := fleet.run()
 		t.Logf("neighbours lost at %2.0f s: %s", lostAt.Seconds(), text)
 		if ratio > 1 {
-			t.Errorf("neighbours lost at %v: got %.2f of the load that the cold endpoint can bear", lostAt, ratio)
+			t.Errorf("neighbours lost at %v: got %.2f of the load that the endpoint can bear, want at most 1", lostAt, ratio)
 		}
 	}
 }
@@ -334,7 +334,7 @@
 		ratio, text := fleet.run()
 		t.Logf("%d of 10 routers restarted at %.1f s: %s", restart.restarted, restart.at.Seconds(), text)
 		if ratio > 1 {
-			t.Errorf("restart at %v: got %.2f of the load that the cold endpoint can bear", restart.at, ratio)
+			t.Errorf("restart at %v: got %.2f of the load that the endpoint can bear, want at most 1", restart.at, ratio)
 		}
 	}
 }
--- a/policy/routing/slowstart_test.go
+++ b/policy/routing/slowstart_test.go
@@ -115,8 +115,8 @@
 	// 1 of 20 went to A while it was cold
 }
 
-// Rule 4: a new router that knows no sizes, in a location where all caches are cold. Until sizes are known, each
-// request counts with its latency objective, so that only few are sent before the sizes are learned.
+// Rule 4: a new router knows no sizes, and all caches of its location are cold. Until sizes are known, each request
+// counts with its latency objective, so that only few are sent before the sizes are learned.
 func Example_coldCacheAndUnknownSizes() {
 	harness := newHarness(testSettings(), cacheA)
 	harness.isQuiet = true
--- a/policy/routing/transitions.go
+++ b/policy/routing/transitions.go
@@ -37,7 +37,7 @@
 	rejectRequest                     // give up: no further attempt can succeed in time
 )
 
-// transition is the reaction to a failed attempt. Field stage is used only with tryNextSource.
+// transition is the reaction to a failed attempt. The stage is used only with tryNextSource.
 type transition struct {
 	stage fillStage
 	kind  followUpKind
