--- a/policy/sharedstore/coordinator.go
+++ b/policy/sharedstore/coordinator.go
@@ -207,7 +207,7 @@
 		c.endpoints[event.Endpoint] = listedEndpoint{event.State, c.now}
 	}
 	c.dropFillLimit(event.Endpoint)
-	for id, listed := range c.endpoints { // the map would otherwise grow for months
+	for id, listed := range c.endpoints { // the map would otherwise grow without bound
 		if listed.state == routing.Gone && c.now-listed.since > goneEndpointTTL {
 			delete(c.endpoints, id)
 		}
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// initialFillLimit limits the fills in flight to a source that has not answered yet. It equals what one busy router
-	// without a store has in flight there at its start; a lower limit would reject requests that the source can handle.
+	// initialFillLimit limits the fills in flight to a source that has not answered yet. It equals the fills that a busy
+	// router without a store has in flight there just after the router's start; a lower limit would reject requests that
+	// the source can handle.
 	initialFillLimit = 64
 	// maxFillLimit is the highest limit on fills in flight to a source: far above the initial limit, yet no more than a
 	// source can handle in bad times.
--- a/policy/sharedstore/invalidationlog.go
+++ b/policy/sharedstore/invalidationlog.go
@@ -28,7 +28,7 @@
 	completeFrom Timestamp // start of the range in which every purge is known
 	completeTo   Timestamp // end of that range
 	maxTTL       time.Duration
-	byObject     map[routing.ObjectID]Timestamp // the time of the latest purge of each
+	byObject     map[routing.ObjectID]Timestamp // time of the latest purge of each object
 	byGroup      map[routing.GroupID]Timestamp
 	entries      []Invalidation // in the order of recording
 	dropped      int            // number of entries dropped; the position of an entry is its index plus dropped
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -2,13 +2,13 @@
 
 // Synchronization of the invalidation log with the stores.
 //
-// Each router knows every purge that was issued in a range of time. Each store keeps such a log too, as one value that
-// holds the entries and the range in which the log is complete. Both ends of the range and the time of an entry only
-// ever grow, so routers can write without coordination and in any order. A router may move the end of the store's range
-// to the end of its own if the two ranges adjoin. If they do not, a purge that nobody knows may lie between them, and
-// the start of the store's range moves up to the start of the router's range. A copy is served if the time from which
-// the copy is valid lies in a range that reaches to now without a gap, and the copy was generated after every purge of
-// it in that range.
+// Each router's log holds every purge that was issued in a range of time. Each store keeps such a log too, as one value
+// that holds the entries and the range in which the log is complete. Both ends of the range and the time of an entry
+// only ever grow, so routers can write without coordination and in any order. A router may move the end of the store's
+// range to the end of its own if the two ranges adjoin. If they do not, a purge that nobody knows may lie between them,
+// and the start of the store's range moves up to the start of the router's range. A copy is served if the time from
+// which the copy is valid lies in a range that reaches to now without a gap, and the copy was generated after every
+// purge of it in that range.
 //
 // A store that comes back empty, with an old snapshot, or without the value (a store may drop any value, but only as a
 // whole) shows a range that ends early, or no range. Any router that knows more writes the missing part again. A router
--- a/policy/sharedstore/logsync_model_test.go
+++ b/policy/sharedstore/logsync_model_test.go
@@ -63,8 +63,8 @@
 	return true
 }
 
-// writeLog writes the update that a router plans from the range it read. The store may have changed since, the
-// connection has not.
+// writeLog writes the update that a router plans from the range it read. The store may have changed since the read, but
+// the connection has not.
 func (m *logModel) writeLog(router int) bool {
 	coordinator, stored := m.routers[router], m.read[router]
 	if stored == nil {
@@ -90,7 +90,7 @@
 	return true
 }
 
-// modelMove is an event of the model. The function do reports whether the event applies.
+// modelMove is an event of the model. Its function apply reports whether the event can happen now.
 type modelMove struct {
 	name  string
 	apply func(m *logModel) bool
@@ -202,7 +202,8 @@
 	return names
 }
 
-// Every sequence of five moves, at steps shorter and longer than the takeover delay.
+// No sequence of up to five moves, at steps shorter or longer than the takeover delay, makes a router serve a copy from
+// before a purge.
 func TestLogModel(t *testing.T) {
 	for _, step := range []time.Duration{700 * ms, takeoverDelay + time.Second} {
 		t.Run(step.String(), func(t *testing.T) {
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -66,7 +66,7 @@
 			}
 			coordinator.ClockStepped(now, step)
 			if coordinator.wallClock() != epoch+Timestamp((now+step)/ms) {
-				t.Errorf("the wall clock is %d ms past the epoch", coordinator.wallClock()-epoch)
+				t.Errorf("the wall clock is %d ms past the epoch, want 10 minutes plus the step", coordinator.wallClock()-epoch)
 			}
 			purge := Invalidation{Object: modelObject, IssuedAt: coordinator.wallClock()}
 			coordinator.RecordInvalidation(now, purge)
@@ -77,7 +77,8 @@
 			}
 			update := coordinator.PlanLogUpdate(now+takeoverDelay+time.Second, testStore, LogRange{})
 			if update.CompleteTo > coordinator.wallClock()+maxClockSkew {
-				t.Errorf("the written range ends %d ms in the future", update.CompleteTo-coordinator.wallClock())
+				t.Errorf("the written range ends %d ms in the future, want at most maxClockSkew",
+					update.CompleteTo-coordinator.wallClock())
 			}
 			coordinator.now = now + time.Hour + time.Minute
 			if generatedAt := coordinator.wallClock(); !isProved(coordinator, generatedAt, generatedAt) {
@@ -107,7 +108,7 @@
 			coordinator.PlanLogUpdate(time.Second, testStore, LogRange{CompleteTo: epoch})
 			update := coordinator.PlanLogUpdate(2*time.Second, testStore, LogRange{CompleteTo: test.completeTo})
 			if update.IsDataLost != (test.wantHealth == healthWarmingUp) {
-				t.Errorf("update.IsDataLost is %v", update.IsDataLost)
+				t.Errorf("got IsDataLost %v, want the opposite", update.IsDataLost)
 			}
 			if update.IsDataLost {
 				lost := Event{Kind: EventDataLost, Endpoint: testStore}
--- a/policy/sharedstore/operation_test.go
+++ b/policy/sharedstore/operation_test.go
@@ -179,7 +179,7 @@
 	return strings.Join(done, " ")
 }
 
-// Every course that an operation can take, apart from random choices.
+// The traces of the scripts, which together use every transition of an operation.
 func Example_operations() {
 	for _, script := range operationScripts {
 		fmt.Println(runScript(script))
--- a/policy/sharedstore/simulation_steps_test.go
+++ b/policy/sharedstore/simulation_steps_test.go
@@ -166,7 +166,7 @@
 }
 
 // reconnect simulates a new connection, to the same run of the store or to a new run with no values. The end of the
-// previous connection is reported or not.
+// previous connection may go unreported.
 func (sim *simulation) reconnect() {
 	if sim.draw(2) == 0 {
 		sim.handle(&Event{Kind: EventDisconnected, Endpoint: testStore})
--- a/policy/sharedstore/slowstart_test.go
+++ b/policy/sharedstore/slowstart_test.go
@@ -34,8 +34,8 @@
 				count++
 			}
 		}
-		if share := shareOfSecond(from - startedAt); float64(count) > share {
-			return fmt.Errorf("%d commands in the second from %v on, want at most %.0f", count, from-startedAt, share)
+		if allowed := allowedCommands(from - startedAt); float64(count) > allowed {
+			return fmt.Errorf("%d commands in the second from %v on, want at most %.0f", count, from-startedAt, allowed)
 		}
 	}
 	if len(sim.commands) < 200 {
@@ -44,8 +44,8 @@
 	return sim.err
 }
 
-// shareOfSecond returns how many commands one router may send in the second that begins at the given age of a store.
-func shareOfSecond(age time.Duration) float64 {
+// allowedCommands returns how many commands one router may send in the second that begins at the given age of a store.
+func allowedCommands(age time.Duration) float64 {
 	settings := testSettings()
 	capacity := 0.0
 	for offset := time.Duration(0); offset < time.Second; offset += 100 * ms {
