--- a/policy/admission/connection.go
+++ b/policy/admission/connection.go
@@ -47,7 +47,7 @@
 	rejectionsInRow    int           // requests rejected since the last admitted one
 	mayHaveUnreadUntil time.Duration // reading was paused, so until this time there may be unread input
 	idleSince          time.Duration // time of acceptance, of the first message or of the last change to idle
-	links                            // position in the list of idleListOf(state), if there is one
+	links                            // position in the list that idleListOf(state) returns, if any
 }
 
 func (c *Controller) connectionLinks(index int32) *links { return &c.connections[index].links }
--- a/policy/admission/connection_test.go
+++ b/policy/admission/connection_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against new connections being closed for one another before their first messages arrive: under load, each was
+// New connections must not be closed for one another before their first messages arrive: under load, each would be
 // closed after a tenth of a millisecond. When all slots are taken by idle connections that have sent a message, one of
 // these is closed for a new connection. A connection that has sent nothing for longer than firstMessageDelay is closed
 // first.
--- a/policy/admission/eviction.go
+++ b/policy/admission/eviction.go
@@ -6,10 +6,10 @@
 )
 
 // firstMessageDelay is how long a new connection is expected to take to send its first message: several times the
-// network delay. Without this allowance, when many connections arrive at once, each would be closed for the next one
-// before its first message is there. A connection that has sent messages and has been idle for longer than this is
-// closed first. After this time a new connection loses the allowance, so that connections that never send anything do
-// not displace those that have just sent a message.
+// network delay. During this time, a connection that has sent messages and has been idle for longer is closed first;
+// otherwise, in a burst of arrivals, each connection would be closed for the next before its first message arrives.
+// After this time, the new connection is closed first, so that connections that never send anything do not displace
+// those that have just sent a message.
 const firstMessageDelay = 100 * time.Millisecond
 
 // closeIdle closes a connection to make room for others.
--- a/policy/admission/model_test.go
+++ b/policy/admission/model_test.go
@@ -68,7 +68,7 @@
 			}
 			decision = action.Kind
 			if action.Wait < 0 || action.Wait > m.controller.settings.MaxRetryAfter {
-				m.violate("time to retry after %v is out of range", action.Wait)
+				m.violate("the time to retry after is %v, want 0 to MaxRetryAfter", action.Wait)
 			}
 		default:
 		}
@@ -130,7 +130,8 @@
 	}
 	if controller.idlePeers.length > settings.MaxRememberedPeers ||
 		len(controller.peerIndex) > settings.MaxRememberedPeers+settings.MaxConnections+1 {
-		m.violate("too many peers are remembered: %d", len(controller.peerIndex))
+		m.violate("%d peers are remembered, want at most MaxRememberedPeers without a connection",
+			len(controller.peerIndex))
 	}
 }
 
@@ -228,7 +229,7 @@
 	m.now += time.Minute
 	m.handle(Event{Kind: EventDescriptorAvailable})
 	if _, accepted := m.arrive(clientAddress(7), false); !accepted || controller.mode != ModeOpen {
-		m.violate("a client is not admitted, or the mode is not open without other clients: %s", controller.Mode())
+		m.violate("without other clients, a client is not admitted or the mode is %s, want open", controller.Mode())
 	}
 }
 
--- a/policy/admission/peers.go
+++ b/policy/admission/peers.go
@@ -33,10 +33,10 @@
 }
 
 const (
-	// recentlyServedScore is the score at which a peer is known. A flooder that opens connections but sends no requests
-	// scores nothing.
+	// recentlyServedScore is the score from which a peer counts as recentlyServed. A flooder that opens connections but
+	// sends no requests scores nothing.
 	recentlyServedScore = 5
-	// maxScore corresponds to a minute of requests from an ordinary client.
+	// maxScore limits a score to a minute of requests from an ordinary client.
 	maxScore = 20
 	// scoreHalfLife lets a client stay known during a break, but not over a weekend.
 	scoreHalfLife = 30 * time.Minute
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Settings holds the limits of admission. A limit of 0 is not enforced.
+// Settings holds the limits of admission. A limit of 0 is not enforced, except MaxConnections, Reserve and
+// MaxRememberedPeers.
 type Settings struct {
 	MaxConnections int // connections of all clients
-	Reserve        int // slots of MaxConnections that are reserved for known clients
+	Reserve        int // slots of MaxConnections that are reserved for known peers
 
 	ConnectionsPerPeer  int     // connections of one peer
 	NewPerPeerPerSecond float64 // rate of new connections of one peer
@@ -25,7 +26,7 @@
 
 const (
 	defaultMaxHandshakes      = 64          // signatures that a core computes in a twentieth of a second
-	defaultHandshakeCPU       = 0.3         // requests need little CPU, but a flood must not get half a core
+	defaultHandshakeCPU       = 0.3         // requests need little CPU, but a flood of handshakes must not get half a core
 	defaultMinIdle            = time.Second // with less, each connection of a flood would close another, at a higher cost
 	defaultMaxRememberedPeers = 4096        // about 600 KB
 	burstFactor               = 2           // a peer may reopen all its connections twice in a row
