--- a/policy/admission/requestquota.go
+++ b/policy/admission/requestquota.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// hasRequestQuota reports whether a peer may open another request. Known peers may use the whole limit on open
-// requests. Unknown peers together have a lower limit, and once half of it is used, each of them is held to an equal
-// share.
+// hasRequestQuota reports whether a peer may open another request. Known peers together may use the whole limit on open
+// requests. Unknown peers together have a limit of their own, which is lowered under load. Once half of this limit is
+// used, each of them is held to an equal share.
 func (c *Controller) hasRequestQuota(peer *peerRecord, peerReputation reputation) bool {
 	switch {
 	case c.settings.RequestsPerPeer > 0 && peer.openRequests >= c.settings.RequestsPerPeer:
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -12,7 +12,7 @@
 	NewPerPeerPerSecond float64 // rate of new connections of one peer
 	Burst               int     // new connections of one peer at once
 	RequestsPerPeer     int     // open requests of one peer
-	MaxRequests         int     // open requests of all peers; when they run short, unknown peers get equal shares
+	MaxRequests         int     // open requests of all known peers and, separately, of all unknown peers
 
 	MaxHandshakes      int             // concurrent TLS handshakes
 	HandshakeCPU       float64         // fraction of a core that handshakes may use
--- a/policy/routing/hedging.go
+++ b/policy/routing/hedging.go
@@ -5,8 +5,8 @@
 const (
 	// overdueFactor is the multiple of its predicted duration that an attempt may take before it is overdue.
 	overdueFactor = 2
-	// overdueMargin is the additional delay before an attempt is overdue. A short pause of an endpoint or a retransmitted
-	// packet must fit, or healthy endpoints are ejected.
+	// overdueMargin is the additional delay before an attempt is overdue. It covers a short pause of an endpoint or a
+	// retransmitted packet; with less, healthy endpoints are ejected.
 	overdueMargin = 150 * ms
 )
 
--- a/policy/routing/settings.go
+++ b/policy/routing/settings.go
@@ -88,7 +88,7 @@
 
 // Settings holds the fixed settings of a router.
 type Settings struct {
-	Routers                int
+	Routers                int // number of routers in all zones
 	Zone                   ZoneID
 	ZoneRouters            []int     // number of routers that serve each zone
 	ZoneIngressKBPerSecond []float64 // KB per second into each zone, 0 if not known
--- a/policy/routing/slowstart.go
+++ b/policy/routing/slowstart.go
@@ -59,7 +59,7 @@
 
 // consume counts the given number of requests, each with the transfer time, and delays the next request to the cold
 // endpoint accordingly. throughput is this router's share of the throughput of the warm endpoint. Unused budget is
-// saved up to the amount that the endpoint can bear within the overload window in addition to the continuing requests.
+// saved up to the amount that the endpoint can bear within the overload window beyond requests at the budget's rate.
 func (s *slowStart) consume(count float64, transferTime time.Duration, throughput float64, now time.Duration) {
 	rate := max(minBudgetRate, budgetSafetyFactor*s.settings.overloadFactor*s.warmFraction(now)*throughput)
 	interval := time.Duration(float64(transferTime) / rate)
--- a/policy/routing/transitions.go
+++ b/policy/routing/transitions.go
@@ -23,7 +23,7 @@
 	failureOrigin                        // the parent's request to the origin failed
 	failureNoCapacity                    // the endpoint is overloaded, or has no capacity for a fill
 	failureEndpoint                      // the endpoint failed
-	failureTimeout                       // no answer in time
+	failureTimeout                       // no answer in time, or the attempt was cancelled or not sent
 	failureRequest                       // a second endpoint answered with an error, so the request is the cause
 	failureCount
 )
--- a/policy/sharedstore/fill.go
+++ b/policy/sharedstore/fill.go
@@ -11,8 +11,8 @@
 	// router without a store has in flight there just after the router's start; a lower limit would reject requests that
 	// the source can handle.
 	initialFillLimit = 64
-	// maxFillLimit is the highest limit on fills in flight to a source: far above the initial limit, yet no more than a
-	// source can handle in bad times.
+	// maxFillLimit is the highest limit on fills in flight to a source: far above the initial limit, yet no more than an
+	// impaired source can handle.
 	maxFillLimit = 256
 	// drainGraceDivisor divides the drain grace to give the time in which a source that was already draining may still be
 	// sent a fill. With a lower divisor, a fill could reach a source that is about to stop.
--- a/policy/sharedstore/lease.go
+++ b/policy/sharedstore/lease.go
@@ -11,8 +11,8 @@
 	// store, so that no lease expires before its holder knows of the lease. The maximum is the longest wait that is
 	// worthwhile for a request; with a higher one, the lease of a crashed holder would delay requests for nothing.
 	minLeaseTTL, maxLeaseTTL = 50 * ms, 3 * time.Second
-	// minHolderWait is the shortest wait for the lease holder's fill. With a shorter one, waiting operations
-	// would repeat their gets too often.
+	// minHolderWait is the shortest wait for the lease holder's fill. With a shorter one, waiting operations would repeat
+	// their gets too often.
 	minHolderWait = 2 * ms
 )
 
