--- a/cmd/fennelarch/admission.go
+++ b/cmd/fennelarch/admission.go
@@ -21,25 +21,25 @@
 func admissionSettings(file *operatorconfig.File, cfg *config.Config) (admission.Settings, error) {
 	section := file.Admission
 	if section == nil {
-		return admission.Settings{SendRetryAfter: cfg.Routing.RetryAfter, MaxRetryAfter: cfg.Routing.MaxRetryAfter}, nil
+		return admission.Settings{SendRetryAfter: cfg.Routing.SendRetryAfter, MaxRetryAfter: cfg.Routing.MaxRetryAfter}, nil
 	}
 	known, err := parseNetworks(section.KnownClients)
 	if err != nil {
 		return admission.Settings{}, err
 	}
 	settings := admission.Settings{
-		Reserve:             section.ReservedConnections,
+		ReservedSlots:       section.ReservedConnections,
 		ConnectionsPerPeer:  section.ConnectionsPerAddress,
 		NewPerPeerPerSecond: section.NewConnectionsPerSecond,
-		Burst:               section.Burst,
+		NewPerPeerBurst:     section.Burst,
 		RequestsPerPeer:     section.RequestsPerAddress,
 		MaxRequests:         section.Requests,
 		MaxHandshakes:       section.MaxHandshakes,
 		HandshakeCPU:        section.HandshakeCPU,
 		MaxRememberedPeers:  section.MaxRemembered,
-		SendRetryAfter:      cfg.Routing.RetryAfter,
+		SendRetryAfter:      cfg.Routing.SendRetryAfter,
 		MaxRetryAfter:       cfg.Routing.MaxRetryAfter,
-		IsKnown:             func(peer admission.Peer) bool { return isInNetworks(peer, known) },
+		IsAllowlisted:       func(peer admission.Peer) bool { return isInNetworks(peer, known) },
 	}
 	return settings.WithDefaults(), nil
 }
--- a/cmd/fennelarch/sharedstores.go
+++ b/cmd/fennelarch/sharedstores.go
@@ -35,15 +35,15 @@
 func sharedStoreSettings(file *operatorconfig.File, cfg *config.Config, lim limits.Limits) policystore.Settings {
 	shared := file.Shared
 	settings := policystore.Settings{
-		Routers:        shared.Routers,
-		Capacity:       shared.Capacity,
-		SlowStartShare: shared.SlowStartShare,
-		SlowStartFor:   operatorconfig.Milliseconds(shared.SlowStartMS),
-		OverloadFactor: shared.OverloadFactor,
-		MaxInFlight:    shared.MaxInFlight,
-		MaxValueBytes:  lim.ResponseBodyBytes,
-		MaxTTL:         operatorconfig.Milliseconds(shared.MaxTTLMS),
-		Lease:          shared.Lease == nil || *shared.Lease,
+		Routers:           shared.Routers,
+		Capacity:          shared.Capacity,
+		SlowStartShare:    shared.SlowStartShare,
+		SlowStartDuration: operatorconfig.Milliseconds(shared.SlowStartMS),
+		OverloadFactor:    shared.OverloadFactor,
+		MaxInFlight:       shared.MaxInFlight,
+		MaxValueBytes:     lim.ResponseBodyBytes,
+		MaxTTL:            operatorconfig.Milliseconds(shared.MaxTTLMS),
+		UseLease:          shared.Lease == nil || *shared.Lease,
 	}
 	return settings.WithDefaults(&cfg.Routing)
 }
@@ -77,21 +77,21 @@
 // wallClockStepped tells the transport that the wall clock stepped by a duration.
 func (s sharedStores) wallClockStepped(by time.Duration) {
 	if s.transport != nil {
-		s.transport.ClockStepped(by)
+		s.transport.RecordClockStep(by)
 	}
 }
 
 // discoveryCurrent tells the transport that all discovery events before a time have been applied.
 func (s sharedStores) discoveryCurrent(asOf time.Time) {
 	if s.transport != nil {
-		s.transport.DiscoveryCurrent(asOf)
+		s.transport.RecordDiscoveryCurrent(asOf)
 	}
 }
 
 // discoveryGap tells the transport that a discovery event was lost.
 func (s sharedStores) discoveryGap() {
 	if s.transport != nil {
-		s.transport.DiscoveryGap()
+		s.transport.RecordDiscoveryGap()
 	}
 }
 
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -64,7 +64,7 @@
 func setTopology(settings *routing.Settings, keys *conf) {
 	settings.Routers = keys.Instances
 	settings.Zone = routing.ZoneID(keys.Zone)
-	settings.PollEndpoints = keys.Registry == registrySubscribe
+	settings.WatchEndpoints = keys.Registry == registrySubscribe
 	hasLinkWeights := keys.Weights == weightsNominal || keys.Weights == weightsRough
 	settings.WeightIsLinkCapacity = hasLinkWeights && keys.Own.Flow > 0
 }
@@ -72,9 +72,9 @@
 // setCapabilities sets what the platform's transport supports.
 func setCapabilities(settings *routing.Settings, keys *capabilityKeys) {
 	settings.HealthChecks = keys.Probes
-	settings.Cancel = keys.Cancel
+	settings.AllowCancel = keys.Cancel
 	settings.HedgedRequests = keys.Second
-	settings.RetryAfter = keys.RetryAfter
+	settings.SendRetryAfter = keys.RetryAfter
 	settings.MaxRetryAfter = Milliseconds(keys.MaxWait)
 	settings.MaxAttempts = keys.Tries
 	settings.ConnectTimeout = Milliseconds(keys.Connect)
@@ -84,7 +84,7 @@
 	settings.PollInterval = Milliseconds(keys.AskWithin)
 	settings.DrainGrace = Milliseconds(keys.Drain)
 	settings.SlowStartShare = keys.ColdShare
-	settings.SlowStartFor = Milliseconds(keys.Cold)
+	settings.SlowStartDuration = Milliseconds(keys.Cold)
 	settings.OverloadFactor = keys.Multiple
 	settings.OverloadWindow = Milliseconds(keys.FallFor)
 }
@@ -96,7 +96,7 @@
 
 	settings.ParentKind = kindID(keys.Parent)
 	settings.ParentSlowStartShare = keys.ParentFloor
-	settings.ParentSlowStartFor = Milliseconds(keys.ParentRamp)
+	settings.ParentSlowStartDuration = Milliseconds(keys.ParentRamp)
 	settings.ParentOverloadFactor = keys.ParentMultiple
 	settings.OriginKind = kindID(keys.Origin)
 	settings.OriginOverloadFactor = keys.OriginMultiple
@@ -125,7 +125,7 @@
 			return fmt.Errorf("settings.classes.%d: %w", i, err)
 		}
 		class.Write = atOrZero(keys.Own.Write, i)
-		class.FreshFor = Milliseconds(atOrZero(keys.Own.Fresh, i))
+		class.FreshDuration = Milliseconds(atOrZero(keys.Own.Fresh, i))
 		class.MaxStale = Milliseconds(atOrZero(keys.Own.Older, i))
 		names.Classes = append(names.Classes, keys.Classes[i].Name)
 		settings.Classes = append(settings.Classes, class)
@@ -149,15 +149,15 @@
 		return routing.Class{}, fmt.Errorf("a deadline of %g ms", keys.Deadline)
 	}
 	return routing.Class{
-		LatencyObjective: Milliseconds(keys.Target),
-		ObjectiveStretch: keys.Stretch,
-		Deadline:         Milliseconds(keys.Deadline),
-		Value:            keys.Worth,
-		LateValue:        keys.Late,
-		Idempotency:      idempotency,
-		DedupScope:       dedupScope,
-		DedupWindow:      Milliseconds(keys.Window),
-		Stream:           keys.Stream,
+		LatencyObjective:        Milliseconds(keys.Target),
+		ObjectiveTransferFactor: keys.Stretch,
+		Deadline:                Milliseconds(keys.Deadline),
+		Value:                   keys.Worth,
+		LateValue:               keys.Late,
+		Idempotency:             idempotency,
+		DedupScope:              dedupScope,
+		DedupWindow:             Milliseconds(keys.Window),
+		Stream:                  keys.Stream,
 	}, nil
 }
 
--- a/internal/engine/ageestimator.go
+++ b/internal/engine/ageestimator.go
@@ -9,9 +9,9 @@
 // timestampHorizon returns how long a timestamp can matter: while an endpoint is in slow start, a purge is incomplete
 // or a copy may be served.
 func timestampHorizon(settings *routing.Settings) time.Duration {
-	longest := max(settings.SlowStartFor, settings.ParentSlowStartFor, settings.PurgeCompleteAfter)
+	longest := max(settings.SlowStartDuration, settings.ParentSlowStartDuration, settings.PurgeCompleteAfter)
 	for i := range settings.Classes {
-		longest = max(longest, settings.Classes[i].FreshFor+settings.Classes[i].MaxStale)
+		longest = max(longest, settings.Classes[i].FreshDuration+settings.Classes[i].MaxStale)
 	}
 	return longest + time.Minute
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -211,7 +211,7 @@
 
 func (e *Engine) handleHealthCheckResult(result *HealthCheckResult) {
 	e.dispatch(&routing.Event{
-		Kind: routing.EventHealthCheck, Endpoint: result.Endpoint, Outcome: result.Outcome,
+		Kind: routing.EventHealthCheckResult, Endpoint: result.Endpoint, Outcome: result.Outcome,
 		Elapsed: result.Elapsed, LoadReport: result.LoadReport,
 	})
 }
--- a/internal/engine/helper_test.go
+++ b/internal/engine/helper_test.go
@@ -51,13 +51,13 @@
 
 func testSettings() routing.Settings {
 	return routing.Settings{
-		Routers: 1, ZoneRouters: []int{1}, ParentKind: 1, OriginKind: 2, Cancel: true, HedgedRequests: true,
-		RetryAfter: true, MaxAttempts: 6, MaxRetryAfter: time.Second, DrainGrace: time.Second,
+		Routers: 1, ZoneRouters: []int{1}, ParentKind: 1, OriginKind: 2, AllowCancel: true, HedgedRequests: true,
+		SendRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: time.Second, DrainGrace: time.Second,
 		SlowStartShare: 1, ParentSlowStartShare: 1, PurgeGrace: time.Second, PurgeCompleteAfter: 6 * time.Second,
 		AllowDirect: true, ResponseDetail: routing.DetailFull, FlowKBPerSecond: 1000,
 		Classes: []routing.Class{
 			idempotentClass: {
-				LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second, Value: 2,
+				LatencyObjective: 500 * time.Millisecond, ObjectiveTransferFactor: 2, Deadline: 5 * time.Second, Value: 2,
 			},
 			nonIdempotentClass: {
 				LatencyObjective: 700 * time.Millisecond, Deadline: 3 * time.Second, Value: 3,
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -180,7 +180,7 @@
 func (e *Engine) serveFromLocalCache(request *activeRequest, attempt *Attempt) {
 	maxAge := attempt.MaxAge
 	if maxAge == 0 {
-		maxAge = e.settings.Classes[request.Class].FreshFor
+		maxAge = e.settings.Classes[request.Class].FreshDuration
 	}
 	entry := e.localCache.find(request.Request, maxAge, e.now)
 	if entry == nil {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -88,7 +88,7 @@
 
 // withLimits returns the settings with the limits of the process filled in.
 func withLimits(settings admission.Settings, bounds *limits.Limits) admission.Settings {
-	settings.MaxConnections, settings.FirstRequestGrace = bounds.ClientConnections, bounds.NoMessageIdlePenalty
+	settings.MaxConnections, settings.NoMessageIdlePenalty = bounds.ClientConnections, bounds.NoMessageIdlePenalty
 	return settings
 }
 
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -50,7 +50,7 @@
 		},
 	}
 	if flowKBPerSecond > 0 {
-		settings.secondsPerKB = class.ObjectiveStretch / flowKBPerSecond
+		settings.secondsPerKB = class.ObjectiveTransferFactor / flowKBPerSecond
 	}
 	return settings
 }
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -106,23 +106,23 @@
 	return false
 }
 
-// DiscoveryCurrent records that every purge issued before a time has been observed.
-func (t *Transport) DiscoveryCurrent(asOf time.Time) {
+// RecordDiscoveryCurrent records that every purge issued before a time has been observed.
+func (t *Transport) RecordDiscoveryCurrent(asOf time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.coordinator.DiscoveryCurrent(policy.Timestamp(asOf.UnixMilli()))
+	t.coordinator.RecordDiscoveryCurrent(policy.Timestamp(asOf.UnixMilli()))
 }
 
-// DiscoveryGap records that purges may have been lost for good.
-func (t *Transport) DiscoveryGap() {
+// RecordDiscoveryGap records that purges may have been lost for good.
+func (t *Transport) RecordDiscoveryGap() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.coordinator.DiscoveryGap(t.now())
+	t.coordinator.RecordDiscoveryGap(t.now())
 }
 
-// ClockStepped records that the wall clock was stepped by a duration.
-func (t *Transport) ClockStepped(by time.Duration) {
+// RecordClockStep records that the wall clock was stepped by a duration.
+func (t *Transport) RecordClockStep(by time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.coordinator.ClockStepped(t.now(), by)
+	t.coordinator.RecordClockStep(t.now(), by)
 }
--- a/internal/sharedstore/discovery_test.go
+++ b/internal/sharedstore/discovery_test.go
@@ -17,15 +17,15 @@
 	f := newUnconnectedFixture(t)
 	startedAt := f.startedAt.UnixMilli()
 
-	f.DiscoveryCurrent(f.startedAt.Add(300 * time.Millisecond))
-	f.DiscoveryCurrent(f.startedAt.Add(200 * time.Millisecond)) // an older time does not shorten the range
+	f.RecordDiscoveryCurrent(f.startedAt.Add(300 * time.Millisecond))
+	f.RecordDiscoveryCurrent(f.startedAt.Add(200 * time.Millisecond)) // an older time does not shorten the range
 	update := f.planLogUpdate()
 	if from, to := int64(update.CompleteFrom)-startedAt, int64(update.CompleteTo)-startedAt; from != 0 || to != 300 {
 		t.Errorf("the range is from %d to %d ms after the start, want 0 to 300", from, to)
 	}
 
 	earliest := time.Now().UnixMilli()
-	f.DiscoveryGap()
+	f.RecordDiscoveryGap()
 	latest := time.Now().UnixMilli()
 	update = f.planLogUpdate()
 	from, to := int64(update.CompleteFrom), int64(update.CompleteTo)
@@ -51,7 +51,7 @@
 			t.Fatal("the loss of data is not logged within 5 s")
 		}
 		for range 10 { // the log is written, and read again after the loss
-			f.DiscoveryCurrent(time.Now())
+			f.RecordDiscoveryCurrent(time.Now())
 			f.ObserveDiscovery(engine.Purge{Object: 77, Issued: time.Now()})
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/internal/sharedstore/logsync.go
+++ b/internal/sharedstore/logsync.go
@@ -28,7 +28,7 @@
 // updateLog carries out the update that the policy has planned from the range that was read.
 func (s *storeClient) updateLog(update policy.LogUpdate) {
 	switch {
-	case update.NeedsAll:
+	case update.ReadAll:
 		s.logEntries = nil
 		s.isSyncingLog = s.send(readLogPageCommand(&s.keys, 0))
 	case update.CompleteTo > 0 || len(update.Invalidations) > 0:
@@ -59,7 +59,7 @@
 
 func (s *storeClient) handleLogWritten(r *logWrittenResult) {
 	s.isSyncingLog = false
-	if r.ok && s.transport.coordinator.LogUpdateWritten(s.id, r.update) {
+	if r.ok && s.transport.coordinator.RecordLogUpdate(s.id, r.update) {
 		s.syncLog()
 	}
 }
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -57,10 +57,10 @@
 		MaxAge:         attempt.MaxAge,
 	}
 	if event.MaxAge == 0 {
-		event.MaxAge = class.FreshFor
+		event.MaxAge = class.FreshDuration
 	}
-	if class.FreshFor > 0 {
-		event.TTL = class.FreshFor + class.MaxStale
+	if class.FreshDuration > 0 {
+		event.TTL = class.FreshDuration + class.MaxStale
 	}
 	t.handle(&event)
 }
@@ -76,7 +76,7 @@
 func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
 	transferTime := time.Duration(0)
 	if t.routing.FlowKBPerSecond > 0 {
-		seconds := request.SizeKB / t.routing.FlowKBPerSecond * class.ObjectiveStretch
+		seconds := request.SizeKB / t.routing.FlowKBPerSecond * class.ObjectiveTransferFactor
 		transferTime = time.Duration(seconds * float64(time.Second))
 	}
 	return min(class.LatencyObjective+transferTime, request.Timeout) - time.Since(request.ReceivedAt)
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -114,7 +114,7 @@
 			ParentKind: 1, OriginKind: 2, FlowKBPerSecond: 1000,
 			Classes: []routing.Class{{LatencyObjective: time.Second}},
 		},
-		Policy:    policy.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, Lease: true},
+		Policy:    policy.Settings{MaxInFlight: 64, MaxValueBytes: 240_000, MaxTTL: time.Minute, UseLease: true},
 		Seed:      1,
 		Stores:    []Store{store},
 		StartedAt: time.Now().Add(-time.Second),
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -160,7 +160,7 @@
 }
 
 func decodeHealthCheck(rec record, event *routing.Event) (err error) {
-	event.Kind = routing.EventHealthCheck
+	event.Kind = routing.EventHealthCheckResult
 	event.Endpoint = rec.endpoint(healthCheckEndpointOffset)
 	event.Elapsed = rec.milliseconds(healthCheckElapsedOffset)
 	event.LoadReport = rec.loadReport(healthCheckLoadReportOffset)
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -17,9 +17,9 @@
 	writeLatencyObjective = 700 * time.Millisecond
 )
 
-// objectiveStretch is the time that the latency objective allows for a transfer, as a multiple of its time at the full
-// rate.
-const objectiveStretch = 1.6
+// objectiveTransferFactor is the time that the latency objective allows for a transfer, as a multiple of its time at the
+// full rate.
+const objectiveTransferFactor = 1.6
 
 // Load is an open-loop load: requests are sent when they are scheduled and do not wait for earlier ones.
 type Load struct {
@@ -67,7 +67,7 @@
 // Fetch sends a request for an object to a router.
 func (c *Cluster) Fetch(router int, scheduledAt time.Time, object uint64) {
 	sizeKB := c.sizeKB(object)
-	transfer := time.Duration(objectiveStretch * sizeKB / c.Settings.TransferKBPerSecond * float64(time.Second))
+	transfer := time.Duration(objectiveTransferFactor * sizeKB / c.Settings.TransferKBPerSecond * float64(time.Second))
 	c.Clients[router].Send(RequestSpec{
 		ScheduledAt: scheduledAt, Class: classClip, Object: site.Object{ID: object}, Group: c.group(object),
 		SizeKB: sizeKB, Timeout: c.Settings.Deadline, LatencyObjective: c.Settings.LatencyObjective + transfer,
--- a/policy/admission/connection_test.go
+++ b/policy/admission/connection_test.go
@@ -11,7 +11,7 @@
 // these is closed for a new connection. A connection that has sent nothing for longer than firstMessageDelay is closed
 // first.
 func TestNewConnectionsHaveTimeForFirstMessage(t *testing.T) {
-	controller := New(Settings{MaxConnections: 20, FirstRequestGrace: time.Second, MaxRememberedPeers: 100})
+	controller := New(Settings{MaxConnections: 20, NoMessageIdlePenalty: time.Second, MaxRememberedPeers: 100})
 	now, lastConn := time.Second, ConnID(0)
 	closed := map[ConnID]bool{}
 	handle := func(event Event) {
@@ -84,7 +84,7 @@
 
 func BenchmarkArrive(b *testing.B) {
 	settings := testSettings()
-	settings.MaxConnections, settings.Reserve, settings.MaxRememberedPeers = 400, 100, 4096
+	settings.MaxConnections, settings.ReservedSlots, settings.MaxRememberedPeers = 400, 100, 4096
 	controller := New(settings)
 	actions := make([]Action, 0, 8)
 	now, id := time.Duration(0), ConnID(0)
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -63,7 +63,7 @@
 	c.settings, c.unknownRequestLimit = settings, float64(settings.MaxRequests)
 	for i := range c.peers {
 		if peer := &c.peers[i]; c.peerIndex[peer.id] == int32(i) {
-			peer.isAllowlisted = settings.IsKnown != nil && settings.IsKnown(peer.id)
+			peer.isAllowlisted = settings.IsAllowlisted != nil && settings.IsAllowlisted(peer.id)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 const reserveParts = 4
 
 func (c *Controller) mayUseReserve(peer *peerRecord) bool {
-	return c.reservedCount < c.settings.Reserve && peer.reserved < max(1, c.settings.Reserve/reserveParts)
+	return c.reservedCount < c.settings.ReservedSlots && peer.reserved < max(1, c.settings.ReservedSlots/reserveParts)
 }
 
 // refuseConnection rejects or drops a connection. A TLS connection is always dropped, because its client cannot read a
--- a/policy/admission/descriptors.go
+++ b/policy/admission/descriptors.go
@@ -73,5 +73,5 @@
 // unreservedSlots returns the number of slots that are open to unknown peers.
 func (c *Controller) unreservedSlots() int {
 	limit := c.maxConnections()
-	return max(1, limit-c.settings.Reserve*limit/max(1, c.settings.MaxConnections))
+	return max(1, limit-c.settings.ReservedSlots*limit/max(1, c.settings.MaxConnections))
 }
--- a/policy/admission/eviction.go
+++ b/policy/admission/eviction.go
@@ -50,7 +50,7 @@
 		if c.now-since < firstMessageDelay {
 			since = c.now - firstMessageDelay // an idle connection that has sent messages is closed first if idle longer
 		} else {
-			since -= c.settings.FirstRequestGrace
+			since -= c.settings.NoMessageIdlePenalty
 		}
 		if since < longest {
 			victim = index
--- a/policy/admission/model_test.go
+++ b/policy/admission/model_test.go
@@ -18,10 +18,10 @@
 
 func testSettings() Settings {
 	settings := Settings{
-		MaxConnections: 40, Reserve: 12, ConnectionsPerPeer: 10, NewPerPeerPerSecond: 20,
-		RequestsPerPeer: 16, MaxRequests: 60, MaxRememberedPeers: 50, FirstRequestGrace: time.Second,
+		MaxConnections: 40, ReservedSlots: 12, ConnectionsPerPeer: 10, NewPerPeerPerSecond: 20,
+		RequestsPerPeer: 16, MaxRequests: 60, MaxRememberedPeers: 50, NoMessageIdlePenalty: time.Second,
 		SendRetryAfter: true, MaxRetryAfter: time.Second, MaxHandshakes: 4, HandshakeCPU: 0.1,
-		IsKnown: func(p Peer) bool {
+		IsAllowlisted: func(p Peer) bool {
 			return p == clientAddress(listedClient) || p == clientAddress(otherListedClient)
 		},
 	}
@@ -113,8 +113,8 @@
 	if count > settings.MaxConnections {
 		m.violate("%d connections exceed the limit of %d", count, settings.MaxConnections)
 	}
-	if count-reserved > settings.MaxConnections-settings.Reserve {
-		m.violate("%d connections in %d unreserved slots", count-reserved, settings.MaxConnections-settings.Reserve)
+	if count-reserved > settings.MaxConnections-settings.ReservedSlots {
+		m.violate("%d connections in %d unreserved slots", count-reserved, settings.MaxConnections-settings.ReservedSlots)
 	}
 	onReserved, requests := 0, 0
 	for _, index := range controller.connectionIndex {
--- a/policy/admission/peers.go
+++ b/policy/admission/peers.go
@@ -53,8 +53,8 @@
 	c.forgetPeers(c.settings.MaxRememberedPeers - 1)
 	index := c.allocatePeer()
 	c.peers[index] = peerRecord{
-		id: id, connectionTokens: float64(c.settings.Burst), tokensRefilledAt: c.now, scoredAt: c.now,
-		isAllowlisted: c.settings.IsKnown != nil && c.settings.IsKnown(id),
+		id: id, connectionTokens: float64(c.settings.NewPerPeerBurst), tokensRefilledAt: c.now, scoredAt: c.now,
+		isAllowlisted: c.settings.IsAllowlisted != nil && c.settings.IsAllowlisted(id),
 	}
 	c.peerIndex[id] = index
 	c.idlePeers.add(index, c.peerLinks)
@@ -146,7 +146,7 @@
 	if c.settings.NewPerPeerPerSecond <= 0 {
 		return true
 	}
-	burst := math.Max(1, float64(c.settings.Burst)*fraction)
+	burst := math.Max(1, float64(c.settings.NewPerPeerBurst)*fraction)
 	refill := c.settings.NewPerPeerPerSecond * fraction * max(0, c.now-peer.tokensRefilledAt).Seconds()
 	peer.connectionTokens = math.Min(burst, peer.connectionTokens+refill)
 	peer.tokensRefilledAt = c.now
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Settings holds the limits of admission. A limit of 0 is not enforced, except MaxConnections, Reserve and
+// Settings holds the limits of admission. A limit of 0 is not enforced, except MaxConnections, ReservedSlots and
 // MaxRememberedPeers.
 type Settings struct {
 	MaxConnections int // connections of all clients
-	Reserve        int // slots of MaxConnections that are reserved for known peers
+	ReservedSlots  int // slots of MaxConnections that are reserved for known peers
 
 	ConnectionsPerPeer  int     // connections of one peer
 	NewPerPeerPerSecond float64 // rate of new connections of one peer
-	Burst               int     // new connections of one peer at once
+	NewPerPeerBurst     int     // new connections of one peer at once
 	RequestsPerPeer     int     // open requests of one peer
 	MaxRequests         int     // open requests of all known peers and, separately, of all unknown peers
 
-	MaxHandshakes      int             // concurrent TLS handshakes
-	HandshakeCPU       float64         // fraction of a core that handshakes may use
-	MaxRememberedPeers int             // peers without a connection whose records are kept
-	FirstRequestGrace  time.Duration   // added to the idle time of a connection that has not sent a message yet
-	MinIdle            time.Duration   // how long a connection must be idle before it is closed for an unknown peer
-	SendRetryAfter     bool            // rejections may carry a time to retry after
-	MaxRetryAfter      time.Duration   // upper bound of the time to retry after
-	IsKnown            func(Peer) bool // reports whether the operator has allowlisted a peer; may be nil
+	MaxHandshakes        int             // concurrent TLS handshakes
+	HandshakeCPU         float64         // fraction of a core that handshakes may use
+	MaxRememberedPeers   int             // peers without a connection whose records are kept
+	NoMessageIdlePenalty time.Duration   // added to the idle time of a connection that has not sent a message yet
+	MinIdle              time.Duration   // how long a connection must be idle before it is closed for an unknown peer
+	SendRetryAfter       bool            // rejections may carry a time to retry after
+	MaxRetryAfter        time.Duration   // upper bound of the time to retry after
+	IsAllowlisted        func(Peer) bool // reports whether the operator has allowlisted a peer; may be nil
 }
 
 const (
@@ -34,11 +34,11 @@
 
 // WithDefaults returns the settings with defaults for the fields that the operator has left unset.
 func (s Settings) WithDefaults() Settings {
-	if s.ConnectionsPerPeer > 0 && s.Burst <= 0 {
-		s.Burst = burstFactor * s.ConnectionsPerPeer
+	if s.ConnectionsPerPeer > 0 && s.NewPerPeerBurst <= 0 {
+		s.NewPerPeerBurst = burstFactor * s.ConnectionsPerPeer
 	}
-	if s.NewPerPeerPerSecond > 0 && s.Burst <= 0 {
-		s.Burst = int(max(1, burstFactor*s.NewPerPeerPerSecond))
+	if s.NewPerPeerPerSecond > 0 && s.NewPerPeerBurst <= 0 {
+		s.NewPerPeerBurst = int(max(1, burstFactor*s.NewPerPeerPerSecond))
 	}
 	if s.MaxHandshakes <= 0 {
 		s.MaxHandshakes = defaultMaxHandshakes
@@ -58,6 +58,6 @@
 // normalized returns the settings limited to values that the controller can work with.
 func (s Settings) normalized() Settings {
 	s.MaxRememberedPeers = max(1, s.MaxRememberedPeers)
-	s.Reserve = min(s.Reserve, s.MaxConnections/2) // unknown peers need slots to become known
+	s.ReservedSlots = min(s.ReservedSlots, s.MaxConnections/2) // unknown peers need slots to become known
 	return s
 }
--- a/policy/routing/attempt.go
+++ b/policy/routing/attempt.go
@@ -130,7 +130,7 @@
 	if r.settings.CoalesceFills {
 		action.FillOptions |= CoalesceFill
 	}
-	if class.FreshFor > 0 && action.CacheRank > rankFirstRequest {
+	if class.FreshDuration > 0 && action.CacheRank > rankFirstRequest {
 		action.FillOptions |= StaleWhileRevalidate
 	}
 	if r.localCache != noEndpoint && plan.endpoint != r.localCache {
--- a/policy/routing/endpoints_test.go
+++ b/policy/routing/endpoints_test.go
@@ -3,7 +3,7 @@
 // The endpoint list is requested at the start and again after a failure.
 func Example_endpointListRetry() {
 	settings := testSettings()
-	settings.PollEndpoints = true
+	settings.WatchEndpoints = true
 	harness := newHarness(settings, cacheA)
 	harness.handle(&Event{Kind: EventEndpoints, EndpointListKind: EndpointListFailed})
 	for i := range harness.actions {
--- a/policy/routing/event.go
+++ b/policy/routing/event.go
@@ -59,8 +59,8 @@
 	EventEndpoints
 	// EventPurge invalidates older copies: Object or Group, Age.
 	EventPurge
-	// EventHealthCheck is the result of a health check: Endpoint, Outcome, Elapsed, LoadReport.
-	EventHealthCheck
+	// EventHealthCheckResult is the result of a health check: Endpoint, Outcome, Elapsed, LoadReport.
+	EventHealthCheckResult
 	// EventTimer reports that a timer has expired: Timer.
 	EventTimer
 	// EventGossip is a message of another router. The router ignores it.
--- a/policy/routing/harness_test.go
+++ b/policy/routing/harness_test.go
@@ -46,13 +46,13 @@
 	return Settings{
 		Routers: 1, Zone: 2, ZoneRouters: []int{0, 0, 1}, ParentKind: 1, OriginKind: 2,
 		Classes: []Class{
-			{LatencyObjective: 500 * ms, ObjectiveStretch: 2, Deadline: 5 * time.Second, Value: 2},
+			{LatencyObjective: 500 * ms, ObjectiveTransferFactor: 2, Deadline: 5 * time.Second, Value: 2},
 			{LatencyObjective: 700 * ms, Deadline: 3 * time.Second, Value: 3, Idempotency: NonIdempotent, Write: true},
 		},
-		Cancel: true, HedgedRequests: true, RetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 500 * ms,
+		AllowCancel: true, HedgedRequests: true, SendRetryAfter: true, MaxAttempts: 6, MaxRetryAfter: 500 * ms,
 		DrainGrace:     time.Second,
-		SlowStartShare: 0.2, SlowStartFor: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 3 * time.Second,
-		ParentSlowStartShare: 0.07, ParentSlowStartFor: 20 * time.Second, ParentOverloadFactor: 2,
+		SlowStartShare: 0.2, SlowStartDuration: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 3 * time.Second,
+		ParentSlowStartShare: 0.07, ParentSlowStartDuration: 20 * time.Second, ParentOverloadFactor: 2,
 		PurgeGrace: time.Second, PurgeCompleteAfter: 6 * time.Second,
 		AllowDirect: true, PeerFill: PeerFillLocation, ResponseDetail: DetailFull, FlowKBPerSecond: 1000,
 	}
--- a/policy/routing/invalidation.go
+++ b/policy/routing/invalidation.go
@@ -30,7 +30,7 @@
 // maxAge returns the maximum age of a copy that may answer the request: 0 for the limit of the class, or the time since
 // the last purge if that is less. It is never more than the limit of the class. This enforces rule 5.
 func (r *Router) maxAge(req *request) time.Duration {
-	limit, freshFor := time.Duration(0), r.settings.Classes[req.class].FreshFor
+	limit, freshFor := time.Duration(0), r.settings.Classes[req.class].FreshDuration
 	for i := range r.purges {
 		p := &r.purges[i]
 		if r.isComplete(p) || !p.covers(req) {
--- a/policy/routing/invalidation_test.go
+++ b/policy/routing/invalidation_test.go
@@ -8,7 +8,7 @@
 // Copies of the class may be 2 s old. A purge lowers this limit and never raises it.
 func TestPurgeExtendsNoFreshness(t *testing.T) {
 	settings := testSettings()
-	settings.Classes[readClass].FreshFor = 2 * time.Second
+	settings.Classes[readClass].FreshDuration = 2 * time.Second
 	harness := newHarness(settings, cacheA)
 	harness.isQuiet = true
 	harness.handle(&Event{Kind: EventPurge, Object: 7, Age: 100 * ms})
--- a/policy/routing/latency_test.go
+++ b/policy/routing/latency_test.go
@@ -11,7 +11,7 @@
 func Example_noResponseDetail() {
 	settings := testSettings()
 	settings.ResponseDetail, settings.FlowKBPerSecond, settings.AllowDirect = DetailNone, 0, false
-	settings.Classes[readClass].ObjectiveStretch = 0
+	settings.Classes[readClass].ObjectiveTransferFactor = 0
 	harness := newHarness(settings, cacheA)
 	request := func(id RequestID) {
 		harness.requestWithoutSize(id, 7, 3*time.Second)
--- a/policy/routing/objecthistory_test.go
+++ b/policy/routing/objecthistory_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := record.isCachedAt(test.index, test.startedAt, test.now); got != test.want {
-				t.Errorf("got isCachedAt %v, want the opposite", got)
+				t.Errorf("unexpected result %v of isCachedAt", got)
 			}
 		})
 	}
--- a/policy/routing/outlier_test.go
+++ b/policy/routing/outlier_test.go
@@ -117,7 +117,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := detector.isRemapped(test.now); got != test.want {
-				t.Errorf("got isRemapped %v, want the opposite", got)
+				t.Errorf("unexpected result %v of isRemapped", got)
 			}
 		})
 	}
--- a/policy/routing/request.go
+++ b/policy/routing/request.go
@@ -124,7 +124,7 @@
 // becomes free once all attempts have ended.
 func (r *Router) closeRequest(req *request) {
 	req.state = afterClose[req.state]
-	if r.settings.Cancel && req.state == requestClosed {
+	if r.settings.AllowCancel && req.state == requestClosed {
 		for i := range req.sentAttempts() {
 			if req.attempts[i].isInFlight() {
 				r.emit(Action{Kind: ActionCancel, Request: req.id, Attempt: AttemptNumber(i)})
--- a/policy/routing/request_test.go
+++ b/policy/routing/request_test.go
@@ -45,7 +45,7 @@
 				t.Errorf("after closing: got state %v, want %v", got, test.closed)
 			}
 			if got := (&request{state: test.from}).isOpen(); got != test.isOpen {
-				t.Errorf("got isOpen %v, want the opposite", got)
+				t.Errorf("unexpected result %v of isOpen", got)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 			for range 2 {
 				actions := router.Handle(router.now, &Event{Kind: EventClientGone, Request: 1}, nil)
 				if isCancelled := len(actions) == 1 && actions[0].Kind == ActionCancel; isCancelled == isStreaming {
-					t.Errorf("got cancelled %v, want the opposite", isCancelled)
+					t.Errorf("unexpected result %v of cancelled", isCancelled)
 				}
 			}
 		})
--- a/policy/routing/retry_test.go
+++ b/policy/routing/retry_test.go
@@ -51,7 +51,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := inDedupScope(test.scope, &here, &test.other); got != test.want {
-				t.Errorf("got inDedupScope %v, want the opposite", got)
+				t.Errorf("unexpected result %v of inDedupScope", got)
 			}
 		})
 	}
--- a/policy/routing/router.go
+++ b/policy/routing/router.go
@@ -65,10 +65,10 @@
 		classStats: make([]classStats, len(settings.Classes)), tenantQuotas: make([]tokenBucket, len(settings.Tenants)),
 		originLimiter: originLimiter{limit: initialOriginLimit},
 		cacheSlowStart: slowStartSettings{
-			settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor, settings.OverloadWindow,
+			settings.SlowStartShare, settings.SlowStartDuration, settings.OverloadFactor, settings.OverloadWindow,
 		},
 		parentSlowStart: slowStartSettings{
-			settings.ParentSlowStartShare, settings.ParentSlowStartFor, settings.ParentOverloadFactor,
+			settings.ParentSlowStartShare, settings.ParentSlowStartDuration, settings.ParentOverloadFactor,
 			settings.OverloadWindow,
 		},
 	}
@@ -89,7 +89,7 @@
 func (r *Router) Start(now time.Duration, actions []Action) []Action {
 	r.now, r.actions = now, actions
 	r.setTimer(tickInterval, timerTick)
-	if r.settings.PollEndpoints {
+	if r.settings.WatchEndpoints {
 		r.emit(Action{Kind: ActionWatchEndpoints})
 	}
 	return r.actions
@@ -115,7 +115,7 @@
 		r.handleEndpointList(event)
 	case EventPurge:
 		r.handlePurge(event)
-	case EventHealthCheck:
+	case EventHealthCheckResult:
 		if index, isKnown := r.endpointByID[event.Endpoint]; isKnown {
 			r.applyLoadReport(index, &event.LoadReport)
 		}
@@ -182,7 +182,7 @@
 	req.deadline = r.now + event.TimeLeft
 	req.cache, req.lastErrorFrom = noEndpoint, noEndpoint
 	r.estimateTransferTime(req, event.SizeKB)
-	objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(req.transferTime))
+	objective := class.LatencyObjective + time.Duration(class.ObjectiveTransferFactor*float64(req.transferTime))
 	req.objectiveAt = min(req.deadline, r.now+objective)
 	req.overQuota = r.isOverQuota(event.Tenant)
 	return req
--- a/policy/routing/settings.go
+++ b/policy/routing/settings.go
@@ -67,18 +67,18 @@
 
 // Class holds the settings of one class of requests.
 type Class struct {
-	LatencyObjective time.Duration // an answer after this time is worth only LateValue
-	ObjectiveStretch float64       // the objective grows by this multiple of the transfer time
-	Deadline         time.Duration // the client gives up after this time
-	Value            float64       // value of an answer within the objective
-	LateValue        float64       // value of an answer after the objective
-	Idempotency      Idempotency
-	DedupScope       DedupScope
-	DedupWindow      time.Duration // how long repeats with an idempotency key are dropped
-	Stream           bool
-	Write            bool          // runs at the origin and is never cached
-	FreshFor         time.Duration // time for which a copy is fresh, 0: until purged
-	MaxStale         time.Duration // time past FreshFor for which a stale copy may be served on request
+	LatencyObjective        time.Duration // an answer after this time is worth only LateValue
+	ObjectiveTransferFactor float64       // the objective grows by this multiple of the transfer time
+	Deadline                time.Duration // the client gives up after this time
+	Value                   float64       // value of an answer within the objective
+	LateValue               float64       // value of an answer after the objective
+	Idempotency             Idempotency
+	DedupScope              DedupScope
+	DedupWindow             time.Duration // how long repeats with an idempotency key are dropped
+	Stream                  bool
+	Write                   bool          // runs at the origin and is never cached
+	FreshDuration           time.Duration // time for which a copy is fresh, 0: until purged
+	MaxStale                time.Duration // time past FreshDuration for which a stale copy may be served on request
 }
 
 // Tenant holds the settings of one tenant.
@@ -98,28 +98,28 @@
 	Tenants                []Tenant
 
 	HealthChecks   bool // health checks may be sent
-	Cancel         bool // attempts may be cancelled
+	AllowCancel    bool // attempts may be cancelled
 	HedgedRequests bool // a request may have two attempts in flight
-	RetryAfter     bool // a rejection may tell the client when to retry
+	SendRetryAfter bool // a rejection may tell the client when to retry
 	MaxRetryAfter  time.Duration
 	MaxAttempts    int // per request
 	ConnectTimeout time.Duration
 
-	PollEndpoints bool          // the endpoint list arrives only when requested
-	PollInterval  time.Duration // interval of these requests
-
-	DrainGrace           time.Duration
-	SlowStartShare       float64 // share of its capacity with which a cache starts
-	SlowStartFor         time.Duration
-	OverloadFactor       float64 // multiple of its capacity above which an overloaded cache fails
-	OverloadWindow       time.Duration
-	ParentSlowStartShare float64
-	ParentSlowStartFor   time.Duration
-	ParentOverloadFactor float64
-	OriginOverloadFactor float64 // 0: overload does not stop the origin
-	OriginOverloadWindow time.Duration
-	PurgeGrace           time.Duration
-	PurgeCompleteAfter   time.Duration // by then every cache has dropped its old copies
+	WatchEndpoints bool          // the endpoint list arrives only when requested
+	PollInterval   time.Duration // interval of these requests
+
+	DrainGrace              time.Duration
+	SlowStartShare          float64 // share of its capacity with which a cache starts
+	SlowStartDuration       time.Duration
+	OverloadFactor          float64 // multiple of its capacity above which an overloaded cache fails
+	OverloadWindow          time.Duration
+	ParentSlowStartShare    float64
+	ParentSlowStartDuration time.Duration
+	ParentOverloadFactor    float64
+	OriginOverloadFactor    float64 // 0: overload does not stop the origin
+	OriginOverloadWindow    time.Duration
+	PurgeGrace              time.Duration
+	PurgeCompleteAfter      time.Duration // by then every cache has dropped its old copies
 
 	AllowDirect     bool // requests may go directly to a parent or the origin
 	CoalesceFills   bool // a request may join a fill in progress
--- a/policy/routing/shedding.go
+++ b/policy/routing/shedding.go
@@ -74,7 +74,7 @@
 
 // retryAfter returns the delay after which a rejected client may retry, or 0 if the client is not told.
 func (r *Router) retryAfter() time.Duration {
-	if !r.settings.RetryAfter {
+	if !r.settings.SendRetryAfter {
 		return 0
 	}
 	wait := meanRetryAfter/2 + time.Duration(r.random.float()*float64(meanRetryAfter))
--- a/policy/routing/slowstart_fleet_test.go
+++ b/policy/routing/slowstart_fleet_test.go
@@ -68,9 +68,9 @@
 // simulate runs the fleet. It returns the arrivals at the cold endpoint and the share of requests that were served.
 func (f *coldFleet) simulate(settings Settings, start time.Duration) (arrivals []arrival, served float64) {
 	run := newFleetRun(*f, settings, start)
-	duration := settings.SlowStartFor
+	duration := settings.SlowStartDuration
 	if f.isParent {
-		duration = settings.ParentSlowStartFor
+		duration = settings.ParentSlowStartDuration
 	}
 	for run.now = start; run.now < start+duration; run.now += fleetStep {
 		run.step()
@@ -239,9 +239,9 @@
 // work that it can bear. If the settings allow N requests per window at the end of the window, the endpoint can bear
 // N + 2*sqrt(N) + 2, which leaves room for random variation.
 func (f *coldFleet) worstRatio(settings Settings, start time.Duration, arrivals []arrival) (worstRatio float64) {
-	initial, duration, overloadFactor := settings.SlowStartShare, settings.SlowStartFor, settings.OverloadFactor
+	initial, duration, overloadFactor := settings.SlowStartShare, settings.SlowStartDuration, settings.OverloadFactor
 	if f.isParent {
-		initial, duration = settings.ParentSlowStartShare, settings.ParentSlowStartFor
+		initial, duration = settings.ParentSlowStartShare, settings.ParentSlowStartDuration
 		overloadFactor = settings.ParentOverloadFactor
 	}
 	first, sum := 0, 0.0
--- a/policy/sharedstore/lease.go
+++ b/policy/sharedstore/lease.go
@@ -36,7 +36,7 @@
 }
 
 func (c *Coordinator) canUseLease(op *operation) bool {
-	return c.settings.Lease && !op.onlyIfCached && c.maxWait(op) >= c.fillTime.upper() &&
+	return c.settings.UseLease && !op.onlyIfCached && c.maxWait(op) >= c.fillTime.upper() &&
 		!op.store.refusesWrites && c.canSend(op.store, leaseCommands)
 }
 
--- a/policy/sharedstore/logsync.go
+++ b/policy/sharedstore/logsync.go
@@ -42,11 +42,11 @@
 // LogUpdate is what a router writes to the log of a store in one command. The zero value writes nothing.
 type LogUpdate struct {
 	IsDataLost    bool // the store lost its data: handle EventDataLost before carrying out the update
-	NeedsAll      bool // read all entries of the store's log instead of writing
+	ReadAll       bool // read all entries of the store's log instead of writing
 	Invalidations []Invalidation
 	CompleteFrom  Timestamp // 0: unchanged
 	CompleteTo    Timestamp // 0: unchanged
-	WrittenUpTo   int       // position in this router's log, for LogUpdateWritten
+	WrittenUpTo   int       // position in this router's log, for RecordLogUpdate
 	TrimBefore    Timestamp // entries from before this time may be removed from the store, 0: none
 }
 
@@ -69,21 +69,21 @@
 	return c.invalidations.add(entry)
 }
 
-// DiscoveryCurrent records that this router knows every purge issued before asOf.
-func (c *Coordinator) DiscoveryCurrent(asOf Timestamp) {
+// RecordDiscoveryCurrent records that this router knows every purge issued before asOf.
+func (c *Coordinator) RecordDiscoveryCurrent(asOf Timestamp) {
 	c.invalidations.completeTo = max(c.invalidations.completeTo, asOf)
 }
 
-// DiscoveryGap records that this router may never receive some of the purges issued until now.
-func (c *Coordinator) DiscoveryGap(now time.Duration) {
+// RecordDiscoveryGap records that this router may never receive some of the purges issued until now.
+func (c *Coordinator) RecordDiscoveryGap(now time.Duration) {
 	c.now = max(now, c.now)
 	c.invalidations.restart(c.wallClock())
 }
 
-// ClockStepped records that the wall clock was changed by the given duration. Times from before and after the change
+// RecordClockStep records that the wall clock was changed by the given duration. Times from before and after the change
 // cannot be compared: no copy stored until now is proved any more, and later copies are proved only once the clock has
 // passed both readings.
-func (c *Coordinator) ClockStepped(now, by time.Duration) {
+func (c *Coordinator) RecordClockStep(now, by time.Duration) {
 	c.now = max(now, c.now)
 	before := c.wallClock()
 	c.settings.Epoch += Timestamp(by / ms)
@@ -105,7 +105,7 @@
 	switch {
 	case c.canTakeOver(sync):
 		sync.isReadingAll = true
-		return LogUpdate{NeedsAll: true}
+		return LogUpdate{ReadAll: true}
 	case sync.exists && !c.invalidations.adjoins(sync.completeTo) && isNewlyConnected:
 		return LogUpdate{}
 	}
@@ -166,8 +166,8 @@
 	return update
 }
 
-// LogUpdateWritten records that an update is in the store, and reports whether there is more to write at once.
-func (c *Coordinator) LogUpdateWritten(id routing.EndpointID, update LogUpdate) (more bool) {
+// RecordLogUpdate records that an update is in the store, and reports whether there is more to write at once.
+func (c *Coordinator) RecordLogUpdate(id routing.EndpointID, update LogUpdate) (more bool) {
 	store := c.storeByID[id]
 	if store == nil {
 		return false
--- a/policy/sharedstore/logsync_model_test.go
+++ b/policy/sharedstore/logsync_model_test.go
@@ -71,9 +71,9 @@
 		return false
 	}
 	m.read[router] = nil
-	coordinator.DiscoveryCurrent(m.wallClock())
+	coordinator.RecordDiscoveryCurrent(m.wallClock())
 	update := coordinator.PlanLogUpdate(m.now, testStore, *stored)
-	if update.NeedsAll {
+	if update.ReadAll {
 		var entries []Invalidation
 		if m.store.purgedAt > 0 {
 			entries = []Invalidation{{Object: modelObject, IssuedAt: m.store.purgedAt}}
@@ -86,7 +86,7 @@
 	}
 	m.store.completeFrom = max(m.store.completeFrom, update.CompleteFrom)
 	m.store.completeTo = max(m.store.completeTo, update.CompleteTo)
-	coordinator.LogUpdateWritten(testStore, update)
+	coordinator.RecordLogUpdate(testStore, update)
 	return true
 }
 
--- a/policy/sharedstore/logsync_test.go
+++ b/policy/sharedstore/logsync_test.go
@@ -22,15 +22,15 @@
 	older, younger := newLogCoordinator(), newLogCoordinator()
 	younger.invalidations.completeFrom, younger.invalidations.completeTo = epoch+60_000, epoch+60_000
 	show := func(who string, update LogUpdate) {
-		fmt.Printf("%s: needs all %v, entries %d, from %d, to %d\n", who, update.NeedsAll, len(update.Invalidations),
+		fmt.Printf("%s: needs all %v, entries %d, from %d, to %d\n", who, update.ReadAll, len(update.Invalidations),
 			max(0, update.CompleteFrom-epoch), max(0, update.CompleteTo-epoch))
 	}
 	older.RecordInvalidation(30*time.Second, Invalidation{Object: 7, IssuedAt: epoch + 30_000})
-	older.DiscoveryCurrent(epoch + 50_000)
+	older.RecordDiscoveryCurrent(epoch + 50_000)
 	show("older, the store has no log", older.PlanLogUpdate(50*time.Second, testStore, LogRange{}))
 	stored := LogRange{epoch, epoch + 50_000}
 	show("younger, too early", younger.PlanLogUpdate(61*time.Second, testStore, stored))
-	older.DiscoveryCurrent(epoch + 62_000)
+	older.RecordDiscoveryCurrent(epoch + 62_000)
 	show("older extends the range", older.PlanLogUpdate(62*time.Second, testStore, stored))
 	stored.CompleteTo = epoch + 62_000
 	show("younger", younger.PlanLogUpdate(63*time.Second, testStore, stored))
@@ -60,11 +60,11 @@
 			connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
 			coordinator.Handle(0, &connected, nil)
 			coordinator.now = now
-			coordinator.DiscoveryCurrent(epoch + Timestamp(now/ms))
+			coordinator.RecordDiscoveryCurrent(epoch + Timestamp(now/ms))
 			if !isProved(coordinator, old, old) {
 				t.Fatal("a copy is not proved before the clock steps")
 			}
-			coordinator.ClockStepped(now, step)
+			coordinator.RecordClockStep(now, step)
 			if coordinator.wallClock() != epoch+Timestamp((now+step)/ms) {
 				t.Errorf("the wall clock is %d ms past the epoch, want 10 minutes plus the step", coordinator.wallClock()-epoch)
 			}
@@ -108,7 +108,7 @@
 			coordinator.PlanLogUpdate(time.Second, testStore, LogRange{CompleteTo: epoch})
 			update := coordinator.PlanLogUpdate(2*time.Second, testStore, LogRange{CompleteTo: test.completeTo})
 			if update.IsDataLost != (test.wantHealth == healthWarmingUp) {
-				t.Errorf("got IsDataLost %v, want the opposite", update.IsDataLost)
+				t.Errorf("unexpected result %v of IsDataLost", update.IsDataLost)
 			}
 			if update.IsDataLost {
 				lost := Event{Kind: EventDataLost, Endpoint: testStore}
--- a/policy/sharedstore/settings.go
+++ b/policy/sharedstore/settings.go
@@ -23,14 +23,14 @@
 	Routers            int           // routers that share the store, this one included
 	Capacity           float64       // commands a second that a warm store can handle, 0: unknown
 	SlowStartShare     float64       // share of the capacity that a store has right after its start
-	SlowStartFor       time.Duration // time from its start to full capacity; the share grows linearly
+	SlowStartDuration  time.Duration // time from its start to full capacity; the share grows linearly
 	OverloadFactor     float64       // multiple of its capacity that all routers together may use during its slow start
 	MaxInFlight        int           // maximum number of commands in flight, however fast the replies are
 	MaxValueBytes      int           // maximum size of a value to be stored
 	MaxTTL             time.Duration // maximum time that a copy may stay in the store
 	DrainGrace         time.Duration // time that a draining endpoint allows for requests already on their way
 	PurgeCompleteAfter time.Duration // time after a purge by which a source has dropped the purged copies, 0: unknown
-	Lease              bool          // whether a lease merges the fills of one object by several routers
+	UseLease           bool          // whether a lease merges the fills of one object by several routers
 	Epoch              Timestamp     // wall-clock time at which the caller's monotonic clock was 0
 }
 
@@ -44,7 +44,7 @@
 		}
 	}
 	if s.SlowStartShare <= 0 {
-		s.SlowStartShare, s.SlowStartFor = r.SlowStartShare, r.SlowStartFor
+		s.SlowStartShare, s.SlowStartDuration = r.SlowStartShare, r.SlowStartDuration
 	}
 	if s.OverloadFactor <= 0 {
 		s.OverloadFactor = defaultOverloadFactor
--- a/policy/sharedstore/simulation_test.go
+++ b/policy/sharedstore/simulation_test.go
@@ -72,9 +72,9 @@
 
 func testSettings() Settings {
 	return Settings{
-		Routers: 4, Capacity: 1000, SlowStartShare: 0.1, SlowStartFor: 5 * time.Second, OverloadFactor: 1,
+		Routers: 4, Capacity: 1000, SlowStartShare: 0.1, SlowStartDuration: 5 * time.Second, OverloadFactor: 1,
 		MaxInFlight: 64, MaxValueBytes: 1 << 18, MaxTTL: 10 * time.Minute, DrainGrace: time.Second,
-		PurgeCompleteAfter: time.Second, Lease: true, Epoch: epoch,
+		PurgeCompleteAfter: time.Second, UseLease: true, Epoch: epoch,
 	}
 }
 
--- a/policy/sharedstore/slowstart.go
+++ b/policy/sharedstore/slowstart.go
@@ -52,10 +52,10 @@
 // warmFraction returns the share of its capacity that a store has reached.
 func (c *Coordinator) warmFraction(store *storeStatus) float64 {
 	age := c.now - store.slowStart.startedAt
-	if c.settings.SlowStartFor <= 0 || age >= c.settings.SlowStartFor {
+	if c.settings.SlowStartDuration <= 0 || age >= c.settings.SlowStartDuration {
 		return 1
 	}
-	return c.settings.SlowStartShare + (1-c.settings.SlowStartShare)*float64(age)/float64(c.settings.SlowStartFor)
+	return c.settings.SlowStartShare + (1-c.settings.SlowStartShare)*float64(age)/float64(c.settings.SlowStartDuration)
 }
 
 // isWarmingUp reports whether the slow-start budget applies. If the capacity is unknown, routing limits the store
--- a/policy/sharedstore/slowstart_test.go
+++ b/policy/sharedstore/slowstart_test.go
@@ -20,7 +20,7 @@
 	sim.handle(&Event{Kind: EventConnected, Endpoint: testStore, RunID: 2})
 	sim.commands = nil
 	startedAt := sim.now
-	for sim.now < startedAt+testSettings().SlowStartFor {
+	for sim.now < startedAt+testSettings().SlowStartDuration {
 		sim.request(testParent, 300*ms, 0)
 		sim.advance(ms)
 		for len(sim.pending) > 0 {
@@ -49,7 +49,7 @@
 	settings := testSettings()
 	capacity := 0.0
 	for offset := time.Duration(0); offset < time.Second; offset += 100 * ms {
-		progress := (age + offset).Seconds() / settings.SlowStartFor.Seconds()
+		progress := (age + offset).Seconds() / settings.SlowStartDuration.Seconds()
 		warmFraction := settings.SlowStartShare + (1-settings.SlowStartShare)*progress
 		capacity += settings.Capacity / 10 * min(1, warmFraction)
 	}
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -118,7 +118,7 @@
 
 // setSlowStartTimer sets the store's timer to the end of its slow start.
 func (c *Coordinator) setSlowStartTimer(store *storeStatus) {
-	c.setStoreTimer(store, max(ms, store.slowStart.startedAt+c.settings.SlowStartFor-c.now))
+	c.setStoreTimer(store, max(ms, store.slowStart.startedAt+c.settings.SlowStartDuration-c.now))
 }
 
 func (c *Coordinator) handleConnection(store *storeStatus, event *Event) {
@@ -140,7 +140,7 @@
 	isSameRun := store.wasConnected && store.runID == event.RunID
 	store.wasConnected, store.runID = true, event.RunID
 	switch {
-	case !isSameRun && event.Uptime < c.settings.SlowStartFor:
+	case !isSameRun && event.Uptime < c.settings.SlowStartDuration:
 		c.beginSlowStart(store, c.now-event.Uptime)
 	case store.health.state == healthUnavailable:
 		c.signalHealth(store, signalConnected)
