--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -17,8 +17,8 @@
 	writeLatencyObjective = 700 * time.Millisecond
 )
 
-// objectiveTransferFactor is the time that the latency objective allows for a transfer, as a multiple of its time at the
-// full rate.
+// objectiveTransferFactor is the time that the latency objective allows for a transfer, as a multiple of its duration
+// at the full rate.
 const objectiveTransferFactor = 1.6
 
 // Load is an open-loop load: requests are sent when they are scheduled and do not wait for earlier ones.
