--- a/internal/frontend/arrivals.go
+++ b/internal/frontend/arrivals.go
@@ -29,7 +29,7 @@
 	a.list = append(a.list, arrival{a.totalBytes, at})
 }
 
-// arrivalTime returns when the byte arrived that is followed by the given number of bytes.
+// arrivalTime returns the arrival time of the byte that is followed by bytesAfter further bytes.
 func (a *arrivals) arrivalTime(bytesAfter int) time.Time {
 	end := a.totalBytes - int64(bytesAfter)
 	for i := range a.list {
--- a/internal/frontend/connection.go
+++ b/internal/frontend/connection.go
@@ -30,7 +30,7 @@
 	sessionChanged     *sync.Cond // signals a change of the session
 	session            *session
 	isReportedBusy     bool // the admission policy counts the connection as busy
-	isBackpressured    bool // the reader waits until the client has read its responses
+	isBackpressured    bool // input is held until the client has read its responses
 	pausedUntil        time.Time
 	heldInputScannedAt time.Time // last scan of held input
 
--- a/internal/frontend/deadlines_test.go
+++ b/internal/frontend/deadlines_test.go
@@ -69,7 +69,7 @@
 	receive(third[:50], 20)
 	receive(third[50:], 30)
 	if first := client.scanHeldInput(); !first.Equal(at(1500)) {
-		t.Errorf("the first deadline is %v after the start", first.Sub(start))
+		t.Errorf("the first deadline is %v after the start, want 1.5 s", first.Sub(start))
 	}
 	if err := client.parse(at(100)); err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 		}
 	}
 	if len(client.arrivals.list) > 1 {
-		t.Errorf("%d arrivals are kept", len(client.arrivals.list))
+		t.Errorf("%d arrivals are kept, want at most 1", len(client.arrivals.list))
 	}
 	for i := range 1000 { // more than maxArrivals: the last ones count by an earlier time than their own
 		receive("*", 200+i)
--- a/internal/frontend/heldinput_test.go
+++ b/internal/frontend/heldinput_test.go
@@ -112,7 +112,7 @@
 	select {
 	case request := <-server.requests:
 		if elapsed := time.Since(start); elapsed > timeout {
-			t.Errorf("the request was taken after %v", elapsed)
+			t.Errorf("the request was taken after %v, want at most its timeout", elapsed)
 		}
 		remaining := time.Until(request.ReceivedAt.Add(request.Timeout))
 		if remaining > timeout-time.Since(start)+20*time.Millisecond {
--- a/internal/frontend/inflight_test.go
+++ b/internal/frontend/inflight_test.go
@@ -20,11 +20,11 @@
 			t.Fatal("a response on the wrong connection")
 		}
 		if got, _ := second.feed(otherObject, 1<<16); got != "1 FAILED  " {
-			t.Errorf("request for another object with an ID in use: %s", got)
+			t.Errorf("request for another object with an ID in use: got %s, want FAILED", got)
 		}
 	}
 	if got, _ := second.feed(do(2, ""), 1<<16); !strings.HasPrefix(got, "request 2") {
-		t.Errorf("request for the same object with an ID in use: %s", got)
+		t.Errorf("request for the same object with an ID in use: got %s, want a request", got)
 	}
 	_, _ = first.feed(frame("UNDO", "2"), 1<<16)
 	second.close()
@@ -74,7 +74,7 @@
 	}
 	bounds, backlog := client.shared.limits, client.shared.backlogBytes.Load()
 	if backlog > bounds.ResponseBacklogBytes || client.output.Len() > bounds.ClientWriteBuffer {
-		t.Errorf("%d bytes of responses held, %d in the ring", backlog, client.output.Len())
+		t.Errorf("%d bytes of responses held, %d in the ring; want at most the limits", backlog, client.output.Len())
 	}
 	for i := 0; i < 200 && !client.isBackpressured(); i++ {
 		mustReceive(t, client, frame("PING", fmt.Sprint(100+i)))
@@ -88,7 +88,7 @@
 		t.Errorf("got %d OK and %d FAILED responses", served, failed)
 	}
 	if backlog := client.shared.backlogBytes.Load(); backlog != 0 {
-		t.Errorf("%d bytes of responses held at the end", backlog)
+		t.Errorf("%d bytes of responses held at the end, want 0", backlog)
 	}
 }
 
@@ -112,6 +112,6 @@
 	mustReceive(t, reading,
 		frame("DO", "1", "clip", "req=00000000000000aa,timeout=1500,subject=7f3a9c21e0b4d655"))
 	if status := respondWithLargeBody(reading, 1); status != statusOK || len(reading.pendingResponses) != 1 {
-		t.Errorf("another client got status %s", status)
+		t.Errorf("another client got status %s, want OK", status)
 	}
 }
--- a/internal/frontend/listener.go
+++ b/internal/frontend/listener.go
@@ -80,7 +80,7 @@
 	l.server.handleAdmissionEvent(admission.Event{Kind: admission.EventDescriptorAvailable})
 	c := l.admit(raw, l.earliestArrival(now))
 	if l.spare.isHeld() {
-		l.shortageSince = time.Time{} // connections that wait are accepted one by one; the next has hardly waited longer
+		l.shortageSince = time.Time{} // the shortage is over; queued connections are accepted at once and hardly wait longer
 	}
 	return c
 }
--- a/internal/frontend/parse.go
+++ b/internal/frontend/parse.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// handleFrame handles one frame. An unusable frame gets a failed response under its tag. A frame without a tag, or with
+// handleFrame handles one frame. An unusable frame gets a FAILED response under its tag. A frame without a tag, or with
 // a tag in use, is an error, because the client could not attribute a response.
 func (s *session) handleFrame(args [][]byte, arrivedAt time.Time) error {
 	if len(args) < 2 || len(args[1]) > s.shared.limits.FieldBytes {
--- a/internal/frontend/parse_test.go
+++ b/internal/frontend/parse_test.go
@@ -122,7 +122,7 @@
 				return
 			}
 			if r := messages[0].(*engine.Request); r.Tenant != test.tenant || r.IdempotencyKey != test.key {
-				t.Errorf("tenant %d, idempotency key %q", r.Tenant, r.IdempotencyKey)
+				t.Errorf("got tenant %d, idempotency key %q", r.Tenant, r.IdempotencyKey)
 			}
 		})
 	}
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	rejectReadBytes    = 4 << 10 // input read by rejectWithoutWaiting
+	rejectReadBytes    = 4 << 10 // maximum input read by rejectWithoutWaiting
 	rejectWriteTimeout = time.Millisecond
 	discardBufferBytes = 1 << 10 // size of each read whose bytes are discarded
 )
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -17,7 +17,7 @@
 }
 
 // backlogReserveParts is the number of parts into which the memory for response bodies is divided. One part is reserved
-// for clients for which hardly any response bodies wait.
+// for connections whose waiting bodies do not exceed ResponseBodyBytes.
 const backlogReserveParts = 8
 
 func (s *session) enqueue(r response) { s.pendingResponses = append(s.pendingResponses, r) }
@@ -82,7 +82,7 @@
 }
 
 // hasBacklogRoom reports whether there is memory for a response body of the given length. The last part of the memory
-// is reserved for clients with little waiting, so that a client that does not read costs others no responses.
+// is reserved for connections with few waiting bytes, so that a client that does not read costs others no responses.
 func (s *session) hasBacklogRoom(bytes int) bool {
 	bounds := &s.shared.limits
 	total := s.shared.backlogBytes.Load() + int64(bytes)
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -25,7 +25,7 @@
 	shared  sharedState
 	post    PostFunc
 	redcon  *redcon.Server
-	start   time.Time // origin of the event times passed to the admission policy
+	start   time.Time // time 0 of the admission policy's clock
 	log     *zap.Logger
 	tlsKeys *TLSKeys // nil if connections do not use TLS
 	spare   *spareDescriptor
@@ -63,9 +63,9 @@
 	Admission            admission.Settings
 	TLSKeys              *TLSKeys             // nil if connections do not use TLS
 	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil means no delay
-	FlowKBPerSecond      float64              // transfer rate that extends the latency objectives of large requests
+	FlowKBPerSecond      float64              // transfer rate by which latency objectives grow with object size; 0: they do not
 	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; may be nil
-	OnDescriptorShortage func()               // called without descriptors left, so that other parts can free some
+	OnDescriptorShortage func()               // called when no descriptor is left, so that other parts can free some
 }
 
 // New returns a server that posts the messages of clients to the engine.
--- a/internal/frontend/session.go
+++ b/internal/frontend/session.go
@@ -31,7 +31,7 @@
 	input            resp.Ring
 	decoder          resp.Decoder
 	arrivals         arrivals  // arrival times of the bytes in input
-	messageStartedAt time.Time // start of the current or else the last message; at first, start of the connection
+	messageStartedAt time.Time // start of the incomplete message, else end of the last message or start of the connection
 
 	inFlight map[engine.Tag]*engine.Request
 	messages []engine.Message // *engine.Request and engine.ClientGone values for the engine, not yet taken
--- a/internal/frontend/session_test.go
+++ b/internal/frontend/session_test.go
@@ -135,7 +135,7 @@
 		client := newTestSession()
 		_, _ = client.feed(stream, min(max(1, partBytes), math.MaxInt16))
 		if client.input.Len() > client.shared.limits.ClientReadBuffer {
-			t.Errorf("%d bytes of input held", client.input.Len())
+			t.Errorf("%d bytes of input held, want at most ClientReadBuffer", client.input.Len())
 		}
 		client.close()
 		if !client.isIdle() || client.shared.backlogBytes.Load() != 0 || client.shared.invalidTransitions.Load() != 0 {
--- a/internal/frontend/shared.go
+++ b/internal/frontend/shared.go
@@ -35,7 +35,7 @@
 type classSettings struct {
 	isWrite          bool
 	latencyObjective time.Duration
-	secondsPerKB     float64 // growth of the latency objective with the size of a request
+	secondsPerKB     float64 // growth of the latency objective with the size of the object
 	repeatPolicy     invariant.RepeatPolicy
 }
 
@@ -55,7 +55,7 @@
 	return settings
 }
 
-// objectiveFor returns the latency objective of a request for the given size.
+// objectiveFor returns the latency objective of a request for an object of the given size.
 func (c *classSettings) objectiveFor(sizeKB float64) time.Duration {
 	return c.latencyObjective + time.Duration(sizeKB*c.secondsPerKB*float64(time.Second))
 }
--- a/internal/frontend/tls.go
+++ b/internal/frontend/tls.go
@@ -20,7 +20,7 @@
 // TLSFiles names the files that a front end needs for TLS.
 type TLSFiles struct {
 	Cert, Key          string
-	ClientCA           string // CA whose certificates make clients known; if empty, none are requested
+	ClientCA           string // CA of the certificates that identify known clients; if empty, none are requested
 	ClientCertRequired bool   // clients must present a certificate
 	MinVersion         uint16 // minimum TLS version
 }
@@ -28,7 +28,7 @@
 // TLSKeys holds the current TLS keys, which are never logged.
 type TLSKeys struct {
 	current          atomic.Pointer[tls.Config]
-	lastLoggedSecond atomic.Int64 // second since processStart in which a failed handshake was last logged
+	lastLoggedSecond atomic.Int64 // second in which a failed handshake was last logged, 1 at processStart; 0: never
 }
 
 var processStart = time.Now()
@@ -64,7 +64,7 @@
 		}
 		config.ClientCAs = x509.NewCertPool()
 		if !config.ClientCAs.AppendCertsFromPEM(pem) {
-			return fmt.Errorf("%s holds no certificate", f.ClientCA)
+			return fmt.Errorf("client CA %s holds no certificate", f.ClientCA)
 		}
 		config.ClientAuth = tls.VerifyClientCertIfGiven
 		if f.ClientCertRequired {
@@ -109,8 +109,8 @@
 	}
 }
 
-// handshake performs the TLS handshake, if the connection uses TLS, and reports its end and the client certificate's
-// peer to the admission policy.
+// handshake performs the TLS handshake, if the connection uses TLS, and reports its end and the peer of the client
+// certificate to the admission policy.
 func (c *connection) handshake() (succeeded bool) {
 	keys := c.server.tlsKeys
 	tlsConn, isTLS := c.Conn.(*tls.Conn)
--- a/internal/frontend/tls_test.go
+++ b/internal/frontend/tls_test.go
@@ -148,17 +148,17 @@
 		{Cert: at("one.crt"), Key: at("one.key"), ClientCA: at("one.key")},
 	} {
 		if err := keys.Load(unusable); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("loading an unusable pair returned %v", err)
+			t.Errorf("loading an unusable pair returned %v, want an error of one line", err)
 		}
 	}
 	if _, name := authority.dial(address); name != "one" {
-		t.Errorf("certificate %s is in use after an unusable pair", name)
+		t.Errorf("certificate %s is in use after an unusable pair, want one", name)
 	}
 	if err := keys.Load(TLSFiles{Cert: at("two.crt"), Key: at("two.key"), ClientCA: at("ca.crt")}); err != nil {
 		t.Fatal(err)
 	}
 	if after, name := authority.dial(address); name != "two" || ping(after) != pong("1") {
-		t.Errorf("certificate %s is in use after the reload", name)
+		t.Errorf("certificate %s is in use after the reload, want two", name)
 	}
 	if got := ping(before); got != pong("1") {
 		t.Errorf("a connection opened before the reload got %q", got)
--- a/internal/resp/decoder.go
+++ b/internal/resp/decoder.go
@@ -36,7 +36,7 @@
 	return Decoder{MaxStrings: d.MaxStrings, MaxStringBytes: d.MaxStringBytes, MaxFrameBytes: d.MaxFrameBytes}
 }
 
-// FrameBytes returns the length of the frame that Next returned last.
+// FrameBytes returns the length of the frame that the last call of Next returned.
 func (d *Decoder) FrameBytes() int { return d.position }
 
 // Next returns the strings of the next complete frame, or nil if more bytes are needed. The strings are valid until the
@@ -76,8 +76,8 @@
 	return args, nil
 }
 
-// Partial returns the complete strings of an incomplete frame, from which the caller can tell which request it belongs
-// to. The strings are valid until the ring changes.
+// Partial returns the complete strings of an incomplete frame, so that the caller can tell which request the frame
+// belongs to. The strings are valid until the ring changes.
 func (d *Decoder) Partial(r *Ring) (args [][]byte) {
 	count, position, err := parseHeader(r, 0, Array, d.MaxStrings)
 	if position == 0 || err != nil {
--- a/internal/resp/decoder_test.go
+++ b/internal/resp/decoder_test.go
@@ -12,8 +12,8 @@
 	"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n$0\r\n\r\n" +
 	"*1\r\n$6\r\n\r\n*1\r\n\r\n"
 
-// smallRing is the size of a ring that cannot hold several frames at once.
-const smallRing = 64
+// smallRingBytes is the size of a ring that is shorter than the test streams, so that frames wrap around in the ring.
+const smallRingBytes = 64
 
 // decode feeds a stream to a decoder in pieces that end at the cuts, and returns the frames as text.
 func decode(stream string, ringBytes int, cuts ...int) (string, error) {
@@ -50,19 +50,19 @@
 	stream := strings.Repeat(threeFrames, 3)
 	want, err := decode(stream, 1<<10)
 	if err != nil || strings.Count(want, "|") != 8 || !strings.Contains(want, `["DO" "9" ""]`) {
-		t.Fatalf("unsplit: %s, %v", want, err)
+		t.Fatalf("unsplit: got %s, %v", want, err)
 	}
 	everyByte := make([]int, len(stream)-1)
 	for i := range everyByte {
 		everyByte[i] = i + 1
-		for _, ringBytes := range []int{smallRing, 1 << 10} {
+		for _, ringBytes := range []int{smallRingBytes, 1 << 10} {
 			if got, err := decode(stream, ringBytes, i+1); got != want || err != nil {
-				t.Errorf("cut at %d, ring of %d: %s, %v", i+1, ringBytes, got, err)
+				t.Errorf("cut at %d, ring of %d bytes: got %s, %v, want the same as unsplit", i+1, ringBytes, got, err)
 			}
 		}
 	}
-	if got, err := decode(stream, smallRing, everyByte...); got != want || err != nil {
-		t.Errorf("byte by byte: %s, %v", got, err)
+	if got, err := decode(stream, smallRingBytes, everyByte...); got != want || err != nil {
+		t.Errorf("byte by byte: got %s, %v, want the same as unsplit", got, err)
 	}
 }
 
@@ -85,8 +85,8 @@
 		"number for a string":    "*1\r\n:1\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, err := decode(stream, smallRing); got != "" || !errors.Is(err, ErrMalformed) {
-				t.Errorf("%q: %s, %v", stream, got, err)
+			if got, err := decode(stream, smallRingBytes); got != "" || !errors.Is(err, ErrMalformed) {
+				t.Errorf("%q: got %s, %v, want no frame and ErrMalformed", stream, got, err)
 			}
 		})
 	}
@@ -100,9 +100,9 @@
 		"*3\r\n$2\r\nDO\r\n$1\r\n9\r\n$4\r\n": `["DO" "9"]`,
 		"PING":                                `[]`,
 	} {
-		ring := Ring{MaxBytes: smallRing}
+		ring := Ring{MaxBytes: smallRingBytes}
 		ring.Append([]byte(stream))
-		decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: smallRing}
+		decoder := Decoder{MaxStrings: 4, MaxStringBytes: 40, MaxFrameBytes: smallRingBytes}
 		if got := fmt.Sprintf("%q", decoder.Partial(&ring)); got != want {
 			t.Errorf("%q: got %s, want %s", stream, got, want)
 		}
@@ -129,9 +129,9 @@
 	f.Add("*2\r\n$1\r\na\r\n$41\r\n", 9)
 	f.Add("*1\r\n$", 3)
 	f.Fuzz(func(t *testing.T, stream string, cut int) {
-		unsplit, err := decode(stream, smallRing)
+		unsplit, err := decode(stream, smallRingBytes)
 		if cut = min(max(cut, 0), len(stream)); cut > 0 {
-			if split, splitErr := decode(stream, smallRing, cut); split != unsplit || (err == nil) != (splitErr == nil) {
+			if split, splitErr := decode(stream, smallRingBytes, cut); split != unsplit || (err == nil) != (splitErr == nil) {
 				t.Errorf("unsplit: %s, %v; cut at %d: %s, %v", unsplit, err, cut, split, splitErr)
 			}
 		}
--- a/internal/resp/reply.go
+++ b/internal/resp/reply.go
@@ -36,11 +36,11 @@
 	MaxLineBytes   int // maximum length of a line, without CR and LF
 	MaxParts       int // maximum number of parts in a reply, nested arrays and their elements included
 
-	position  int // offset of the next part to be parsed
-	remaining int // parts still to be parsed
-	returned  int // length of the reply that Next returned last, 0 if it has been discarded
-	parts     []part
-	replies   []Reply
+	position       int // offset of the next part to be parsed
+	remainingParts int // parts still to be parsed
+	returnedBytes  int // length of the reply that Next returned last, 0 if it has been discarded
+	parts          []part
+	replies        []Reply
 }
 
 // part is a parsed Reply whose text is still in the ring, between two offsets.
@@ -54,25 +54,25 @@
 // Next returns the parts of the next complete reply, an array before its elements, or nil if more bytes are needed. The
 // parts are valid until the next call.
 func (d *ReplyDecoder) Next(r *Ring) ([]Reply, error) {
-	if d.returned > 0 {
-		r.Discard(d.returned)
-		d.returned = 0
+	if d.returnedBytes > 0 {
+		r.Discard(d.returnedBytes)
+		d.returnedBytes = 0
 	}
 	if d.position == 0 {
-		d.remaining, d.parts = 1, d.parts[:0]
+		d.remainingParts, d.parts = 1, d.parts[:0]
 	}
-	for d.remaining > 0 {
+	for d.remainingParts > 0 {
 		next, used, err := d.parsePart(r)
 		if err != nil || used == 0 {
 			return nil, err
 		}
 		d.position += used
-		d.remaining--
+		d.remainingParts--
 		if next.kind == Array && !next.isNull {
-			d.remaining += int(next.number)
+			d.remainingParts += int(next.number)
 		}
 		d.parts = append(d.parts, next)
-		if len(d.parts)+d.remaining > d.MaxParts {
+		if len(d.parts)+d.remainingParts > d.MaxParts {
 			return nil, ErrMalformed
 		}
 	}
@@ -88,11 +88,12 @@
 			PartCount: int(p.number),
 		})
 	}
-	d.returned, d.position = d.position, 0
+	d.returnedBytes, d.position = d.position, 0
 	return d.replies, nil
 }
 
-// parsePart parses the part at the current position and returns it with its length, which is 0 if it is incomplete.
+// parsePart parses the part at the current position. It returns the part and its length, which is 0 if the part is
+// incomplete.
 func (d *ReplyDecoder) parsePart(r *Ring) (next part, used int, err error) {
 	lineLength, isComplete, err := d.findLine(r)
 	if !isComplete || err != nil {
@@ -150,8 +151,8 @@
 	return length, true, nil
 }
 
-// parseBulk finds the content of a bulk string after its header line, whose length is used. It returns the part and the
-// length of header line and content together.
+// parseBulk finds the content of a bulk string after its header line of the given length. It returns the part and the
+// length of header line and content together, which is 0 if the content is incomplete.
 func (d *ReplyDecoder) parseBulk(r *Ring, next part, used int) (part, int, error) {
 	if next.number > int64(d.MaxStringBytes) {
 		return part{}, 0, ErrMalformed
@@ -160,7 +161,7 @@
 	next.to = next.from + int(next.number)
 	used += int(next.number) + len(lineEnd)
 	if d.position+used > r.MaxBytes {
-		return part{}, 0, ErrMalformed // the ring could never hold all of it
+		return part{}, 0, ErrMalformed // the string would never fit into the ring
 	}
 	if r.Len() < d.position+used {
 		return part{}, 0, nil
--- a/internal/resp/ring.go
+++ b/internal/resp/ring.go
@@ -3,7 +3,7 @@
 // interprets no command. Byte slices are parsed and encoded with package redcon.
 package resp
 
-// minBufferBytes is the size of a ring's first buffer. A ring that was never used has no buffer.
+// minBufferBytes is the minimum size of a ring's buffer, unless MaxBytes is smaller. An unused ring has no buffer.
 const minBufferBytes = 4 << 10
 
 // Ring is a byte queue for one direction of one connection. Its buffer grows as needed, up to MaxBytes. The zero value
@@ -123,7 +123,7 @@
 	}
 }
 
-// Shrink frees the memory of an empty ring that has outgrown its first buffer.
+// Shrink frees the memory of an empty ring whose buffer is larger than minBufferBytes.
 func (r *Ring) Shrink() {
 	if len(r.buffer) > minBufferBytes {
 		r.Release()
--- a/internal/resp/ring_test.go
+++ b/internal/resp/ring_test.go
@@ -21,7 +21,7 @@
 	}
 	duplicate := ring.Copy()
 	if !bytes.Equal(duplicate.Peek(duplicate.Len()), ring.Peek(ring.Len())) {
-		t.Error("the copy holds different bytes")
+		t.Error("Copy holds other bytes than the ring")
 	}
 	out = append(out, ring.Peek(ring.Len())...)
 	if !bytes.Equal(in, out) {
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -19,7 +19,7 @@
 type Writer struct {
 	Ring
 	WrittenBytes int64     // bytes of the stream that Advance has removed from the ring so far
-	added        int64     // bytes of the stream that were put into the ring so far
+	addedBytes   int64     // bytes of the stream that were put into the ring so far
 	header       []byte    // for reuse
 	parts        [3][]byte // rest of the current frame: header, body and final line end
 }
@@ -38,7 +38,7 @@
 	header = append(header, lineEnd...)
 	w.header = header
 	w.parts = [3][]byte{header, body, lineEndBytes}
-	return w.added + int64(len(header)+len(body)+len(lineEnd))
+	return w.addedBytes + int64(len(header)+len(body)+len(lineEnd))
 }
 
 // PutRaw starts frames that are already encoded. They must not change until they are in the ring.
@@ -60,7 +60,7 @@
 			continue
 		}
 		n := w.Append(*part)
-		w.added += int64(n)
+		w.addedBytes += int64(n)
 		*part = (*part)[n:]
 	}
 	return w.Head()
@@ -74,5 +74,5 @@
 
 // Empty reports whether Advance has removed all frames that were started.
 func (w *Writer) Empty() bool {
-	return w.WrittenBytes == w.added && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
+	return w.WrittenBytes == w.addedBytes && len(w.parts[0])+len(w.parts[1])+len(w.parts[2]) == 0
 }
--- a/internal/resp/writer_test.go
+++ b/internal/resp/writer_test.go
@@ -26,7 +26,7 @@
 	}
 	for next := writer.Next(more); len(next) > 0; next = writer.Next(more) {
 		if writer.Empty() || len(next) > ringBytes {
-			t.Fatalf("Next returned %d bytes, or Empty is true too early", len(next))
+			t.Fatalf("Next returned %d bytes, want at most ringBytes, or Empty is true too early", len(next))
 		}
 		n := min(3, len(next))
 		got += string(next[:n])
--- a/internal/sharedstore/benchmark_test.go
+++ b/internal/sharedstore/benchmark_test.go
@@ -79,6 +79,6 @@
 	startedAt = time.Now()
 	f.Abort(f.request(1))
 	if elapsed := time.Since(startedAt); elapsed > 10*time.Millisecond {
-		t.Errorf("aborting took %v", elapsed)
+		t.Errorf("aborting took %v, want at most 10 ms", elapsed)
 	}
 }
--- a/internal/sharedstore/connection.go
+++ b/internal/sharedstore/connection.go
@@ -16,7 +16,7 @@
 	connectionInSetup connectionState = iota // authenticating; other commands are held back
 	connectionReady
 	connectionClosed
-	connectionStates
+	connectionStateCount
 )
 
 // connectionSignal is an event that changes the state of a connection.
@@ -25,10 +25,10 @@
 const (
 	signalSetupDone connectionSignal = iota
 	signalClosed
-	connectionSignals
+	connectionSignalCount
 )
 
-var connectionTransitions = [connectionStates][connectionSignals]connectionState{
+var connectionTransitions = [connectionStateCount][connectionSignalCount]connectionState{
 	connectionInSetup: {signalSetupDone: connectionReady, signalClosed: connectionClosed},
 	connectionReady:   {signalSetupDone: connectionReady, signalClosed: connectionClosed},
 	connectionClosed:  {signalSetupDone: connectionClosed, signalClosed: connectionClosed},
@@ -50,10 +50,10 @@
 }
 
 const (
-	// shortReadBytes is the maximum size of a short read, which is one that holds no large value.
+	// shortReadBytes is the maximum size of a short read, which cannot hold a large value.
 	shortReadBytes = 4 << 10
-	// maxShortReads is the number of consecutive short reads after which the next one frees the input buffer. Under a
-	// mixed load, fewer short reads come between two large values.
+	// maxShortReads is the number of consecutive short reads beyond which the input buffer is freed. Under a mixed load,
+	// fewer short reads come between two large values.
 	maxShortReads = 200
 )
 
@@ -159,7 +159,7 @@
 	c.state = connectionTransitions[c.state][signal]
 }
 
-// close reports all unanswered commands as failed.
+// close ends the connection and reports its unanswered gets, leases, sets and health checks as failed.
 func (c *connection) close(now time.Time) {
 	for _, unanswered := range append(c.sent, c.waiting...) {
 		switch unanswered.kind {
--- a/internal/sharedstore/connection_test.go
+++ b/internal/sharedstore/connection_test.go
@@ -101,7 +101,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := fmt.Sprintf("%q", test.command.args); got != test.want {
-				t.Errorf("%s, want %s", got, test.want)
+				t.Errorf("got %s, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/sharedstore/disconnect_test.go
+++ b/internal/sharedstore/disconnect_test.go
@@ -59,7 +59,7 @@
 		t.Error("a result of an ended connection marked the store as connected")
 	}
 	if result := f.result(t); result.Outcome != routing.CacheMiss {
-		t.Errorf("the late reply to a get ends the attempt with outcome %v", result.Outcome)
+		t.Errorf("the late reply to a get ends the attempt with outcome %v, want CacheMiss", result.Outcome)
 	}
 	f.request(8)
 	f.result(t)
--- a/internal/sharedstore/discovery.go
+++ b/internal/sharedstore/discovery.go
@@ -49,7 +49,8 @@
 	return endpoints
 }
 
-// storeEndpoint returns the endpoint of a store that this router adds to the endpoint list.
+// storeEndpoint returns the endpoint of a store that this router adds to the endpoint list. Its kind is neither that of
+// parents nor that of origins.
 func (t *Transport) storeEndpoint(client *storeClient) engine.Endpoint {
 	if endpoint, known := t.storeEndpoints[client.id]; known {
 		return endpoint
--- a/internal/sharedstore/errors.go
+++ b/internal/sharedstore/errors.go
@@ -15,8 +15,8 @@
 // errStoreSilent ends a connection on which commands remain unanswered.
 var errStoreSilent = errors.New("no answer from the store")
 
-// errUnexpectedReply ends a connection on which a reply does not fit its command, or no command awaits one. Replies can
-// then no longer be matched to commands.
+// errUnexpectedReply ends a connection on which a reply does not fit its command, or no command awaits a reply. Later
+// replies can then no longer be matched to commands.
 var errUnexpectedReply = errors.New("unexpected reply")
 
 // storeError is an error reply of a store, with the store's own text.
--- a/internal/sharedstore/logsync_test.go
+++ b/internal/sharedstore/logsync_test.go
@@ -32,7 +32,7 @@
 		t.Run(test.member+" "+test.score, func(t *testing.T) {
 			entry, ok := parseMember([]byte(test.member), []byte(test.score))
 			if ok != test.wantOK || ok && entry != test.want {
-				t.Errorf("%+v %v, want %+v %v", entry, ok, test.want, test.wantOK)
+				t.Errorf("got %+v %v, want %+v %v", entry, ok, test.want, test.wantOK)
 			}
 		})
 	}
@@ -42,20 +42,20 @@
 	page := parsePage(logPageReply("g:12", "17", "floor", "18", "o:ab", "30"))
 	want := []policy.Invalidation{{Group: 12, IssuedAt: 17}, {Object: 0xab, IssuedAt: 30}}
 	if !page.ok || !page.isLast || page.fromScore != 5 || page.lastScore != 30 || !slices.Equal(page.entries, want) {
-		t.Errorf("a last page: %+v", page)
+		t.Errorf("last page: got %+v", page)
 	}
 	var full []string
 	for range logPageMembers {
 		full = append(full, "g:12", "17")
 	}
 	if page := parsePage(logPageReply(full...)); !page.ok || page.isLast || len(page.entries) != logPageMembers {
-		t.Errorf("a full page: ok %v, last %v, %d entries", page.ok, page.isLast, len(page.entries))
+		t.Errorf("full page: got ok %v, last %v, %d entries; want ok and not last", page.ok, page.isLast, len(page.entries))
 	}
 	if page := parsePage(logPageReply()); !page.ok || !page.isLast || page.lastScore != 5 {
-		t.Errorf("an empty page: %+v", page)
+		t.Errorf("empty page: got %+v, want ok and last, at score 5", page)
 	}
 	if page := parsePage(logPageReply("g:12")); page.ok {
-		t.Error("a member without a score is taken")
+		t.Error("a page with a member without a score is accepted")
 	}
 	if page := parsePage([]resp.Reply{{Kind: resp.ErrorReply}}); page.ok {
 		t.Error("an error is taken for a page")
@@ -99,14 +99,14 @@
 			entry := policy.Invalidation{Object: 0xab, IssuedAt: policy.Timestamp(f.startedAt.UnixMilli())}
 			test.pages[0].entries = []policy.Invalidation{entry}
 			if scores := f.readLog(test.pages); !slices.Equal(scores, test.wantScores) {
-				t.Errorf("pages were asked for from %v, want %v", scores, test.wantScores)
+				t.Errorf("pages were requested from %v, want %v", scores, test.wantScores)
 			}
 			if f.clients[engine.EndpointID(storeUID)].isSyncingLog {
 				t.Error("the log is still being read")
 			}
 			isNew := f.coordinator.RecordInvalidation(f.now(), entry)
 			if isMerged := !isNew; isMerged != test.wantMerged {
-				t.Errorf("merged %v, want %v", isMerged, test.wantMerged)
+				t.Errorf("got merged %v, want %v", isMerged, test.wantMerged)
 			}
 		})
 	}
--- a/internal/sharedstore/operation.go
+++ b/internal/sharedstore/operation.go
@@ -72,7 +72,8 @@
 	t.post(engine.AttemptResult{Attempt: attempt, Outcome: routing.CacheMiss, Note: routing.NoteNoFillCapacity})
 }
 
-// untilObjective returns the time left until a request's latency objective, which grows with the size of the object.
+// untilObjective returns the time left until a request's latency objective, which grows with the size of the object up
+// to the request's timeout.
 func (t *Transport) untilObjective(request *engine.Request, class *routing.Class) time.Duration {
 	transferTime := time.Duration(0)
 	if t.routing.FlowKBPerSecond > 0 {
@@ -148,8 +149,8 @@
 	}
 }
 
-// send sends a command of an operation. If there is no connection, the command is left to Run, which reports its
-// failure: the caller may be the engine, and each failure may cause the next of many requests to send a command.
+// send sends a command of an operation. If there is no connection, Run reports the failure later: each failure may make
+// the next of many requests send a command, and that chain must not hold up the engine, which may be the caller.
 func (t *Transport) send(op *operation, command command) {
 	if op.client.send(command) {
 		return
--- a/internal/sharedstore/transport.go
+++ b/internal/sharedstore/transport.go
@@ -49,7 +49,7 @@
 	Stores    []Store
 	StartedAt time.Time
 	// Deliver passes a message to the engine. It may block; it is called on goroutines of this transport and of the
-	// inner one, but never on the engine's.
+	// inner transport, but never on the engine's.
 	Deliver func(at time.Time, message engine.Message)
 	Log     *zap.Logger
 }
@@ -230,8 +230,8 @@
 	}
 }
 
-// unlockAndWake releases the lock on the engine's goroutine. That goroutine must not deliver messages to itself, so Run
-// is woken to deliver the outbox.
+// unlockAndWake releases the lock in methods that the engine's goroutine may call. That goroutine must not deliver
+// messages to itself, so Run is woken to deliver the outbox.
 func (t *Transport) unlockAndWake() {
 	if len(t.outbox) > 0 {
 		t.wakeRun()
--- a/internal/sharedstore/transport_test.go
+++ b/internal/sharedstore/transport_test.go
@@ -201,19 +201,19 @@
 	result := f.result(t)
 	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled ||
 		!bytes.Equal(result.Body, f.parent.body) {
-		t.Fatalf("outcome %v, note %v, %d bytes", result.Outcome, result.Note, len(result.Body))
+		t.Fatalf("got outcome %v, note %v, %d bytes, want a filled result", result.Outcome, result.Note, len(result.Body))
 	}
 	time.Sleep(30 * time.Millisecond)
 	f.request(7)
 	result = f.result(t)
 	if result.Note != routing.NoteHit || !bytes.Equal(result.Body, f.parent.body) || result.ETag != "5" {
-		t.Fatalf("note %v, %d bytes", result.Note, len(result.Body))
+		t.Fatalf("got note %v, %d bytes, want a hit", result.Note, len(result.Body))
 	}
 	f.ObserveDiscovery(engine.Purge{Object: 7, Issued: time.Now()})
 	time.Sleep(5 * time.Millisecond)
 	f.request(7)
 	if result := f.result(t); result.Note != routing.NoteFilled {
-		t.Fatalf("note %v after a purge", result.Note)
+		t.Fatalf("got note %v after a purge, want a filled result", result.Note)
 	}
 	time.Sleep(30 * time.Millisecond) // until the copy is stored again
 	f.waitUntilNothingLeft(t)
@@ -226,10 +226,10 @@
 	f.Send(write)
 	result := f.result(t)
 	if result.Outcome != routing.CacheMiss || result.Note != routing.NoteNoFillCapacity || result.Attempt != write {
-		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
+		t.Errorf("got outcome %v, note %v, want a miss without fill capacity", result.Outcome, result.Note)
 	}
 	if f.lastOperation != 0 {
-		t.Errorf("a write started %d operations", f.lastOperation)
+		t.Errorf("a write started %d operations, want 0", f.lastOperation)
 	}
 }
 
@@ -322,7 +322,7 @@
 			return
 		}
 	}
-	t.Errorf("the result took %v, %d timers fired", elapsed, timeouts)
+	t.Errorf("the result took %v and %d timers fired, want at most maxImmediateFill and none", elapsed, timeouts)
 }
 
 // fillTime sends a request and returns how long it took to be filled.
@@ -333,7 +333,7 @@
 	result := f.result(tb)
 	elapsed := time.Since(startedAt)
 	if result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
-		tb.Errorf("outcome %v, note %v", result.Outcome, result.Note)
+		tb.Errorf("got outcome %v, note %v, want a filled result", result.Outcome, result.Note)
 	}
 	return elapsed
 }
@@ -354,6 +354,6 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if fills := f.parent.fills; len(fills) != 1 || !slices.Equal(f.parent.aborted, fills) {
-		t.Errorf("%d fills, %d of them aborted", len(fills), len(f.parent.aborted))
+		t.Errorf("%d fills, %d of them aborted; want 1 of 1", len(fills), len(f.parent.aborted))
 	}
 }
--- a/internal/sharedstore/unsent_test.go
+++ b/internal/sharedstore/unsent_test.go
@@ -8,7 +8,7 @@
 	"fennelarch/policy/routing"
 )
 
-// A command that cannot be sent for want of a connection is reported as failed by Run, and the request is filled.
+// Run reports a command as failed that cannot be sent because there is no connection, and the request is filled.
 func TestRequestWithoutConnectionIsFilled(t *testing.T) {
 	f := newUnconnectedFixture(t)
 	f.request(7)
@@ -17,7 +17,7 @@
 	}
 	f.start(t)
 	if result := f.result(t); result.Outcome != routing.Succeeded || result.Note != routing.NoteFilled {
-		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
+		t.Errorf("got outcome %v, note %v, want a filled result", result.Outcome, result.Note)
 	}
 	f.waitUntilNothingLeft(t)
 	if sets, unsent := f.Counts().Sets, f.unsentCommands(); sets != 1 || unsent != 0 {
@@ -31,7 +31,7 @@
 	f.start(t)
 	f.requestFrom(7, 0)
 	if result := f.result(t); result.Outcome != routing.CacheMiss || result.Note != routing.NoteSourceMiss {
-		t.Errorf("outcome %v, note %v", result.Outcome, result.Note)
+		t.Errorf("got outcome %v, note %v, want a miss at the source", result.Outcome, result.Note)
 	}
 	f.checkNothingLeft(t)
 }
@@ -59,7 +59,7 @@
 	f.start(t)
 	for range followers {
 		if result := f.result(t); result.Outcome != routing.Overloaded || result.Attempt == leader {
-			t.Errorf("outcome %v", result.Outcome)
+			t.Errorf("got outcome %v, want Overloaded and the attempt of a follower", result.Outcome)
 		}
 	}
 	f.checkNothingLeft(t)
--- a/internal/sharedstore/value.go
+++ b/internal/sharedstore/value.go
@@ -16,7 +16,7 @@
 	Part        int
 	Group       routing.GroupID
 	GeneratedAt policy.Timestamp // when the origin generated it
-	ValidFrom   policy.Timestamp // no purge issued before this can have been missed by the copy
+	ValidFrom   policy.Timestamp // the copy reflects every purge issued before this time
 	ETag        string
 	Body        []byte
 }
--- a/internal/sharedstore/value_test.go
+++ b/internal/sharedstore/value_test.go
@@ -54,7 +54,7 @@
 	}
 	for _, key := range []copyKey{{object: 8, part: 2}, {object: 7, part: 1}} {
 		if _, err := decodeFor(key, value); !errors.Is(err, ErrWrongKey) {
-			t.Errorf("key %v: error %v", key, err)
+			t.Errorf("key %v: got error %v, want ErrWrongKey", key, err)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	const value = "FA\x01\x03" + "\x00\x00\x00\x00\x00\x00\x00\x07" + "\x00\x00\x00\x02\x00\x00\x00\x03" +
 		"\x00\x00\x01\x8b\xcf\xe5\x68\x00" + "\x00\x00\x01\x8b\xcf\xe5\x69\xf4" + "tag" + "bytes"
 	if got := stored.Encode(nil); string(got[:len(got)-checksumBytes]) != value {
-		t.Errorf("encoded value %q", got)
+		t.Errorf("got encoded value %q, want the stable form", got)
 	}
 	names := keys{"p:"}
 	for _, test := range []struct {
@@ -79,7 +79,7 @@
 		{appendMember(nil, policy.Invalidation{Group: 12}), "g:12"},
 	} {
 		if string(test.got) != test.want {
-			t.Errorf("%q, want %q", test.got, test.want)
+			t.Errorf("got %q, want %q", test.got, test.want)
 		}
 	}
 }
