--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -63,7 +63,7 @@
 	Admission            admission.Settings
 	TLSKeys              *TLSKeys             // nil if connections do not use TLS
 	EventQueueDelay      func() time.Duration // how long events wait for the engine; nil means no delay
-	FlowKBPerSecond      float64              // transfer rate by which latency objectives grow with object size; 0: they do not
+	FlowKBPerSecond      float64              // rate by which latency objectives grow with object size; 0: they do not
 	Monitor              *invariant.Monitor   // checks the invariants of requests and connections; may be nil
 	OnDescriptorShortage func()               // called when no descriptor is left, so that other parts can free some
 }
