--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -14,8 +14,8 @@
 //
 // If an event number is missing, the events after the gap wait for the next page; a number that is missing there too is
 // lost. A page whose last number is below that of the last event received comes from a server that has not caught up,
-// whose events are out of date. If that state persists, the server is a new one, whose first event is a complete
-// endpoint list. An event that cannot be decoded is skipped and reported in the returned error.
+// whose events are out of date: Apply returns an error. If that state persists, the server is a new one, whose first
+// event is a complete endpoint list. An event that cannot be decoded is skipped and reported in the returned error.
 func (w *Watcher) Apply(page *Page, age time.Duration, deliver func(message engine.Message)) (decodeErr error) {
 	if err := w.checkRewind(page.lastEvent, time.Now()); err != nil {
 		return err
@@ -47,7 +47,8 @@
 }
 
 // checkRewind compares the server's last event number with that of the last event received. While a server that is
-// behind may still catch up, checkRewind returns an error; after DiscoveryRewindAfter it accepts the server's numbers.
+// behind may still catch up, checkRewind returns an error; after limits.DiscoveryRewindAfter it accepts the server's
+// numbers.
 func (w *Watcher) checkRewind(serverLastEvent int64, now time.Time) error {
 	if serverLastEvent <= 0 || serverLastEvent >= w.lastEvent {
 		w.behindSince = time.Time{}
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// backoff computes pauses between retries. Each pause doubles the previous one, up to the longest, and has jitter.
+// backoff computes pauses between retries. Each pause doubles the previous one, up to the longest, and has a jitter of
+// plus or minus half.
 type backoff struct {
 	shortest, longest time.Duration
 	next              time.Duration
@@ -16,10 +17,10 @@
 	return &backoff{shortest: shortest, longest: longest, next: shortest}
 }
 
-// reset returns the next pause to the shortest.
+// reset makes the next pause the shortest.
 func (b *backoff) reset() { b.next = b.shortest }
 
-// wait pauses until the delay has passed or ctx is done, and doubles the next pause.
+// wait waits until the pause has passed or ctx is done, and doubles the next pause.
 func (b *backoff) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/internal/discovery/wireformat.go
+++ b/internal/discovery/wireformat.go
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// ParseKnown parses the events stored in a configuration. The discovery server provides those that cannot be parsed.
+// ParseKnown parses the events stored in a configuration. If it returns an error, the page holds the events before the
+// failure; the discovery server reports the state that follows from the others.
 func ParseKnown(text []byte) (Page, error) { return readPage(bytes.NewReader(text)) }
 
 // readPage reads a page event by event. It returns the complete events of a truncated page, but no last event number.
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -12,7 +12,7 @@
 
 const (
 	attemptInFlight  attemptState = iota
-	attemptCompleted              // the endpoint, or the local cache, has returned a result
+	attemptCompleted              // the transport or the local cache has reported a result
 	attemptAborted                // the engine has aborted the attempt
 	attemptStates
 )
@@ -37,8 +37,8 @@
 	Deadline time.Time // when the attempt is aborted; the endpoint is sent the time left until then
 	NotAfter time.Time // latest time to send the attempt; zero: no limit of its own
 
-	MaxAge      time.Duration
-	CacheRank   uint8
+	MaxAge      time.Duration // of a copy; 0: the limit of the class
+	CacheRank   uint8         // 0: the cache keeps no copy
 	FillOptions routing.FillOptions
 
 	TransportState any // used by the transport only
@@ -129,7 +129,7 @@
 	e.removeIfDone(request)
 }
 
-// abort aborts an attempt in flight and adds the event that tells the router to e.pending.
+// abort aborts an attempt in flight and adds an event about its end to e.pending.
 func (e *Engine) abort(attempt *Attempt, outcome routing.Outcome) {
 	if attempt.hasEnded() {
 		return
--- a/internal/engine/cancellation_test.go
+++ b/internal/engine/cancellation_test.go
@@ -41,7 +41,7 @@
 			testCase.play(engine, request)
 			engine.advance(3 * time.Second)
 			if len(engine.attempts) > 0 || len(engine.statuses) > 0 {
-				t.Errorf("%d attempts, %d responses", len(engine.attempts), len(engine.statuses))
+				t.Errorf("%d attempts, %d responses, want none", len(engine.attempts), len(engine.statuses))
 			}
 			engine.checkEmpty()
 		})
@@ -54,7 +54,7 @@
 	request := engine.newRecordedRequest(1, 2*time.Second)
 	engine.send(request)
 	if len(engine.attempts) != 1 {
-		t.Fatalf("%d attempts", len(engine.attempts))
+		t.Fatalf("%d attempts, want 1", len(engine.attempts))
 	}
 	request.Invariants.End(invariant.EndCancelled, engine.start)
 	engine.isClosed = true
@@ -62,7 +62,7 @@
 	engine.send(ClientGone{1})
 	engine.advance(3 * time.Second)
 	if len(engine.attempts) != 1 {
-		t.Errorf("%d attempts", len(engine.attempts))
+		t.Errorf("%d attempts after the client has left, want 1", len(engine.attempts))
 	}
 	engine.checkEmpty()
 }
@@ -84,7 +84,7 @@
 	select {
 	case accepted := <-done:
 		if gone := engine.cancellations.take(); !accepted || len(gone) != 2 || gone[0].Request != 1 {
-			t.Errorf("ClientGone messages %v", gone)
+			t.Errorf("ClientGone messages %v, want those of requests 1 and 2", gone)
 		}
 	case <-time.After(10 * time.Second):
 		t.Error("Post of a ClientGone message blocks")
--- a/internal/engine/clockskew.go
+++ b/internal/engine/clockskew.go
@@ -8,7 +8,7 @@
 
 const (
 	// minStep is the smallest change of the wall clock against the monotonic clock between two comparisons that counts
-	// as a step. A smaller one is slewing, or the time between the readings of the two clocks.
+	// as a step. A smaller change is slewing, or the time between the readings of the two clocks.
 	minStep = 100 * time.Millisecond
 	// minSlew is the smallest change of the wall clock against the monotonic clock that is tracked.
 	minSlew = minStep / 20
@@ -16,7 +16,8 @@
 	compareInterval = 20 * time.Millisecond
 	// maxSteps limits how many steps are remembered.
 	maxSteps = 8
-	// maxReadingTime limits the time between the monotonic readings before and after a wall-clock reading.
+	// maxReadingTime limits the time between the monotonic readings before and after a wall-clock reading. If they are
+	// further apart, the clocks are read again.
 	maxReadingTime = 2 * time.Millisecond
 )
 
--- a/internal/engine/clockskew_test.go
+++ b/internal/engine/clockskew_test.go
@@ -46,7 +46,7 @@
 
 // checkAgesAcrossStep lists an endpoint that has just started, with a boot time from a clock that has stepped or one
 // that has not. The estimated age never exceeds the true age and is never negative, and a second listing does not
-// reduce it. After a purge, attempts accept no copies older than it.
+// reduce it. After a purge, attempts accept no copies older than the purge.
 func checkAgesAcrossStep(t *testing.T, clocks clockCase) {
 	t.Helper()
 	const trueAge = 2 * time.Second
@@ -56,18 +56,18 @@
 	bootTime := engine.start.Add(engine.elapsed - trueAge + clocks.otherAhead)
 	first := engine.estimatedAge(bootTime)
 	if first > trueAge || first < 0 || clocks.step == 0 && first != trueAge {
-		t.Errorf("estimated age of an endpoint that started %v ago: %v", trueAge, first)
+		t.Errorf("estimated age of an endpoint that started %v ago: %v, want at most that and no less than 0", trueAge, first)
 	}
 	engine.advance(3 * time.Second)
 	if again := engine.estimatedAge(bootTime); again != first+3*time.Second {
-		t.Errorf("estimated age 3 s later: %v, was %v", again, first)
+		t.Errorf("estimated age 3 s later: %v, want 3s more than %v", again, first)
 	}
 
 	engine.send(Purge{Object: 7, Issued: engine.start.Add(engine.elapsed - trueAge + clocks.otherAhead).Round(0)})
 	engine.advance(time.Second)
 	engine.send(engine.newRequest(1, idempotentClass, 2*time.Second))
 	if maxAge := engine.attempts[0].MaxAge; maxAge <= 0 || maxAge > trueAge+time.Second {
-		t.Errorf("maximum age of copies %v after a purge: %v", trueAge+time.Second, maxAge)
+		t.Errorf("maximum age of copies %v after a purge: %v, want at most that and more than 0", trueAge+time.Second, maxAge)
 	}
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -67,7 +67,7 @@
 
 	actions   []routing.Action   // returned by the router's last call
 	pending   []routing.Event    // caused by the engine, not yet passed to the router
-	endpoints []routing.Endpoint // of the last endpoint list; reused
+	endpoints []routing.Endpoint // of the last endpoint list; the slice is reused
 
 	counts          Counts
 	inFlight        atomic.Int64
@@ -125,7 +125,7 @@
 	return true
 }
 
-// InFlight returns the number of requests without a final response, plus the messages in the queue.
+// InFlight returns the number of open requests, plus the number of messages in the queue.
 func (e *Engine) InFlight() int { return int(e.inFlight.Load()) + len(e.events) }
 
 // EventQueueDelay returns how long the last event waited in the queue.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -17,10 +17,10 @@
 	engine.elapsed = 400 * time.Millisecond
 	engine.Handle(engine.elapsed, Event{Time: request.ReceivedAt, Message: request})
 	if len(engine.attempts) != 1 || engine.counts.EventQueueDelay != 300*time.Millisecond {
-		t.Fatalf("%d attempts, delay %v", len(engine.attempts), engine.counts.EventQueueDelay)
+		t.Fatalf("%d attempts, want 1; event queue delay %v, want 300ms", len(engine.attempts), engine.counts.EventQueueDelay)
 	}
 	if deadline := engine.attempts[0].Deadline.Sub(engine.start); deadline != 1100*time.Millisecond {
-		t.Errorf("deadline %v", deadline)
+		t.Errorf("deadline %v, want 1.1s", deadline)
 	}
 }
 
@@ -46,11 +46,11 @@
 	engine.advance(10 * time.Second)
 	engine.checkEmpty()
 	if len(engine.timers) > 1 || len(engine.pending) > 0 {
-		t.Errorf("%d timers, %d pending events", len(engine.timers), len(engine.pending))
+		t.Errorf("%d timers, want at most 1; %d pending events, want 0", len(engine.timers), len(engine.pending))
 	}
 	c := engine.counts
 	if c.Succeeded+c.Rejected+c.Failed+c.ClientCancelled != c.Requests || c.Succeeded == 0 || c.ClientCancelled == 0 {
-		t.Errorf("counts %+v", c)
+		t.Errorf("counts %+v, want outcomes that add up to the requests, succeeded and cancelled ones among them", c)
 	}
 }
 
@@ -80,7 +80,7 @@
 			testCase.play(engine, request)
 			counts, _ := engine.monitor.Counts()
 			if engine.monitor.Violations() != 1 || counts["invalid_transition"] != 1 {
-				t.Errorf("violations %v", counts)
+				t.Errorf("violations %v, want one invalid_transition", counts)
 			}
 			if request.attemptsInFlight != testCase.wantAttempts || engine.InFlight() != testCase.wantInFlight {
 				t.Errorf("%d attempts in flight, %d requests in flight", request.attemptsInFlight, engine.InFlight())
--- a/internal/engine/localcache.go
+++ b/internal/engine/localcache.go
@@ -28,10 +28,10 @@
 }
 
 const (
-	// entryOverheadBytes is the memory that a copy takes besides its body: two map entries and a list element.
+	// entryOverheadBytes is the memory that a copy takes besides its body: a map entry, a list element and a cacheEntry.
 	entryOverheadBytes = 256
-	// notModifiedCostDivisor divides the size of a body to give the cost of its not-modified response on the link: a
-	// twentieth, as the protocol defines.
+	// notModifiedCostDivisor is the ratio of the size of a body to the bytes that a not-modified response takes on the
+	// link: the protocol defines these as a twentieth.
 	notModifiedCostDivisor = 20
 )
 
--- a/internal/engine/localcache_test.go
+++ b/internal/engine/localcache_test.go
@@ -11,7 +11,7 @@
 type testCache struct {
 	*localCache
 	now   time.Duration
-	epoch time.Time
+	epoch time.Time // wall-clock time when now was 0
 }
 
 func newTestCache() *testCache {
@@ -46,7 +46,8 @@
 	c.storeObject(4, c.now)
 	c.storeObject(4, c.now)
 	if !c.holds(1) || c.holds(2) || c.bytes > c.settings.MaxBytes || c.recentlyUsed.Len() != 3 {
-		t.Errorf("%d copies, %d bytes", c.recentlyUsed.Len(), c.bytes)
+		t.Errorf("%d copies, %d bytes, want 3 copies within the limit, with object 1 and without object 2",
+			c.recentlyUsed.Len(), c.bytes)
 	}
 	if c.find(requestFor(1), time.Second, c.now+2*time.Second) != nil {
 		t.Error("copy older than maxAge served")
@@ -112,12 +113,12 @@
 				engine.deliverResult(i, routing.Overloaded, 0)
 			}
 			if len(engine.statuses) != 2 || engine.statuses[1] != StatusOK {
-				t.Fatalf("responses %v", engine.statuses)
+				t.Fatalf("responses %v, want two, the second StatusOK", engine.statuses)
 			}
 			testCase.remove(engine)
 			engine.advance(time.Second)
 			if len(engine.statuses) != 2 {
-				t.Errorf("%d responses", len(engine.statuses))
+				t.Errorf("%d responses, want 2", len(engine.statuses))
 			}
 			engine.checkEmpty()
 		})
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -22,7 +22,7 @@
 
 // Event is a message with the time of the occurrence that it reports.
 type Event struct {
-	Time    time.Time
+	Time    time.Time // zero: unknown; no queue delay is recorded
 	Message Message
 }
 
@@ -44,8 +44,8 @@
 	Object          routing.ObjectID
 	Group           routing.GroupID
 	Part            int
-	SizeKB          float64
-	Repeat          bool
+	SizeKB          float64 // 0: unknown
+	Repeat          bool    // the client has sent the request before
 	Write           bool
 	HeldETag        string // ETag of the copy that the client holds
 	IdempotencyKey  string // servers drop repeats with the same key
--- a/internal/engine/request.go
+++ b/internal/engine/request.go
@@ -93,8 +93,8 @@
 	request.Client.Respond(request.Tag, response)
 }
 
-// expireRequest ends a request whose deadline has passed. Its attempts time out, and the request fails unless the
-// router responds when it learns of that.
+// expireRequest ends a request whose deadline has passed. Its attempts time out. If the router does not respond to the
+// request when it is told of the timeouts, the request fails.
 func (e *Engine) expireRequest(id routing.RequestID) {
 	request := e.requests[id]
 	if request == nil || !request.isOpen() {
--- a/internal/engine/simultaneous_test.go
+++ b/internal/engine/simultaneous_test.go
@@ -83,7 +83,7 @@
 	engine.abortWritten = testCase.abortWritten
 	engine.send(engine.newRequest(1, testCase.class, testCase.timeout))
 	if len(engine.attempts) != 1 {
-		t.Fatalf("%v: %d attempts", testCase, len(engine.attempts))
+		t.Fatalf("%v: %d attempts, want 1", testCase, len(engine.attempts))
 	}
 	engine.advance(299 * time.Millisecond)
 	attemptsBefore := len(engine.attempts)
@@ -97,7 +97,7 @@
 	mustNotRepeat := testCase.class == nonIdempotentClass && after.mayHaveRun
 	switch n := len(engine.statuses); {
 	case n > 1 || n == 0 && !after.clientGone:
-		t.Fatalf("%v: %d responses", testCase, n)
+		t.Fatalf("%v: %d responses, want 1, or 0 if the client has left", testCase, n)
 	case after.clientGone && n > after.responsesBeforeGone:
 		t.Fatalf("%v: response to a client that had gone", testCase)
 	case mustNotRepeat && len(engine.attempts) > attemptsBefore:
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -133,7 +133,7 @@
 	close(release)
 	pool.sendAttempt(2, 1)
 	if text := receive(t, socket.written); !containsID(text, 2) || containsID(text, 1) {
-		t.Errorf("written: %q", text)
+		t.Errorf("written: %q, want the frame of request 2 only", text)
 	}
 	pool.wantNoResult()
 }
@@ -160,7 +160,7 @@
 			pool.wantResult(routing.NotSent, attempt)
 			socket.wantNothingWritten(t)
 			if monitor.Violations() != 0 {
-				t.Error("counted as a violation")
+				t.Error("attempt that was never begun counts as a violation")
 			}
 		})
 	}
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// retireConnections stops the connections to an endpoint that has moved from accepting attempts. Attempts that wait for
-// a dial fail with it. A connection with attempts in flight stays open until these have ended, since the server may
+// retireConnections retires the connections to an endpoint that has moved: they accept no more attempts. Attempts that
+// wait for a dial fail. A connection with attempts in flight stays open until these have ended, since the server may
 // still answer at its old address.
 func (e *endpoint) retireConnections() {
 	for _, c := range e.connections {
--- a/internal/upstream/endpoint_test.go
+++ b/internal/upstream/endpoint_test.go
@@ -72,7 +72,7 @@
 	receive(t, old.verbs)
 	pool.listEndpoint(1, routing.Ready, current.Addr().String())
 	if pool.ConnectionCount() != 1 {
-		t.Errorf("%d connections with an attempt in flight", pool.ConnectionCount())
+		t.Errorf("%d connections with an attempt in flight, want 1", pool.ConnectionCount())
 	}
 	pool.Abort(attempt)
 	pool.waitForConnectionCount(0)
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -11,7 +11,6 @@
 // responseProblem describes what is wrong with a response.
 type responseProblem string
 
-// The problems that a response can have.
 const (
 	problemNoStatus      responseProblem = "missing status"
 	problemBadID         responseProblem = "id is not a number"
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -45,7 +45,7 @@
 	select {
 	case value = <-channel:
 	case <-time.After(testTimeout):
-		t.Fatal("timed out on the channel")
+		t.Fatal("nothing received from the channel within testTimeout")
 	}
 	return value
 }
@@ -58,7 +58,7 @@
 	answers        chan bool      // for each fetch, in order of arrival: whether to answer it
 	fetches        chan chan bool // the fetches that wait for a value of answers
 	closing        chan struct{}  // closed at the end of the test
-	deadlineMillis atomic.Int64   // in the last request
+	deadlineMillis atomic.Int64   // deadline in the last request
 }
 
 func newScriptedServer(t *testing.T) *scriptedServer {
@@ -216,7 +216,7 @@
 				result.Attempt.Request.ClientRequestID, result.Outcome, attempt.Request.ClientRequestID, outcome)
 		}
 	case <-time.After(testTimeout):
-		p.t.Fatal("no result")
+		p.t.Fatal("no result within testTimeout")
 	}
 }
 
@@ -224,7 +224,8 @@
 	p.t.Helper()
 	select {
 	case result := <-p.results:
-		p.t.Fatalf("attempt of request %x ended with outcome %d", result.Attempt.Request.ClientRequestID, result.Outcome)
+		p.t.Fatalf("attempt of request %x ended with outcome %d, want no result",
+			result.Attempt.Request.ClientRequestID, result.Outcome)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -88,7 +88,8 @@
 }
 
 // Send queues an attempt on a connection to its endpoint. If that connection is just closing, Send tries another. If
-// the router's connection limits are exhausted, the attempt counts as not sent, which says nothing about its endpoint.
+// the connection limits are exhausted or the source is unknown, the attempt counts as not sent, which says nothing
+// about its endpoint.
 func (p *Pool) Send(attempt *engine.Attempt) {
 	now, outcome := time.Now(), routing.ConnectFailed
 	for range maxSendTries {
@@ -119,7 +120,7 @@
 }
 
 // prepare returns the exchange for an attempt, and whether its endpoint and source are known. If one of them is
-// draining, the attempt must be sent within limits.DrainingStartWithin.
+// draining or gone, the attempt must be sent within limits.DrainingStartWithin.
 func (p *Pool) prepare(attempt *engine.Attempt, now time.Time) (e exchange, isKnown bool) {
 	e = exchange{
 		attempt:  attempt,
--- a/internal/upstream/reassign.go
+++ b/internal/upstream/reassign.go
@@ -6,9 +6,9 @@
 	"fennelarch/policy/routing"
 )
 
-// reassignWaiting moves attempts that wait for an overdue dial to other connections of the same endpoint: idle ones on
-// which a response has arrived since the dial began, which proves that the server is up, or else a new one, since only
-// this dial may be slow. A replacement that is slow itself is not replaced.
+// reassignWaiting moves attempts that wait for an overdue dial to idle connections of the same endpoint on which a
+// response has arrived since the dial began, which proves that the server is up. If attempts still wait, it moves the
+// first to a new connection, since only this dial may be slow. A replacement that is slow itself is not replaced.
 func (p *Pool) reassignWaiting(overdue *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/reassign_test.go
+++ b/internal/upstream/reassign_test.go
@@ -24,7 +24,7 @@
 			receive(t, server.verbs)
 			receive(t, server.verbs)
 			if !pool.Abort(attempt) {
-				t.Error("attempt counts as not run")
+				t.Error("written attempt counts as not run")
 			}
 			server.answers <- false
 			dialResult <- dialEnd
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -45,7 +45,7 @@
 				}
 				checkContent(t, result, test.status)
 				if test.fields == "how=pulled,slow=12.5" && result.FirstByteWait != 12500*time.Microsecond {
-					t.Errorf("waited %v", result.FirstByteWait)
+					t.Errorf("wait for the first byte %v, want 12.5ms", result.FirstByteWait)
 				}
 			})
 		}
@@ -59,7 +59,7 @@
 		t.Errorf("not modified: %v, body: %q", result.NotModified, result.Body)
 	}
 	if result.LoadReport != (routing.LoadReport{Count: 2, Values: [4]float64{0.25, 2.5}}) {
-		t.Errorf("report %v", result.LoadReport)
+		t.Errorf("load report %v, want 0.25 and 2.5", result.LoadReport)
 	}
 }
 
@@ -75,10 +75,10 @@
 	}
 	results := session.takeResults()
 	if len(results) != 1 {
-		t.Fatalf("%d results", len(results))
+		t.Fatalf("%d results, want 1", len(results))
 	}
 	if session.pending() != 0 {
-		t.Error("still pending")
+		t.Error("answered attempt is still pending")
 	}
 	return attempt, results[0].(engine.AttemptResult)
 }
@@ -111,7 +111,7 @@
 			}
 			session.failAll()
 			if result := session.takeResults()[0].(engine.AttemptResult); result.Outcome != routing.ConnectionBroken {
-				t.Errorf("result %+v", result)
+				t.Errorf("result %+v, want outcome ConnectionBroken", result)
 			}
 		})
 	}
@@ -136,7 +136,7 @@
 				t.Errorf("id %q: error %v, want a framing error", test.id, err)
 			}
 			if results := session.takeResults(); len(results) != 0 {
-				t.Errorf("results %+v", results)
+				t.Errorf("results %+v, want none", results)
 			}
 		})
 	}
@@ -149,7 +149,7 @@
 	err := session.feed(frame(testIDText, "599"), 1)
 	var malformed *responseError
 	if !errors.As(err, &malformed) || malformed.id != testIDText || malformed.problem != problemUnknownStatus {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a responseError with the id and the unknown status", err)
 	}
 }
 
--- a/internal/upstream/selection.go
+++ b/internal/upstream/selection.go
@@ -18,8 +18,9 @@
 }
 
 // selectConnection returns the connection to an endpoint for an attempt, or for a health check if attempt is nil. It
-// prefers the most recently used idle connection, then a new one, so that the end of a connection fails a single
-// attempt. If the limits allow no new connection, it returns the least loaded one, or else a suspect one.
+// prefers the most recently used idle connection, then a new one, so that a connection that breaks fails only one
+// attempt. If the limits allow no new connection, it returns the least loaded one, or else a suspect one. It returns
+// nil if the endpoint is unknown or no connection can carry the attempt.
 func (p *Pool) selectConnection(id routing.EndpointID, attempt *engine.Attempt) *connection {
 	known := p.endpoints[id]
 	if known == nil {
--- a/internal/upstream/selection_test.go
+++ b/internal/upstream/selection_test.go
@@ -17,7 +17,7 @@
 	first := pool.sendAttempt(1, 1)
 	receive(t, server.verbs)
 	if !pool.Abort(first) {
-		t.Error("attempt counts as not run")
+		t.Error("written attempt counts as not run")
 	}
 	second := pool.sendAttempt(2, 1)
 	if receive(t, server.accepted) == receive(t, server.accepted) {
@@ -30,7 +30,7 @@
 	server.answers <- true
 	pool.wantResult(routing.Succeeded, third)
 	if pool.ConnectionCount() > 2 || len(server.accepted) > 0 {
-		t.Errorf("%d connections, %d accepted later", pool.ConnectionCount(), len(server.accepted))
+		t.Errorf("%d connections, want at most 2; %d accepted later, want 0", pool.ConnectionCount(), len(server.accepted))
 	}
 }
 
@@ -75,7 +75,7 @@
 	}
 	pool.wantResult(routing.NotSent, pool.sendAttempt(20, 1))
 	if pool.ConnectionCount() != 2 {
-		t.Errorf("%d connections", pool.ConnectionCount())
+		t.Errorf("%d connections, want 2", pool.ConnectionCount())
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 	pool.listEndpoint(9, routing.Gone, "")
 	if len(pool.endpoints) > 1 {
-		t.Errorf("%d endpoints kept", len(pool.endpoints))
+		t.Errorf("%d endpoints kept, want at most 1", len(pool.endpoints))
 	}
 	pool.wantResult(routing.ConnectFailed, pool.sendAttempt(9, 1))
 }
--- a/internal/upstream/session.go
+++ b/internal/upstream/session.go
@@ -169,8 +169,8 @@
 	return s.output.Next(func() bool { return s.beginFrame(now) })
 }
 
-// beginFrame begins the next frame once the last one has been written, and reports whether it did. Attempts that wait
-// because the server does not read can thus still be aborted or expire.
+// beginFrame begins the next frame once the previous one has been written, and reports whether it did. Attempts that
+// wait because the server does not read can thus still be aborted or expire.
 func (s *session) beginFrame(now time.Time) bool {
 	if !s.output.Empty() {
 		return false
@@ -236,8 +236,8 @@
 	return s.limits.WriteStallTimeout
 }
 
-// finish adds the result of an attempt, and records in the request's invariants whether it proves that the attempt did
-// not run.
+// finish adds the result of an attempt. If the result proves that the attempt did not run, finish records this in the
+// request's invariants.
 func (s *session) finish(result engine.AttemptResult, endpoint routing.EndpointID) {
 	number, invariants := result.Attempt.Number, result.Attempt.Request.Invariants
 	switch result.Outcome {
--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -110,11 +110,11 @@
 	now := time.Now()
 	session.enqueue(exchange{attempt: newAttempt(testID), notAfter: now})
 	if frames := session.nextOutput(now.Add(time.Millisecond)); len(frames) > 0 {
-		t.Errorf("written: %q", frames)
+		t.Errorf("written: %q, want nothing", frames)
 	}
 	results := session.takeResults()
 	if len(results) != 1 || results[0].(engine.AttemptResult).Outcome != routing.ConnectFailed {
-		t.Errorf("results %+v", results)
+		t.Errorf("results %+v, want one with outcome ConnectFailed", results)
 	}
 }
 
@@ -137,7 +137,8 @@
 			}
 		}
 		if attemptResults != 1 || session.input.Len() > testLimits.UpstreamReadBuffer {
-			t.Errorf("%d results, %d bytes buffered", attemptResults, session.input.Len())
+			t.Errorf("%d attempt results, want 1; %d bytes buffered, want at most UpstreamReadBuffer",
+				attemptResults, session.input.Len())
 		}
 	})
 }
@@ -159,7 +160,7 @@
 			b.Fatal(err)
 		}
 		if results := session.takeResults(); len(results) != 1 {
-			b.Fatalf("%d results", len(results))
+			b.Fatalf("%d results, want 1", len(results))
 		}
 	}
 }
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -14,7 +14,7 @@
 
 // writeStep is the next step of the writer.
 type writeStep struct {
-	isClosed bool // stop writing
+	isClosed bool // stop writing: the connection is closed, or retired with nothing pending
 	frames   []byte
 	timeout  time.Duration // for writing the frames
 	results  []engine.Message
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -32,7 +32,7 @@
 			pool.onlyConnection().close(invariant.CloseServerEnded) // as the reader does after a reset
 			pool.wantResult(test.want, attempt)
 			if pool.ConnectionCount() != 0 {
-				t.Errorf("%d connections", pool.ConnectionCount())
+				t.Errorf("%d connections, want 0", pool.ConnectionCount())
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 	first, second := pool.sendAttempt(1, 1), pool.sendAttempt(2, 1)
 	close(release)
 	if text := receive(t, socket.written); !containsID(text, 1) || containsID(text, 2) {
-		t.Errorf("%q", text)
+		t.Errorf("written: %q, want the frame of request 1 only", text)
 	}
 	if pool.Abort(second) {
 		t.Error("attempt without a written byte counts as possibly run")
@@ -111,7 +111,7 @@
 	pool.wantResult(routing.ConnectFailed, attempt)
 	elapsed := time.Since(started)
 	if elapsed < testLimits.RequestWriteTimeout || elapsed > testLimits.WriteStallTimeout/2 {
-		t.Errorf("write timed out after %v", elapsed)
+		t.Errorf("write timed out after %v, want RequestWriteTimeout to WriteStallTimeout/2", elapsed)
 	}
 	socket := receive(t, accepted)
 	_ = socket.Close()
