--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -23,7 +23,7 @@
 		after, cancelled := afterParameter(r), r.Context().Done()
 		switch number := polls.Add(1); {
 		case r.URL.Path != "/bulletins" || r.FormValue("patience") != "50":
-			t.Errorf("poll of unexpected URL %s", r.URL)
+			t.Errorf("poll of %s, want /bulletins with patience=50", r.URL)
 		case number == 2:
 			http.Error(w, "no", http.StatusInternalServerError)
 		case number == 3: // the response is truncated
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -83,10 +83,11 @@
 				t.Errorf("violations %v, want one invalid_transition", counts)
 			}
 			if request.attemptsInFlight != testCase.wantAttempts || engine.InFlight() != testCase.wantInFlight {
-				t.Errorf("%d attempts in flight, %d requests in flight", request.attemptsInFlight, engine.InFlight())
+				t.Errorf("%d attempts and %d requests in flight, want those of the case",
+					request.attemptsInFlight, engine.InFlight())
 			}
 			if engine.responses != testCase.wantResponses || engine.counts.Failed != 0 {
-				t.Errorf("%d responses, %d failed", engine.responses, engine.counts.Failed)
+				t.Errorf("%d responses, want those of the case; %d failed, want 0", engine.responses, engine.counts.Failed)
 			}
 		})
 	}
--- a/internal/engine/localcache_test.go
+++ b/internal/engine/localcache_test.go
@@ -80,7 +80,7 @@
 	c := newTestCache()
 	for i, want := range []time.Duration{2, 2, 3} { // two slots on the link
 		if got := c.transfer(time.Second, 1000); got != want*time.Second {
-			t.Errorf("transfer %d ends at %v", i, got)
+			t.Errorf("transfer %d ends at %v, want 2s, 2s and 3s in turn", i, got)
 		}
 	}
 }
--- a/internal/engine/simultaneous_test.go
+++ b/internal/engine/simultaneous_test.go
@@ -136,6 +136,6 @@
 func (e *checkedEngine) checkEmpty() {
 	e.t.Helper()
 	if len(e.requests) != 0 || e.InFlight() != 0 {
-		e.t.Fatalf("%s: engine holds %d requests, %d in flight", e.scenario, len(e.requests), e.InFlight())
+		e.t.Fatalf("%s: engine holds %d requests, %d in flight, want none", e.scenario, len(e.requests), e.InFlight())
 	}
 }
--- a/internal/upstream/deadline_test.go
+++ b/internal/upstream/deadline_test.go
@@ -43,7 +43,7 @@
 	check := func(t *testing.T, deadline time.Duration) {
 		t.Helper()
 		if deadline > left+deadlineSlack {
-			t.Errorf("deadline sent to the server: %v, time left to the client: %v", deadline, left)
+			t.Errorf("deadline sent to the server: %v, want at most the client's time left, %v, and the slack", deadline, left)
 		}
 	}
 
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -128,7 +128,7 @@
 	release := pool.blockDials()
 	attempt := pool.sendAttempt(1, 1)
 	if pool.Abort(attempt) {
-		t.Error("attempt counts as possibly run")
+		t.Error("attempt aborted during the dial counts as possibly run")
 	}
 	close(release)
 	pool.sendAttempt(2, 1)
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -41,7 +41,7 @@
 				response := frame(testIDText, test.status, test.fields+",stats=x1:2.5;util:0.25", "body")
 				attempt, result := feedResponse(t, response, pieceBytes)
 				if result.Attempt != attempt || result.Outcome != test.outcome || result.Note != test.note {
-					t.Errorf("result %+v", result)
+					t.Errorf("result %+v, want the outcome and the note of the case", result)
 				}
 				checkContent(t, result, test.status)
 				if test.fields == "how=pulled,slow=12.5" && result.FirstByteWait != 12500*time.Microsecond {
@@ -56,7 +56,8 @@
 func checkContent(t *testing.T, result engine.AttemptResult, status string) {
 	t.Helper()
 	if result.NotModified != (status == "304") || (string(result.Body) == "body") != (status == "200") {
-		t.Errorf("not modified: %v, body: %q", result.NotModified, result.Body)
+		t.Errorf("not modified: %v, want true for 304 only; body: %q, want \"body\" for 200 only",
+			result.NotModified, result.Body)
 	}
 	if result.LoadReport != (routing.LoadReport{Count: 2, Values: [4]float64{0.25, 2.5}}) {
 		t.Errorf("load report %v, want 0.25 and 2.5", result.LoadReport)
--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -62,7 +62,8 @@
 			want = routing.ConnectionBroken
 		}
 		if results := s.takeResults(); len(results) != 1 || results[0].(engine.AttemptResult).Outcome != want {
-			t.Errorf("%d of %d bytes written: %+v", written, length, results)
+			t.Errorf("%d of %d bytes written: %+v, want ConnectionBroken after the last byte and ConnectFailed before it",
+				written, length, results)
 		}
 	}
 }
@@ -90,7 +91,7 @@
 	}
 	session.output.Advance(session.output.Len()) // if the rest were written, the abort would have to follow it
 	if text := string(session.nextOutput(time.Now())); text != frame("abort", testIDText) {
-		t.Errorf("output after an aborted attempt: %q", text)
+		t.Errorf("output after an aborted attempt: %q, want the abort frame", text)
 	}
 	if session.canCarry(newAttempt(testID)) || !session.canCarry(newAttempt(testID+1)) || !session.hasSilentAbort {
 		t.Error("late response could be taken for that of a new attempt, or a silent connection is not suspect")
--- a/internal/upstream/state_test.go
+++ b/internal/upstream/state_test.go
@@ -23,16 +23,16 @@
 	for state := range connectionStates {
 		closed := transitions[eventClose][state]
 		if !closed.isClosed() || closed.isWriting() != state.isWriting() {
-			t.Errorf("%v after close: %v", state, closed)
+			t.Errorf("%v after close: %v, want a closed state that keeps a write in progress", state, closed)
 		}
 		for _, event := range []connectionEvent{eventClose, eventRetire, eventDialOverdue} {
 			if next := transitions[event][closed]; next != closed {
-				t.Errorf("%v, then %v: %v", closed, event, next)
+				t.Errorf("%v, then %v: %v, want no change", closed, event, next)
 			}
 		}
 		for event := range connectionEvents {
 			if next := transitions[event][closed]; next != impossible && !next.isClosed() {
-				t.Errorf("%v, then %v: %v", closed, event, next)
+				t.Errorf("%v, then %v: %v, want a closed state", closed, event, next)
 			}
 		}
 	}
@@ -45,11 +45,11 @@
 	} {
 		connected := transitions[eventConnected][state]
 		if !connected.isUp() || connected.isDialOverdue() || connected.isRetired() != state.isRetired() {
-			t.Errorf("%v after connected: %v", state, connected)
+			t.Errorf("%v after connected: %v, want an open state, retired only if it was retired before", state, connected)
 		}
 	}
 	if next := transitions[eventConnected][stateClosed]; next != stateClosed {
-		t.Errorf("closed after connected: %v", next)
+		t.Errorf("closed after connected: %v, want closed", next)
 	}
 }
 
@@ -58,11 +58,12 @@
 	for _, state := range []connectionState{stateOpen, stateRetired} {
 		writing := transitions[eventWriteStarted][state]
 		if !writing.isWriting() || transitions[eventWriteFinished][writing] != state {
-			t.Errorf("%v: %v during a write, %v after it", state, writing, transitions[eventWriteFinished][writing])
+			t.Errorf("%v: %v during a write, %v after it, want the same state as before",
+				state, writing, transitions[eventWriteFinished][writing])
 		}
 		closing := transitions[eventClose][writing]
 		if next := transitions[eventWriteFinished][closing]; next != stateClosed {
-			t.Errorf("%v, closed during a write: %v after it", state, next)
+			t.Errorf("%v, closed during a write: %v after it, want closed", state, next)
 		}
 	}
 }
@@ -72,7 +73,7 @@
 	for state := range connectionStates {
 		retired := transitions[eventRetire][state]
 		if retired.acceptsAttempts() || retired.isWriting() != state.isWriting() || retired.isUp() != state.isUp() {
-			t.Errorf("%v after retire: %v", state, retired)
+			t.Errorf("%v after retire: %v, want a state without new attempts, otherwise as before", state, retired)
 		}
 		if !retired.isRetired() {
 			continue
@@ -80,7 +81,7 @@
 		for event := range connectionEvents {
 			next := transitions[event][retired]
 			if event != eventClose && next != impossible && !next.isRetired() {
-				t.Errorf("%v, then %v: %v", retired, event, next)
+				t.Errorf("%v, then %v: %v, want a retired state", retired, event, next)
 			}
 		}
 	}
@@ -92,11 +93,11 @@
 	c := &connection{pool: &Pool{monitor: monitor}, state: stateDialing}
 	c.advance(eventConnected)
 	if c.state != stateOpen || monitor.Violations() != 0 {
-		t.Errorf("state %v, %d violations", c.state, monitor.Violations())
+		t.Errorf("state %v, want open; %d violations, want 0", c.state, monitor.Violations())
 	}
 	c.advance(eventConnected)
 	counts, _ := monitor.Counts()
 	if c.state != stateOpen || monitor.Violations() != 1 || counts[invariant.InvalidTransition.String()] != 1 {
-		t.Errorf("state %v, violations %v", c.state, counts)
+		t.Errorf("state %v, want open; violations %v, want one invalid transition", c.state, counts)
 	}
 }
