--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -48,7 +48,7 @@
 	lastEvent     int64     // number of the last event that was delivered or skipped
 	firstAfterGap int64     // number of the first event after a gap in an earlier page
 	behindSince   time.Time // when the server first reported a number below lastEvent; zero if the server is not behind
-	lastResponse  time.Time // when the last complete page was received; zero if none was
+	lastResponse  time.Time // when the last page without an error was received; zero if none was
 	isFailing     bool      // the last poll failed, and the failure is logged
 
 	mu         sync.Mutex
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -43,7 +43,7 @@
 
 	TransportState any // used by the transport only
 
-	SentAt time.Time
+	SentAt time.Time     // when the engine started the attempt
 	sentAt time.Duration // SentAt on the engine's clock
 	state  attemptState
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -35,8 +35,8 @@
 	at        time.Duration // on the engine's clock
 }
 
-// startedAt returns when an endpoint started, never later than now. The same timestamp received again yields the same
-// time.
+// startedAt returns when an endpoint started, never later than now, or routing.LongAgo if its boot time is unknown. The
+// same timestamp received again yields the same time.
 func (b bootTimes) startedAt(endpoint *Endpoint, ages *ageEstimator, now time.Duration) time.Duration {
 	if endpoint.BootTime.IsZero() || endpoint.State == routing.Gone {
 		delete(b, endpoint.ID)
--- a/internal/engine/transport.go
+++ b/internal/engine/transport.go
@@ -35,7 +35,8 @@
 	UpdateEndpoints(list EndpointList)
 	// Send starts an attempt; its result is posted to the engine.
 	Send(attempt *Attempt)
-	// Abort aborts an attempt and reports whether any part of it may have been written. No result follows.
+	// Abort aborts an attempt and reports whether any part of it may have been written. No result follows,
+	// unless one is already on its way.
 	Abort(attempt *Attempt) (written bool)
 	// CheckHealth starts a health check; its result is posted to the engine.
 	CheckHealth(endpoint routing.EndpointID)
