--- a/internal/upstream/session_test.go
+++ b/internal/upstream/session_test.go
@@ -62,7 +62,8 @@
 			want = routing.ConnectionBroken
 		}
 		if results := s.takeResults(); len(results) != 1 || results[0].(engine.AttemptResult).Outcome != want {
-			t.Errorf("%d of %d bytes written: %+v", written, length, results)
+			t.Errorf("%d of %d bytes written: %+v, want ConnectionBroken after the last byte and ConnectFailed before it",
+				written, length, results)
 		}
 	}
 }
@@ -90,7 +91,7 @@
 	}
 	session.output.Advance(session.output.Len()) // if the rest were written, the abort would have to follow it
 	if text := string(session.nextOutput(time.Now())); text != frame("abort", testIDText) {
-		t.Errorf("output after an aborted attempt: %q", text)
+		t.Errorf("output after an aborted attempt: %q, want the abort frame", text)
 	}
 	if session.canCarry(newAttempt(testID)) || !session.canCarry(newAttempt(testID+1)) || !session.hasSilentAbort {
 		t.Error("late response could be taken for that of a new attempt, or a silent connection is not suspect")
@@ -110,11 +111,11 @@
 	now := time.Now()
 	session.enqueue(exchange{attempt: newAttempt(testID), notAfter: now})
 	if frames := session.nextOutput(now.Add(time.Millisecond)); len(frames) > 0 {
-		t.Errorf("written: %q", frames)
+		t.Errorf("written: %q, want nothing", frames)
 	}
 	results := session.takeResults()
 	if len(results) != 1 || results[0].(engine.AttemptResult).Outcome != routing.ConnectFailed {
-		t.Errorf("results %+v", results)
+		t.Errorf("results %+v, want one with outcome ConnectFailed", results)
 	}
 }
 
@@ -137,7 +138,8 @@
 			}
 		}
 		if attemptResults != 1 || session.input.Len() > testLimits.UpstreamReadBuffer {
-			t.Errorf("%d results, %d bytes buffered", attemptResults, session.input.Len())
+			t.Errorf("%d attempt results, want 1; %d bytes buffered, want at most UpstreamReadBuffer",
+				attemptResults, session.input.Len())
 		}
 	})
 }
@@ -159,7 +161,7 @@
 			b.Fatal(err)
 		}
 		if results := session.takeResults(); len(results) != 1 {
-			b.Fatalf("%d results", len(results))
+			b.Fatalf("%d results, want 1", len(results))
 		}
 	}
 }
