--- a/cmd/fennelarch/cluster_test.go
+++ b/cmd/fennelarch/cluster_test.go
@@ -207,7 +207,7 @@
 	c.t.Helper()
 	c.awaitExit()
 	if took := time.Since(signalledAt); c.exitErr != nil || took > within {
-		c.t.Errorf("router exited after %v with error %v", took, c.exitErr)
+		c.t.Errorf("router exited after %v with error %v, want no error and an exit in time", took, c.exitErr)
 	}
 	if !strings.Contains(c.log.String(), "stopped\t{\"router\": \"n0\", \"in_flight\": 0}") {
 		c.t.Error("log does not report a shutdown without open requests")
--- a/cmd/fennelarch/shutdown_test.go
+++ b/cmd/fennelarch/shutdown_test.go
@@ -133,7 +133,7 @@
 	cluster.awaitExit()
 	took := time.Since(signalledAt)
 	if cluster.exitErr != nil || took < 700*time.Millisecond || took > 3700*time.Millisecond {
-		t.Errorf("router exited after %v with error %v", took, cluster.exitErr)
+		t.Errorf("router exited after %v with error %v, want no error after 700ms to 3.7s", took, cluster.exitErr)
 	}
 }
 
--- a/cmd/fennelarch/startup_test.go
+++ b/cmd/fennelarch/startup_test.go
@@ -39,7 +39,7 @@
 func TestVersion(t *testing.T) {
 	output, err := program("version", "").CombinedOutput()
 	if err != nil || !strings.HasPrefix(string(output), "fennelarch ") {
-		t.Errorf("got error %v and output %s", err, output)
+		t.Errorf("got error %v and output %s, want the name of the program first", err, output)
 	}
 }
 
@@ -91,6 +91,6 @@
 	startedAt := time.Now()
 	output, err := program("serve", filepath.Join(t.TempDir(), "nowhere.json")).CombinedOutput()
 	if took := time.Since(startedAt); !isFailedStart(err) || took > 2*time.Second {
-		t.Errorf("got error %v after %v: %s", err, took, output)
+		t.Errorf("got error %v after %v, want exit code 1 within 2s; output: %s", err, took, output)
 	}
 }
--- a/cmd/fennelarch/startupretry_test.go
+++ b/cmd/fennelarch/startupretry_test.go
@@ -54,7 +54,7 @@
 	}
 	retry.deadline = time.Now()
 	if err := retry.load(func() error { return syscall.EMFILE }); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("after the deadline: got error %v", err)
+		t.Errorf("after the deadline: got error %v, want EMFILE", err)
 	}
 }
 
@@ -79,6 +79,6 @@
 		reloads.reload(file)
 	}
 	if due, _ := reloads.nextRetry(); calls != 3 || due != nil {
-		t.Errorf("applied after %d tries, retry pending: %v", calls, due != nil)
+		t.Errorf("got %d tries, retry pending: %v, want 3 tries and no pending retry", calls, due != nil)
 	}
 }
--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -49,10 +49,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := test.command.options()
 			if (err == nil) != test.isValid {
-				t.Fatalf("got error %v", err)
+				t.Fatalf("got error %v, want an error only for invalid flags", err)
 			}
 			if err != nil && exitCode(err) != exitUsage {
-				t.Errorf("exit code %d for %v", exitCode(err), err)
+				t.Errorf("got exit code %d for %v, want that of invalid flags", exitCode(err), err)
 			}
 		})
 	}
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -15,18 +15,18 @@
 		r.Add(Entry{Event: RequestArrived, ID: id})
 	}
 	if got := r.Entries(); len(got) != 3 || got[0].ID != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("got entries %+v, want 3 from ID 0", got)
 	}
 	for id := range uint64(4) {
 		r.Add(Entry{Event: RequestEnded, ID: 3 + id})
 	}
 	got := r.Entries()
 	if len(got) != 4 {
-		t.Errorf("%d events", len(got))
+		t.Errorf("got %d events, want 4", len(got))
 	}
 	for i, entry := range got {
 		if entry.ID != uint64(3+i) {
-			t.Errorf("entry %d has ID %d", i, entry.ID)
+			t.Errorf("entry %d has ID %d, want consecutive IDs from 3", i, entry.ID)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	}
 	var text strings.Builder
 	if n, err := r.WriteTo(&text); err != nil || int(n) != text.Len() {
-		t.Errorf("%d bytes, %v", n, err)
+		t.Errorf("got %d bytes and error %v, want the length of the text and no error", n, err)
 	}
 	if got := text.String(); strings.Count(got, "\n") != 4 || !strings.Contains(got, "request ended") ||
 		!strings.Contains(got, "endpoint=7 attempt=1 reason=served") {
@@ -64,11 +64,11 @@
 	}
 	writers.Wait()
 	if r.recordedCount != 4000 || len(r.Entries()) != 16 {
-		t.Errorf("%d events", r.recordedCount)
+		t.Errorf("recorded %d events, want 4000 of which the last 16 are held", r.recordedCount)
 	}
 }
 
-// A nil recorder accepts events and holds nilRecorder.
+// A nil recorder accepts events and holds nothing.
 func TestNilRecorderHoldsNothing(t *testing.T) {
 	var nilRecorder *Recorder
 	nilRecorder.Add(Entry{})
--- a/internal/invariant/attempt.go
+++ b/internal/invariant/attempt.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// EndSlack is how long after the end of a request the last byte of an attempt may be written. A cancellation may
-	// come while an attempt is being written.
+	// EndSlack is how long after the end of a request, or after its deadline, the last byte of an attempt may be
+	// written. The request may end while an attempt is being written.
 	EndSlack = 100 * time.Millisecond
 	// DeadlineSlack is by how much the deadline sent to a server may exceed the client's deadline.
 	DeadlineSlack = 150 * time.Millisecond
--- a/internal/invariant/closereason.go
+++ b/internal/invariant/closereason.go
@@ -18,7 +18,7 @@
 	CloseRejected                             // admission rejected the connection
 	CloseServerIdle                           // no attempt was in flight for too long
 	CloseServerForCapacity                    // an idle connection was closed to free its descriptor
-	CloseServerSuspect                        // an idle connection that may be stuck or hold half a response
+	CloseServerSuspect                        // an idle connection might be stuck or hold half a response
 	CloseServerEnded                          // the server closed the connection, or the connection broke
 	CloseServerWriteFailed                    // writing to the server failed
 	CloseServerMalformed                      // the server sent a malformed response
--- a/internal/invariant/monitor.go
+++ b/internal/invariant/monitor.go
@@ -129,8 +129,7 @@
 	return violations, closes
 }
 
-// RecordClientClose records that a client connection is about to be closed while openRequests requests on it have no
-// final response.
+// RecordClientClose records that a client connection with openRequests unanswered requests is about to be closed.
 func (m *Monitor) RecordClientClose(connection uint64, reason CloseReason, openRequests int) {
 	if m == nil {
 		return
@@ -145,8 +144,7 @@
 	}
 }
 
-// RecordServerClose records that a connection to a server is about to be closed while openAttempts attempts on it are
-// in flight.
+// RecordServerClose records that a connection to a server with openAttempts attempts in flight is about to be closed.
 func (m *Monitor) RecordServerClose(endpoint uint64, reason CloseReason, openAttempts int) {
 	if m == nil {
 		return
--- a/internal/invariant/senddenial.go
+++ b/internal/invariant/senddenial.go
@@ -6,7 +6,7 @@
 // The reasons. SendAllowed means that the attempt may begin.
 const (
 	SendAllowed        SendDenial = iota
-	SendRequestEnded              // the request has its final response, or the client has gone
+	SendRequestEnded              // the request was answered or cancelled, or its client has left
 	SendDeadlinePassed            // the deadline of the request or of the attempt has passed
 	SendBoundPassed               // the attempt's start bound has passed: the drain grace or the dedup window is over
 	SendRepeatUnsafe              // an earlier attempt may have run, and the request must not run twice
--- a/internal/invariant/violation.go
+++ b/internal/invariant/violation.go
@@ -3,7 +3,7 @@
 // Violation is a kind of violated invariant.
 type Violation uint8
 
-// The kinds of violations. An attempt is written once its last byte is.
+// The kinds of violations. An attempt counts as written when its last byte is written.
 const (
 	AttemptAfterEnd      Violation = iota // an attempt was written after its request had ended
 	AttemptAfterDeadline                  // an attempt was written after the client's deadline
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -18,7 +18,7 @@
 	RejectedConnections    int // further connections that are open only until their rejection is sent
 	UpstreamConnections    int // connections to all endpoints together
 	ConnectionsPerEndpoint int // connections to one endpoint
-	MaxRedials             int // retries of a dial that failed for a local reason or was unreachable at once
+	MaxRedials             int // retries of a dial that fails for a local reason, or at once as unreachable
 	StreamsPerConnection   int // attempts in flight on one upstream connection
 
 	// Frames and requests.
@@ -76,8 +76,8 @@
 	PollPromptWithin     time.Duration // time within which a response is prompt: its events are older than the poll
 	DiscoveryRewindAfter time.Duration // time after which a server that is behind the last event counts as a new server
 	DiscoveryDialTimeout time.Duration // time for establishing a connection
-	BackoffMin           time.Duration // first pause after a failed poll; each further pause doubles
-	BackoffMax           time.Duration // longest pause after a failed poll
+	BackoffMin           time.Duration // first pause after a failed poll or store connection; each further pause doubles
+	BackoffMax           time.Duration // longest pause after a failed poll or store connection
 
 	// Shutdown and housekeeping.
 	DescriptorShortageAfter time.Duration // time after which a descriptor shortage is lasting, so connections are rejected
@@ -133,8 +133,8 @@
 // memoryBytes returns the memory of the process in bytes.
 func (i *Inputs) memoryBytes() int { return i.MemoryMB << 20 }
 
-// startGrace returns the shorter of the graces after a drain and after a purge. An attempt that starts later than that
-// would reach a drained server or miss the purge.
+// startGrace returns the shorter of the graces after a drain and after a purge, or two connect timeouts if there is no
+// drain grace. An attempt that starts later would reach a drained server or miss the purge.
 func (i *Inputs) startGrace() time.Duration {
 	grace := i.DrainGrace
 	if i.PurgeGrace > 0 {
@@ -230,8 +230,8 @@
 	l.BackoffMax = 500 * time.Millisecond       // if higher, news waits after the server has recovered
 }
 
-// setShutdown makes the process end before the platform kills it, which happens no earlier than 0.7 s after the longest
-// deadline or 3 s, whichever is shorter.
+// setShutdown makes the process end before the platform kills it. After the signal to stop, the platform waits at least
+// for the longest deadline, or 3 s if that is shorter, plus 0.7 s.
 func (l *Limits) setShutdown(inputs *Inputs) {
 	l.DescriptorShortageAfter = 100 * time.Millisecond // if lower, a brief shortage rejects connections
 	l.RecheckInterval = 5 * time.Millisecond           // if lower, polling uses CPU; if higher, it adds delay
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// Shutdown ends before the platform kills the router, 0.7 s after the longest deadline or 3 s, whichever is shorter.
+// Shutdown ends before the platform kills the router. The platform waits for the longest deadline, or 3 s if that is
+// shorter, plus 0.7 s.
 func TestShutdownEndsBeforeThePlatformKills(t *testing.T) {
 	for _, deadline := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second, 20 * time.Second} {
 		lim := Derive(Inputs{LongestDeadline: deadline})
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -29,9 +29,9 @@
 	NewConnectionsPerSecond float64  `json:"new_per_s"`         // new connections of one address per second
 	Burst                   int      `json:"burst"`             // new connections of one address at once
 	RequestsPerAddress      int      `json:"views_per_address"` // requests in flight of one address
-	Requests                int      `json:"views"`             // requests in flight of all addresses
+	Requests                int      `json:"views"`             // requests in flight of known clients, and of others
 	MaxHandshakes           int      `json:"handshakes"`        // concurrent TLS handshakes
-	HandshakeCPU            float64  `json:"handshake_cores"`   // part of a core that TLS handshakes may use
+	HandshakeCPU            float64  `json:"handshake_cores"`   // CPU cores that TLS handshakes may use
 	MaxRemembered           int      `json:"remember"`          // addresses without a connection that are remembered
 }
 
--- a/internal/stalldetect/detector.go
+++ b/internal/stalldetect/detector.go
@@ -71,7 +71,7 @@
 // stall is a period in which the process did not run.
 type stall struct{ from, until time.Time }
 
-// lastStall returns the stall that is still going on, or the last stall if it ended less than within ago.
+// lastStall returns the stall that is going on, or the last stall if less than the duration within has passed since.
 func (d *Detector) lastStall(now time.Time, within time.Duration) (last stall, found bool) {
 	if d == nil || d.start.IsZero() {
 		return stall{}, false
--- a/internal/stalldetect/detector_test.go
+++ b/internal/stalldetect/detector_test.go
@@ -54,7 +54,7 @@
 			got := detector.EarliestArrival(
 				detector.at(testCase.emptyAt), detector.at(testCase.callStart), detector.at(testCase.now))
 			if !got.Equal(detector.at(testCase.want)) {
-				t.Errorf("earliest arrival is %v after the start, want %detector ms", got.Sub(detector.start), testCase.want)
+				t.Errorf("earliest arrival is %v after the start, want %d ms", got.Sub(detector.start), testCase.want)
 			}
 		})
 	}
@@ -67,11 +67,11 @@
 	detector.beat(700, 600*time.Millisecond)
 	detector.beat(720, 0)
 	if got := detector.EarliestArrival(detector.at(50), detector.at(60), detector.at(705)); !got.Equal(detector.at(100)) {
-		t.Errorf("earliest arrival just after a stall is %v after the start", got.Sub(detector.start))
+		t.Errorf("earliest arrival just after a stall is %v after the start, want 100ms", got.Sub(detector.start))
 	}
 	detector.beatUntil(740, 780)
 	if got := detector.EarliestArrival(detector.at(50), detector.at(60), detector.at(790)); !got.Equal(detector.at(790)) {
-		t.Errorf("earliest arrival long after a stall is %v after the start", got.Sub(detector.start))
+		t.Errorf("earliest arrival long after a stall is %v after the start, want 790ms", got.Sub(detector.start))
 	}
 }
 
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -72,8 +72,7 @@
 	return FaultBroken
 }
 
-// IsExhausted reports whether a call failed because the process or the system is out of descriptors, or of memory for
-// one.
+// IsExhausted reports whether a call failed because the process or the system is out of descriptors, buffers or memory.
 func IsExhausted(err error) bool { return isAnyOf(err, exhaustionErrors) }
 
 // IsTemporary reports whether the same call may succeed a moment later: an exhausted resource, an interrupted call, an
--- a/internal/system/faults.go
+++ b/internal/system/faults.go
@@ -30,7 +30,7 @@
 const (
 	planVariable    = "FENNELARCH_FAULTS"
 	exitBadPlan     = 2
-	randomStream    = 11 // second half of the generator's seed, the plan gives the first
+	randomStream    = 11 // second half of the generator's seed; the plan gives the first half
 	defaultPlanSeed = 1
 )
 
@@ -152,7 +152,7 @@
 	return steps, nil
 }
 
-// draw returns at random, at the given rate, one of the errors with which a call fails, or else nil.
+// draw returns, with the probability rate, a random one of errs, and otherwise nil.
 func (p *faultPlan) draw(rate float64, errs ...syscall.Errno) error {
 	if rate <= 0 {
 		return nil
@@ -165,7 +165,7 @@
 	return errs[p.random.IntN(len(errs))]
 }
 
-// drawByteCount returns at random how many of the bytes of a call are transferred, at least one.
+// drawByteCount returns the size of a short read or write: a random number from 1 to bytes.
 func (p *faultPlan) drawByteCount(bytes int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/system/faults_test.go
+++ b/internal/system/faults_test.go
@@ -22,7 +22,7 @@
 		"read=0.1 dial=-.1": `word 2, "dial=-.1"`,
 	} {
 		if _, err := parsePlan(text); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q: got error %v", text, err)
+			t.Errorf("%q: got error %v, want the invalid word to be named", text, err)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 func TestNetworkFaults(t *testing.T) {
 	usePlan(t, "seed=3 accept=0.3 dial=0.3 read=0.3 write=0.3 file=0.5 listen=1 clock=0s:+1h")
 	if _, err := Listen("tcp", "127.0.0.1:0"); !IsTemporary(err) || Classify(err) != FaultLocal {
-		t.Errorf("first listen: got error %v", err)
+		t.Errorf("first listen: got error %v, want a temporary error of this machine", err)
 	}
 	listener, err := Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	plan.resetRate = 1
 	if _, err := client.Write([]byte("x")); Classify(err) != FaultBroken {
-		t.Errorf("write after a reset: got error %v", err)
+		t.Errorf("write after a reset: got error %v, want a broken connection", err)
 	}
 }
 
