--- a/cmd/fennelarch/sharedstores.go
+++ b/cmd/fennelarch/sharedstores.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// discoveryCurrent tells the transport that all discovery events before a time have been applied.
+// discoveryCurrent tells the transport that all discovery events published before a time have been delivered.
 func (s sharedStores) discoveryCurrent(asOf time.Time) {
 	if s.transport != nil {
 		s.transport.RecordDiscoveryCurrent(asOf)
--- a/internal/config/wireformat.go
+++ b/internal/config/wireformat.go
@@ -38,7 +38,7 @@
 	Zones     []string       `json:"dcs"`
 	Kinds     []string       `json:"shapes"`        // endpoint kinds
 	Instances int            `json:"n_instances"`   // number of routers
-	Registry  string         `json:"registry_mode"` // "subscribe": endpoint lists are polled
+	Registry  string         `json:"registry_mode"` // "subscribe": endpoint lists arrive only on request
 	Weights   string         `json:"weight_source"` // "nominal" or "rough": a weight is a link's capacity
 	Classes   []classKeys    `json:"classes"`
 	Tenants   []tenantKeys   `json:"tenants"`
