--- a/internal/fake/redis/counts.go
+++ b/internal/fake/redis/counts.go
@@ -12,7 +12,7 @@
 
 // counter counts the commands that a store receives and their effects.
 type counter struct {
-	startedAt     time.Time // start of the store
+	startedAt     time.Time // start of the store, moved back by Config.InitialAge
 	slotsStart    time.Time // start of the first slot
 	slots         []int     // commands in each slot
 	commands      int
@@ -21,7 +21,7 @@
 	evicted       int
 }
 
-// start starts to measure the load of a store that has been started.
+// start begins to measure the load of a store that was started at startedAt.
 func (c *counter) start(startedAt time.Time) {
 	c.startedAt, c.slotsStart, c.slots = startedAt, time.Now(), nil
 }
--- a/internal/fake/redis/store_test.go
+++ b/internal/fake/redis/store_test.go
@@ -108,7 +108,7 @@
 	expectAnswer(t, socket, "GET a", "$2\r\n12\r\n")
 	counts := store.Counts()
 	if counts.Evicted != 1 || counts.Keys != 2 || counts.Hits != 2 || counts.Commands != 6 || store.ValueCommands() != 6 {
-		t.Errorf("unexpected counts: %+v", counts)
+		t.Errorf("counts %+v, want 1 evicted, 2 keys, 2 hits and 6 commands, all of them on values", counts)
 	}
 }
 
@@ -126,7 +126,7 @@
 		t.Error("a connection is still open after the crash")
 	}
 	if err := store.RestartFromSnapshot(); err != nil || store.Address() != address {
-		t.Fatalf("restart: error %v, address %s", err, store.Address())
+		t.Fatalf("restart: error %v, address %s, want the address before the crash", err, store.Address())
 	}
 	socket = connect(t, store)
 	expectAnswer(t, socket, "GET k", "$1\r\nv\r\n")
@@ -205,6 +205,6 @@
 		expectAnswer(t, socket, "PING", "+PONG\r\n")
 	}
 	if peak := store.Counts().PeakLoad; peak < 0.4 || peak > 0.6 {
-		t.Errorf("25 commands in a second with a capacity of 50 are measured as a load of %v", peak)
+		t.Errorf("25 commands in a second with a capacity of 50: load %v, want 0.4 to 0.6", peak)
 	}
 }
--- a/internal/fake/site/site_test.go
+++ b/internal/fake/site/site_test.go
@@ -13,7 +13,8 @@
 	body := Body(object, createdAt, 300)
 	parsed, parsedAt, isIntact := ParseBody(body)
 	if len(body) != 300 || parsed != object || !parsedAt.Equal(createdAt) || !isIntact {
-		t.Errorf("%d bytes, parsed as %v from %v, intact: %v", len(body), parsed, parsedAt, isIntact)
+		t.Errorf("body of %d bytes, parsed as %v from %v, intact: %v; want 300 bytes, the same object and time, true",
+			len(body), parsed, parsedAt, isIntact)
 	}
 	if _, _, isIntact := ParseBody(body[:299] + "?"); isIntact {
 		t.Error("a body with a wrong byte is reported as intact")
--- a/internal/simwire/record.go
+++ b/internal/simwire/record.go
@@ -19,10 +19,10 @@
 // An endpoint is an IPv4 address and a port, packed into an EndpointID; the ID of a server is never 0. A load report is
 // a count and up to four values.
 const (
-	endpointPortOffset  = 4
-	loadReportMaxValues = 4
-	loadReportValues    = 1
-	loadReportValueSize = 4
+	endpointPortOffset     = 4
+	loadReportMaxValues    = 4
+	loadReportValuesOffset = 1
+	loadReportValueSize    = 4
 )
 
 // A reference to the tail of a frame consists of an offset and a length.
@@ -87,7 +87,7 @@
 func (r record) loadReport(offset int) routing.LoadReport {
 	report := routing.LoadReport{Count: min(int(r[offset]), loadReportMaxValues)}
 	for i := range report.Count {
-		report.Values[i] = r.float32(offset + loadReportValues + i*loadReportValueSize)
+		report.Values[i] = r.float32(offset + loadReportValuesOffset + i*loadReportValueSize)
 	}
 	return report
 }
--- a/internal/testbed/admission_burst.go
+++ b/internal/testbed/admission_burst.go
@@ -2,7 +2,7 @@
 
 var _ = Register(Experiment{
 	Name:        "admission-burst",
-	Description: "one address opens ten thousand connections, at once and at a steady rate",
+	Description: "one address opens ten thousand connections at once, then fewer at a steady rate",
 	Run:         runAdmissionBurst,
 })
 
--- a/internal/testbed/admission_descriptors.go
+++ b/internal/testbed/admission_descriptors.go
@@ -4,7 +4,7 @@
 
 var _ = Register(Experiment{
 	Name:        "admission-descriptors",
-	Description: "descriptors run out while answers are owed",
+	Description: "a router runs out of file descriptors during a flood while requests are in flight",
 	Run:         runAdmissionDescriptors,
 })
 
--- a/internal/testbed/admission_handshakes.go
+++ b/internal/testbed/admission_handshakes.go
@@ -7,7 +7,7 @@
 
 var _ = Register(Experiment{
 	Name:        "admission-handshakes",
-	Description: "half handshakes by the thousand; and keys read again meanwhile",
+	Description: "thousands of TLS handshakes are never completed while the router reloads its keys",
 	Run:         runAdmissionHandshakes,
 })
 
--- a/internal/testbed/admission_many.go
+++ b/internal/testbed/admission_many.go
@@ -2,7 +2,7 @@
 
 var _ = Register(Experiment{
 	Name:        "admission-many",
-	Description: "a thousand addresses flood together",
+	Description: "a thousand addresses open connections at the same time",
 	Run:         runAdmissionMany,
 })
 
--- a/internal/testbed/admission_restart.go
+++ b/internal/testbed/admission_restart.go
@@ -9,7 +9,7 @@
 
 var _ = Register(Experiment{
 	Name:        "admission-restart",
-	Description: "known clients that return all at once after a restart, among a flood",
+	Description: "all known clients reconnect at once when the router restarts during a flood",
 	Run:         runAdmissionRestart,
 })
 
@@ -22,7 +22,8 @@
 	floodRate = 2500
 )
 
-// returnCounts counts the known clients that connected on every attempt, lost no request, and were served.
+// returnCounts counts three sets of known clients: those that connected on every attempt, those that lost no request,
+// and those that were served.
 type returnCounts struct{ connected, answered, served int }
 
 func runAdmissionRestart(options Options, result *Result) error {
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// runRestart restarts the router during a flood, after which all known clients reconnect.
+// runRestart restarts the router during a flood and makes all known clients reconnect.
 func runRestart(options Options, result *Result, name string, connections int) (returnCounts, error) {
 	cluster, err := startCluster(options.Seed, admissionConfig(admissionRules()), 1)
 	if err != nil {
--- a/internal/testbed/admission_shared.go
+++ b/internal/testbed/admission_shared.go
@@ -8,7 +8,7 @@
 
 var _ = Register(Experiment{
 	Name:        "admission-shared",
-	Description: "behind one address, one bad and fifty good clients are told apart by certificate",
+	Description: "one misbehaving and fifty well-behaved clients behind one address are told apart by certificate",
 	Run:         runAdmissionShared,
 })
 
--- a/internal/testbed/checker.go
+++ b/internal/testbed/checker.go
@@ -175,7 +175,7 @@
 		observed.Failed++
 	default:
 		observed.Lost++
-		observed.LastLoss = fmt.Sprintf("sent %v after the start, ended %v later: %v",
+		observed.LastLoss = fmt.Sprintf("sent %v after the start, disconnected %v later (disconnected: %v)",
 			request.SentAt.Sub(c.startedAt).Round(time.Millisecond), disconnectedAfter.Round(time.Millisecond),
 			isDisconnected)
 	}
--- a/internal/testbed/checker_test.go
+++ b/internal/testbed/checker_test.go
@@ -47,7 +47,7 @@
 	}, func(observed *Observations) bool { return observed.WrongBytes == 1 }},
 }
 
-// The checker notices each kind of violation. Otherwise an assertion on it could never fail.
+// The checker counts each kind of violation. Otherwise an assertion on the count could never fail.
 func TestCheckerSeesEachBreach(t *testing.T) {
 	now := time.Now()
 	cluster := &Cluster{
--- a/internal/testbed/client.go
+++ b/internal/testbed/client.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// close records for the requests in flight that the connection has ended.
+// close closes the connection and records its end in the requests in flight.
 func (c *connection) close(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testbed/example.go
+++ b/internal/testbed/example.go
@@ -21,8 +21,8 @@
 	exampleStore  = "127.0.0.1:6390"
 )
 
-// ServeExample runs the fake servers that deploy/example.json configures, until it is interrupted. They serve the first
-// requests of a new user.
+// ServeExample runs the fake servers that deploy/example.json configures, until it is interrupted. They let a new user
+// try a router.
 func ServeExample(discoveryAddress string, out io.Writer) error {
 	servers := site.New(func(site.Object) int { return 2000 }, func(uint64) int { return 1 })
 	defer servers.Close()
--- a/internal/testbed/experiment.go
+++ b/internal/testbed/experiment.go
@@ -12,7 +12,7 @@
 // Options configures a run of an experiment.
 type Options struct {
 	Seed    uint64
-	Scale   float64   // factor for rates and durations; 1 is the scale of the published results
+	Scale   float64   // factor for durations and numbers; 1 is the scale of the published results
 	Routers int       // 0: the experiment's default
 	Plan    string    // text of the fault plan, for experiments that use one; "": drawn from the seed
 	Out     string    // folder for files that help to analyse a failed run; "": none
--- a/internal/testbed/router.go
+++ b/internal/testbed/router.go
@@ -253,7 +253,7 @@
 		return errors.New(r.Name + " did not end within the timeout after SIGTERM")
 	}
 	if log := r.Log(); strings.Contains(log, "panic") || strings.Contains(log, "DATA RACE") {
-		return fmt.Errorf("%s: %s", r.Name, r.logTail())
+		return fmt.Errorf("%s logged a panic or a data race: %s", r.Name, r.logTail())
 	}
 	return nil
 }
--- a/internal/testbed/soak/checker.go
+++ b/internal/testbed/soak/checker.go
@@ -82,7 +82,8 @@
 	excused  map[string]int
 }
 
-// check returns all breaches, and counts the lost requests that are excused, by reason and by reason and router.
+// check returns all breaches and the number of excused lost requests, both for each reason and for each reason at each
+// router.
 func (r *Record) check() (breaches []Breach, excused map[string]int) {
 	runChecker := &checker{Record: r, excused: map[string]int{}}
 	slices.SortFunc(r.delays, func(a, b interval) int { return a.until.Compare(b.until) })
@@ -123,7 +124,7 @@
 }
 
 func (c *checker) describeRequest(request *Request) string {
-	return fmt.Sprintf("%s for object %x at %v, for %v; cancelled %v, left %v, %d answers, %s at %v, ended %v",
+	return fmt.Sprintf("%s for object %x at %v, for %v; cancelled %v, disconnected %v, %d answers, %s at %v, ended %v",
 		request.Class.Name, request.Object, c.sinceStart(request.SentAt), request.Timeout,
 		c.sinceStart(request.CancelledAt), c.sinceStart(request.DisconnectedAt), request.Answers, request.Status,
 		c.sinceStart(request.AnsweredAt), c.sinceStart(request.EndedAt))
@@ -147,8 +148,8 @@
 		return
 	}
 	slack := jitter + c.delayAround(attempt.FirstByteAt) + c.delayAround(attempt.LastByteAt)
-	c.checkAttemptEnd(AttemptAfterCancel, request.CancelledAt, attempt, request, slack)
-	c.checkAttemptEnd(AttemptAfterDisconnect, request.DisconnectedAt, attempt, request, slack)
+	c.checkAttemptAfterEnd(AttemptAfterCancel, request.CancelledAt, attempt, request, slack)
+	c.checkAttemptAfterEnd(AttemptAfterDisconnect, request.DisconnectedAt, attempt, request, slack)
 	if request.SentAt.IsZero() {
 		return
 	}
@@ -165,16 +166,16 @@
 	}
 }
 
-// checkAttemptEnd finds attempts that begin after the client has cancelled the request or disconnected.
-func (c *checker) checkAttemptEnd(kind BreachKind, endedAt time.Time, attempt *Attempt, request *Request,
+// checkAttemptAfterEnd finds attempts that begin after the client has cancelled the request or disconnected.
+func (c *checker) checkAttemptAfterEnd(kind BreachKind, endedAt time.Time, attempt *Attempt, request *Request,
 	slack time.Duration,
 ) {
 	if endedAt.IsZero() {
 		return
 	}
 	if late := attempt.FirstByteAt.Sub(endedAt); late > cancelSlack+slack {
-		c.addBreach(kind, request, "an attempt at %s began %v after its client gave it up", attempt.Server,
-			late.Round(time.Millisecond))
+		c.addBreach(kind, request, "an attempt at %s began %v after the client cancelled or disconnected",
+			attempt.Server, late.Round(time.Millisecond))
 	}
 }
 
@@ -189,8 +190,8 @@
 		}
 		knownAt := c.eventKnownAt(request.Router, departure.event, departure.at)
 		if late := startedAt.Sub(knownAt); late > drainGrace+boundSlack+slack {
-			c.addBreach(AttemptAfterDrain, request, "%s was named %v after its departure was known", uid,
-				late.Round(time.Millisecond))
+			c.addBreach(AttemptAfterDrain, request, "an attempt named %s, %v after the departure of that server was known",
+				uid, late.Round(time.Millisecond))
 		}
 	}
 }
--- a/internal/testbed/soak/checker_request.go
+++ b/internal/testbed/soak/checker_request.go
@@ -29,7 +29,7 @@
 	case request.Answers > 1:
 		return breach(AnsweredTwice, "%d answers", request.Answers)
 	case isAnswered && request.Status == testbed.StatusBusy && executions > 0 && !request.Class.isRepeatable():
-		return breach(RejectedThoughRan, "%s was rejected, and ran", request.Class.Name)
+		return breach(RejectedThoughRan, "%s was rejected although it ran", request.Class.Name)
 	case isAnswered && request.Status == testbed.StatusOK:
 		if found := c.checkResponse(request); found.breach != "" {
 			return found
@@ -116,7 +116,7 @@
 func (c *checker) checkResponse(request *Request) verdict {
 	if request.Class.Idempotency != Idempotent {
 		if request.Body != executedBody(request.ID) {
-			return breach(WrongBytes, "%d bytes of something else", len(request.Body))
+			return breach(WrongBytes, "%d bytes that are not the expected body", len(request.Body))
 		}
 		return verdict{}
 	}
@@ -136,7 +136,7 @@
 	}
 	age, maxAge := request.SentAt.Sub(createdAt), request.Class.MaxAge
 	if maxAge > 0 && age > maxAge+boundSlack+jitter {
-		return breach(CopyTooOld, "a copy of %v", age.Round(time.Millisecond))
+		return breach(CopyTooOld, "a copy with an age of %v", age.Round(time.Millisecond))
 	}
 	return verdict{}
 }
@@ -147,13 +147,13 @@
 	if request.IsNotModified {
 		createdAt, err := site.ParseChecksum(request.CachedVersion)
 		if err != nil || request.Body != "" {
-			return createdAt, breach(WrongBytes, "a copy is said to be current that its client does not have")
+			return createdAt, breach(WrongBytes, "not modified, but the client has no copy")
 		}
 		return createdAt, verdict{}
 	}
 	object, createdAt, isIntact := site.ParseBody(request.Body)
 	if !isIntact || object.ID != request.Object {
-		return createdAt, breach(WrongBytes, "%d bytes of something else", len(request.Body))
+		return createdAt, breach(WrongBytes, "%d bytes that are not the expected body", len(request.Body))
 	}
 	return createdAt, verdict{}
 }
--- a/internal/testbed/soak/checker_test.go
+++ b/internal/testbed/soak/checker_test.go
@@ -130,7 +130,7 @@
 			r.request.Answers = 0
 			test.plant(r)
 			if breaches, excused := r.check(); len(breaches) > 0 || excused[string(test.excuse)] != 1 {
-				t.Errorf("%v, %v", breaches, excused)
+				t.Errorf("breaches %v, excuses %v, want no breach and the excuse of the case", breaches, excused)
 			}
 		})
 	}
--- a/internal/testbed/soak/fault_router.go
+++ b/internal/testbed/soak/fault_router.go
@@ -15,7 +15,8 @@
 	// maxShutdownTime is the delay after which the platform follows SIGTERM with SIGKILL, plus a second of allowance
 	// for a busy machine.
 	maxShutdownTime = 3700*time.Millisecond + time.Second
-	// The platform first stops opening connections to a router that shuts down, and soon after sends no more requests.
+	// The platform stops opening connections to a router newConnectionsEndAfter after SIGTERM, and stops sending
+	// requests requestsEndAfter later.
 	newConnectionsEndAfter = 300 * time.Millisecond
 	requestsEndAfter       = 200 * time.Millisecond
 	// spareDescriptors is the number of descriptors left to a router when they are limited.
@@ -42,7 +43,7 @@
 	started := time.Now()
 	c.fail(r.Start())
 	if took := time.Since(started); took > maxStartTime {
-		c.fail(fmt.Errorf("%s was ready after %v", r.Name, took))
+		c.fail(fmt.Errorf("%s became ready too late, after %v", r.Name, took))
 	}
 }
 
@@ -57,7 +58,7 @@
 	select {
 	case <-r.Ended():
 	case <-time.After(maxShutdownTime - newConnectionsEndAfter - requestsEndAfter):
-		c.fail(fmt.Errorf("%s does not end after SIGTERM", r.Name))
+		c.fail(fmt.Errorf("%s did not end in time after SIGTERM", r.Name))
 		c.record.updateProcess(r.index, func(p *processHistory) { p.killed = append(p.killed, time.Now()) })
 		r.Kill()
 	}
--- a/internal/testbed/soak/plan_test.go
+++ b/internal/testbed/soak/plan_test.go
@@ -21,10 +21,10 @@
 	}
 	parsed, err := ParsePlan("# a comment\n\n" + text.String())
 	if err != nil || !slices.Equal(parsed, plan) || !slices.Equal(NewPlan(7, 20*time.Second), plan) {
-		t.Errorf("%v, %d faults of %d", err, len(parsed), len(plan))
+		t.Errorf("error %v, parsed %d of %d faults, want the same faults", err, len(parsed), len(plan))
 	}
 	if len(plan) < 40 || inForce < 1 {
-		t.Errorf("%d faults in 20 s, %d in force at 10 s", len(plan), inForce)
+		t.Errorf("%d faults in 20 s, %d in force at 10 s, want at least 40 and 1", len(plan), inForce)
 	}
 }
 
@@ -61,7 +61,7 @@
 		{"stop-router 3", `plan: line 1: not of the form 'at TIME for TIME KIND NUMBER'`, errPlanLine},
 	} {
 		if _, err := ParsePlan(test.text); !errors.Is(err, test.reason) || err.Error() != test.want {
-			t.Errorf("%q: %v", test.text, err)
+			t.Errorf("plan %q: unexpected error %v", test.text, err)
 		}
 	}
 }
--- a/internal/testbed/soak/proxy.go
+++ b/internal/testbed/soak/proxy.go
@@ -17,9 +17,9 @@
 	proxyQueueLength    = 1024
 )
 
-// proxy is a TCP proxy before one server. It records each request when it arrives from a router, and then forwards the
-// request as far as the faults in force allow. It keeps reading from routers during faults, so that the recorded times
-// of attempts do not depend on the faults.
+// proxy is a TCP proxy in front of one server. It records each request when it arrives from a router, and then forwards
+// the request as far as the faults in force allow. It keeps reading from routers during faults, so that the recorded
+// times of attempts do not depend on the faults.
 type proxy struct {
 	uid       string
 	record    *Record
--- a/internal/testbed/soak/record.go
+++ b/internal/testbed/soak/record.go
@@ -157,17 +157,17 @@
 	}
 }
 
-// watchDelays records the intervals in which this process is not scheduled, until done is closed.
+// watchDelays records the intervals of more than 15 ms in which this process is not scheduled, until done is closed.
 func (r *Record) watchDelays(done <-chan struct{}) {
-	const every = 5 * time.Millisecond
+	const tick = 5 * time.Millisecond
 	for last := time.Now(); ; {
 		select {
 		case <-done:
 			return
-		case <-time.After(every):
+		case <-time.After(tick):
 		}
 		now := time.Now()
-		if now.Sub(last) > 3*every {
+		if now.Sub(last) > 3*tick {
 			r.update(func() { r.delays = append(r.delays, interval{last, now}) })
 		}
 		last = now
--- a/internal/testbed/soak/report.go
+++ b/internal/testbed/soak/report.go
@@ -119,7 +119,7 @@
 	}
 	out := filepath.Join(c.options.Out, fmt.Sprintf("soak-%d", c.options.Seed))
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		c.options.Logf("  the report can't be written: %v", err)
+		c.options.Logf("  creating the folder of the report: %v", err)
 		return
 	}
 	text, _ := json.MarshalIndent(report, "", "  ")
@@ -147,7 +147,7 @@
 		c.options.Logf("  %s: request %s, router n%d: %s", breach.Kind, breach.Request, breach.Router, breach.Detail)
 	}
 	plan := filepath.Join(out, "plan.txt")
-	c.options.Logf("  kept in %s; the same plan again: --seed %d, or --plan %s", out, c.options.Seed, plan)
+	c.options.Logf("  files are in %s; to repeat the plan, use --seed %d or --plan %s", out, c.options.Seed, plan)
 }
 
 func (c *cluster) writeFile(path string, text []byte) {
--- a/internal/testbed/soak/server.go
+++ b/internal/testbed/soak/server.go
@@ -59,7 +59,7 @@
 	return s.proxy
 }
 
-// swapProxy puts another proxy before the server, and returns the old proxy.
+// swapProxy puts another proxy in front of the server, and returns the old proxy.
 func (s *server) swapProxy(replacement *proxy) (old *proxy) {
 	s.set.mu.Lock()
 	defer s.set.mu.Unlock()
@@ -140,8 +140,8 @@
 	if state == serverFailing {
 		return site.ErrorResponse(id)
 	}
-	note := "sum=0000000000000001,t0=" + strconv.FormatInt(time.Now().UnixMilli(), 10) + ",how=local"
-	return site.Frame(id, site.StatusOK, note, executedBody(id))
+	fields := "sum=0000000000000001,t0=" + strconv.FormatInt(time.Now().UnixMilli(), 10) + ",how=local"
+	return site.Frame(id, site.StatusOK, fields, executedBody(id))
 }
 
 // executedBody returns the body of the response to an executed request.
--- a/internal/testbed/soak/soak.go
+++ b/internal/testbed/soak/soak.go
@@ -16,10 +16,10 @@
 
 var _ = testbed.Register(testbed.Experiment{
 	Name: "soak", Run: run,
-	Description: "dozens of routers under overlapping faults and failing system calls break no rule",
+	Description: "no router breaks a rule while faults overlap and system calls fail",
 })
 
-// run is the experiment: it plays the plan of one seed, or the plan that the options hold.
+// run plays the plan in the options or, if there is none, the plan drawn from the seed.
 func run(options testbed.Options, result *testbed.Result) error {
 	program, err := FaultyProgram()
 	if err != nil {
--- a/internal/testbed/store_cold.go
+++ b/internal/testbed/store_cold.go
@@ -9,7 +9,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-cold",
-	Description: "a store that restarts empty in a busy minute is not overloaded by 1, 4 or 16 routers",
+	Description: "1, 4 or 16 routers do not overload a store that restarts empty under load",
 	Run:         runStoreCold,
 })
 
--- a/internal/testbed/store_cost.go
+++ b/internal/testbed/store_cost.go
@@ -4,7 +4,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-cost",
-	Description: "what a request costs by way of a store, beside one by way of a cache",
+	Description: "processor time and memory of routers that use a store, compared with a cache",
 	Run:         runStoreCost,
 })
 
--- a/internal/testbed/store_drain.go
+++ b/internal/testbed/store_drain.go
@@ -9,7 +9,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-drain",
-	Description: "a store that is drained and gone while sets are in flight gets nothing past the grace",
+	Description: "a store that drains while sets are in flight gets no get, lease or set after the grace",
 	Run:         runStoreDrain,
 })
 
--- a/internal/testbed/store_faults.go
+++ b/internal/testbed/store_faults.go
@@ -9,7 +9,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-faults",
-	Description: "whatever the store answers, requests are served, and the store is used again when it is well",
+	Description: "requests are served whatever the store answers, and the store is used again after it recovers",
 	Run:         runStoreFaults,
 })
 
--- a/internal/testbed/store_lease.go
+++ b/internal/testbed/store_lease.go
@@ -8,8 +8,8 @@
 
 var _ = Register(Experiment{
 	Name: "store-lease",
-	Description: "one object missed by 16 routers at once is filled once; a lease holder that dies costs nobody a " +
-		"latency objective",
+	Description: "routers that miss an object at the same time fill it once or twice; requests stay in time even if " +
+		"the lease holder dies",
 	Run: runStoreLease,
 })
 
@@ -89,7 +89,7 @@
 	time.Sleep(450 * time.Millisecond)
 }
 
-// leaseCounts counts the outcomes of the requests for objects that all routers miss at once.
+// leaseCounts counts the requests for objects that all routers miss at once; requests excludes those counted in killed.
 type leaseCounts struct{ requests, inTime, killed int }
 
 func (c *Cluster) countLeaseRequests() (counts leaseCounts) {
@@ -126,7 +126,7 @@
 	}
 }
 
-// routerOf returns the router that a request was sent to, if that was not killed.
+// routerOf returns the router that a request was sent to, unless that router was killed.
 func (c *Cluster) routerOf(requestID string) (router int, found bool) {
 	for i, clients := range c.Clients {
 		for _, request := range clients.Requests() {
--- a/internal/testbed/store_none.go
+++ b/internal/testbed/store_none.go
@@ -4,7 +4,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-none",
-	Description: "the baseline: the usual load without a store",
+	Description: "the baseline of the store experiments: load without a store",
 	Run:         runStoreNone,
 })
 
--- a/internal/testbed/store_purge.go
+++ b/internal/testbed/store_purge.go
@@ -9,7 +9,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-purge",
-	Description: "no copy from before a purge is served past the grace, whatever fails in the store and the routers",
+	Description: "no purged copy is served after the grace, whatever fails in the store and the routers",
 	Run:         runStorePurge,
 })
 
--- a/internal/testbed/store_slow.go
+++ b/internal/testbed/store_slow.go
@@ -8,7 +8,7 @@
 
 var _ = Register(Experiment{
 	Name:        "store-slow",
-	Description: "a store that is slow without failing costs no request its latency objective",
+	Description: "requests meet their latency objectives even if the store is slow or never answers",
 	Run:         runStoreSlow,
 })
 
--- a/test/golden/operator_effects_test.go
+++ b/test/golden/operator_effects_test.go
@@ -1,6 +1,6 @@
 package golden_test
 
-// These tests show by their effect that keys of the operator's file are read, where no error message can show it.
+// These tests check the effect of the keys of the operator's file for which no error message shows that they are read.
 
 import (
 	"crypto/tls"
@@ -44,7 +44,8 @@
 			doRequest(c, object+1, "clip", object+1, "")
 		}
 		if gets := len(store.received("GET")); test.spared && gets > 2 || !test.spared && gets < 10 {
-			t.Errorf("%s: %d of 20 requests read from the store", test.shared, gets)
+			t.Errorf("%s: %d of 20 requests read from the store, want at most 2 if spared, else at least 10",
+				test.shared, gets)
 		}
 	}
 }
--- a/test/golden/protocol_test.go
+++ b/test/golden/protocol_test.go
@@ -177,7 +177,7 @@
 		_ = c.conn.SetReadDeadline(time.Now().Add(maxWait))
 		n, err := c.conn.Read(make([]byte, 100))
 		if netErr, ok := err.(interface{ Timeout() bool }); n > 0 || err == nil || ok && netErr.Timeout() {
-			t.Errorf("%q: %d bytes, %v", garbage, n, err)
+			t.Errorf("after %q: read %d bytes, error %v, want a closed connection", garbage, n, err)
 		}
 	}
 }
--- a/test/golden/simulator_test.go
+++ b/test/golden/simulator_test.go
@@ -118,7 +118,8 @@
 		if action[0] == actionLog {
 			offset, length := int(byteOrder.Uint32(action[5:])), int(byteOrder.Uint32(action[9:]))
 			if offset != logged || length == 0 {
-				c.t.Errorf("step %d: a log line of %d bytes at %d, not %d", c.step, length, offset, logged)
+				c.t.Errorf("step %d: log line of %d bytes at offset %d, want offset %d and at least 1 byte",
+					c.step, length, offset, logged)
 			}
 			logged += length
 			copy(action[5:13], "LOGGED..")
@@ -127,7 +128,7 @@
 		c.react(action)
 	}
 	if len(tail) != logged {
-		c.t.Errorf("step %d: a tail of %d bytes for %d of log lines", c.step, len(tail), logged)
+		c.t.Errorf("step %d: tail of %d bytes, want %d bytes of log lines", c.step, len(tail), logged)
 	}
 }
 
@@ -332,7 +333,7 @@
 	c.play()
 	_ = in.Close()
 	if rest, err := io.ReadAll(c.out); err != nil || len(rest) > 0 {
-		t.Errorf("%d bytes after the last reply, %v", len(rest), err)
+		t.Errorf("read %d bytes and error %v after the last reply, want none", len(rest), err)
 	}
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
--- a/test/golden/store_test.go
+++ b/test/golden/store_test.go
@@ -116,11 +116,11 @@
 		w.storedValues(f, store)
 		set := store.received("PSETEX")[0]
 		if want := newStoredValue(uint64(object), generatedAt).encode(); set[3] != want {
-			t.Errorf("stored %q, not %q", set[3], want)
+			t.Errorf("stored %q, want %q", set[3], want)
 		}
 		maxLifetime := map[string]int{"clip": 600_000, "news": 90_000}[class] // keep_ms; or maximum age plus grace
 		if lifetime, _ := strconv.Atoi(set[2]); lifetime > maxLifetime || lifetime < maxLifetime-int(maxWait.Milliseconds()) {
-			t.Errorf("class %s is stored for %s ms, not %d", class, set[2], maxLifetime)
+			t.Errorf("class %s is stored for %s ms, want at most %d", class, set[2], maxLifetime)
 		}
 		store.clearCommands()
 		_, _ = fmt.Fprintln(w, "# then it is served from the store\nclient <", doRequest(client, index+10, class, object, ""))
@@ -184,10 +184,10 @@
 	doRequest(f.client(), 1, "clip", 0xa1, "")
 	waitFor(t, "the value is stored", func() bool { return len(store.received("PSETEX")) > 0 })
 	if leases := store.received("SET"); len(leases) > 0 {
-		t.Errorf("leases: %q", leases)
+		t.Errorf("got leases %q, want none", leases)
 	}
 	if lifetime, _ := strconv.Atoi(store.received("PSETEX")[0][2]); lifetime <= 0 || lifetime > 5000 {
-		t.Errorf("stored for %d ms", lifetime)
+		t.Errorf("value is stored for %d ms, want 1 to 5000 ms", lifetime)
 	}
 }
 
@@ -271,7 +271,7 @@
 		command := store.firstZAdd(purge.member)
 		w.WriteString("a purge: " + normaliseTimes(command))
 		if command[3] != fmt.Sprint(issued) {
-			t.Errorf("a purge issued at %d: %q", issued, command)
+			t.Errorf("purge issued at %d is written as %q, want the same time", issued, command)
 		}
 	}
 	waitFor(t, "old purges are dropped", func() bool { return len(store.received("ZREMRANGEBYSCORE")) > 0 })
