--- a/test/golden/fleet_test.go
+++ b/test/golden/fleet_test.go
@@ -169,8 +169,8 @@
 	return fmt.Sprintf(`"roster":{"rev":1,"all":%v,"targets":[%s]}`, all, strings.Join(targets, ","))
 }
 
-// fleet is a router under test with its fake servers and discovery.
-type fleet struct {
+// fixture is a router under test with its fake servers and discovery.
+type fixture struct {
 	t         *testing.T
 	discovery *discoveryServer
 	parent    *cacheServer
@@ -204,10 +204,10 @@
   "root_kind":2,"second_tier_kind":1,"says":"all","seats_by_zone":[1],"origin_limit_factor":2.5,
   "origin_bears_ms":3000}}`
 
-// newFleet creates the fake servers and the configuration; start starts the router.
-func newFleet(t *testing.T, caches ...*cacheServer) *fleet {
+// newFixture creates the fake servers and the configuration; start starts the router.
+func newFixture(t *testing.T, caches ...*cacheServer) *fixture {
 	t.Helper()
-	f := &fleet{t: t, discovery: newDiscoveryServer(t), caches: caches, folder: t.TempDir(), ended: make(chan error, 1)}
+	f := &fixture{t: t, discovery: newDiscoveryServer(t), caches: caches, folder: t.TempDir(), ended: make(chan error, 1)}
 	f.parent = newCacheServer(t, "s-parent", "parent", respond("404", "how=not_there", ""))
 	f.origin = newCacheServer(t, "s-origin", "origin", respond("200", "sum=0000000000000005,how=local", "of the origin"))
 	f.discovery.publish(endpointListEvent(true, f.servers()...))
@@ -220,11 +220,11 @@
 }
 
 // servers returns the parent, the origin and the cache servers.
-func (f *fleet) servers() []*cacheServer {
+func (f *fixture) servers() []*cacheServer {
 	return append([]*cacheServer{f.parent, f.origin}, f.caches...)
 }
 
-func (f *fleet) write(path, text string) {
+func (f *fixture) write(path, text string) {
 	f.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
@@ -245,7 +245,7 @@
 }
 
 // start starts the router and waits until it listens.
-func (f *fleet) start(environment ...string) *fleet {
+func (f *fixture) start(environment ...string) *fixture {
 	f.t.Helper()
 	f.process = exec.Command(routerProgram, "serve")
 	f.process.Env = append(append(baseEnvironment(), "RELAY_CONFIG="+f.config), environment...)
@@ -279,7 +279,7 @@
 	reader *redcon.Reader
 }
 
-func (f *fleet) client() *client {
+func (f *fixture) client() *client {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.address)
 	if err != nil {
--- a/test/golden/lifecycle_test.go
+++ b/test/golden/lifecycle_test.go
@@ -13,7 +13,7 @@
 
 func TestServeRefusesWhatCannotBeUsed(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t)
+	f := newFixture(t)
 	config, operator := filepath.Join(f.folder, "broken.json"), filepath.Join(f.folder, "operator.json")
 	var w strings.Builder
 	for _, text := range []string{"", "{", `{"listen":"127.0.0.1:1"}`} {
@@ -37,7 +37,7 @@
 		<-release
 		return []string{fetch[1], "200", "sum=0000000000000005,how=local", "in time"}
 	})
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	c := f.client()
 	c.send("DO", "1", "clip", requestFields(1, 1))
 	select {
--- a/test/golden/main_test.go
+++ b/test/golden/main_test.go
@@ -97,13 +97,13 @@
 	return path, nil
 }
 
-// goldenPlays is the maximum number of plays of a golden test that depends on time. If the machine pauses, the router
-// considers a get from the store late and fills the copy instead, which changes the transcript. A difference with any
-// other cause occurs in every play.
-const goldenPlays = 5
+// maxGoldenPlays is the maximum number of plays of a golden test that depends on time. If the machine pauses, the
+// router considers a get from the store late and fills the copy instead, which changes the transcript. A difference
+// with any other cause occurs in every play.
+const maxGoldenPlays = 5
 
 // expectGoldenPlay compares the result of play with a golden file. If they differ, it calls play again, up to
-// goldenPlays times; play must start from a new state each time.
+// maxGoldenPlays times; play must start from a new state each time.
 func expectGoldenPlay(t *testing.T, name string, play func() []byte) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	got := play()
-	for i := 1; i < goldenPlays && !*update && !bytes.Equal(got, want); i++ {
+	for i := 1; i < maxGoldenPlays && !*update && !bytes.Equal(got, want); i++ {
 		t.Logf("play %d differs from the golden file; the machine may have paused", i)
 		got = play()
 	}
--- a/test/golden/operator_effects_test.go
+++ b/test/golden/operator_effects_test.go
@@ -13,7 +13,7 @@
 )
 
 // startWithOperator starts a router with an operator's file.
-func startWithOperator(f *fleet, operator string) *fleet {
+func startWithOperator(f *fixture, operator string) *fixture {
 	f.t.Helper()
 	path := filepath.Join(f.folder, "operator.json")
 	f.write(path, operator)
@@ -35,7 +35,7 @@
 	} {
 		store := newRedisServer(t)
 		store.uptime = 1
-		f := startWithOperator(newFleet(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q], "weight": 4}],
+		f := startWithOperator(newFixture(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q], "weight": 4}],
  "shared": {%s}}`, store.address, test.shared))
 		f.parent.set(respond("200", "sum=0000000000000005,how=local", "hit"))
 		waitFor(t, "the invalidation log is written", func() bool { return len(store.received("ZADD")) > 0 })
@@ -61,7 +61,7 @@
 		_ = tls.Server(conn, config).Handshake()
 		_ = conn.Close()
 	})
-	startWithOperator(newFleet(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q],
+	startWithOperator(newFixture(t), fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q],
  "tls": {"server_name": "store.example"}}]}`, listener.Addr().String()))
 	select {
 	case name := <-names:
@@ -76,7 +76,7 @@
 // A request beyond the limit of one address is rejected, on whichever connection it arrives.
 func TestAdmissionRefusals(t *testing.T) {
 	cache, w := newCacheServer(t, "s-1", "std", silent), &transcript{}
-	f := startWithOperator(newFleet(t, cache), `{"admission": {"views_per_address": 1}}`)
+	f := startWithOperator(newFixture(t, cache), `{"admission": {"views_per_address": 1}}`)
 	first, second := f.client(), f.client()
 	first.send("DO", "1", "clip", requestFields(1, 1))
 	waitFor(t, "a fetch", func() bool { fetches, _, _ := cache.counts(); return fetches > 0 })
--- a/test/golden/protocol_test.go
+++ b/test/golden/protocol_test.go
@@ -37,7 +37,7 @@
 }
 
 // exchange sends a request and records it, the requests that the servers received, and the response.
-func (w *transcript) exchange(name string, f *fleet, c *client, request ...string) {
+func (w *transcript) exchange(name string, f *fixture, c *client, request ...string) {
 	f.t.Helper()
 	_, _ = fmt.Fprintf(w, "# %s\n", name)
 	c.send(request...)
@@ -48,7 +48,7 @@
 }
 
 // addServerRequests records the fetches and aborts that the servers received since the last call.
-func (w *transcript) addServerRequests(f *fleet) {
+func (w *transcript) addServerRequests(f *fixture) {
 	for _, s := range f.servers() {
 		fetches, aborts := s.take()
 		for _, words := range append(fetches, aborts...) {
@@ -64,7 +64,7 @@
 
 func TestResponsesOfCacheServers(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", nil)
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	client, w := f.client(), &transcript{}
 	w.exchange("health check of the router", f, client, "PING", "1")
 	for index, answer := range []struct {
@@ -96,7 +96,7 @@
 
 func TestRequestFields(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	f.origin.set(respond("200", "sum=0000000000000005,t0=1", "done"))
 	c, w := f.client(), &transcript{}
 	w.exchange("all fields", f, c, "DO", "1", "clip",
@@ -114,7 +114,7 @@
 
 func TestFailures(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", respond("503", "how=turned_away", ""))
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	client, w := f.client(), &transcript{}
 	for i, status := range []string{"500", "504", "999"} {
 		f.origin.set(respond(status, "-", ""))
@@ -135,7 +135,7 @@
 }
 
 func TestMalformedRequests(t *testing.T) {
-	f := newFleet(t, newCacheServer(t, "s-1", "std", respond("200", "how=local", "hit"))).start()
+	f := newFixture(t, newCacheServer(t, "s-1", "std", respond("200", "how=local", "hit"))).start()
 	client, w := f.client(), &transcript{}
 	good := requestFields(1, 1)
 	for index, request := range [][]string{
@@ -168,7 +168,7 @@
 }
 
 func TestRubbishEndsTheConnection(t *testing.T) {
-	f := newFleet(t).start()
+	f := newFixture(t).start()
 	for _, garbage := range []string{"GET / HTTP/1.0\r\n\r\n", "*3\r\n$99999999999\r\n", "*99999\r\n", "$5\r\n"} {
 		c := f.client()
 		if _, err := c.conn.Write([]byte(garbage)); err != nil {
@@ -184,7 +184,7 @@
 
 func TestAbort(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", silent)
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	client, w := f.client(), &transcript{}
 	aborted := func() bool { _, aborts, _ := cache.counts(); return aborts == 1 }
 
@@ -214,7 +214,7 @@
 
 func TestHealthCheck(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	c, w := f.client(), &transcript{}
 	sent := 0
 	waitFor(t, "a health check", func() bool {
@@ -230,7 +230,7 @@
 
 func TestDiscoveryPolls(t *testing.T) {
 	cache := newCacheServer(t, "s-1", "std", respond("200", "sum=0000000000000005,how=local", "hit"))
-	f := newFleet(t, cache).start()
+	f := newFixture(t, cache).start()
 	client, w := f.client(), &transcript{}
 	waitForPolls := func(n int) {
 		t.Helper()
--- a/test/golden/store_test.go
+++ b/test/golden/store_test.go
@@ -14,16 +14,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// newStoreFleet starts a router whose only cache is a shared store.
-func newStoreFleet(t *testing.T, store *redisServer) *fleet {
+// newStoreFixture starts a router whose only cache is a shared store.
+func newStoreFixture(t *testing.T, store *redisServer) *fixture {
 	t.Helper()
-	return newStoreFleetWith(t, store, `"lease": true, "keep_ms": 600000`)
+	return newStoreFixtureWith(t, store, `"lease": true, "keep_ms": 600000`)
 }
 
-// newStoreFleetWith starts a router whose only cache is a shared store, with the given settings of "shared".
-func newStoreFleetWith(t *testing.T, store *redisServer, shared string) *fleet {
+// newStoreFixtureWith starts a router whose only cache is a shared store, with the given settings of "shared".
+func newStoreFixtureWith(t *testing.T, store *redisServer, shared string) *fixture {
 	t.Helper()
-	f := newFleet(t)
+	f := newFixture(t)
 	path := filepath.Join(f.folder, "operator.json")
 	f.write(filepath.Join(f.folder, "password"), "secret\n")
 	f.write(path, fmt.Sprintf(`{"stores": [{"uid": "s-redis", "addresses": [%q], "weight": 4, "prefix": "fa:",
@@ -77,7 +77,7 @@
 
 func TestStoreGreeting(t *testing.T) {
 	store := newRedisServer(t)
-	newStoreFleet(t, store)
+	newStoreFixture(t, store)
 	var w strings.Builder
 	for _, command := range store.firstCommands(3) {
 		w.WriteString(normaliseTimes(command))
@@ -104,7 +104,7 @@
 func playStoreMiss(t *testing.T) []byte {
 	t.Helper()
 	store, _ := newStoreWithLog(t)
-	f := newStoreFleet(t, store)
+	f := newStoreFixture(t, store)
 	client, w := f.client(), &transcript{}
 	for index, class := range []string{"clip", "news"} {
 		generatedAt, object := nowMillis(), 0xa1+index
@@ -131,7 +131,7 @@
 
 // storedValues records the commands on values and leases, and the requests that the servers received. It leaves out
 // DEL, because a lease may either be given back or expire, depending on timing.
-func (w *transcript) storedValues(f *fleet, store *redisServer) {
+func (w *transcript) storedValues(f *fixture, store *redisServer) {
 	for _, command := range store.received("GET", "SET", "PSETEX") {
 		w.WriteString("store < " + normaliseTimes(command))
 	}
@@ -140,7 +140,7 @@
 
 func TestStoreLeaseIsGivenBack(t *testing.T) {
 	store := newRedisServer(t)
-	f := newStoreFleet(t, store)
+	f := newStoreFixture(t, store)
 	c, object := f.client(), 0
 	waitFor(t, "a lease is given back", func() bool {
 		object++
@@ -163,7 +163,7 @@
 func playLeaseOfAnotherRouter(t *testing.T) []byte {
 	t.Helper()
 	store, _ := newStoreWithLog(t)
-	f := newStoreFleet(t, store)
+	f := newStoreFixture(t, store)
 	store.mu.Lock()
 	store.onLease = func(string) { // the other router stores its copy now
 		store.storedValues["fa:v:b1:3"] = newStoredValue(0xb1, nowMillis()).encode()
@@ -178,7 +178,7 @@
 
 func TestStoreWithoutLeases(t *testing.T) {
 	store, _ := newStoreWithLog(t)
-	f := newStoreFleetWith(t, store, `"lease": false, "keep_ms": 5000`)
+	f := newStoreFixtureWith(t, store, `"lease": false, "keep_ms": 5000`)
 	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000005,t0=%d,how=local", nowMillis()), "stored"))
 	store.clearCommands()
 	doRequest(f.client(), 1, "clip", 0xa1, "")
@@ -193,7 +193,7 @@
 
 func TestStoreHealthCheck(t *testing.T) {
 	store := newRedisServer(t)
-	f := newStoreFleet(t, store)
+	f := newStoreFixture(t, store)
 	f.parent.set(respond("200", "sum=0000000000000005,how=local", "hit"))
 	c, object := f.client(), 0
 	waitFor(t, "a health check", func() bool {
@@ -213,7 +213,7 @@
 func playStoredValues(t *testing.T) []byte {
 	t.Helper()
 	store, floor := newStoreWithLog(t)
-	f := newStoreFleet(t, store)
+	f := newStoreFixture(t, store)
 	f.parent.set(respond("200", fmt.Sprintf("sum=0000000000000006,t0=%d,how=local", nowMillis()), "from the parent"))
 	generatedAt, client, w := floor+100_000, f.client(), &transcript{}
 	waitFor(t, "the invalidation log is read", func() bool { return len(store.received("ZRANGEBYSCORE")) > 0 })
@@ -257,7 +257,7 @@
 func TestStoreLedger(t *testing.T) {
 	t.Parallel() // waits some seconds until old purges are dropped
 	store := newRedisServer(t)
-	f := newStoreFleet(t, store)
+	f := newStoreFixture(t, store)
 	w := &transcript{}
 	w.WriteString("the ledger is read: " + normaliseTimes(store.received("ZMSCORE")[0]))
 	w.WriteString("it is begun: " + normaliseTimes(store.received("ZADD")[0]))
