--- a/cmd/fennelarch/operatorfile_test.go
+++ b/cmd/fennelarch/operatorfile_test.go
@@ -60,7 +60,7 @@
 	cluster.expectLogged(map[string]int{
 		"operator's file reloaded":     1,
 		"operator's file not reloaded": 3,
-		"cannot_change":                1,
+		"cannot change while":          1,
 		"line 1":                       1,
 		"admission.per_address":        1,
 	})
--- a/cmd/fennelarch/reload.go
+++ b/cmd/fennelarch/reload.go
@@ -117,7 +117,7 @@
 		return err
 	}
 	if part := r.operatorFile.Load().ImmutableChange(changed); part != "" {
-		return fmt.Errorf("cannot_change while the router runs: %s", part)
+		return fmt.Errorf("cannot change while the router runs: %s", part)
 	}
 	settings, err := admissionSettings(changed, r.config)
 	if err != nil {
