--- a/policy/routing/tokenbucket.go
+++ b/policy/routing/tokenbucket.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// tokenBucket is a rate limiter that holds at most the tokens of one second.
+// tokenBucket is a rate limiter that holds at most the tokens of one second, but never less than one token. With less,
+// a rate below one token a second would never admit anything.
 type tokenBucket struct {
 	tokens   float64
 	filledAt time.Duration
@@ -10,7 +11,7 @@
 
 // take takes one token from a bucket that is filled at ratePerSecond, and reports whether one was left.
 func (b *tokenBucket) take(ratePerSecond float64, now time.Duration) bool {
-	b.tokens = min(ratePerSecond, b.tokens+ratePerSecond*(now-b.filledAt).Seconds())
+	b.tokens = min(max(1, ratePerSecond), b.tokens+ratePerSecond*(now-b.filledAt).Seconds())
 	b.filledAt = now
 	if b.tokens < 1 {
 		return false
--- a/policy/routing/tokenbucket_test.go
+++ b/policy/routing/tokenbucket_test.go
@@ -14,6 +14,7 @@
 		"a burst takes the tokens of one second": {10, 0, 10},
 		"all succeed at the rate":                {10, 100 * ms, 100},
 		"about half succeed at twice the rate":   {10, 50 * ms, 59},
+		"a rate below one token a second":        {0.25, time.Second, 25},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bucket, now, taken := tokenBucket{}, time.Minute, 0
