--- a/internal/frontend/inflight_test.go
+++ b/internal/frontend/inflight_test.go
@@ -4,8 +4,10 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"fennelarch/internal/engine"
+	"fennelarch/policy/admission"
 )
 
 // While a request is in flight, its ID stands for its object on all connections and cannot be used for another object.
@@ -115,3 +117,30 @@
 		t.Errorf("another client got status %s, want OK", status)
 	}
 }
+
+// A response without memory for its body is sent as a failure, so the admission policy must not count the request as
+// served in time: a client that does not read would otherwise become a known peer.
+func TestFailureForLackOfMemoryIsNotServedInTime(t *testing.T) {
+	client := newTestSession()
+	client.shared.classSettings[0].latencyObjective = time.Hour
+	servedInTime := 0
+	client.admit = func(event admission.Event) (retryAfter time.Duration, admitted bool) {
+		if event.Kind == admission.EventRequestEnd && event.InTime {
+			servedInTime++
+		}
+		return 0, true
+	}
+	served := 0
+	for tag := range 32 {
+		if err := client.receiveAt(do(tag+1, ""), time.Now()); err != nil {
+			t.Fatal(err)
+		}
+		client.respond(engine.Tag(tag+1), engine.Response{Status: engine.StatusOK, Body: make([]byte, 100_000)})
+		if client.pendingResponses[tag].status == statusOK {
+			served++
+		}
+	}
+	if served == 0 || served == 32 || servedInTime != served {
+		t.Errorf("%d of 32 requests reported as served in time, want the %d that were served", servedInTime, served)
+	}
+}
--- a/internal/frontend/responses.go
+++ b/internal/frontend/responses.go
@@ -37,8 +37,9 @@
 		return
 	}
 	hasRoom := s.hasBacklogRoom(len(engineResponse.Body))
-	request.Invariants.End(endReasonOf(engineResponse, hasRoom), time.Now())
-	s.finish(tag, outcomeOf(engineResponse.Status))
+	reason := endReasonOf(engineResponse, hasRoom)
+	request.Invariants.End(reason, time.Now())
+	s.finish(tag, outcomeOf(reason))
 	tagText := formatTag(tag)
 	switch {
 	case engineResponse.Status == engine.StatusOK && engineResponse.NotModified:
@@ -64,11 +65,13 @@
 	return invariant.EndFailed
 }
 
-func outcomeOf(status engine.Status) requestOutcome {
-	switch status {
-	case engine.StatusOK:
+// outcomeOf returns the outcome to report for a request that got its final response. A response without memory for its
+// body is a failure.
+func outcomeOf(reason invariant.EndReason) requestOutcome {
+	switch reason {
+	case invariant.EndServed:
 		return outcomeServed
-	case engine.StatusRejected:
+	case invariant.EndRejected:
 		return outcomeRejected
 	default:
 		return outcomeFailed
