--- a/internal/frontend/admission.go
+++ b/internal/frontend/admission.go
@@ -30,11 +30,11 @@
 		case admission.LogModeChange:
 			s.log.Info("admission mode changed", zap.Stringer("from", action.From), zap.Stringer("to", action.To))
 		case admission.Pause:
-			if c := s.connections[action.Conn]; c != nil {
+			if action.Conn == 0 {
+				decision, isDecided = action, true // a pause of the accept loop
+			} else if c := s.connections[action.Conn]; c != nil { // an evicted connection needs no pause
 				c.requestedPause.Store(int64(action.Wait))
-				continue
 			}
-			decision, isDecided = action, true // a pause of the accept loop
 		default:
 			if action.Conn == event.Conn {
 				decision, isDecided = action, true
