--- a/internal/frontend/tls.go
+++ b/internal/frontend/tls.go
@@ -53,8 +53,12 @@
 	if err != nil {
 		return fmt.Errorf("certificate %s: %w", f.Cert, err)
 	}
-	if leaf, err := x509.ParseCertificate(pair.Certificate[0]); err != nil || system.WallClock().After(leaf.NotAfter) {
-		return fmt.Errorf("certificate %s: %w", f.Cert, errors.Join(err, errCertificateExpired))
+	leaf, err := x509.ParseCertificate(pair.Certificate[0])
+	if err != nil {
+		return fmt.Errorf("certificate %s: %w", f.Cert, err)
+	}
+	if system.WallClock().After(leaf.NotAfter) {
+		return fmt.Errorf("certificate %s: %w", f.Cert, errCertificateExpired)
 	}
 	config := &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: max(tls.VersionTLS12, f.MinVersion)}
 	if f.ClientCA != "" {
