--- a/policy/admission/connection.go
+++ b/policy/admission/connection.go
@@ -150,7 +150,6 @@
 	conn := &c.connections[index]
 	from := conn.peerIndex
 	oldPeer, newPeer := &c.peers[from], &c.peers[to]
-	newPeer.isAllowlisted = true
 	oldPeer.openRequests -= conn.openRequests
 	newPeer.openRequests += conn.openRequests
 	if conn.isReserved {
--- a/policy/admission/connection_test.go
+++ b/policy/admission/connection_test.go
@@ -96,3 +96,22 @@
 		actions = controller.Handle(now, &event, actions[:0])
 	}
 }
+
+// A peer that is known by its client certificate stays known when settings change, although no address list names it:
+// during a flood, a reload would otherwise lock out exactly the clients that hold certificates.
+func TestCertificatePeerStaysKnownAfterSettingsChange(t *testing.T) {
+	controller := New(testSettings())
+	certificate := Certificate([32]byte{7})
+	controller.Handle(time.Second, &Event{Kind: EventArrival, Conn: 1, Peer: clientAddress(1), TLS: true}, nil)
+	controller.Handle(time.Second, &Event{Kind: EventHandshakeDone, Conn: 1, Peer: certificate}, nil)
+	controller.Handle(time.Second, &Event{Kind: EventArrival, Conn: 2, Peer: clientAddress(2)}, nil)
+	if _, isRemembered := controller.peerIndex[certificate]; !isRemembered {
+		t.Fatal("the peer of the certificate has no record")
+	}
+	controller.UpdateSettings(testSettings())
+	for peer, want := range map[Peer]reputation{certificate: allowlisted, clientAddress(2): unknown} {
+		if got := controller.reputation(&controller.peers[controller.peerIndex[peer]]); got != want {
+			t.Errorf("reputation of peer %x is %v after the change, want %v", peer, got, want)
+		}
+	}
+}
--- a/policy/admission/controller.go
+++ b/policy/admission/controller.go
@@ -63,7 +63,7 @@
 	c.settings, c.unknownRequestLimit = settings, float64(settings.MaxRequests)
 	for i := range c.peers {
 		if peer := &c.peers[i]; c.peerIndex[peer.id] == int32(i) {
-			peer.isAllowlisted = settings.IsAllowlisted != nil && settings.IsAllowlisted(peer.id)
+			peer.isAllowlisted = settings.allowlists(peer.id)
 		}
 	}
 }
--- a/policy/admission/peer.go
+++ b/policy/admission/peer.go
@@ -14,9 +14,15 @@
 	return ip
 }
 
+// certificatePrefix begins the peers of certificates. It is a multicast prefix, which no client's address has.
+var certificatePrefix = [2]byte{0xff, 0xcc}
+
 // Certificate returns the peer of a certificate, given the hash of its public key.
 func Certificate(hash [32]byte) Peer {
 	peer := Peer(hash[:16])
-	peer[0], peer[1] = 0xff, 0xcc // a multicast prefix: no client has such an address
+	copy(peer[:], certificatePrefix[:])
 	return peer
 }
+
+// isCertificate reports whether the peer is identified by its certificate.
+func (p Peer) isCertificate() bool { return [2]byte(p[:2]) == certificatePrefix }
--- a/policy/admission/peers.go
+++ b/policy/admission/peers.go
@@ -54,7 +54,7 @@
 	index := c.allocatePeer()
 	c.peers[index] = peerRecord{
 		id: id, connectionTokens: float64(c.settings.NewPerPeerBurst), tokensRefilledAt: c.now, scoredAt: c.now,
-		isAllowlisted: c.settings.IsAllowlisted != nil && c.settings.IsAllowlisted(id),
+		isAllowlisted: c.settings.allowlists(id),
 	}
 	c.peerIndex[id] = index
 	c.idlePeers.add(index, c.peerLinks)
--- a/policy/admission/settings.go
+++ b/policy/admission/settings.go
@@ -61,3 +61,9 @@
 	s.ReservedSlots = min(s.ReservedSlots, s.MaxConnections/2) // unknown peers need slots to become known
 	return s
 }
+
+// allowlists reports whether a peer is known from the start: the operator lists its address, or it has presented a
+// certificate of the operator's CA.
+func (s *Settings) allowlists(id Peer) bool {
+	return id.isCertificate() || s.IsAllowlisted != nil && s.IsAllowlisted(id)
+}
