--- a/policy/sharedstore/concurrencylimit.go
+++ b/policy/sharedstore/concurrencylimit.go
@@ -27,6 +27,12 @@
 	reducedAt time.Duration // when the limit was last reduced, 0: never
 }
 
+// setMax sets the maximum and lowers the limit to it.
+func (l *concurrencyLimit) setMax(maxInFlight int) {
+	l.max = float64(max(minLimit, maxInFlight))
+	l.limit = math.Min(l.limit, l.max)
+}
+
 func (l *concurrencyLimit) hasRoom() bool { return float64(l.inFlight) < math.Max(minLimit, l.limit) }
 
 // isHalfFree reports whether less than half of the limit is in use. Commands that no client waits for are sent only
--- a/policy/sharedstore/concurrencylimit_test.go
+++ b/policy/sharedstore/concurrencylimit_test.go
@@ -48,3 +48,36 @@
 		t.Error("with five of ten commands in flight, there must be room for requests but not for sets")
 	}
 }
+
+// The configured maximum of commands in flight holds from the start, and at once after it has been lowered.
+func TestMaxInFlightHoldsFromTheStartAndAfterAChange(t *testing.T) {
+	const maxAtStart, maxAfterChange = 5, 2
+	settings := testSettings()
+	settings.MaxInFlight = maxAtStart
+	coordinator := New(settings, 1, testStore)
+	store := coordinator.stores[0]
+	lastOperation := OperationID(0)
+	expectInFlight := func(want int) {
+		t.Helper()
+		for range 2 * maxAtStart {
+			lastOperation++
+			event := fillRequestEvent(lastOperation)
+			coordinator.Handle(0, &event, nil)
+		}
+		if store.limit.inFlight != want {
+			t.Errorf("%d commands in flight, want %d", store.limit.inFlight, want)
+		}
+	}
+	connected := Event{Kind: EventConnected, Endpoint: testStore, RunID: 1, Uptime: time.Hour}
+	coordinator.Handle(0, &connected, nil)
+	expectInFlight(maxAtStart)
+	for id := range OperationID(maxAtStart) {
+		cancel := cancelEvent(id + 1)
+		coordinator.Handle(ms, &cancel, nil)
+		reply := Event{Kind: EventGetDone, Operation: id + 1, Endpoint: testStore, Reply: ReplyHit, Elapsed: ms}
+		coordinator.Handle(ms, &reply, nil)
+	}
+	settings.MaxInFlight = maxAfterChange
+	coordinator.UpdateSettings(settings)
+	expectInFlight(maxAfterChange)
+}
--- a/policy/sharedstore/settings.go
+++ b/policy/sharedstore/settings.go
@@ -66,6 +66,6 @@
 	settings.Routers = max(1, settings.Routers)
 	c.settings = settings
 	for _, store := range c.stores {
-		store.limit.max = float64(max(1, settings.MaxInFlight))
+		store.limit.setMax(settings.MaxInFlight)
 	}
 }
--- a/policy/sharedstore/store.go
+++ b/policy/sharedstore/store.go
@@ -37,11 +37,13 @@
 }
 
 func newStoreStatus(id routing.EndpointID, maxInFlight int) *storeStatus {
-	return &storeStatus{
+	status := &storeStatus{
 		id:        id,
 		slowStart: slowStart{startedAt: routing.LongAgo},
-		limit:     concurrencyLimit{limit: initialCommandLimit, max: float64(max(1, maxInFlight))},
+		limit:     concurrencyLimit{limit: initialCommandLimit},
 	}
+	status.limit.setMax(maxInFlight)
+	return status
 }
 
 // getTimeout returns how long a get may take before a fill starts in parallel: longer than nearly all gets so far, but
