--- a/internal/testbed/router.go
+++ b/internal/testbed/router.go
@@ -57,7 +57,7 @@
 	cmd      *exec.Cmd
 	log      bytes.Buffer
 	ended    chan struct{} // closed once the process has ended
-	killedAt time.Time     // zero: not killed
+	killedAt time.Time     // when Kill was called after the last start; zero: not killed
 }
 
 // FindProgram returns the path of the router's program: the value of FENNELARCH or, if that is empty, the program
@@ -134,7 +134,7 @@
 	}
 	ended := make(chan struct{})
 	r.mu.Lock()
-	r.cmd, r.ended = cmd, ended
+	r.cmd, r.ended, r.killedAt = cmd, ended, time.Time{}
 	r.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
