--- a/internal/frontend/connection_test.go
+++ b/internal/frontend/connection_test.go
@@ -8,9 +8,11 @@
 	"net"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
+	"fennelarch/internal/engine"
 	"fennelarch/internal/limits"
 )
 
@@ -198,3 +200,27 @@
 		}
 	}
 }
+
+// A full engine queue rejects a request at once. The connection is read on, so that the next message is answered.
+func TestFullEngineQueueRejectsRequest(t *testing.T) {
+	var isFull atomic.Bool
+	server := newTestServer(t, nil)
+	post := server.post
+	server.post = func(at time.Time, message engine.Message) bool {
+		if _, isRequest := message.(*engine.Request); isRequest && isFull.Load() {
+			return false
+		}
+		return post(at, message)
+	}
+	isFull.Store(true)
+	conn := server.dial()
+	server.write(conn, requestFrame(1))
+	server.readExactly(conn, frame("1", "BUSY", "", ""))
+	server.write(conn, frame("PING", "2"))
+	server.readExactly(conn, pong("2"))
+	isFull.Store(false)
+	server.write(conn, requestFrame(3))
+	respond(receive(t, server.requests), []byte("served"))
+	server.readExactly(conn, frame("3", "OK", "", "served"))
+	_ = conn.Close()
+}
--- a/internal/frontend/heldinput_test.go
+++ b/internal/frontend/heldinput_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"fennelarch/internal/engine"
+	"fennelarch/internal/limits"
 )
 
 // While the input of a client that does not read is held, its leaving and its cancels are still noticed, and requests
@@ -124,3 +125,15 @@
 	}
 	_ = conn.Close()
 }
+
+// A reader that holds input is woken as soon as the client has read its responses, not only at the next scan of the
+// held input.
+func TestReaderIsWokenWhenClientReads(t *testing.T) {
+	const scanInterval = time.Minute
+	server := newTestServer(t, func(l *limits.Limits) { l.HeldInputInterval = scanInterval })
+	conn := server.dial()
+	server.holdInput(conn, 99)
+	server.write(conn, frame("PING", "9999"))
+	readUntil(t, conn, "9999") // fails after testTimeout, which is much shorter than scanInterval
+	_ = conn.Close()
+}
