--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -22,13 +22,12 @@
 	StreamsPerConnection   int // attempts in flight on one upstream connection
 
 	// Frames and requests.
-	MaxFrameStrings      int           // strings in a frame
-	RequestBodyBytes     int           // bytes in the body of a request
-	ResponseBodyBytes    int           // bytes in the body of a response
-	FieldBytes           int           // bytes in any other string
-	MaxSizeKB            float64       // kilobytes of the object that a request asks for
-	ObjectiveKBPerSecond float64       // kilobytes per second by which a latency objective grows with the size
-	MaxRequestTimeout    time.Duration // longest timeout that a request may ask for
+	MaxFrameStrings   int           // strings in a frame
+	RequestBodyBytes  int           // bytes in the body of a request
+	ResponseBodyBytes int           // bytes in the body of a response
+	FieldBytes        int           // bytes in any other string
+	MaxSizeKB         float64       // kilobytes of the object that a request asks for
+	MaxRequestTimeout time.Duration // longest timeout that a request may ask for
 
 	// Memory in bytes. Buffers grow to these sizes only when they need to.
 	ClientReadBuffer     int   // input of one client connection
