--- a/internal/fake/redis/commands.go
+++ b/internal/fake/redis/commands.go
@@ -156,7 +156,7 @@
 		case "PX":
 			i++
 			if i == len(args) {
-				break
+				return options, "ERR syntax error"
 			}
 			expiresIn, isValid := parseExpireTime(args[i])
 			if !isValid {
@@ -269,6 +269,18 @@
 	return s.sets[string(args[0])].between(parseScoreBound(args[1]), parseScoreBound(args[2]))
 }
 
+// limitMembers returns count members from an offset on. A negative count means all, a negative offset none.
+func limitMembers(members []scoredMember, offset, count int) []scoredMember {
+	if offset < 0 || offset > len(members) {
+		return nil
+	}
+	members = members[offset:]
+	if count < 0 {
+		return members
+	}
+	return members[:min(count, len(members))]
+}
+
 func (s *Store) answerZRangeByScore(connection redcon.Conn, args [][]byte, _ time.Time) {
 	members := s.membersBetween(args)
 	hasScores := false
@@ -283,8 +295,7 @@
 			}
 			offset, _ := strconv.Atoi(string(options[1]))
 			count, _ := strconv.Atoi(string(options[2]))
-			members = members[min(offset, len(members)):]
-			members = members[:min(count, len(members))]
+			members = limitMembers(members, offset, count)
 			options = options[2:]
 		}
 	}
--- a/internal/testbed/soak/checker_test.go
+++ b/internal/testbed/soak/checker_test.go
@@ -123,6 +123,11 @@
 			r.request.MayHaveCrossedClose = true
 			r.request.ConnectionEnd, r.request.EndedAt = EndedByClose, r.at(time.Millisecond)
 		}},
+		{ExcuseReadsPaused, func(r *cleanRun) {
+			r.request.ReadsPaused = true
+			r.request.ConnectionEnd, r.request.EndedAt = EndedByClose, r.at(time.Second)
+		}},
+		{ExcuseRejected, func(r *cleanRun) { r.request.WasConnectionRejected = true }},
 		{ExcuseSentAfterShutdown, func(r *cleanRun) { r.processes[0].stopped = []time.Time{r.at(-time.Second)} }},
 	} {
 		t.Run(string(test.excuse), func(t *testing.T) {
