--- a/internal/frontend/heldinput_test.go
+++ b/internal/frontend/heldinput_test.go
@@ -137,3 +137,37 @@
 	readUntil(t, conn, "9999") // fails after testTimeout, which is much shorter than scanInterval
 	_ = conn.Close()
 }
+
+// A request that was read long after it may have arrived is not forwarded before the rest of the client's input has been
+// read. A cancel there is heeded.
+func TestStaleRequestIsNotForwardedBeforeItsCancel(t *testing.T) {
+	server := newTestServer(t, func(l *limits.Limits) {
+		l.StaleReadAge, l.ReadAheadTimeout = -time.Second, time.Second
+	})
+	conn := server.dial()
+	server.write(conn, requestFrame(1))
+	time.Sleep(50 * time.Millisecond)
+	server.write(conn, frame("UNDO", "1")+frame("PING", "2"))
+	server.readExactly(conn, pong("2"))
+	if len(server.requests) > 0 {
+		t.Error("a stale request was forwarded, want it abandoned by its cancel")
+	}
+	_ = conn.Close()
+}
+
+// If more input follows a stale request than the ring holds, the request is rejected: a cancel may be in the input that
+// cannot be read yet.
+func TestStaleRequestIsRejectedIfInputExceedsRing(t *testing.T) {
+	server := newTestServer(t, func(l *limits.Limits) {
+		l.StaleReadAge, l.ReadAheadTimeout = -time.Second, time.Second
+	})
+	conn := server.dial()
+	server.write(conn, requestFrame(1))
+	time.Sleep(50 * time.Millisecond)
+	_, _ = io.WriteString(conn, strings.Repeat(frame("PING", "7"), 4_000))
+	server.readExactly(conn, frame("1", "BUSY", "", ""))
+	if len(server.requests) > 0 {
+		t.Error("a stale request was forwarded, want it rejected")
+	}
+	_ = conn.Close()
+}
