--- a/internal/frontend/heldinput_test.go
+++ b/internal/frontend/heldinput_test.go
@@ -138,8 +138,8 @@
 	_ = conn.Close()
 }
 
-// A request that was read long after it may have arrived is not forwarded before the rest of the client's input has been
-// read. A cancel there is heeded.
+// A request that was read long after it may have arrived is not forwarded before the rest of the client's input has
+// been read. A cancel in that input abandons the request.
 func TestStaleRequestIsNotForwardedBeforeItsCancel(t *testing.T) {
 	server := newTestServer(t, func(l *limits.Limits) {
 		l.StaleReadAge, l.ReadAheadTimeout = -time.Second, time.Second
