--- a/internal/stalldetect/detector.go
+++ b/internal/stalldetect/detector.go
@@ -63,11 +63,20 @@
 	if duration = time.Duration(beat - last); duration <= stallThreshold {
 		return 0
 	}
-	d.stallFrom.Store(last)
+	d.stallFrom.Store(d.stallStart(last))
 	d.stallUntil.Store(beat)
 	return duration
 }
 
+// stallStart returns the start of a stall that follows the given beat. If another stall ended just before the beat,
+// both count as one, because input that arrived during the first may not have been read yet.
+func (d *Detector) stallStart(lastBeat int64) int64 {
+	if until := d.stallUntil.Load(); until > 0 && lastBeat-until < int64(stallThreshold) {
+		return d.stallFrom.Load()
+	}
+	return lastBeat
+}
+
 // stall is a period in which the process did not run.
 type stall struct{ from, until time.Time }
 
@@ -78,7 +87,7 @@
 	}
 	sinceStart := int64(now.Sub(d.start))
 	if beat := d.lastBeat.Load(); sinceStart-beat > int64(stallThreshold) {
-		return stall{from: d.time(beat), until: now}, true
+		return stall{from: d.time(d.stallStart(beat)), until: now}, true
 	}
 	if until := d.stallUntil.Load(); until > 0 && sinceStart-until < int64(within) {
 		return stall{from: d.time(d.stallFrom.Load()), until: d.time(until)}, true
--- a/internal/stalldetect/detector_test.go
+++ b/internal/stalldetect/detector_test.go
@@ -75,6 +75,36 @@
 	}
 }
 
+// A process that is stopped again just after it was continued has not read what arrived during the first stall. Both
+// stalls then count as one, also while the second goes on.
+func TestStallsInQuickSuccessionCountAsOne(t *testing.T) {
+	for name, test := range map[string]struct {
+		secondFrom int // last beat before the second stall
+		want       int // earliest arrival
+	}{
+		"at once":                {700, 100},
+		"after a few beats":      {740, 100},
+		"after reading had time": {780, 780},
+	} {
+		t.Run(name, func(t *testing.T) {
+			detector := newDetectorTest(t)
+			detector.beatUntil(20, 100)
+			detector.beat(700, 600*time.Millisecond)
+			detector.beatUntil(720, test.secondFrom)
+			expectEarliest := func(now int) {
+				t.Helper()
+				got := detector.EarliestArrival(detector.at(50), detector.at(60), detector.at(now))
+				if !got.Equal(detector.at(test.want)) {
+					t.Errorf("at %d ms, earliest arrival is %v after the start, want %d ms", now, got.Sub(detector.start), test.want)
+				}
+			}
+			expectEarliest(1000)
+			detector.beat(1100, time.Duration(1100-test.secondFrom)*time.Millisecond)
+			expectEarliest(1105)
+		})
+	}
+}
+
 func TestSinceTellsWhenTheStallWas(t *testing.T) {
 	detector := newDetectorTest(t)
 	detector.beatUntil(20, 100)
