--- a/policy/routing/tokenbucket.go
+++ b/policy/routing/tokenbucket.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// tokenBucket is a rate limiter that holds at most the tokens of one second, but never less than one token. With less,
-// a rate below one token a second would never admit anything.
+// tokenBucket is a rate limiter. Its capacity is the tokens of one second, or one token if that is more. With a smaller
+// capacity, a rate below one token a second would never admit a request.
 type tokenBucket struct {
 	tokens   float64
 	filledAt time.Duration
